--- /dev/null
+++ b/tests/test_wire_bytes.py
@@ -0,0 +1,384 @@
+# leverdoor: global traffic steering
+# SPDX-License-Identifier: Apache-2.0
+"""What goes over the wire and into the store, byte by byte.
+
+The literals were written down once from the running code. A test that fails here
+says that processes of two versions no longer understand each other, or that
+stored data is no longer readable: mend the code, not the literal. The values
+stand in `wire_samples.py`.
+"""
+
+import asyncio
+import uuid
+import zlib
+from collections.abc import Iterator, Mapping
+from typing import Any
+
+import msgspec
+import pytest
+
+import wire_samples as samples
+from leverdoor.codec import pack, parse_json, serialize_json, unpack
+from leverdoor.entry.membership import digests
+from leverdoor.entry.membership.member import link_rank, member_id
+from leverdoor.entry.membership.use import UseLists
+from leverdoor.gate.keys import KeyRing, parse_key, serialize_key
+from leverdoor.membership.gossip import GossipSocket
+from leverdoor.membership.ownership import parse_table, serialize_table
+from leverdoor.model.resources import (
+    KINDS,
+    Tier,
+    parse_resource,
+    resource_key,
+    serialize_resource,
+)
+from leverdoor.platform.names import wire
+from leverdoor.storage.configuration import Configuration, Guard
+from leverdoor.storage.state import GUARD, PREFIX, RESOURCES, TABLES, Delta, State
+from leverdoor.storage.store import Event, MemoryStore
+
+PACKED_BYTES: dict[str, bytes] = {
+    "member": (
+        b"\x98\xa2n1\xa8siliguri\xaasiliguri-a\xab10.0.0.1:80\xad10.0.0.1:7946\xad10.0"
+        b".0.1:7947\xcf\x00\x06\x0a$\x18\x1e@\x01\xcd\x03\xe8"
+    ),
+    "entry heartbeat": (
+        b"\x9b\xa1h\x98\xa2n1\xa8siliguri\xaasiliguri-a\xab10.0.0.1:80\xad10.0.0.1:794"
+        b"6\xad10.0.0.1:7947\xcf\x00\x06\x0a$\x18\x1e@\x01\xcd\x03\xe8\xcd\x01,\x01"
+        b"\xce\x00\x01\x11p\x82\xa2t1\x03\xa2t2\x04\x81\xa4look\x82\xa8siliguri\xcb?"
+        b"\xe8\x00\x00\x00\x00\x00\x00\xa7kolkata\xcb?\xd0\x00\x00\x00\x00\x00\x00\xcd"
+        b"\x05\xdc\xc4\x04\x01\x02\x03\x04\xc4\x05\x05\x06\x07\x08\x09\xcc\xfa"
+    ),
+    "digest": (
+        b"\xdc\x00\x12\xa1d\xa2n1\x02\xcd\x01-\xcf\x00\x06\x0a$\x18\x1e@\x01\xce\x00"
+        b"\x01\x11p\xad10.0.0.1:7947\x91\x95\xaasiliguri-a\xce\xfe\xdc\xba\x98\xc4\x02"
+        b"\x01\x02\xc4\x02\x00\x02\xc4\x02,-\x91\x93\xa8siliguri\xce\x89\xab\xcd\xef"
+        b"\xc4\x01\x03\x07\x81\xa4look\x82\xa8siliguri\xcb?\xe8\x00\x00\x00\x00\x00"
+        b"\x00\xa7kolkata\xcb?\xd0\x00\x00\x00\x00\x00\x00\xcd\x05\xdc\xc4\x04\x01\x02"
+        b"\x03\x04\xc4\x05\x05\x06\x07\x08\x09\xcd\x01\xc2\xcd#(\x02\xcc\xfa"
+    ),
+    "news": b"\x93\xa1n\xce\x00\x01\x11p\xad10.0.0.1:7947",
+    "delta": (
+        b"\x85\xa4type\xa5Delta\xa5since\xce\x00\x01\x11n\xa8revision\xce\x00\x01\x11p"
+        b"\xa4full\xc3\xa6events\x92\x93\xce\x00\x01\x11o\xbe/leverdoor/resources/tier"
+        b'/gold\xc4\x0f{"kind":"tier"}\x93\xce\x00\x01\x11p\xbd/leverdoor/resource'
+        b"s/drain/d1\xc0"
+    ),
+    "stored entry": b"\x94\xaaservers/t1\xc4\x02{}\xce\x00\x01\x11p\x0c",
+    "gate report": (
+        b"\x8b\xa4type\xaaGateReport\xa4gate\xab10.0.0.1:80\xa5relay\xab10.0.0.1:81"
+        b"\xabincarnation\xcf\x00\x06\x0a$\x18\x1e@\x01\xa8revision\xce\x00\x01\x11p"
+        b"\xa3ack\x92(\x91\xadt:10.0.0.9:80\xa5state\xa7serving\xa5loads\x81\xa4look"
+        b"\x94\x05\x02\x03\xcb@)\x00\x00\x00\x00\x00\x00\xa4caps\x81\xaec:look:kolkata"
+        b"\x06\xa4held\x91\xadt:10.0.0.9:80\xa8draining\x81\xa2t1\x02"
+    ),
+    "hints": (
+        b"\x85\xa4type\xa5Hints\xaaheartbeats\x91\xdc\x00\x13\xa3vm1\xa8siliguri\xaasi"
+        b"liguri-a\xad10.0.0.1:7946\xad10.0.0.1:7948\xcf\x00\x06\x0a$\x18\x1e@\x03\xcd"
+        b"\x01,\xce\x00\x01\x11p\xab10.0.0.1:80\xab10.0.0.1:81\xcf\x00\x06\x0a$\x18"
+        b"\x1e@\x01\xce\x00\x01\x11o\x92(\x91\xadt:10.0.0.9:80\xa7leaving\x81\xa4look"
+        b"\x94\x05\x02\x03\xcb@)\x00\x00\x00\x00\x00\x00\x81\xaec:look:kolkata\x06\x91"
+        b"\xb1vm8|10.0.0.8:80|1\x91\xa3vm9\x81\xa2t1\x02\xableaving_vms\x91\xa3vm9\xa6"
+        b"probes\x81\xab10.0.0.9:80\x94\xc3\xc3\x04\xcb@\x93J\x00\x00\x00\x00\x00\xb1i"
+        b"ncarnation_floor\xcf\x00\x06\x0a$\x18\x1e@\x00"
+    ),
+    "gate heartbeat": (
+        b"\xdc\x00\x13\xa3vm1\xa8siliguri\xaasiliguri-a\xad10.0.0.1:7946\xad10.0.0.1:7"
+        b"948\xcf\x00\x06\x0a$\x18\x1e@\x03\xcd\x01,\xce\x00\x01\x11p\xab10.0.0.1:80"
+        b"\xab10.0.0.1:81\xcf\x00\x06\x0a$\x18\x1e@\x01\xce\x00\x01\x11o\x92(\x91\xadt"
+        b":10.0.0.9:80\xa7leaving\x81\xa4look\x94\x05\x02\x03\xcb@)\x00\x00\x00\x00"
+        b"\x00\x00\x81\xaec:look:kolkata\x06\x91\xb1vm8|10.0.0.8:80|1\x91\xa3vm9\x81"
+        b"\xa2t1\x02"
+    ),
+    "gossip": (
+        b"\x91\x91\xdc\x00\x13\xa3vm1\xa8siliguri\xaasiliguri-a\xad10.0.0.1:7946\xad10"
+        b".0.0.1:7948\xcf\x00\x06\x0a$\x18\x1e@\x03\xcd\x01,\xce\x00\x01\x11p\xab10.0."
+        b"0.1:80\xab10.0.0.1:81\xcf\x00\x06\x0a$\x18\x1e@\x01\xce\x00\x01\x11o\x92("
+        b"\x91\xadt:10.0.0.9:80\xa7leaving\x81\xa4look\x94\x05\x02\x03\xcb@)\x00\x00"
+        b"\x00\x00\x00\x00\x81\xaec:look:kolkata\x06\x91\xb1vm8|10.0.0.8:80|1\x91\xa3v"
+        b"m9\x81\xa2t1\x02"
+    ),
+    "ownership table": (
+        b"\x85\xa6region\xa8siliguri\xa7version)\xabnext_member\x03\xa7members\x82\x01"
+        b"\x94\xa3vm1\xab10.0.0.1:80\x11\xaasiliguri-a\x02\x94\xa3vm2\xab10.0.0.2:80"
+        b"\x12\xaasiliguri-b\xa4rows\x82\xadt:10.0.0.9:80\x93\x08\x82\x01\x04\x02\x03"
+        b"\x91\x93\x02\x01(\xaec:look:kolkata\x93<\x81\x017\x91\x93\x01\x05)"
+    ),
+    "idempotency key": (
+        b"\x96\xa3vm1\xab10.0.0.1:81\xcf\x00\x06\x0a$\x18\x1e@\x01\xcd\x11\x94\xc4\x08"
+        b"\x01\x02\x03\x04\x05\x06\x07\x08\xc4\x0c\xf1\xf2\xf3\xf4\xf5\xf6\xf7\xf8\xf9"
+        b"\xfa\xfb\xfc"
+    ),
+}
+RESOURCE_BYTES: dict[str, bytes] = {
+    "region/siliguri": (
+        b'{"kind":"region","name":"siliguri","domains":["siliguri-a"],"la'
+        b'tency_ms":{"kolkata":35}}'
+    ),
+    "service/look": (
+        b'{"kind":"service","name":"look","work":"bulk","deadline_ms":19'
+        b'00,"linger_ms":900,"queue":65,"bulk_prefixes":["bulk/"],"health_pat'
+        b'h":"/health","connections":66,"warmup_per_s":2.5}'
+    ),
+    "target/t1": (
+        b'{"kind":"target","name":"t1","service":"look","region":"silig'
+        b'uri","domain":"siliguri-a","address":"10.0.0.9:80","slots":8,"co'
+        b'nnections":131,"vm":"vm9","warmup_ms":500,"draining":true,"cold_ms'
+        b'":600}'
+    ),
+    "tier/gold": (
+        b'{"kind":"tier","name":"gold","callers":["ward"],"reserve_percen'
+        b't":20,"weight":3,"default":true}'
+    ),
+    "shiftcap/cap1": (
+        b'{"kind":"shiftcap","name":"cap1","service":"look","region":"s'
+        b'iliguri","units":60,"window_ms":1000,"ramp_percent":40}'
+    ),
+    "drain/drain1": (
+        b'{"kind":"drain","name":"drain1","region":"siliguri","domain":'
+        b'"siliguri-a","target":"t1","vm":"vm9"}'
+    ),
+    "servicelevel/level1": (
+        b'{"kind":"servicelevel","name":"level1","service":"look","tier"'
+        b':"gold","latency_ms":200,"objective":0.95}'
+    ),
+    "route/route1": (
+        b'{"kind":"route","name":"route1","host":"records.example","prefi'
+        b'x":"/look/","work":"once","services":{"look":0.75,"look2":0.25}'
+        b',"timeout_ms":1800,"target_latency_ms":150,"priority":2,"attempts":3'
+        b',"affinity":true,"homes":["siliguri"],"anonymous":true}'
+    ),
+    "workspace/ward": (
+        b'{"kind":"workspace","name":"ward","key_digests":["0123456789abcde'
+        b'f0123456789abcdef0123456789abcdef0123456789abcdef"],"rate_per_s":12.5,"b'
+        b'urst":25.0,"priority":1,"homes":["siliguri"]}'
+    ),
+    "clientlimits/limits": (
+        b'{"kind":"clientlimits","name":"limits","header_bytes":8192,"body_'
+        b'bytes":1000000,"header_timeout_ms":2900,"idle_timeout_ms":14000}'
+    ),
+    "clientblocks/blocks1": (
+        b'{"kind":"clientblocks","name":"blocks1","networks":{"siliguri":['
+        b'"192.0.2.0/24"]}}'
+    ),
+}
+
+
+def structs_in(value: Any) -> Iterator[msgspec.Struct]:
+    """Yield the structs that a value consists of."""
+    if isinstance(value, msgspec.Struct):
+        yield value
+        for name in value.__struct_fields__:
+            yield from structs_in(getattr(value, name))
+    elif isinstance(value, Mapping):
+        for part in value.values():
+            yield from structs_in(part)
+    elif isinstance(value, list):
+        for part in value:
+            yield from structs_in(part)
+
+
+def fields_at_default(value: Any) -> list[str]:
+    """Return the fields that a changed default, or a lost field, would not show."""
+    found = []
+    for struct in structs_in(value):
+        for field in msgspec.structs.fields(type(struct)):
+            default = field.default
+            if field.default_factory is not msgspec.NODEFAULT:
+                default = field.default_factory()
+            if getattr(struct, field.name) == default:
+                found.append(f"{type(struct).__name__}.{field.name}")
+    return found
+
+
+# MessagePack between processes.
+
+
+def test_every_packed_message_has_its_bytes() -> None:
+    assert PACKED_BYTES.keys() == samples.PACKED.keys()
+
+
+@pytest.mark.parametrize("name", PACKED_BYTES)
+def test_packed_message(name: str) -> None:
+    sample, data = samples.PACKED[name], PACKED_BYTES[name]
+    assert not fields_at_default(sample.value)
+    assert pack(sample.value) == data
+    parsed = unpack(data, sample.kind)
+    assert parsed == sample.value
+    assert pack(parsed) == data
+
+
+def test_rows_of_entries() -> None:
+    data = (
+        b"\x04\x03\x02\x01\x01@\x1e\x18$\x0a\x06\x00\x01"
+        b"\xfe\xff\xff\xff\x02@\x1e\x18$\x0a\x06\x00\x02"
+    )
+    assert digests.serialize_rows(samples.ROWS) == data
+    assert digests.parse_rows(data) == samples.ROWS
+    assert digests.rows_hash(data) == 1953574800
+
+
+def test_ages_of_entries() -> None:
+    """In steps of 20 ms, rounded up."""
+    assert digests.serialize_ages(samples.AGES_S) == b"\x00\x022\xff"
+    assert digests.AGE_STEP_S == 0.02
+
+
+def test_ids() -> None:
+    data = b"\x01\x00\x00\x00\x04\x03\x02\x01\xfe\xff\xff\xff"
+    assert digests.serialize_ids(samples.IDS) == data
+    assert digests.parse_ids(data) == samples.IDS
+
+
+def test_identity_and_order_of_entries() -> None:
+    assert member_id("n1") == 2867198912
+    assert link_rank(samples.MEMBER) == (-1000, 15506916534570490772)
+
+
+def test_counts_of_a_region() -> None:
+    """One byte a target, by name; 255 is the most."""
+    lists = digests.TargetLists()
+    lists.renew(samples.REGION_TARGETS)
+    counts = digests.RegionCounts("siliguri", 3305339154, b"\x03\xff\x00")
+    assert lists.serialize("siliguri", samples.REGION_COUNTS) == counts
+    assert lists.parse(counts) == {"t1": 3, "t2": 255}
+
+
+def test_use_of_quotas() -> None:
+    """Pairs of place and count; 65,535 is the most."""
+    lists = UseLists()
+    lists.renew(samples.PLANNED)
+    data = b"\xaaiE\xca\x00\x02\x00Z\x00\x01\x00\xff\xff"
+    assert lists.serialize(samples.USE, 20) == data
+    assert lists.parse(data) == {"ward": 90, "police": 65_535}
+
+
+class RecordingTransport(asyncio.DatagramTransport):
+    """Keeps the datagrams that are sent."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.sent: list[tuple[bytes, Any]] = []
+
+    def sendto(self, data: Any, addr: Any = None) -> None:
+        self.sent.append((bytes(data), addr))
+
+    def is_closing(self) -> bool:
+        return False
+
+
+NEWS_DATAGRAM = (
+    b"x\x01\x9b\xbc0\xef\x1c\x03\xa3`\xc1ZC\x03=\x104\xb42\xb741\x07\x00T[\x061"
+)
+"""The news as sent; another build of zlib may compress to other bytes."""
+
+
+async def test_datagram_sent() -> None:
+    """A zlib stream of the fastest level around the packed message."""
+    socket: GossipSocket[Any] = GossipSocket(digests.Message, lambda _: None)
+    transport = socket._transport = RecordingTransport()
+    socket.send(samples.NEWS, "10.0.0.2:7946")
+    [(data, to)] = transport.sent
+    assert to == ("10.0.0.2", 7946)
+    assert data[:2] == NEWS_DATAGRAM[:2]
+    assert zlib.decompress(data) == PACKED_BYTES["news"]
+
+
+def test_datagram_received() -> None:
+    taken: list[Any] = []
+    socket: GossipSocket[Any] = GossipSocket(digests.Message, taken.append)
+    socket.datagram_received(NEWS_DATAGRAM, ("10.0.0.2", 7946))
+    assert taken == [samples.NEWS]
+
+
+def test_snapshot_and_delta_of_a_state() -> None:
+    """What a pull gets: everything, or what changed since."""
+    state = State()
+    tier = Event(4, "/leverdoor/resources/tier/gold", b"{}")
+    state.apply(Delta(0, 5, True, [tier, Event(5, "/leverdoor/guard", b"{}")]))
+    state.extend([Event(6, "/leverdoor/guard", None)])
+    assert pack(state.delta(5)) == (
+        b"\x85\xa4type\xa5Delta\xa5since\x05\xa8revision\x06\xa4full\xc2\xa6events\x91"
+        b"\x93\x06\xb0/leverdoor/guard\xc0"
+    )
+    assert pack(state.delta(0)) == (
+        b"\x85\xa4type\xa5Delta\xa5since\x00\xa8revision\x06\xa4full\xc3\xa6events\x91"
+        b"\x93\x04\xbe/leverdoor/resources/tier/gold\xc4\x02{}"
+    )
+
+
+# Documents in the store.
+
+
+def test_keys_of_the_store() -> None:
+    assert PREFIX == "/leverdoor/"
+    assert GUARD == "/leverdoor/guard"
+    assert RESOURCES == "/leverdoor/resources/"
+    assert TABLES == "/leverdoor/tables/"
+    assert wire({}).peer_key("n1") == "leverdoor/entries/n1"
+
+
+def test_ownership_table() -> None:
+    data = PACKED_BYTES["ownership table"]
+    assert serialize_table(samples.TABLE) == data
+    assert parse_table(data) == samples.TABLE
+    assert serialize_table(parse_table(data)) == data
+
+
+def test_guard() -> None:
+    data = b'{"writes":["a1","b2"]}'
+    assert serialize_json(samples.GUARD) == data
+    assert parse_json(data, Guard) == samples.GUARD
+    assert msgspec.json.encode(parse_json(data, Guard)) == data
+
+
+def test_every_kind_of_resource_has_its_bytes() -> None:
+    assert [resource_key(r) for r in samples.RESOURCES] == list(RESOURCE_BYTES)
+    assert [key.split("/")[0] for key in RESOURCE_BYTES] == list(KINDS)
+
+
+@pytest.mark.parametrize(
+    "resource", samples.RESOURCES, ids=[resource_key(r) for r in samples.RESOURCES]
+)
+def test_resource(resource: Any) -> None:
+    data = RESOURCE_BYTES[resource_key(resource)]
+    assert not fields_at_default(resource)
+    assert serialize_resource(resource) == data
+    assert parse_resource(data) == resource
+    assert serialize_resource(parse_resource(data)) == data
+
+
+async def test_documents_of_one_configuration_write(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A resource as JSON, and the guard that names the write."""
+    monkeypatch.setattr(uuid, "uuid4", lambda: uuid.UUID(int=0xABC))
+    store = MemoryStore()
+    tier = Tier(name="gold", weight=3)
+    applied = await Configuration(store, State()).apply([tier])
+    assert applied.unwrap().keys == ["tier/gold"]
+    listing = await store.read("")
+    assert {e.key: e.value for e in listing.entries} == {
+        "/leverdoor/guard": b'{"writes":["00000000000000000000000000000abc"]}',
+        "/leverdoor/resources/tier/gold": (
+            b'{"kind":"tier","name":"gold","callers":[],"reserve_percent":0,'
+            b'"weight":3,"default":false}'
+        ),
+    }
+
+
+# Idempotency keys of gates.
+
+
+def test_serialized_key() -> None:
+    text = "lqN2bTGrMTAuMC4wLjE6ODHPAAYKJBgeQAHNEZTECAECAwQFBgcIxAzx8vP09fb3-Pn6-_w"
+    assert serialize_key(samples.KEY) == text
+    assert parse_key(text) == samples.KEY
+    assert serialize_key(parse_key(text)) == text
+
+
+def test_issued_key() -> None:
+    ring = KeyRing("vm1", "10.0.0.1:81", 17, b"secret", 100.0)
+    text = "lqN2bTGrMTAuMC4wLjE6ODERzRGUxAgBAQEBAQEBAcQMAOhyGGfmgW3X7QCx"
+    assert ring.issue(b"\x01" * 8, 104.5) == text
+    assert ring.mine(parse_key(text))
--- /dev/null
+++ b/tests/wire_samples.py
@@ -0,0 +1,287 @@
+# leverdoor: global traffic steering
+# SPDX-License-Identifier: Apache-2.0
+"""One value of each message and stored document, no field at its default.
+
+A class or field that gets another name is changed here and nowhere else in the
+tests of the wire; the bytes in `test_wire_bytes.py` stay as they are.
+"""
+
+from typing import Any
+
+import msgspec
+
+from leverdoor.agent.link import GateReport, Hints
+from leverdoor.entry.membership import digests
+from leverdoor.entry.membership.member import LEAVING, SERVING, Member
+from leverdoor.entry.membership.sightings import MemberRow
+from leverdoor.gate.keys import Key
+from leverdoor.membership import ownership
+from leverdoor.membership.peers import GateState, Gossip, Heartbeat, Load
+from leverdoor.model.resources import (
+    ClientBlocks,
+    ClientLimits,
+    Drain,
+    Region,
+    Resource,
+    Route,
+    Service,
+    ServiceLevel,
+    ShiftCap,
+    Target,
+    Tier,
+    Work,
+    Workspace,
+)
+from leverdoor.model.targets import Probe
+from leverdoor.storage.configuration import Guard
+from leverdoor.storage.state import Delta
+from leverdoor.storage.store import Entry, Event
+
+
+class Sample(msgspec.Struct, frozen=True):
+    """A value, and the type by which its receiver parses it."""
+
+    value: Any
+    kind: Any
+
+
+ROWS = [
+    MemberRow(0x01020304, 1_700_000_000_000_001, SERVING),
+    MemberRow(0xFFFFFFFE, 1_700_000_000_000_002, LEAVING),
+]
+AGES_S = [0.0, 0.021, 1.0, 60.0]
+IDS = [1, 0x01020304, 0xFFFFFFFE]
+REGION_TARGETS = {"siliguri": ["t2", "t1", "t3"]}
+REGION_COUNTS = {"t1": 3, "t2": 300}
+PLANNED = {"ward": 100.0, "police": 50.0, "billing": 10.0}
+USE = {"ward": 90, "police": 70_000}
+
+MEMBER = Member(
+    name="n1",
+    region="siliguri",
+    domain="siliguri-a",
+    front="10.0.0.1:80",
+    gossip="10.0.0.1:7946",
+    pull="10.0.0.1:7947",
+    incarnation=1_700_000_000_000_001,
+    link_mbps=1_000,
+)
+SHARES = {"look": {"siliguri": 0.75, "kolkata": 0.25}}
+ENTRY_HEARTBEAT = digests.Heartbeat(
+    member=MEMBER,
+    seq=300,
+    state=SERVING,
+    revision=70_000,
+    in_flight={"t1": 3, "t2": 4},
+    shares=SHARES,
+    outage_ms=1_500,
+    warm=b"\x01\x02\x03\x04",
+    use=b"\x05\x06\x07\x08\x09",
+    confirmed_ms=250,
+)
+DIGEST = digests.Digest(
+    sender="n1",
+    scope=digests.DigestScope.ALL,
+    turn=301,
+    incarnation=1_700_000_000_000_001,
+    revision=70_000,
+    pull="10.0.0.1:7947",
+    views=[
+        digests.DomainView(
+            domain="siliguri-a",
+            hash=0xFEDCBA98,
+            rows=b"\x01\x02",
+            ages=b"\x00\x02",
+            seqs=b"\x2c\x2d",
+        )
+    ],
+    loads=[digests.RegionCounts(region="siliguri", hash=0x89ABCDEF, counts=b"\x03")],
+    entries=7,
+    shares=SHARES,
+    outage_ms=1_500,
+    warm=b"\x01\x02\x03\x04",
+    use=b"\x05\x06\x07\x08\x09",
+    use_age_ms=450,
+    merged_ms=9_000,
+    silent=2,
+    confirmed_ms=250,
+)
+NEWS = digests.News(revision=70_000, pull="10.0.0.1:7947")
+
+DELTA = Delta(
+    since=69_998,
+    revision=70_000,
+    full=True,
+    events=[
+        Event(69_999, "/leverdoor/resources/tier/gold", b'{"kind":"tier"}'),
+        Event(70_000, "/leverdoor/resources/drain/d1", None),
+    ],
+)
+ENTRY = Entry(key="servers/t1", value=b"{}", revision=70_000, lease=12)
+
+ACK = ownership.Ack(version=40, over=["t:10.0.0.9:80"])
+LOAD = Load(held=5, free=2, waiting=3, mean_ms=12.5)
+GATE_REPORT = GateReport(
+    gate="10.0.0.1:80",
+    relay="10.0.0.1:81",
+    incarnation=1_700_000_000_000_001,
+    revision=70_000,
+    ack=ACK,
+    state=GateState.SERVING,
+    loads={"look": LOAD},
+    caps={"c:look:kolkata": 6},
+    held=["t:10.0.0.9:80"],
+    draining={"t1": 2},
+)
+GATE_HEARTBEAT = Heartbeat(
+    vm="vm1",
+    region="siliguri",
+    domain="siliguri-a",
+    gossip="10.0.0.1:7946",
+    api="10.0.0.1:7948",
+    agent=1_700_000_000_000_003,
+    seq=300,
+    revision=70_000,
+    gate="10.0.0.1:80",
+    relay="10.0.0.1:81",
+    incarnation=1_700_000_000_000_001,
+    gate_revision=69_999,
+    ack=ACK,
+    state=GateState.LEAVING,
+    loads={"look": LOAD},
+    caps={"c:look:kolkata": 6},
+    departed=["vm8|10.0.0.8:80|1"],
+    leaving_vms=["vm9"],
+    draining={"t1": 2},
+)
+HINTS = Hints(
+    heartbeats=[GATE_HEARTBEAT],
+    leaving_vms=["vm9"],
+    probes={
+        "10.0.0.9:80": Probe(ok=True, leaving=True, in_flight=4, taken_at=1234.5),
+    },
+    incarnation_floor=1_700_000_000_000_000,
+)
+
+TABLE = ownership.Table(
+    region="siliguri",
+    version=41,
+    next_member=3,
+    members={
+        1: ownership.Member(
+            vm="vm1", gate="10.0.0.1:80", incarnation=17, domain="siliguri-a"
+        ),
+        2: ownership.Member(
+            vm="vm2", gate="10.0.0.2:80", incarnation=18, domain="siliguri-b"
+        ),
+    },
+    rows={
+        ownership.slot_row("10.0.0.9:80"): ownership.Row(
+            capacity=8,
+            held={1: 4, 2: 3},
+            releases=[ownership.Release(member=2, units=1, version=40)],
+        ),
+        ownership.cap_row("look", "kolkata"): ownership.Row(
+            capacity=60,
+            held={1: 55},
+            releases=[ownership.Release(member=1, units=5, version=41)],
+        ),
+    },
+)
+KEY = Key(
+    vm="vm1",
+    relay="10.0.0.1:81",
+    incarnation=1_700_000_000_000_001,
+    issued_ms=4_500,
+    nonce=b"\x01\x02\x03\x04\x05\x06\x07\x08",
+    mac=b"\xf1\xf2\xf3\xf4\xf5\xf6\xf7\xf8\xf9\xfa\xfb\xfc",
+)
+
+PACKED = {
+    "member": Sample(MEMBER, Member),
+    "entry heartbeat": Sample(ENTRY_HEARTBEAT, digests.Message),
+    "digest": Sample(DIGEST, digests.Message),
+    "news": Sample(NEWS, digests.Message),
+    "delta": Sample(DELTA, Delta),
+    "stored entry": Sample(ENTRY, Entry),
+    "gate report": Sample(GATE_REPORT, GateReport),
+    "hints": Sample(HINTS, Delta | Hints),
+    "gate heartbeat": Sample(GATE_HEARTBEAT, Heartbeat),
+    "gossip": Sample(Gossip([GATE_HEARTBEAT]), Gossip),
+    "ownership table": Sample(TABLE, ownership.Table),
+    "idempotency key": Sample(KEY, Key),
+}
+"""Messages in MessagePack."""
+
+GUARD = Guard(writes=["a1", "b2"])
+RESOURCES: list[Resource] = [
+    Region(name="siliguri", domains=["siliguri-a"], latency_ms={"kolkata": 35}),
+    Service(
+        name="look",
+        work=Work.BULK,
+        deadline_ms=1_900,
+        linger_ms=900,
+        queue=65,
+        bulk_prefixes=["bulk/"],
+        health_path="/health",
+        connections=66,
+        warmup_per_s=2.5,
+    ),
+    Target(
+        name="t1",
+        service="look",
+        region="siliguri",
+        domain="siliguri-a",
+        address="10.0.0.9:80",
+        slots=8,
+        connections=131,
+        vm="vm9",
+        warmup_ms=500,
+        draining=True,
+        cold_ms=600,
+    ),
+    Tier(name="gold", callers=["ward"], reserve_percent=20, weight=3, default=True),
+    ShiftCap(
+        name="cap1",
+        service="look",
+        region="siliguri",
+        units=60,
+        window_ms=1_000,
+        ramp_percent=40,
+    ),
+    Drain(name="drain1", region="siliguri", domain="siliguri-a", target="t1", vm="vm9"),
+    ServiceLevel(
+        name="level1", service="look", tier="gold", latency_ms=200, objective=0.95
+    ),
+    Route(
+        name="route1",
+        host="records.example",
+        prefix="/look/",
+        work=Work.ONCE,
+        services={"look": 0.75, "look2": 0.25},
+        timeout_ms=1_800,
+        target_latency_ms=150,
+        priority=2,
+        attempts=3,
+        affinity=True,
+        homes=["siliguri"],
+        anonymous=True,
+    ),
+    Workspace(
+        name="ward",
+        key_digests=["0123456789abcdef" * 4],
+        rate_per_s=12.5,
+        burst=25.0,
+        priority=1,
+        homes=["siliguri"],
+    ),
+    ClientLimits(
+        name="limits",
+        header_bytes=8_192,
+        body_bytes=1_000_000,
+        header_timeout_ms=2_900,
+        idle_timeout_ms=14_000,
+    ),
+    ClientBlocks(name="blocks1", networks={"siliguri": ["192.0.2.0/24"]}),
+]
+"""One resource of every kind."""
