--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -9,9 +9,11 @@
 """
 
 import asyncio
+import contextlib
+import re
 import uuid
 import zlib
-from collections.abc import Iterator, Mapping
+from collections.abc import Awaitable, Callable, Iterator, Mapping
 from typing import Any
 
 import msgspec
@@ -22,20 +24,42 @@
 from leverdoor.entry.membership import digests
 from leverdoor.entry.membership.member import link_rank, member_id
 from leverdoor.entry.membership.use import UseLists
+from leverdoor.entry.settings import EntrySettings
 from leverdoor.gate.keys import KeyRing, parse_key, serialize_key
 from leverdoor.membership.gossip import GossipSocket
 from leverdoor.membership.ownership import parse_table, serialize_table
 from leverdoor.model.resources import (
     KINDS,
+    ClientLimits,
+    Drain,
+    Region,
+    Route,
+    Service,
+    Target,
     Tier,
+    Work,
+    Workspace,
     parse_resource,
     resource_key,
     serialize_resource,
 )
 from leverdoor.platform.names import wire
+from leverdoor.platform.settings import parse_settings
+from leverdoor.platform.store import PlatformStore
+from leverdoor.settings import Address
 from leverdoor.storage.configuration import Configuration, Guard
+from leverdoor.storage.etcd import EtcdStore
 from leverdoor.storage.state import GUARD, PREFIX, RESOURCES, TABLES, Delta, State
-from leverdoor.storage.store import Event, MemoryStore
+from leverdoor.storage.store import (
+    Commit,
+    Entry,
+    Event,
+    Listing,
+    MemoryStore,
+    Store,
+    Write,
+)
+from leverdoor.workspaces.room import QuotaBounds
 
 PACKED_BYTES: dict[str, bytes] = {
     "member": (
@@ -163,6 +187,48 @@
     ),
 }
 
+DOCUMENT_BYTES: dict[str, bytes] = {
+    "item list": (
+        b'{"revision":70000,"items":[{"revision":69999,"resource":{"kind":"'
+        b'tier","name":"gold"},"in_force":1,"entries":2}]}'
+    ),
+    "change": (
+        b'{"revision":70000,"type":"put","key":"tier/gold","resource":{"k'
+        b'ind":"tier","name":"gold"}}'
+    ),
+    "bookmark": b'{"revision":70000,"type":"bookmark"}',
+    "status": b'{"revision":70000,"in_force":1,"entries":2}',
+    "applied": b'{"revision":70000,"keys":["tier/gold"]}',
+    "problem": (
+        b'{"code":1006,"name":"CONFLICT","detail":"overtaken","field":"na'
+        b'me","run":"maybe","retry_after_ms":500,"revision":70000}'
+    ),
+    "report": (
+        b'{"name":"entries","revision":70000,"entries":2,"missing":["vm9"]'
+        b',"lines":[{"type":"EntryLine","vm":"vm1","region":"siliguri",'
+        b'"domain":"siliguri-a","state":"serving","gate":"10.0.0.1:80","r'
+        b'evision":70000,"held":5,"age_ms":120},{"type":"HeadroomLine","regi'
+        b'on":"siliguri","service":"look","slots":8,"held":7,"free":2,"w'
+        b'aiting":3},{"type":"BurnLine","service":"look","tier":"gold","'
+        b'requests":100,"availability":0.75,"p50_ms":12.5,"p99_ms":99.5,"level'
+        b'":"level1","objective":0.95,"fast_burn":1.5,"slow_burn":0.5},{"typ'
+        b'e":"ShiftLine","service":"look","region":"kolkata","cap":60,"h'
+        b'eld":55,"free":5},{"type":"DrainLine","name":"drain1","targets"'
+        b':3,"in_flight":2}]}'
+    ),
+    "look-up": (
+        b'{"service":"look","home":"siliguri","entries":[{"address":"10.0'
+        b'.0.1:80","region":"siliguri","weight":6}],"ttl_ms":2000,"key":"a'
+        b'bc"}'
+    ),
+    "burn series": (
+        b'[{"service":"look","tier":"gold","fast":[9,8,{"level1":7}],"slo'
+        b'w":[90,80,{"level1":70}],"histogram":"HISTFAAAAA"}]'
+    ),
+    "target report": b'{"in_flight":4,"leaving":true}',
+    "vm list": b'[{"vm":"vm9","state":"leaving"}]',
+}
+
 
 def structs_in(value: Any) -> Iterator[msgspec.Struct]:
     """Yield the structs that a value consists of."""
@@ -382,3 +448,394 @@
     text = "lqN2bTGrMTAuMC4wLjE6ODERzRGUxAgBAQEBAQEBAcQMAOhyGGfmgW3X7QCx"
     assert ring.issue(b"\x01" * 8, 104.5) == text
     assert ring.mine(parse_key(text))
+
+
+# JSON towards people, callers and the platform.
+
+
+def test_every_document_has_its_bytes() -> None:
+    assert DOCUMENT_BYTES.keys() == samples.DOCUMENTS.keys()
+
+
+@pytest.mark.parametrize("name", DOCUMENT_BYTES)
+def test_document(name: str) -> None:
+    sample, data = samples.DOCUMENTS[name], DOCUMENT_BYTES[name]
+    assert name == "bookmark" or not fields_at_default(sample.value)
+    assert serialize_json(sample.value) == data
+    parsed = parse_json(data, sample.kind)
+    assert parsed == sample.value
+    assert serialize_json(parsed) == data
+
+
+# The platform's formats.
+
+PLATFORM_ENTRIES = {
+    "op/config": b"""{
+        "version": "0000000c",
+        "routes": [{
+            "name": "r-1", "host": "h.example", "path-prefix": "/p/",
+            "kind": "safe", "timeout-ms": 2500, "target-latency-ms": 600,
+            "priority": 1, "service": "s1",
+            "traffic-split": [{"service": "s2", "weight": 10}],
+            "max-attempts": 2, "session-affinity": true,
+            "home-regions": ["a"], "allow-anonymous": true, "unknown": 1
+        }],
+        "services": [{
+            "name": "s1", "health-check-path": "/health",
+            "connection-limit": 390, "warmup-per-s": 11.5
+        }],
+        "limits": {
+            "max-header-bytes": 8192, "max-body-bytes": 1000,
+            "header-timeout-ms": 2900, "idle-timeout-ms": 14000
+        },
+        "tenants": [{
+            "name": "w1", "api-keys": ["key"], "priority": 2,
+            "rate-per-s": 12.5, "burst": 25, "home-regions": ["b"]
+        }]
+    }""",
+    "servers/i-1": b"""{
+        "service": "s1", "address": "10.0.0.9:80", "zone": "a2", "slots": 9,
+        "state": "draining", "cold-remaining-ms": 900, "version": "v1"
+    }""",
+    "op/evacuate/b1": b"{}",
+    "leverdoor/entries/n1": b"\x01",
+}
+PLATFORM_RESOURCES = [
+    Region(name="a", domains=["a1", "a2"]),
+    Region(name="b", domains=["b1"]),
+    Route(
+        name="r-1",
+        host="h.example",
+        prefix="/p/",
+        work=Work.LOOKUP,
+        services={"s1": 1.0, "s2": 10.0},
+        timeout_ms=2_500,
+        target_latency_ms=600,
+        priority=1,
+        attempts=2,
+        affinity=True,
+        homes=["a"],
+        anonymous=True,
+    ),
+    Service(
+        name="s1",
+        work=Work.ONCE,
+        health_path="/health",
+        connections=390,
+        warmup_per_s=11.5,
+    ),
+    Workspace(
+        name="w1",
+        key_digests=[
+            "2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683"
+        ],
+        rate_per_s=12.5,
+        burst=25.0,
+        priority=2,
+        homes=["b"],
+    ),
+    ClientLimits(
+        name="limits",
+        header_bytes=8_192,
+        body_bytes=1_000,
+        header_timeout_ms=2_900,
+        idle_timeout_ms=14_000,
+    ),
+    Drain(name="b1", domain="b1"),
+    Target(
+        name="i-1",
+        service="s1",
+        region="a",
+        domain="a2",
+        address="10.0.0.9:80",
+        slots=9,
+        draining=True,
+        cold_ms=900,
+    ),
+]
+
+
+def test_platform_documents() -> None:
+    """Each kind of document in the platform's store, with every field."""
+    entries = {
+        key: Entry(key, data, revision)
+        for revision, (key, data) in enumerate(PLATFORM_ENTRIES.items(), 2)
+    }
+    configured = wire({"a1": "a", "a2": "a", "b1": "b"}).translate(entries)
+    assert configured.version == "0000000c"
+    assert configured.resources == PLATFORM_RESOURCES
+    assert configured.peers == {"n1": b"\x01"}
+
+
+def test_platform_headers_and_paths() -> None:
+    speech = wire({})
+    assert list(msgspec.structs.asdict(speech.headers).values()) == [
+        "x-request-id",
+        "x-deadline-ms",
+        "x-affinity-key",
+        "x-expect-instance",
+        "x-server-stamp",
+        "x-not-executed",
+        "x-server-load",
+        "x-credential",
+        "x-tenant",
+    ]
+    assert (speech.ready_path, speech.resolve_path) == (
+        "/api/readiness",
+        "/api/resolve",
+    )
+    query = {"name": "h.example", "region": "a", "zone": "a1"}
+    assert speech.parse_resolve(query) == ("h.example", "a", "a1")
+    assert speech.serialize_resolve(["10.0.0.1:80"], 1.5) == (
+        b'{"addresses":["10.0.0.1:80"],"ttl-s":1.5}'
+    )
+    load = speech.parse_load("5,2,8")
+    assert load is not None
+    assert msgspec.structs.astuple(load) == (4, 2, 8)
+
+
+PLATFORM_SETTINGS = b"""{
+    "node-name": "n1", "ip-address": "10.0.0.1", "zone": "a1", "region": "a",
+    "zones": {"a1": "a"}, "bootstrap": true, "internal-port-range": [7200, 7215],
+    "listen-addresses": {
+        "frontend": "10.0.0.1:8381", "ready": "10.0.0.1:8388",
+        "directory": "10.0.0.1:8383"
+    },
+    "platform": {"address": "10.9.9.9:8384", "writes_per_s": 300},
+    "limits": {"link-bandwidth-mbps": 1000},
+    "bounds": {
+        "grace-period-s": 7, "drain-ms": 2400, "retry-budget-ratio": 0.3,
+        "ttl_max_s": 1.5, "max-shift": 0.1, "quota-window-s": 4,
+        "quota-overshoot": 0.2, "quota-slack": 15, "strict-revocation": true,
+        "revocation-ms": 4500
+    }
+}"""
+ENTRY_SETTINGS = EntrySettings(
+    name="n1",
+    region="a",
+    domain="a1",
+    domains={"a1": "a"},
+    front=Address("10.0.0.1", 8381),
+    ready=Address("10.0.0.1", 8388),
+    directory=Address("10.0.0.1", 8383),
+    gossip=Address("10.0.0.1", 7200),
+    pull=Address("10.0.0.1", 7201),
+    metrics=Address("10.0.0.1", 9464),
+    lookup_ttl_s=1.5,
+    grace_s=7.0,
+    leave_s=2.4,
+    repeat_ratio=0.3,
+    max_shift=0.1,
+    link_mbps=1_000,
+    store_writes_per_s=300.0,
+    quotas=QuotaBounds(4.0, 0.2, 15.0),
+    confirm_within_s=4.5,
+    first_start=True,
+)
+
+
+def test_platform_settings() -> None:
+    settings = parse_settings(PLATFORM_SETTINGS)
+    assert settings.entry() == ENTRY_SETTINGS
+    assert settings.platform.address == "10.9.9.9:8384"
+
+
+# Calls of the stores.
+
+
+class RawServer:
+    """Answers each request with the next of some bytes, and keeps what came."""
+
+    def __init__(self, *answers: bytes) -> None:
+        self.requests: list[bytes] = []
+        self._answers = list(answers)
+        self._server: asyncio.Server | None = None
+
+    async def __aenter__(self) -> str:
+        """Listen on a free port, and return the address."""
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
+
+    async def __aexit__(self, *_: object) -> None:
+        assert self._server is not None
+        self._server.close()
+
+    async def _serve(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        with contextlib.suppress(asyncio.IncompleteReadError):
+            while self._answers:
+                head = await reader.readuntil(b"\r\n\r\n")
+                length = re.search(rb"(?i)content-length: (\d+)", head)
+                body = await reader.readexactly(int(length[1]) if length else 0)
+                self.requests.append(head + body)
+                writer.write(self._answers.pop(0))
+        writer.close()
+
+    def line_and_body(self) -> tuple[str, bytes]:
+        """Return the line and the body of the only request."""
+        [request] = self.requests
+        head, _, body = request.partition(b"\r\n\r\n")
+        return head.split(b"\r\n")[0].decode(), body
+
+
+def json_reply(body: bytes) -> bytes:
+    """Return an answer with a body in JSON."""
+    return (
+        b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
+        b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
+    )
+
+
+async def first_of_watch(store: Store) -> list[Event]:
+    """Return what a watch yields first."""
+    watch = store.watch("op/", 7)
+    try:
+        return await anext(watch)
+    finally:
+        await watch.aclose()  # type: ignore[attr-defined]
+
+
+class StoreCall(msgspec.Struct, frozen=True):
+    """One call: what is sent, and what an answer means."""
+
+    name: str
+    make: Callable[[Any], Awaitable[Any]]
+    line: str
+    body: bytes
+    answer: bytes
+    result: Any
+
+
+WRITES = [Write("op/a", b"1", 6), Write("op/b", b"2"), Write("op/c", None, 0)]
+ETCD_CALLS = [
+    StoreCall(
+        "read",
+        lambda store: store.read("op/"),
+        "POST /v3/kv/range HTTP/1.1",
+        b'{"key":"b3Av","range_end":"b3Aw"}',
+        b'{"header":{"revision":"9"},"kvs":'
+        b'[{"key":"b3AvYQ==","value":"MQ==","mod_revision":"8"}]}',
+        Listing(9, [Entry("op/a", b"1", 8)]),
+    ),
+    StoreCall(
+        "commit",
+        lambda store: store.commit(WRITES),
+        "POST /v3/kv/txn HTTP/1.1",
+        b'{"compare":['
+        b'{"key":"b3AvYQ==","target":"MOD","result":"EQUAL","mod_revision":"6"},'
+        b'{"key":"b3AvYw==","target":"MOD","result":"EQUAL","mod_revision":"0"}],'
+        b'"success":[{"request_put":{"key":"b3AvYQ==","value":"MQ=="}},'
+        b'{"request_put":{"key":"b3AvYg==","value":"Mg=="}},'
+        b'{"request_delete_range":{"key":"b3AvYw=="}}]}',
+        b'{"header":{"revision":"9"},"succeeded":true}',
+        Commit(True, 9),
+    ),
+    StoreCall(
+        "watch",
+        first_of_watch,
+        "POST /v3/watch HTTP/1.1",
+        b'{"create_request": {"key": "b3Av", "range_end": "b3Aw", '
+        b'"start_revision": "8", "progress_notify": true}}',
+        b'{"result":{"header":{"revision":"9"},"events":['
+        b'{"kv":{"key":"b3AvYQ==","value":"MQ==","mod_revision":"8"}},'
+        b'{"type":"DELETE","kv":{"key":"b3AvYg==","mod_revision":"9"}}]}}\n',
+        [Event(8, "op/a", b"1"), Event(9, "op/b", None)],
+    ),
+]
+
+
+@pytest.mark.parametrize("call", ETCD_CALLS, ids=lambda call: call.name)
+async def test_call_of_etcd(call: StoreCall) -> None:
+    server = RawServer(json_reply(call.answer))
+    async with server as address:
+        store = EtcdStore([f"http://{address}"])
+        assert await call.make(store) == call.result
+        await store.close()
+    assert server.line_and_body() == (call.line, call.body)
+
+
+ITEM = b'{"private-key":"op/a","revision":8,"value":"MQ==","lease":5}'
+PLATFORM_CALLS = [
+    StoreCall(
+        "read",
+        lambda store: store.read("op/"),
+        "GET /api/kv-range?path-prefix=op/ HTTP/1.1",
+        b"",
+        b'{"items":[' + ITEM + b'],"more":false,"at":9}',
+        Listing(9, [Entry("op/a", b"1", 8, 5)]),
+    ),
+    StoreCall(
+        "stale read",
+        lambda store: store.read_stale("op/"),
+        "GET /api/kv-range?path-prefix=op/&stale=1 HTTP/1.1",
+        b"",
+        b'{"items":[],"more":false,"at":9}',
+        Listing(9, []),
+    ),
+    StoreCall(
+        "watch",
+        first_of_watch,
+        "GET /api/kv-watch?path-prefix=op/&after=7&wait-ms=150 HTTP/1.1",
+        b"",
+        b'{"events":['
+        + ITEM
+        + b',{"private-key":"op/b","revision":9,"gone":true}],"at":9}',
+        [Event(8, "op/a", b"1"), Event(9, "op/b", None)],
+    ),
+    StoreCall(
+        "commit",
+        lambda store: store.commit(WRITES),
+        "POST /api/kv-txn HTTP/1.1",
+        b'{"expected-revision":[{"private-key":"op/a","revision":6},'
+        b'{"private-key":"op/c","revision":0}],'
+        b'"put":[{"private-key":"op/a","value":"MQ==","lease":0},'
+        b'{"private-key":"op/b","value":"Mg==","lease":0}],'
+        b'"removals":["op/c"]}',
+        b'{"revision":9}',
+        Commit(True, 9),
+    ),
+    StoreCall(
+        "keep",
+        lambda store: store.keep(5),
+        "POST /api/kv-keep/5 HTTP/1.1",
+        b"",
+        b"{}",
+        True,
+    ),
+    StoreCall(
+        "let go",
+        lambda store: store.let_go(5),
+        "DELETE /api/kv-lease-end/5 HTTP/1.1",
+        b"",
+        b"{}",
+        None,
+    ),
+]
+
+
+@pytest.mark.parametrize("call", PLATFORM_CALLS, ids=lambda call: call.name)
+async def test_call_of_platform(call: StoreCall) -> None:
+    server = RawServer(json_reply(call.answer))
+    async with server as address:
+        store = PlatformStore(address)
+        assert await call.make(store) == call.result
+        await store.close()
+    assert server.line_and_body() == (call.line, call.body)
+
+
+async def test_registration_on_the_platform() -> None:
+    """A lease, and the key under it."""
+    server = RawServer(json_reply(b'{"lease":5}'), json_reply(b'{"revision":9}'))
+    async with server as address:
+        store = PlatformStore(address)
+        assert await store.hold("leverdoor/entries/n1", b"1", 15.0) == 5
+        await store.close()
+    lease, put = (request.partition(b"\r\n\r\n") for request in server.requests)
+    assert lease[0].startswith(b"POST /api/kv-lease HTTP/1.1\r\n")
+    assert lease[2] == b'{"ttl_ms":15000}'
+    assert put[0].startswith(b"POST /api/kv-txn HTTP/1.1\r\n")
+    assert put[2] == (
+        b'{"expected-revision":[],"put":[{"private-key":"leverdoor/entries/n1",'
+        b'"value":"MQ==","lease":5}],"removals":[]}'
+    )
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -10,13 +10,25 @@
 
 import msgspec
 
+from leverdoor.agent.api import Change, Item, ItemList, Status
 from leverdoor.agent.link import GateReport, Hints
+from leverdoor.agent.probing import TargetReport
+from leverdoor.agent.reports import (
+    DrainLine,
+    EntryLine,
+    HeadroomLine,
+    Report,
+    ShiftLine,
+)
 from leverdoor.entry.membership import digests
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member
 from leverdoor.entry.membership.sightings import MemberRow
+from leverdoor.errors import Code, Problem, Run
+from leverdoor.gate.front import LookupAnswer, LookupEntry
 from leverdoor.gate.keys import Key
 from leverdoor.membership import ownership
 from leverdoor.membership.peers import GateState, Gossip, Heartbeat, Load
+from leverdoor.model.burn import BurnLine, Counts, Series
 from leverdoor.model.resources import (
     ClientBlocks,
     ClientLimits,
@@ -33,9 +45,10 @@
     Workspace,
 )
 from leverdoor.model.targets import Probe
-from leverdoor.storage.configuration import Guard
+from leverdoor.storage.configuration import Applied, Guard
 from leverdoor.storage.state import Delta
 from leverdoor.storage.store import Entry, Event
+from leverdoor.storage.vmlist import Vm, VmState
 
 
 class Sample(msgspec.Struct, frozen=True):
@@ -285,3 +298,93 @@
     ClientBlocks(name="blocks1", networks={"siliguri": ["192.0.2.0/24"]}),
 ]
 """One resource of every kind."""
+
+RAW_TIER = msgspec.Raw(b'{"kind":"tier","name":"gold"}')
+REPORT = Report(
+    name="entries",
+    revision=70_000,
+    entries=2,
+    missing=["vm9"],
+    lines=[
+        EntryLine(
+            vm="vm1",
+            region="siliguri",
+            domain="siliguri-a",
+            state="serving",
+            gate="10.0.0.1:80",
+            revision=70_000,
+            held=5,
+            age_ms=120,
+        ),
+        HeadroomLine(
+            region="siliguri", service="look", slots=8, held=7, free=2, waiting=3
+        ),
+        BurnLine(
+            service="look",
+            tier="gold",
+            requests=100,
+            availability=0.75,
+            p50_ms=12.5,
+            p99_ms=99.5,
+            level="level1",
+            objective=0.95,
+            fast_burn=1.5,
+            slow_burn=0.5,
+        ),
+        ShiftLine(service="look", region="kolkata", cap=60, held=55, free=5),
+        DrainLine(name="drain1", targets=3, in_flight=2),
+    ],
+)
+DOCUMENTS = {
+    "item list": Sample(
+        ItemList(
+            revision=70_000,
+            items=[Item(revision=69_999, resource=RAW_TIER, in_force=1, entries=2)],
+        ),
+        ItemList,
+    ),
+    "change": Sample(
+        Change(revision=70_000, type="put", key="tier/gold", resource=RAW_TIER), Change
+    ),
+    "bookmark": Sample(Change(revision=70_000, type="bookmark"), Change),
+    "status": Sample(Status(revision=70_000, in_force=1, entries=2), Status),
+    "applied": Sample(Applied(revision=70_000, keys=["tier/gold"]), Applied),
+    "problem": Sample(
+        Problem(
+            code=int(Code.CONFLICT),
+            name="CONFLICT",
+            detail="overtaken",
+            field="name",
+            run=Run.MAYBE,
+            retry_after_ms=500,
+            revision=70_000,
+        ),
+        Problem,
+    ),
+    "report": Sample(REPORT, Report),
+    "look-up": Sample(
+        LookupAnswer(
+            service="look",
+            home="siliguri",
+            entries=[LookupEntry(address="10.0.0.1:80", region="siliguri", weight=6)],
+            ttl_ms=2_000,
+            key="abc",
+        ),
+        LookupAnswer,
+    ),
+    "burn series": Sample(
+        [
+            Series(
+                service="look",
+                tier="gold",
+                fast=Counts(total=9, answered=8, in_time={"level1": 7}),
+                slow=Counts(total=90, answered=80, in_time={"level1": 70}),
+                histogram="HISTFAAAAA",
+            )
+        ],
+        list[Series],
+    ),
+    "target report": Sample(TargetReport(in_flight=4, leaving=True), TargetReport),
+    "vm list": Sample([Vm(vm="vm9", state=VmState.LEAVING)], list[Vm]),
+}
+"""Documents in JSON."""
