--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -241,6 +241,104 @@
     "vm list": b'[{"vm":"vm9","state":"leaving"}]',
 }
 
+DEFAULT_BYTES: dict[str, bytes] = {
+    "member": (
+        b"\x98\xa2n1\xa8siliguri\xaasiliguri-a\xab10.0.0.1:80\xad10.0.0.1:7946\xad10.0"
+        b".0.1:7947\xcf\x00\x06\x0a$\x18\x1e@\x01\x00"
+    ),
+    "entry heartbeat": (
+        b"\x9b\xa1h\x98\xa2n1\xa8siliguri\xaasiliguri-a\xab10.0.0.1:80\xad10.0.0.1:794"
+        b"6\xad10.0.0.1:7947\xcf\x00\x06\x0a$\x18\x1e@\x01\xcd\x03\xe8\xcd\x01,\x01"
+        b"\xce\x00\x01\x11p\x80\x80\xff\xc4\x00\xc4\x00\xff"
+    ),
+    "digest": (
+        b"\xdc\x00\x12\xa1d\xa2n1\x02\xcd\x01-\xcf\x00\x06\x0a$\x18\x1e@\x01\xce\x00"
+        b"\x01\x11p\xad10.0.0.1:7947\x91\x95\xaasiliguri-a\xce\xfe\xdc\xba\x98\xc4\x02"
+        b"\x01\x02\xc4\x02\x00\x02\xc4\x02,-\x91\x93\xa8siliguri\xce\x89\xab\xcd\xef"
+        b"\xc4\x01\x03\x01\x80\xff\xc4\x00\xc4\x00\x00\x00\x00\xff"
+    ),
+    "stored entry": b"\x94\xaaservers/t1\xc4\x02{}\xce\x00\x01\x11p\x00",
+    "gate report": (
+        b"\x8b\xa4type\xaaGateReport\xa4gate\xab10.0.0.1:80\xa5relay\xab10.0.0.1:81"
+        b"\xabincarnation\xcf\x00\x06\x0a$\x18\x1e@\x01\xa8revision\xce\x00\x01\x11p"
+        b"\xa3ack\x92(\x91\xadt:10.0.0.9:80\xa5state\xa7serving\xa5loads\x81\xa4look"
+        b"\x94\x05\x02\x03\xcb@)\x00\x00\x00\x00\x00\x00\xa4caps\x81\xaec:look:kolkata"
+        b"\x06\xa4held\x91\xadt:10.0.0.9:80\xa8draining\x80"
+    ),
+    "hints": (
+        b"\x85\xa4type\xa5Hints\xaaheartbeats\x91\xdc\x00\x13\xa3vm1\xa8siliguri\xaasi"
+        b"liguri-a\xad10.0.0.1:7946\xad10.0.0.1:7948\xcf\x00\x06\x0a$\x18\x1e@\x03\xcd"
+        b"\x01,\xce\x00\x01\x11p\xab10.0.0.1:80\xab10.0.0.1:81\xcf\x00\x06\x0a$\x18"
+        b"\x1e@\x01\xce\x00\x01\x11o\x92(\x91\xadt:10.0.0.9:80\xa7leaving\x81\xa4look"
+        b"\x94\x05\x02\x03\xcb@)\x00\x00\x00\x00\x00\x00\x81\xaec:look:kolkata\x06\x91"
+        b"\xb1vm8|10.0.0.8:80|1\x91\xa3vm9\x81\xa2t1\x02\xableaving_vms\x91\xa3vm9\xa6"
+        b"probes\x81\xab10.0.0.9:80\x94\xc3\xc3\x04\xcb@\x93J\x00\x00\x00\x00\x00\xb1i"
+        b"ncarnation_floor\x00"
+    ),
+    "gate heartbeat": (
+        b"\xdc\x00\x13\xa3vm1\xa8siliguri\xaasiliguri-a\xad10.0.0.1:7946\xad10.0.0.1:7"
+        b"948\xcf\x00\x06\x0a$\x18\x1e@\x03\xcd\x01,\x00\xa0\xa0\x00\x00\x92\x00\x90"
+        b"\xa4none\x80\x80\x90\x90\x80"
+    ),
+    "ownership table": (
+        b"\x85\xa6region\xa8siliguri\xa7version\x00\xabnext_member\x01\xa7members\x80"
+        b"\xa4rows\x80"
+    ),
+    "idempotency key": (
+        b"\x96\xa3vm1\xab10.0.0.1:81\xcf\x00\x06\x0a$\x18\x1e@\x01\xcd\x11\x94\xc4\x08"
+        b"\x01\x02\x03\x04\x05\x06\x07\x08\xc4\x00"
+    ),
+    "change": b'{"revision":70000,"type":"put"}',
+    "bookmark": b'{"revision":70000,"type":"bookmark"}',
+    "problem": b'{"code":1006,"name":"CONFLICT","detail":"overtaken"}',
+    "look-up": (
+        b'{"service":"look","home":"siliguri","entries":[{"address":"10.0'
+        b'.0.1:80","region":"siliguri","weight":6}],"ttl_ms":2000,"key":"'
+        b'"}'
+    ),
+    "target report": b'{"in_flight":0,"leaving":false}',
+    "region/siliguri": (
+        b'{"kind":"region","name":"siliguri","domains":["siliguri-a"],"latency_ms":{}}'
+    ),
+    "service/look": (
+        b'{"kind":"service","name":"look","work":"bulk","deadline_ms":20'
+        b'00,"linger_ms":1000,"queue":64,"bulk_prefixes":[],"health_path":""'
+        b',"connections":0,"warmup_per_s":0.0}'
+    ),
+    "target/t1": (
+        b'{"kind":"target","name":"t1","service":"look","region":"silig'
+        b'uri","domain":"siliguri-a","address":"10.0.0.9:80","slots":8,"co'
+        b'nnections":130,"vm":"","warmup_ms":0,"draining":false,"cold_ms":0'
+        b"}"
+    ),
+    "tier/gold": (
+        b'{"kind":"tier","name":"gold","callers":[],"reserve_percent":0,"'
+        b'weight":1,"default":false}'
+    ),
+    "shiftcap/cap1": (
+        b'{"kind":"shiftcap","name":"cap1","service":"look","region":"s'
+        b'iliguri","units":60,"window_ms":1000,"ramp_percent":50}'
+    ),
+    "drain/drain1": (
+        b'{"kind":"drain","name":"drain1","region":"","domain":"","target":"","vm":""}'
+    ),
+    "route/route1": (
+        b'{"kind":"route","name":"route1","host":"records.example","prefi'
+        b'x":"/look/","work":"once","services":{"look":0.75,"look2":0.25}'
+        b',"timeout_ms":0,"target_latency_ms":0,"priority":0,"attempts":1,"af'
+        b'finity":false,"homes":[],"anonymous":false}'
+    ),
+    "workspace/ward": (
+        b'{"kind":"workspace","name":"ward","key_digests":[],"rate_per_s":'
+        b'0.0,"burst":0.0,"priority":null,"homes":[]}'
+    ),
+    "clientlimits/limits": (
+        b'{"kind":"clientlimits","name":"limits","header_bytes":16384,"body'
+        b'_bytes":67108864,"header_timeout_ms":3000,"idle_timeout_ms":15000}'
+    ),
+}
+"""The same values with only the fields that a sender must write."""
+
 
 def structs_in(value: Any) -> Iterator[msgspec.Struct]:
     """Yield the structs that a value consists of."""
@@ -479,6 +577,30 @@
     assert serialize_json(parsed) == data
 
 
+# Defaults of fields that a sender may leave out.
+
+
+def required_only(value: Any) -> Any:
+    """Return a struct with the defaults in all fields that have one."""
+    fields = msgspec.structs.fields(type(value))
+    given = {f.name: getattr(value, f.name) for f in fields if f.required}
+    return type(value)(**given)
+
+
+def samples_by_name() -> dict[str, Any]:
+    """Return the value of each message, document and resource."""
+    found = {name: s.value for name, s in samples.PACKED.items()}
+    found |= {name: s.value for name, s in samples.DOCUMENTS.items()}
+    return found | {resource_key(r): r for r in samples.RESOURCES}
+
+
+@pytest.mark.parametrize("name", DEFAULT_BYTES)
+def test_defaults(name: str) -> None:
+    """They are what an older sender, or an operator who names no value, means."""
+    encode = pack if name in PACKED_BYTES else serialize_json
+    assert encode(required_only(samples_by_name()[name])) == DEFAULT_BYTES[name]
+
+
 # The platform's formats.
 
 PLATFORM_ENTRIES = {
