--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -774,6 +774,55 @@
     assert settings.platform.address == "10.9.9.9:8384"
 
 
+def test_defaults_of_platform_settings() -> None:
+    required = parse_json(PLATFORM_SETTINGS, dict[str, Any])
+    for name in ("bootstrap", "limits", "bounds"):
+        del required[name]
+    del required["platform"]["writes_per_s"]
+    entry = parse_settings(serialize_json(required)).entry()
+    assert entry == msgspec.structs.replace(
+        ENTRY_SETTINGS,
+        lookup_ttl_s=2.0,
+        grace_s=6.0,
+        leave_s=2.5,
+        repeat_ratio=0.2,
+        max_shift=0.15,
+        link_mbps=0,
+        store_writes_per_s=400.0,
+        quotas=QuotaBounds(5.0, 0.1, 20.0),
+        confirm_within_s=0.0,
+        first_start=False,
+    )
+
+
+def test_defaults_of_platform_documents() -> None:
+    config = b"""{
+        "version": "1",
+        "routes": [{"name": "r", "host": "h", "path-prefix": "/", "kind": "?"}],
+        "services": [{"name": "s"}],
+        "tenants": [{"name": "w"}]
+    }"""
+    server = b'{"service": "s", "address": "10.0.0.9:80", "zone": "a1"}'
+    entries = {
+        "op/config": Entry("op/config", config, 2),
+        "servers/i-1": Entry("servers/i-1", server, 3),
+    }
+    assert wire({}).translate(entries).resources == [
+        Route(name="r", host="h", prefix="/", work=Work.ONCE, services={}),
+        Service(name="s", work=Work.ONCE),
+        Workspace(name="w"),
+        ClientLimits(name="limits"),
+        Target(
+            name="i-1",
+            service="s",
+            region="",
+            domain="a1",
+            address="10.0.0.9:80",
+            slots=1,
+        ),
+    ]
+
+
 # Calls of the stores.
 
 
@@ -1122,6 +1171,23 @@
     assert [masked(request) for request in server.requests] == [ENTRY_TO_TARGET]
 
 
+async def test_long_body_through_an_entry() -> None:
+    """It is streamed, and its length moves before the entry's own headers."""
+    body = b"x" * 600_000
+    request = (*ENTRY_REQUEST[:-1], "Content-Length: 600000")
+    server = RawServer(ENTRY_CASES[0].target)
+    async with server as target, entry_before(target) as site:
+        front = site.front(site.entries["n1"])
+        assert await exchange(front, *request, body=body) == ENTRY_CASES[0].client
+    [(head, _, arrived)] = [r.partition(b"\r\n\r\n") for r in server.requests]
+    assert arrived == body
+    assert masked(head) == (
+        b"POST /file/a?b=%2F HTTP/1.1\r\nHost: records.example\r\n"
+        b"X-Request-ID: r1\r\nX-Other: c\r\nX-Affinity-Key: k\r\n"
+        b"Content-Length: 600000\r\nx-deadline-ms: *\r\nx-expect-instance: t1"
+    )
+
+
 async def test_requests_that_an_entry_answers_itself() -> None:
     async with RawServer() as target, entry_before(target) as site:
         ports = site.entries["n1"].ports
