--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -7,16 +7,15 @@
 
 import msgspec
 
-from leverdoor.budget import RepeatBudget
 from leverdoor.codec import pack
 from leverdoor.emulator.clock import Clock
 from leverdoor.emulator.plan import Experiment
 from leverdoor.emulator.targets import EmulatedTarget, Outcome, Run
 from leverdoor.entry.bounds import (
     MOVED_SHARE,
-    REPEAT_SHARE,
-    REPEATS_FIRST,
-    REPEATS_SAVED,
+    RETRIES_FIRST,
+    RETRIES_SAVED,
+    RETRY_SHARE,
     SHARE_ROUNDS,
     SHIFT_WINDOW_S,
     WARM_TOLD_S,
@@ -34,9 +33,10 @@
     PlacementRequest,
     Rejection,
 )
-from leverdoor.entry.requests.repeats import may_repeat
+from leverdoor.entry.requests.retries import may_retry
 from leverdoor.entry.wire import TargetLoad
 from leverdoor.errors import Code, Refusal
+from leverdoor.retry_budget import RetryBudget
 
 __all__ = ["EmulatedEntry", "Reply", "Work"]
 
@@ -98,8 +98,8 @@
         self.fleet = self._shared_fleet or Fleet()
         self._membership = Membership(self.member, self._rng)
         self._exchange = Exchange(self._membership)
-        self._budget = RepeatBudget(
-            site.repeat_ratio * REPEAT_SHARE, REPEATS_SAVED, REPEATS_FIRST
+        self._budget = RetryBudget(
+            site.repeat_ratio * RETRY_SHARE, RETRIES_SAVED, RETRIES_FIRST
         )
         self._policy = PlacementPolicy(
             self.member.region,
@@ -191,7 +191,7 @@
     ) -> None:
         """Try another target, or give up."""
         route = work.request.route
-        may = may_repeat(route, attempt, refusal, arrived=arrived, replayable=True)
+        may = may_retry(route, attempt, refusal, arrived=arrived, replayable=True)
         if may and self._budget.spend(work.request.service):
             self.repeats += 1
             self._attempt(work, attempt + 1, lost, reply)
--- a/leverdoor/entry/bounds.py
+++ b/leverdoor/entry/bounds.py
@@ -4,23 +4,23 @@
 
 __all__ = [
     "MOVED_SHARE",
-    "REPEATS_FIRST",
-    "REPEATS_SAVED",
-    "REPEAT_SHARE",
+    "RETRIES_FIRST",
+    "RETRIES_SAVED",
+    "RETRY_SHARE",
     "SHARE_ROUNDS",
     "SHIFT_WINDOW_S",
     "WARM_TOLD_S",
 ]
 
-REPEAT_SHARE = 0.5
+RETRY_SHARE = 0.5
 """Part of the bound on repeats that is planned with.
 
 The rest is for entries that start with saved repeats and for calls of repeated
 requests. 0.75 made no difference to worth (0.787 beside 0.789, 12 entries).
 """
-REPEATS_SAVED = 4.0
+RETRIES_SAVED = 4.0
 """Repeats saved up by an entry for a service at most; 48 of a slack of 64 at 12."""
-REPEATS_FIRST = 2.0
+RETRIES_FIRST = 2.0
 """Repeats that an entry starts with, for a service; chosen."""
 SHIFT_WINDOW_S = 2.0
 """Window of the bound on shifts, in seconds; the setting speaks of two seconds."""
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -9,14 +9,13 @@
 
 from aiohttp import web
 
-from leverdoor.budget import RepeatBudget
 from leverdoor.daemon import keep_running
 from leverdoor.entry.admin import AdminServer
 from leverdoor.entry.bounds import (
     MOVED_SHARE,
-    REPEAT_SHARE,
-    REPEATS_FIRST,
-    REPEATS_SAVED,
+    RETRIES_FIRST,
+    RETRIES_SAVED,
+    RETRY_SHARE,
     SHARE_ROUNDS,
     SHIFT_WINDOW_S,
     WARM_TOLD_S,
@@ -42,6 +41,7 @@
 from leverdoor.entry.shutdown import STOP_POLL_S, finish
 from leverdoor.entry.wire import Wire
 from leverdoor.model.resources import Target
+from leverdoor.retry_budget import RetryBudget
 from leverdoor.settings import Address
 from leverdoor.storage.following import StoreFollower
 from leverdoor.storage.state import Delta, State
@@ -92,7 +92,7 @@
         """Take settings that changed; addresses and places stay as they are."""
         taken = reload_settings(self._settings, settings)
         self._settings = taken.settings
-        self._budget.ratio = self._settings.repeat_ratio * REPEAT_SHARE
+        self._budget.ratio = self._settings.repeat_ratio * RETRY_SHARE
         self._events.process(
             "reload", changed=taken.changed, left_as_they_are=taken.left
         )
@@ -172,8 +172,8 @@
         self._quotas = Quotas(
             s.quotas, rng, asyncio.get_running_loop().time(), first_start=s.first_start
         )
-        self._budget = RepeatBudget(
-            s.repeat_ratio * REPEAT_SHARE, REPEATS_SAVED, REPEATS_FIRST
+        self._budget = RetryBudget(
+            s.repeat_ratio * RETRY_SHARE, RETRIES_SAVED, RETRIES_FIRST
         )
         forwarder = Forwarder(
             self._wire,
--- a/leverdoor/entry/requests/forwarding.py
+++ b/leverdoor/entry/requests/forwarding.py
@@ -7,7 +7,6 @@
 
 import msgspec
 
-from leverdoor.budget import RepeatBudget
 from leverdoor.entry.events import Events
 from leverdoor.entry.placement.fleet import SLOW_EJECTION_S, Fleet
 from leverdoor.entry.placement.policy import PlacementPolicy
@@ -18,9 +17,10 @@
     PlacementRequest,
     Rejection,
 )
-from leverdoor.entry.requests.repeats import may_repeat
+from leverdoor.entry.requests.retries import may_retry
 from leverdoor.entry.wire import Wire
 from leverdoor.errors import Code, Refusal, Run
+from leverdoor.retry_budget import RetryBudget
 from leverdoor.workspaces.quota import Quotas
 
 __all__ = ["Forwarder", "Incoming"]
@@ -62,7 +62,7 @@
         policy: PlacementPolicy,
         fleet: Fleet,
         connections: Connections,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         events: Events,
         quotas: Quotas,
     ) -> None:
@@ -99,7 +99,7 @@
     def _again(self, incoming: Incoming, attempt: int, failed: "_Failed") -> bool:
         """Return whether another target may be tried."""
         route = incoming.request.route
-        may = may_repeat(
+        may = may_retry(
             route,
             attempt,
             failed.refusal,
--- a/leverdoor/entry/requests/repeats.py
+++ b/leverdoor/entry/requests/retries.py
@@ -5,13 +5,13 @@
 from leverdoor.errors import Code, Refusal, Run
 from leverdoor.model.resources import Route, Work
 
-__all__ = ["may_repeat"]
+__all__ = ["may_retry"]
 
 UNREACHED_ATTEMPTS = 2
 """Further attempts of a request that reached no target; none of these can run it."""
 
 
-def may_repeat(
+def may_retry(
     route: Route, attempt: int, refusal: Refusal, *, arrived: bool, replayable: bool
 ) -> bool:
     """Return whether another target may be tried, the budget of repeats aside.
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -10,7 +10,6 @@
 from loguru import logger
 
 from leverdoor import headers as h
-from leverdoor.budget import RepeatBudget
 from leverdoor.errors import Code, Refusal, Run
 from leverdoor.gate.dispatch import Dispatcher
 from leverdoor.gate.queueing import Job
@@ -24,6 +23,7 @@
 )
 from leverdoor.gate.scheduler import Dispatch, Forward, Refuse
 from leverdoor.model.resources import Service, Work
+from leverdoor.retry_budget import RetryBudget
 
 __all__ = ["Inbound", "Served", "Server"]
 
@@ -139,7 +139,7 @@
         """
         self._dispatcher = dispatcher
         self._client = client
-        self._budget = RepeatBudget(BUDGET_RATIO, BUDGET_LIMIT, BUDGET_LIMIT)
+        self._budget = RetryBudget(BUDGET_RATIO, BUDGET_LIMIT, BUDGET_LIMIT)
 
     async def serve(self, inbound: Inbound) -> Served:
         """Get the head of an answer.
--- a/leverdoor/budget.py
+++ b/leverdoor/retry_budget.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """How many repeats are allowed, as a share of the requests taken."""
 
-__all__ = ["RepeatBudget"]
+__all__ = ["RetryBudget"]
 
 
-class RepeatBudget:
+class RetryBudget:
     """Repeats earned by requests, for each service, so that they never pile up.
 
     Where several processes share a bound, each has its share of the requests it
--- a/tests/test_entry_repeats.py
+++ b/tests/test_entry_retries.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from leverdoor.entry.requests.repeats import may_repeat
+from leverdoor.entry.requests.retries import may_retry
 from leverdoor.errors import Code, Refusal
 from leverdoor.model.resources import Route, Work
 
@@ -42,7 +42,7 @@
     expected: bool,
 ) -> None:
     refusal = Refusal(code)
-    found = may_repeat(
+    found = may_retry(
         route(work), attempt, refusal, arrived=arrived, replayable=replayable
     )
     assert found is expected
--- a/tests/test_budget.py
+++ b/tests/test_retry_budget.py
@@ -2,11 +2,11 @@
 # SPDX-License-Identifier: Apache-2.0
 """Repeats within their budget."""
 
-from leverdoor.budget import RepeatBudget
+from leverdoor.retry_budget import RetryBudget
 
 
 def test_repeats_stay_within_their_share() -> None:
-    budget = RepeatBudget(0.1, 4.0, 2.0)
+    budget = RetryBudget(0.1, 4.0, 2.0)
     repeats = 0
     for _ in range(1000):
         budget.earn("s")
@@ -15,7 +15,7 @@
 
 
 def test_saved_repeats_are_bounded() -> None:
-    budget = RepeatBudget(0.5, 4.0, 2.0)
+    budget = RetryBudget(0.5, 4.0, 2.0)
     for _ in range(1000):
         budget.earn("s")
     assert sum(budget.spend("s") for _ in range(20)) == 4
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -181,10 +181,10 @@
     version=41,
     next_member=3,
     members={
-        1: ownership.Member(
+        1: ownership.GateProcess(
             vm="vm1", gate="10.0.0.1:80", incarnation=17, domain="siliguri-a"
         ),
-        2: ownership.Member(
+        2: ownership.GateProcess(
             vm="vm2", gate="10.0.0.2:80", incarnation=18, domain="siliguri-b"
         ),
     },
