--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -26,7 +26,7 @@
     run_simple,
 )
 from leverdoor.gate.holdings import Holdings
-from leverdoor.gate.queueing import Job
+from leverdoor.gate.queueing import QueuedRequest
 from leverdoor.gate.scheduler import Dispatch, Forward, Refuse, Scheduler
 from leverdoor.membership import ownership
 from leverdoor.membership.ownership import Ack, Member, Table, plan
@@ -50,7 +50,7 @@
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
         self.seq = 0
-        self.waiting: dict[int, tuple[Job, Callable[..., None]]] = {}
+        self.waiting: dict[int, tuple[QueuedRequest, Callable[..., None]]] = {}
 
 
 def run_leverdoor(setup: Setup, deadline_s: float = 1e9) -> Outcome:
@@ -70,7 +70,7 @@
         gates.append(_Gate(Scheduler(f"vm{i}", "r", holdings, view, rng)))
 
     def decide(
-        i: int, job: Job, service_s: float, answer: Callable[[bool], None]
+        i: int, job: QueuedRequest, service_s: float, answer: Callable[[bool], None]
     ) -> None:
         def act(decision: object) -> None:
             follow(i, job, service_s, decision, answer)
@@ -83,7 +83,7 @@
 
     def follow(
         i: int,
-        job: Job,
+        job: QueuedRequest,
         service_s: float,
         decision: object,
         answer: Callable[[bool], None],
@@ -103,7 +103,7 @@
             clock.at(clock.now + service_s, end)
         elif isinstance(decision, Forward):
             other = int(decision.vm[2:])
-            sent = Job(
+            sent = QueuedRequest(
                 job.service, job.tier, job.home, clock.now, job.deadline, forwarded=True
             )
 
@@ -161,7 +161,7 @@
             elif at >= WARM_S:
                 out.refused += 1
 
-        job = Job("s", DEFAULT_TIER, "r", at, at + deadline_s)
+        job = QueuedRequest("s", DEFAULT_TIER, "r", at, at + deadline_s)
         decide(gate, job, service_s, answer)
 
     for i in range(setup.gates):
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -21,8 +21,8 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.report import Report
 from leverdoor.entry.placement.fleet import Fleet
+from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
-from leverdoor.entry.requests.placement_request import Placement, PlacementRequest
 from leverdoor.model.resources import Region, Resource, Route, Service, Target, Work
 
 RUNS = 7
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -23,9 +23,9 @@
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.placement import spill
 from leverdoor.entry.placement.fleet import Fleet
+from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
-from leverdoor.entry.requests.placement_request import Placement, PlacementRequest
 from leverdoor.entry.wire import TargetLoad
 from leverdoor.model.resources import Region, Resource, Route, Service, Target, Work
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -326,7 +326,7 @@
 def request() -> None:
     """Processor time of the decisions of one request, without I/O."""
     from leverdoor.gate.holdings import Holdings
-    from leverdoor.gate.queueing import Job
+    from leverdoor.gate.queueing import QueuedRequest
     from leverdoor.gate.scheduler import Dispatch, Scheduler
     from leverdoor.storage.view import DEFAULT_TIER
 
@@ -343,7 +343,7 @@
 
         def work(s: Scheduler = scheduler) -> None:
             for _ in range(2_000):
-                job = Job("s", DEFAULT_TIER, "r", 1.0, 9.0)
+                job = QueuedRequest("s", DEFAULT_TIER, "r", 1.0, 9.0)
                 made = s.offer(job, 1.0)
                 assert isinstance(made, Dispatch)
                 s.done(job, made, 1.0, 5.0, True, 0.0)
--- a/leverdoor/emulator/clients.py
+++ b/leverdoor/emulator/clients.py
@@ -7,7 +7,7 @@
 
 from leverdoor.emulator.entries import EmulatedEntry, Reply, Work
 from leverdoor.emulator.plan import Load
-from leverdoor.entry.requests.placement_request import PlacementRequest
+from leverdoor.entry.placement.placement_request import PlacementRequest
 from leverdoor.model.resources import Route
 
 if TYPE_CHECKING:
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -27,12 +27,12 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.report import Heard, Report
 from leverdoor.entry.placement.fleet import OTHERS, Fleet
-from leverdoor.entry.placement.policy import PlacementPolicy
-from leverdoor.entry.requests.placement_request import (
+from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementRequest,
     Rejection,
 )
+from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.retries import may_retry
 from leverdoor.entry.wire import TargetLoad
 from leverdoor.errors import Code, Refusal
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -36,7 +36,7 @@
 from leverdoor.entry.requests.client_connection import ClientConnection
 from leverdoor.entry.requests.connections import Connections
 from leverdoor.entry.requests.forwarding import Forwarder
-from leverdoor.entry.requests.front import Front
+from leverdoor.entry.requests.handler import EntryHandler
 from leverdoor.entry.settings import EntrySettings, reload_settings
 from leverdoor.entry.shutdown import STOP_POLL_S, finish
 from leverdoor.entry.wire import Wire
@@ -184,7 +184,7 @@
             self._events,
             self._quotas,
         )
-        self._front = Front(
+        self._handler = EntryHandler(
             self._wire,
             self._placement,
             forwarder,
@@ -194,7 +194,9 @@
             self._quotas,
             lambda now: self._keeper.confirmation.holds(s.confirm_within_s, now),
         )
-        self._front_server = web.Server(self._front.handle, handler_cancellation=True)
+        self._request_server = web.Server(
+            self._handler.handle, handler_cancellation=True
+        )
 
     def _build_control_path(self, rng: Random) -> None:
         """Create what follows the store and speaks with other entries."""
@@ -262,7 +264,7 @@
     def _client_connection(self) -> ClientConnection:
         loop = asyncio.get_running_loop()
         limits = self._keeper.catalog.limits
-        return ClientConnection(self._front_server, loop, limits, self._front.busy)
+        return ClientConnection(self._request_server, loop, limits, self._handler.busy)
 
     async def _listen(
         self, server: Callable[[], asyncio.Protocol], address: Address
@@ -276,7 +278,7 @@
     async def _close(self) -> None:
         for listener in self._servers:
             listener.close()
-        await self._front_server.shutdown(STOP_POLL_S)
+        await self._request_server.shutdown(STOP_POLL_S)
         await self._admin_server.shutdown(STOP_POLL_S)
         self._connections.close()
         await self._peers.close()
@@ -378,7 +380,7 @@
         self._connections.sweep(now)
         self._membership.forget(now)
         self._exchange.forget(now)
-        self._metrics.in_flight.set(self._front.active)
+        self._metrics.in_flight.set(self._handler.active)
         self._metrics.peers.set(len(self._membership.live(now)))
         for name, change, silent_s in self._membership.changes(now):
             self._events.peer(name, change, silent_s)
@@ -392,13 +394,13 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         self._life = LEAVING
-        self._front.leaving = True
-        self._events.process("leaving", in_flight=self._front.active)
+        self._handler.leaving = True
+        self._events.process("leaving", in_flight=self._handler.active)
         self._peers.say_goodbye()
         removal = asyncio.create_task(self._registration.end())
         await asyncio.sleep(LISTEN_ON_S)
         front.close()
         last = began + self._settings.grace_s - STOP_MARGIN_S
-        await finish(self._front, self._front_server, last)
+        await finish(self._handler, self._request_server, last)
         removal.cancel()
-        self._events.process("drained", in_flight=self._front.active)
+        self._events.process("drained", in_flight=self._handler.active)
--- a/leverdoor/entry/events.py
+++ b/leverdoor/entry/events.py
@@ -16,7 +16,7 @@
 from leverdoor.errors import Refusal
 
 if TYPE_CHECKING:
-    from leverdoor.entry.requests.placement_request import Placement, PlacementRequest
+    from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
 
 __all__ = ["Events", "LineWriter"]
 
--- a/leverdoor/entry/requests/forwarding.py
+++ b/leverdoor/entry/requests/forwarding.py
@@ -9,21 +9,21 @@
 
 from leverdoor.entry.events import Events
 from leverdoor.entry.placement.fleet import SLOW_EJECTION_S, Fleet
-from leverdoor.entry.placement.policy import PlacementPolicy
-from leverdoor.entry.requests.connection import AnswerLost, NotSent, Reply
-from leverdoor.entry.requests.connections import Connections, Outgoing
-from leverdoor.entry.requests.placement_request import (
+from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementRequest,
     Rejection,
 )
+from leverdoor.entry.placement.policy import PlacementPolicy
+from leverdoor.entry.requests.connection import AnswerLost, NotSent, Reply
+from leverdoor.entry.requests.connections import Connections, Outgoing
 from leverdoor.entry.requests.retries import may_retry
 from leverdoor.entry.wire import Wire
 from leverdoor.errors import Code, Refusal, Run
 from leverdoor.retry_budget import RetryBudget
 from leverdoor.workspaces.quota import Quotas
 
-__all__ = ["Forwarder", "Incoming"]
+__all__ = ["Forwarder", "EntryRequest"]
 
 ANSWER_MARGIN_S = 0.03
 """Taken off the time left for a target, so that the refusal still arrives."""
@@ -34,7 +34,7 @@
 NOT_RUN_STATUSES = frozenset({503, 429, 421, 400})
 
 
-class Incoming(msgspec.Struct):
+class EntryRequest(msgspec.Struct):
     """One request as an entry takes it in."""
 
     request: PlacementRequest
@@ -75,7 +75,7 @@
         self._events = events
         self._quotas = quotas
 
-    async def serve(self, incoming: Incoming) -> Reply:
+    async def serve(self, incoming: EntryRequest) -> Reply:
         """Get a whole answer of a target.
 
         Raises:
@@ -96,7 +96,7 @@
                     continue
                 raise lost or e.refusal from None
 
-    def _again(self, incoming: Incoming, attempt: int, failed: "_Failed") -> bool:
+    def _again(self, incoming: EntryRequest, attempt: int, failed: "_Failed") -> bool:
         """Return whether another target may be tried."""
         route = incoming.request.route
         may = may_retry(
@@ -113,7 +113,7 @@
             self._quotas.again(workspace, asyncio.get_running_loop().time())
         return True
 
-    async def _attempt(self, incoming: Incoming, attempt: int) -> Reply:
+    async def _attempt(self, incoming: EntryRequest, attempt: int) -> Reply:
         loop = asyncio.get_running_loop()
         request = incoming.request
         decision = self._policy.place(request, loop.time())
@@ -139,7 +139,7 @@
         return reply
 
     def _learn(
-        self, incoming: Incoming, placement: Placement, reply: Reply, took_s: float
+        self, incoming: EntryRequest, placement: Placement, reply: Reply, took_s: float
     ) -> None:
         now = asyncio.get_running_loop().time()
         state = self._fleet.of(placement.target, now)
@@ -154,7 +154,7 @@
         if self._policy.answered(request, placement, took_s * 1000, size, now):
             self._events.target_ejected(placement.target.name, "slow", SLOW_EJECTION_S)
 
-    async def _send(self, incoming: Incoming, placement: Placement) -> Reply:
+    async def _send(self, incoming: EntryRequest, placement: Placement) -> Reply:
         loop = asyncio.get_running_loop()
         request = incoming.request
         began = loop.time()
@@ -216,7 +216,7 @@
             )
 
     def _outgoing(
-        self, incoming: Incoming, placement: Placement, now: float
+        self, incoming: EntryRequest, placement: Placement, now: float
     ) -> Outgoing:
         names = self._wire.headers
         request = incoming.request
--- a/leverdoor/entry/requests/front.py
+++ b/leverdoor/entry/requests/handler.py
@@ -13,17 +13,17 @@
 from leverdoor.entry.configuration.catalog import Catalog, entry_host
 from leverdoor.entry.events import Events
 from leverdoor.entry.metrics import EntryMetrics
+from leverdoor.entry.placement.placement_request import PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.connection import Reply
-from leverdoor.entry.requests.forwarding import Forwarder, Incoming
-from leverdoor.entry.requests.placement_request import PlacementRequest
+from leverdoor.entry.requests.forwarding import EntryRequest, Forwarder
 from leverdoor.entry.wire import Wire
 from leverdoor.errors import Code, Refusal, Run, code_info
 from leverdoor.headers import bounded_int, passing
 from leverdoor.model.resources import Route, Workspace
 from leverdoor.workspaces.quota import Quotas
 
-__all__ = ["Front"]
+__all__ = ["EntryHandler"]
 
 BUFFERED_BODY = 512 * 1024
 """Longest body read whole, in bytes, so that it can be sent again; chosen."""
@@ -36,7 +36,7 @@
 REPLY_HEADERS_DROPPED = frozenset({"content-length", "date", "server"})
 
 
-class Front:
+class EntryHandler:
     """The handler of client requests of one entry."""
 
     def __init__(
@@ -147,7 +147,7 @@
 
     def _incoming(
         self, request: web.BaseRequest, request_id: str, arrived: float
-    ) -> Incoming:
+    ) -> EntryRequest:
         """Route a request, and find out whose it is.
 
         Raises:
@@ -178,7 +178,7 @@
             until=until,
             workspace=workspace,
         )
-        return Incoming(
+        return EntryRequest(
             request=wanted,
             method=request.method,
             path=path,
@@ -221,7 +221,9 @@
             found.append((names.workspace, workspace.name))
         return found
 
-    async def _take_body(self, request: web.BaseRequest, incoming: Incoming) -> None:
+    async def _take_body(
+        self, request: web.BaseRequest, incoming: EntryRequest
+    ) -> None:
         """Read a body whole if it is small, and else prepare to stream it."""
         most = self._catalog().limits.body_bytes
         length = request.content_length
@@ -250,7 +252,7 @@
 
     @staticmethod
     async def _stream(
-        request: web.BaseRequest, incoming: Incoming, first: bytes, most: int
+        request: web.BaseRequest, incoming: EntryRequest, first: bytes, most: int
     ) -> AsyncIterator[bytes]:
         """Yield the parts of a long body as they come, framed if need be."""
         incoming.started = True
--- a/leverdoor/entry/shutdown.py
+++ b/leverdoor/entry/shutdown.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from leverdoor.entry.requests.front import Front
+from leverdoor.entry.requests.handler import EntryHandler
 
 __all__ = ["STOP_POLL_S", "finish"]
 
@@ -16,7 +16,7 @@
 """Rounds without a request before the end: some may just have been accepted."""
 
 
-async def finish(front: Front, server: web.Server, until: float) -> None:
+async def finish(front: EntryHandler, server: web.Server, until: float) -> None:
     """Close idle connections until no request has been in flight for some rounds.
 
     Args:
@@ -33,7 +33,9 @@
         idle_rounds = 0 if front.active else idle_rounds + 1
 
 
-def _close_idle(front: Front, server: web.Server, before: set[object]) -> set[object]:
+def _close_idle(
+    front: EntryHandler, server: web.Server, before: set[object]
+) -> set[object]:
     """Close the connections that were idle a moment ago and still are.
 
     The HTTP library's own way leaves them open and deaf to what still
--- a/leverdoor/gate/daemon.py
+++ b/leverdoor/gate/daemon.py
@@ -14,7 +14,7 @@
 from leverdoor.agent.link import GateLink, GateReport, Hints
 from leverdoor.daemon import keep_running
 from leverdoor.gate.dispatch import Dispatcher
-from leverdoor.gate.front import MAX_HEADER_BYTES, Front
+from leverdoor.gate.handler import MAX_HEADER_BYTES, GateHandler
 from leverdoor.gate.holdings import Holdings
 from leverdoor.gate.keyed import KeyedServer
 from leverdoor.gate.keys import KeyRing
@@ -56,8 +56,8 @@
         """Serve until stopped and everything in flight has ended."""
         s = self._settings
         self._build()
-        await self._listen(self._front.relay_app(), s.relay)
-        await self._listen(self._front.caller_app(), s.listen)
+        await self._listen(self._handler.relay_app(), s.relay)
+        await self._listen(self._handler.caller_app(), s.listen)
         logger.info("gate up", listen=str(s.listen), relay=str(s.relay))
         loops = (self._dispatcher.run, self._report, self._receive)
         tasks = [asyncio.create_task(keep_running(w.__qualname__, w)) for w in loops]
@@ -94,7 +94,7 @@
             self._ring, self._server, self._scheduler, self._client
         )
         self._metrics = GateMetrics()
-        self._front = Front(
+        self._handler = GateHandler(
             s.region,
             s.lookup_ttl_ms,
             self._scheduler,
@@ -104,7 +104,7 @@
             BurnMeter(),
             self._metrics,
         )
-        self._front.address = str(s.listen)
+        self._handler.address = str(s.listen)
         self._link = GateLink(s.agent)
 
     async def _listen(self, app: web.Application, address: Address) -> None:
@@ -143,7 +143,7 @@
                 incarnation=self._incarnation,
                 revision=self._state.revision,
                 ack=self._holdings.ack(now),
-                state=self._front.state,
+                state=self._handler.state,
                 loads=self._scheduler.loads(now),
                 caps=self._scheduler.caps(now),
                 held=sorted(r for r in self._holdings.rows if r.startswith("t:")),
@@ -176,8 +176,8 @@
             self._cache.table(region), self._cache.view.settle_s(region), now
         )
         self._metrics.revision.set(self._state.revision)
-        if self._front.state is GateState.STARTING:
-            self._front.state = GateState.SERVING
+        if self._handler.state is GateState.STARTING:
+            self._handler.state = GateState.SERVING
             logger.info("gate ready", revision=self._state.revision)
 
     def _take_hints(self, hints: Hints) -> None:
@@ -208,10 +208,10 @@
         them is taken as proof that this one has nothing in flight.
         """
         s = self._settings
-        self._front.state = GateState.LEAVING
-        logger.info("gate leaving", active=self._front.active)
+        self._handler.state = GateState.LEAVING
+        logger.info("gate leaving", active=self._handler.active)
         await asyncio.sleep(s.lookup_ttl_ms / 1000 + s.leave_grace_s)
-        self._front.closed = True
-        while self._front.active or self._keyed.running:
+        self._handler.closed = True
+        while self._handler.active or self._keyed.running:
             await asyncio.sleep(STOP_POLL_S)
         logger.info("gate drained")
--- a/leverdoor/gate/dispatch.py
+++ b/leverdoor/gate/dispatch.py
@@ -6,7 +6,7 @@
 import contextlib
 
 from leverdoor.errors import Code
-from leverdoor.gate.queueing import Job
+from leverdoor.gate.queueing import QueuedRequest
 from leverdoor.gate.scheduler import Decision, Dispatch, Refuse, Scheduler
 
 __all__ = ["Dispatcher"]
@@ -23,7 +23,7 @@
     def __init__(self, scheduler: Scheduler) -> None:
         """Create it around a scheduler."""
         self.scheduler = scheduler
-        self._waiting: dict[int, tuple[Job, asyncio.Future[Decision]]] = {}
+        self._waiting: dict[int, tuple[QueuedRequest, asyncio.Future[Decision]]] = {}
         self._wake = asyncio.Event()
 
     @property
@@ -35,7 +35,7 @@
         """Have waiting jobs looked at again; call after anything changed."""
         self._wake.set()
 
-    async def place(self, job: Job) -> Decision:
+    async def place(self, job: QueuedRequest) -> Decision:
         """Decide on a job, after a wait if need be."""
         loop = asyncio.get_running_loop()
         decision = self._offer(job, loop.time())
@@ -52,7 +52,7 @@
         finally:
             self._waiting.pop(id(job), None)
 
-    def _offer(self, job: Job, now: float) -> Decision | None:
+    def _offer(self, job: QueuedRequest, now: float) -> Decision | None:
         decision = self.scheduler.offer(job, now)
         if not isinstance(decision, Refuse) or decision.code is not Code.QUEUE_FULL:
             return decision
@@ -64,7 +64,9 @@
             self._resolve(victim, refuse)
         return self.scheduler.offer(job, now)
 
-    def _abandon(self, job: Job, future: asyncio.Future[Decision], now: float) -> None:
+    def _abandon(
+        self, job: QueuedRequest, future: asyncio.Future[Decision], now: float
+    ) -> None:
         """Give back what was taken for a caller that went away."""
         self.scheduler.withdraw(job)
         if future.done() and not future.cancelled():
@@ -73,7 +75,7 @@
                 self.scheduler.done(job, decision, now, 0.0, False, 0.0)
                 self.kick()
 
-    def _resolve(self, job: Job, decision: Decision) -> None:
+    def _resolve(self, job: QueuedRequest, decision: Decision) -> None:
         entry = self._waiting.get(id(job))
         if entry is not None and not entry[1].done():
             entry[1].set_result(decision)
--- a/leverdoor/gate/front.py
+++ b/leverdoor/gate/handler.py
@@ -15,16 +15,16 @@
 from leverdoor.errors import Code, Refusal, Run
 from leverdoor.gate.keyed import KeyedServer
 from leverdoor.gate.keys import KeyRing, Outcome
-from leverdoor.gate.queueing import Job
+from leverdoor.gate.queueing import QueuedRequest
 from leverdoor.gate.relay import Body
 from leverdoor.gate.scheduler import MIN_RETRY_MS, Scheduler
-from leverdoor.gate.serving import Inbound, Served, Server, finishing
+from leverdoor.gate.serving import GateRequest, Served, Server, finishing
 from leverdoor.membership.peers import GateState
 from leverdoor.metrics import GateMetrics
 from leverdoor.model.burn import BurnMeter
 from leverdoor.model.resources import Service, Tier, Work
 
-__all__ = ["Front", "LookupAnswer", "LookupEntry"]
+__all__ = ["GateHandler", "LookupAnswer", "LookupEntry"]
 
 BUFFERED_BODY = 64 * 1024
 """Longest body kept for a repeat, in bytes; uploads are streamed."""
@@ -52,7 +52,7 @@
     key: str = ""
 
 
-class Front:
+class GateHandler:
     """Request handlers of one gate."""
 
     def __init__(
@@ -228,7 +228,7 @@
         home: str,
         forwarded: bool,
         arrived: float,
-    ) -> Inbound:
+    ) -> GateRequest:
         """Read what a request says of itself."""
         if self.state is GateState.STARTING:
             raise Refusal(Code.NOT_READY, retry_after_ms=500)
@@ -243,7 +243,7 @@
         )
         limit_ms = service.deadline_ms
         asked_ms = h.bounded_int(request.headers, h.DEADLINE, limit_ms)
-        job = Job(
+        job = QueuedRequest(
             service=service.name,
             tier=tier,
             home=home,
@@ -256,7 +256,7 @@
         if service.work is Work.ONCE and not bulk and not key and not forwarded:
             raise Refusal(Code.KEY_REQUIRED)
         connection = request.headers.get("Connection", "")
-        return Inbound(
+        return GateRequest(
             request_id=request_id,
             service=service,
             method=request.method,
@@ -292,7 +292,7 @@
         return Body(data, None, length, stall_s)
 
     async def _answer(
-        self, request: web.Request, inbound: Inbound, forwarded: bool
+        self, request: web.Request, inbound: GateRequest, forwarded: bool
     ) -> web.StreamResponse:
         if inbound.key:
             outcome = await self._keyed.serve(inbound)
@@ -329,7 +329,7 @@
 
 
 async def _stream(
-    request: web.Request, inbound: Inbound, served: Served
+    request: web.Request, inbound: GateRequest, served: Served
 ) -> web.StreamResponse:
     """Pass an answer on; one that is cut short is never ended as if whole."""
     response = web.StreamResponse(status=served.status)
@@ -354,7 +354,7 @@
     return response
 
 
-def _outcome_response(outcome: Outcome, inbound: Inbound) -> web.Response:
+def _outcome_response(outcome: Outcome, inbound: GateRequest) -> web.Response:
     response = web.Response(status=outcome.status, body=outcome.body)
     for name, value in outcome.headers:
         if name.lower() not in ("content-length", "transfer-encoding"):
--- a/leverdoor/gate/keyed.py
+++ b/leverdoor/gate/keyed.py
@@ -12,7 +12,7 @@
 from leverdoor.gate.keys import Key, KeyRing, KeyState, Outcome, parse_key
 from leverdoor.gate.relay import Hop, HopClient, refusal_of
 from leverdoor.gate.scheduler import Scheduler
-from leverdoor.gate.serving import Inbound, Served, Server, finishing
+from leverdoor.gate.serving import GateRequest, Served, Server, finishing
 from leverdoor.membership.peers import Heartbeat
 
 __all__ = ["KeyedServer"]
@@ -41,7 +41,7 @@
         """Count the requests that run, their callers still there or not."""
         return len(self._running)
 
-    async def serve(self, inbound: Inbound) -> Outcome:
+    async def serve(self, inbound: GateRequest) -> Outcome:
         """Return the one outcome of a key.
 
         Raises:
@@ -60,14 +60,14 @@
             return outcome
         return await self._wait(inbound, key)
 
-    def _start(self, inbound: Inbound, key: Key) -> None:
+    def _start(self, inbound: GateRequest, key: Key) -> None:
         """Run apart from the caller, whose leaving must not lose the outcome."""
         task = asyncio.create_task(self._run(inbound, key))
         self._running[key.nonce] = task
         task.add_done_callback(lambda _: self._running.pop(key.nonce, None))
         task.add_done_callback(_consume)
 
-    async def _run(self, inbound: Inbound, key: Key) -> Outcome:
+    async def _run(self, inbound: GateRequest, key: Key) -> Outcome:
         try:
             outcome = await self._collect(await self._server.serve(inbound))
         except Refusal as e:
@@ -96,7 +96,7 @@
         head = [*served.headers, (h.SERVED_BY, served.served_by)]
         return Outcome(served.status, head, b"".join(parts))
 
-    async def _wait(self, inbound: Inbound, key: Key) -> Outcome:
+    async def _wait(self, inbound: GateRequest, key: Key) -> Outcome:
         """Wait for a run that is under way, until this caller's deadline."""
         task = self._running.get(key.nonce)
         if task is None:
@@ -108,7 +108,7 @@
             raise Refusal(Code.STILL_RUNNING, retry_after_ms=ASK_AGAIN_MS)
         return task.result()
 
-    async def _ask_issuer(self, inbound: Inbound, key: Key) -> Outcome:
+    async def _ask_issuer(self, inbound: GateRequest, key: Key) -> Outcome:
         """Pass the request to the gate that issued its key."""
         issuer = self._scheduler.neighbours.get(key.vm)
         if self._is_gone(key, issuer):
@@ -138,7 +138,7 @@
             return False
         return issuer.incarnation > key.incarnation
 
-    def _hop(self, inbound: Inbound, issuer: Heartbeat) -> Hop:
+    def _hop(self, inbound: GateRequest, issuer: Heartbeat) -> Hop:
         left_ms = max(int((inbound.job.deadline - _now()) * 1000), 1)
         extra = [
             (h.REQUEST_ID, inbound.request_id),
--- a/leverdoor/gate/queueing.py
+++ b/leverdoor/gate/queueing.py
@@ -8,10 +8,10 @@
 
 from leverdoor.model.resources import Tier
 
-__all__ = ["Job", "WaitQueue"]
+__all__ = ["QueuedRequest", "WaitQueue"]
 
 
-class Job(msgspec.Struct, eq=False):
+class QueuedRequest(msgspec.Struct, eq=False):
     """One request as the decisions see it."""
 
     service: str
@@ -33,10 +33,10 @@
 
     def __init__(self) -> None:
         """Create an empty queue."""
-        self._waiting: dict[str, deque[Job]] = {}
+        self._waiting: dict[str, deque[QueuedRequest]] = {}
         self._tiers: dict[str, Tier] = {}
         self._passes: dict[str, float] = {}
-        self._bulk: deque[Job] = deque()
+        self._bulk: deque[QueuedRequest] = deque()
         self._now = 0.0
 
     def __len__(self) -> int:
@@ -47,7 +47,7 @@
         """Count what waits, bulk work left out."""
         return sum(len(q) for q in self._waiting.values())
 
-    def push(self, job: Job) -> None:
+    def push(self, job: QueuedRequest) -> None:
         """Add a job."""
         if job.bulk:
             self._bulk.append(job)
@@ -59,7 +59,7 @@
         self._tiers[name] = job.tier
         queue.append(job)
 
-    def remove(self, job: Job) -> bool:
+    def remove(self, job: QueuedRequest) -> bool:
         """Take a job out wherever it stands."""
         queue = self._bulk if job.bulk else self._waiting.get(job.tier.name)
         if queue is None or job not in queue:
@@ -67,7 +67,7 @@
         queue.remove(job)
         return True
 
-    def order(self, in_use: dict[str, int], held: int) -> list[Job]:
+    def order(self, in_use: dict[str, int], held: int) -> list[QueuedRequest]:
         """Return the head of each tier, the one to serve first in front.
 
         Args:
@@ -89,7 +89,7 @@
             return (False, used / reserved, tier.name)
         return (True, self._passes.get(tier.name, 0.0), tier.name)
 
-    def pop(self, job: Job) -> None:
+    def pop(self, job: QueuedRequest) -> None:
         """Take a head out because it is being served."""
         self.remove(job)
         if job.bulk:
@@ -109,7 +109,7 @@
                 total += len(queue) * other.weight / (other.weight + tier.weight)
         return total
 
-    def lowest(self, than: Tier) -> Job | None:
+    def lowest(self, than: Tier) -> QueuedRequest | None:
         """Return the newest job of the lowest tier below a tier."""
         below = [
             t
@@ -120,7 +120,7 @@
             return None
         return self._waiting[min(below, key=_rank).name][-1]
 
-    def expired(self, now: float) -> list[Job]:
+    def expired(self, now: float) -> list[QueuedRequest]:
         """Take out and return the jobs whose deadline has passed."""
         queues = [*self._waiting.values(), self._bulk]
         late = [j for q in queues for j in q if j.deadline <= now]
--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -11,7 +11,7 @@
 from leverdoor.gate.holdings import Holdings
 from leverdoor.gate.neighbours import Neighbours, RegionLoad
 from leverdoor.gate.pool import TargetPool
-from leverdoor.gate.queueing import Job, WaitQueue
+from leverdoor.gate.queueing import QueuedRequest, WaitQueue
 from leverdoor.gate.shifts import ShiftLimiter, rate_out
 from leverdoor.membership.ownership import cap_row, slot_row
 from leverdoor.membership.peers import Heartbeat, Load
@@ -130,7 +130,7 @@
 
     # What is decided.
 
-    def offer(self, job: Job, now: float) -> Decision | None:
+    def offer(self, job: QueuedRequest, now: float) -> Decision | None:
         """Decide on a new job.
 
         Returns: the decision, or None if the job waits; `poll` tells then.
@@ -151,7 +151,7 @@
         return self._wait(job, service, queue, now)
 
     def _wait(
-        self, job: Job, service: Service, queue: WaitQueue, now: float
+        self, job: QueuedRequest, service: Service, queue: WaitQueue, now: float
     ) -> Decision | None:
         """Let a job wait if that makes sense."""
         if job.forwarded and job.home != self.region:
@@ -168,7 +168,7 @@
             return None
         return self._refuse(Code.QUEUE_FULL, job, now)
 
-    def _shorter_queue(self, job: Job, now: float) -> Forward | None:
+    def _shorter_queue(self, job: QueuedRequest, now: float) -> Forward | None:
         """Pass a job on to wait where the wait is shorter, in this region."""
         if job.forwarded or job.bulk:
             return None
@@ -184,20 +184,20 @@
             return None
         return Forward(found.heartbeat.vm, found.heartbeat.relay, self.region)
 
-    def evictable(self, job: Job) -> Job | None:
+    def evictable(self, job: QueuedRequest) -> QueuedRequest | None:
         """Return a waiting job that should make way for one of a higher tier."""
         queue = self._queues.get(job.service)
         return None if queue is None or job.bulk else queue.lowest(job.tier)
 
-    def evict(self, job: Job, now: float) -> Refuse | None:
+    def evict(self, job: QueuedRequest, now: float) -> Refuse | None:
         """Refuse a waiting job to make way for a higher tier."""
         if not self._queues[job.service].remove(job):
             return None
         return self._refuse(Code.SHED_BY_TIER, job, now)
 
-    def poll(self, now: float) -> list[tuple[Job, Decision]]:
+    def poll(self, now: float) -> list[tuple[QueuedRequest, Decision]]:
         """Decide on waiting jobs after anything changed."""
-        made: list[tuple[Job, Decision]] = []
+        made: list[tuple[QueuedRequest, Decision]] = []
         for name, queue in self._queues.items():
             if not len(queue):
                 continue
@@ -211,8 +211,8 @@
 
     def _serve(
         self, queue: WaitQueue, service: Service, now: float
-    ) -> list[tuple[Job, Decision]]:
-        made: list[tuple[Job, Decision]] = []
+    ) -> list[tuple[QueuedRequest, Decision]]:
+        made: list[tuple[QueuedRequest, Decision]] = []
         progress = True
         while progress:
             progress = False
@@ -226,7 +226,7 @@
                     break
         return made
 
-    def withdraw(self, job: Job) -> None:
+    def withdraw(self, job: QueuedRequest) -> None:
         """Forget a waiting job whose caller went away."""
         queue = self._queues.get(job.service)
         if queue is not None:
@@ -234,7 +234,7 @@
 
     def done(
         self,
-        job: Job,
+        job: QueuedRequest,
         made: Dispatch,
         now: float,
         took_ms: float,
@@ -262,7 +262,7 @@
             mean = self._mean_ms.get(job.service, took_ms)
             self._mean_ms[job.service] = mean + 0.1 * (took_ms - mean)
 
-    def expected_wait_ms(self, job: Job, now: float) -> float:
+    def expected_wait_ms(self, job: QueuedRequest, now: float) -> float:
         """Estimate how long a new job would wait in this region."""
         queue = self._queues.get(job.service)
         ahead = queue.ahead(job.tier) if queue else 0.0
@@ -280,7 +280,9 @@
 
     # How it is decided.
 
-    def _place(self, job: Job, service: Service, now: float) -> Decision | None:
+    def _place(
+        self, job: QueuedRequest, service: Service, now: float
+    ) -> Decision | None:
         """Find room: at home first, then region by region in order of distance."""
         for region in self._regions(job):
             decision: Decision | None = None
@@ -298,11 +300,11 @@
                 return None
         return None
 
-    def _regions(self, job: Job) -> list[str]:
+    def _regions(self, job: QueuedRequest) -> list[str]:
         names = set(self.view.regions) | {self.region}
         return sorted(names, key=lambda r: (self.view.distance_ms(job.home, r), r))
 
-    def _should_spill(self, job: Job, region: str, now: float) -> bool:
+    def _should_spill(self, job: QueuedRequest, region: str, now: float) -> bool:
         """Return whether leaving a region heartbeats waiting in it."""
         if region != job.home:
             return True
@@ -326,7 +328,9 @@
             others.gates + 1,
         )
 
-    def _here(self, job: Job, service: Service, now: float) -> Dispatch | None:
+    def _here(
+        self, job: QueuedRequest, service: Service, now: float
+    ) -> Dispatch | None:
         """Take a slot that this gate holds, and a cap unit for foreign work."""
         if job.bulk and not self._bulk_room(service, now):
             return None
@@ -357,7 +361,7 @@
             return False
         return self._bulk_in_use.get(service.name, 0) < held
 
-    def _peer(self, job: Job, region: str, now: float) -> Forward | None:
+    def _peer(self, job: QueuedRequest, region: str, now: float) -> Forward | None:
         """Pass a job on to a gate with room in a region."""
         cap = ""
         if region != job.home and (job.service, region) in self.view.caps:
@@ -367,7 +371,7 @@
             return None
         return Forward(found.heartbeat.vm, found.heartbeat.relay, region)
 
-    def _refuse(self, code: Code, job: Job, now: float) -> Refuse:
+    def _refuse(self, code: Code, job: QueuedRequest, now: float) -> Refuse:
         """Refuse with when to come back, spread so callers don't return together."""
         wait_ms = self.expected_wait_ms(job, now)
         if code is Code.CAP_REACHED:
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -12,7 +12,7 @@
 from leverdoor import headers as h
 from leverdoor.errors import Code, Refusal, Run
 from leverdoor.gate.dispatch import Dispatcher
-from leverdoor.gate.queueing import Job
+from leverdoor.gate.queueing import QueuedRequest
 from leverdoor.gate.relay import (
     BUFFERED_ANSWER,
     Answer,
@@ -25,7 +25,7 @@
 from leverdoor.model.resources import Service, Work
 from leverdoor.retry_budget import RetryBudget
 
-__all__ = ["Inbound", "Served", "Server"]
+__all__ = ["GateRequest", "Served", "Server"]
 
 MAX_ATTEMPTS = 4
 """Attempts of a safe request at most; chosen."""
@@ -37,7 +37,7 @@
 """A gate has one budget for all services."""
 
 
-class Inbound(msgspec.Struct):
+class GateRequest(msgspec.Struct):
     """One request as a gate takes it in."""
 
     request_id: str
@@ -46,7 +46,7 @@
     tail: str
     headers: list[tuple[str, str]]
     body: Body
-    job: Job
+    job: QueuedRequest
     caller: str
     key: str = ""
     arrived: float = 0.0
@@ -63,7 +63,7 @@
     def __init__(
         self,
         server: "Server",
-        inbound: Inbound,
+        inbound: GateRequest,
         answer: Answer,
         made: Dispatch | None,
         began: float,
@@ -141,7 +141,7 @@
         self._client = client
         self._budget = RetryBudget(BUDGET_RATIO, BUDGET_LIMIT, BUDGET_LIMIT)
 
-    async def serve(self, inbound: Inbound) -> Served:
+    async def serve(self, inbound: GateRequest) -> Served:
         """Get the head of an answer.
 
         Raises:
@@ -172,7 +172,7 @@
                     attempt=attempt,
                 )
 
-    def _again(self, inbound: Inbound, refusal: Refusal) -> bool:
+    def _again(self, inbound: GateRequest, refusal: Refusal) -> bool:
         """Return whether another attempt is safe and worth it."""
         if inbound.job.forwarded or not inbound.body.replayable:
             return False
@@ -181,7 +181,7 @@
         lost = refusal.code is Code.ANSWER_LOST
         return lost and not inbound.once and self._budget.spend(EVERY_SERVICE)
 
-    async def _to_target(self, inbound: Inbound, made: Dispatch) -> Served:
+    async def _to_target(self, inbound: GateRequest, made: Dispatch) -> Served:
         loop = asyncio.get_running_loop()
         began = loop.time()
         health = self._dispatcher.scheduler.targets.of(made.target, began)
@@ -209,7 +209,7 @@
             health.shed(loop.time())
         return Served(self, inbound, answer, made, began)
 
-    async def _to_gate(self, inbound: Inbound, made: Forward) -> Served:
+    async def _to_gate(self, inbound: GateRequest, made: Forward) -> Served:
         loop = asyncio.get_running_loop()
         scheduler = self._dispatcher.scheduler
         path = f"s/{inbound.service.name}/{inbound.tail}"
@@ -227,7 +227,7 @@
             raise refusal_of(problem)
         return Served(self, inbound, answer, None, 0.0)
 
-    def _hop(self, inbound: Inbound, url: str, relay: bool = False) -> Hop:
+    def _hop(self, inbound: GateRequest, url: str, relay: bool = False) -> Hop:
         now = asyncio.get_running_loop().time()
         left_ms = max(int((inbound.job.deadline - now) * 1000), 1)
         extra = [(h.REQUEST_ID, inbound.request_id)]
@@ -252,14 +252,14 @@
         )
 
     def give_back(
-        self, inbound: Inbound, made: Dispatch, began: float, whole: bool
+        self, inbound: GateRequest, made: Dispatch, began: float, whole: bool
     ) -> None:
         """Give back the units of a dispatch whose answer has ended."""
         self._return(inbound, made, began, whole, not whole)
 
     def _return(
         self,
-        inbound: Inbound,
+        inbound: GateRequest,
         made: Dispatch,
         began: float,
         ok: bool,
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -6,12 +6,12 @@
 
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.placement.fleet import Fleet
-from leverdoor.entry.placement.policy import PlacementPolicy
-from leverdoor.entry.requests.placement_request import (
+from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementRequest,
     Rejection,
 )
+from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.model.resources import Region, Resource, Route, Service, Target, Work
 
 REGIONS = [
--- a/tests/test_entry_placement.py
+++ b/tests/test_entry_placement.py
@@ -6,8 +6,8 @@
 
 from desk import ROUTE, SLOTS, Desk, target
 from leverdoor.entry.placement.affinity import Ranking
+from leverdoor.entry.placement.placement_request import Placement, Rejection
 from leverdoor.entry.placement.warmth import SharedWarmth
-from leverdoor.entry.requests.placement_request import Placement, Rejection
 from leverdoor.errors import Code
 from leverdoor.model.resources import Drain, Resource, Route, Work
 
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -35,7 +35,7 @@
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.settings import RELOADABLE, EntrySettings
 from leverdoor.errors import Code, code_info
-from leverdoor.gate.front import Front
+from leverdoor.gate.handler import GateHandler
 from leverdoor.logs import _Line
 from leverdoor.metrics import AgentMetrics, GateMetrics
 from leverdoor.platform import formats, program
@@ -360,8 +360,8 @@
 
 def test_routes() -> None:
     assert routes(Api.app(AsyncMock())) == table.AGENT_ROUTES
-    assert routes(Front.caller_app(AsyncMock())) == table.GATE_ROUTES
-    assert routes(Front.relay_app(AsyncMock())) == table.RELAY_ROUTES
+    assert routes(GateHandler.caller_app(AsyncMock())) == table.GATE_ROUTES
+    assert routes(GateHandler.relay_app(AsyncMock())) == table.RELAY_ROUTES
     assert (PULL_PATH, METRICS_PATH) == ("/v1/internal/state", "/metrics")
     assert PROBE_PATH == "/.leverdoor/report"
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -9,7 +9,7 @@
 
 from leverdoor.errors import Code
 from leverdoor.gate.holdings import Holdings
-from leverdoor.gate.queueing import Job, WaitQueue
+from leverdoor.gate.queueing import QueuedRequest, WaitQueue
 from leverdoor.gate.ramp import Ramp
 from leverdoor.gate.scheduler import Dispatch, Forward, Refuse, Scheduler
 from leverdoor.membership.ownership import Member, Table, plan
@@ -69,8 +69,8 @@
 
 def job(
     tier: Tier = FREE, deadline: float = 100.0, home: str = "home", bulk: bool = False
-) -> Job:
-    return Job("s", tier, home, 0.0, deadline, bulk=bulk)
+) -> QueuedRequest:
+    return QueuedRequest("s", tier, home, 0.0, deadline, bulk=bulk)
 
 
 def neighbour(region: str, free: int, seq: int = 1, caps: int = 0) -> Heartbeat:
@@ -91,7 +91,7 @@
     )
 
 
-def fill(s: Scheduler, tier: Tier = FREE) -> list[tuple[Job, Dispatch]]:
+def fill(s: Scheduler, tier: Tier = FREE) -> list[tuple[QueuedRequest, Dispatch]]:
     """Take every slot."""
     made = []
     while True:
@@ -236,12 +236,12 @@
         name="c", service="s", region="home", units=1, window_ms=1000, ramp_percent=100
     )
     s = scheduler(view(target(0), cap))
-    first = Job("s", FREE, "near", 0.0, 9.0, forwarded=True)
+    first = QueuedRequest("s", FREE, "near", 0.0, 9.0, forwarded=True)
     made = s.offer(first, 0.0)
     assert isinstance(made, Dispatch)
     assert made.cap
     s.done(first, made, 0.2, 200.0, True, 0.0)
-    again = Job("s", FREE, "near", 0.0, 9.0, forwarded=True)
+    again = QueuedRequest("s", FREE, "near", 0.0, 9.0, forwarded=True)
     assert isinstance(s.offer(again, 1.1), Refuse)
     assert isinstance(s.offer(again, 1.3), Dispatch)
 
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -24,7 +24,7 @@
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member
 from leverdoor.entry.membership.sightings import MemberRow
 from leverdoor.errors import Code, Problem, Run
-from leverdoor.gate.front import LookupAnswer, LookupEntry
+from leverdoor.gate.handler import LookupAnswer, LookupEntry
 from leverdoor.gate.keys import Key
 from leverdoor.membership import ownership
 from leverdoor.membership.peers import GateState, Gossip, Heartbeat, Load
