--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -21,7 +21,7 @@
 
 from leverdoor.agent.api import Status
 from leverdoor.client.operator import Operator
-from leverdoor.model.resources import Region, Resource, Service, Tier, Work
+from leverdoor.model.resources import Region, Resource, Service, Tier, WorkClass
 from leverdoor.standins.deployments import Deployment, EntryVm
 from leverdoor.standins.site import Site
 
@@ -40,7 +40,7 @@
     resources: list[Resource] = [
         Region(name=f"r{r}", domains=[f"r{r}-0", f"r{r}-1"]) for r in range(regions)
     ]
-    resources.append(Service(name="s", work=Work.LOOKUP))
+    resources.append(Service(name="s", work=WorkClass.LOOKUP))
     return Deployment(vms, [], resources)
 
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -36,7 +36,7 @@
     Resource,
     Service,
     Target,
-    Work,
+    WorkClass,
     resource_key,
 )
 from leverdoor.storage.view import DEFAULT_TIER, BlockMap, View
@@ -176,7 +176,7 @@
 def _view(setup: Setup) -> View:
     resources: list[Resource] = [
         Region(name="r", domains=["d0", "d1"]),
-        Service(name="s", work=Work.LOOKUP, queue=QUEUE),
+        Service(name="s", work=WorkClass.LOOKUP, queue=QUEUE),
     ]
     for i in range(setup.targets):
         resources.append(
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -23,7 +23,14 @@
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
-from leverdoor.model.resources import Region, Resource, Route, Service, Target, Work
+from leverdoor.model.resources import (
+    Region,
+    Resource,
+    Route,
+    Service,
+    Target,
+    WorkClass,
+)
 
 RUNS = 7
 REGIONS = ("a", "b", "c")
@@ -45,13 +52,13 @@
     found: list[Resource] = [
         Region(name=r, domains=[f"{r}1", f"{r}2"]) for r in REGIONS
     ]
-    found.append(Service(name="s", work=Work.ONCE))
+    found.append(Service(name="s", work=WorkClass.ONCE))
     found += [
         Route(
             name=f"r{i}",
             host=f"h{i % 10}",
             prefix=f"/{i}/",
-            work=Work.LOOKUP,
+            work=WorkClass.LOOKUP,
             services={"s": 1.0},
             target_latency_ms=500,
             affinity=True,
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -27,7 +27,14 @@
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
 from leverdoor.entry.wire import TargetLoad
-from leverdoor.model.resources import Region, Resource, Route, Service, Target, Work
+from leverdoor.model.resources import (
+    Region,
+    Resource,
+    Route,
+    Service,
+    Target,
+    WorkClass,
+)
 
 REGIONS = ("a", "b", "c")
 SLOTS = 9
@@ -333,13 +340,13 @@
     found: list[Resource] = [
         Region(name=r, domains=[f"{r}1", f"{r}2"]) for r in REGIONS
     ]
-    found.append(Service(name="s", work=Work.ONCE))
+    found.append(Service(name="s", work=WorkClass.ONCE))
     found.append(
         Route(
             name="r",
             host="h",
             prefix="/",
-            work=Work.LOOKUP,
+            work=WorkClass.LOOKUP,
             services={"s": 1.0},
             target_latency_ms=round(AIM_S * 1000),
             affinity=True,
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -37,7 +37,7 @@
     Resource,
     Service,
     Target,
-    Work,
+    WorkClass,
     resource_key,
     serialize_resource,
 )
@@ -123,7 +123,7 @@
 def region_resources(targets: int) -> list[Resource]:
     found: list[Resource] = [
         Region(name="r", domains=["d0", "d1"]),
-        Service(name="s", work=Work.LOOKUP),
+        Service(name="s", work=WorkClass.LOOKUP),
     ]
     for i in range(targets):
         found.append(
@@ -235,7 +235,7 @@
     points = []
     for targets in (1_000, 4_000, 8_000, 16_000):
         cache = ViewCache(state_with(region_resources(targets)))
-        value = serialize_resource(Service(name="s", work=Work.LOOKUP, queue=7))
+        value = serialize_resource(Service(name="s", work=WorkClass.LOOKUP, queue=7))
         delta = Delta(1, 2, False, [Event(2, RESOURCES + "service/s", value)])
         points.append((targets, cpu(lambda c=cache, d=delta: c.take(d)) * 1000))  # type: ignore[misc]
     fit("one change, by resources held", "ms", points)
@@ -355,7 +355,7 @@
 def codec() -> None:
     """One configuration change through an agent, without I/O."""
     points = []
-    value = serialize_resource(Service(name="s", work=Work.LOOKUP))
+    value = serialize_resource(Service(name="s", work=WorkClass.LOOKUP))
     for n in (250, 500, 1_000, 2_000):
         events = [Event(i + 2, f"{RESOURCES}service/s{i}", value) for i in range(n)]
 
--- a/leverdoor/emulator/clients.py
+++ b/leverdoor/emulator/clients.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from leverdoor.emulator.entries import EmulatedEntry, Reply, Work
+from leverdoor.emulator.entries import EmulatedEntry, EmulatedRequest, Reply
 from leverdoor.emulator.plan import Load
 from leverdoor.entry.placement.placement_request import PlacementRequest
 from leverdoor.model.resources import Route
@@ -110,7 +110,7 @@
             arrived=arrives,
             until=until,
         )
-        work = Work(request, self._work_s)
+        work = EmulatedRequest(request, self._work_s)
         world.clock.at(arrives, lambda: entry.serve(work, self._replied))
 
     def _replied(self, reply: Reply) -> None:
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -38,10 +38,10 @@
 from leverdoor.errors import Code, Refusal
 from leverdoor.retry_budget import RetryBudget
 
-__all__ = ["EmulatedEntry", "Reply", "Work"]
+__all__ = ["EmulatedEntry", "Reply", "EmulatedRequest"]
 
 
-class Work(msgspec.Struct, frozen=True):
+class EmulatedRequest(msgspec.Struct, frozen=True):
     """A client's request as an entry takes it."""
 
     request: PlacementRequest
@@ -157,14 +157,14 @@
 
     # Requests.
 
-    def serve(self, work: Work, reply: Callable[[Reply], None]) -> None:
+    def serve(self, work: EmulatedRequest, reply: Callable[[Reply], None]) -> None:
         """Serve a request; the reply comes when it ends."""
         self._budget.earn(work.request.service)
         self._attempt(work, 1, None, reply)
 
     def _attempt(
         self,
-        work: Work,
+        work: EmulatedRequest,
         attempt: int,
         lost: Refusal | None,
         reply: Callable[[Reply], None],
@@ -182,7 +182,7 @@
 
     def again(
         self,
-        work: Work,
+        work: EmulatedRequest,
         attempt: int,
         refusal: Refusal,
         lost: Refusal | None,
@@ -232,7 +232,7 @@
     def __init__(
         self,
         entry: EmulatedEntry,
-        work: Work,
+        work: EmulatedRequest,
         attempt: int,
         lost: Refusal | None,
         placement: Placement,
--- a/leverdoor/emulator/plan.py
+++ b/leverdoor/emulator/plan.py
@@ -11,7 +11,7 @@
 
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
 from leverdoor.errors import Code, ConfigError
-from leverdoor.model.resources import Work
+from leverdoor.model.resources import WorkClass
 
 __all__ = [
     "Experiment",
@@ -82,7 +82,7 @@
     deadline_ms: Count
     keys: Count = 100
     """Keys of each region."""
-    work: Work = Work.LOOKUP
+    work: WorkClass = WorkClass.LOOKUP
     priority: Annotated[int, Meta(ge=0, le=1_000)] = 0
     attempts: Count = 2
     timeout_ms: Annotated[int, Meta(ge=0)] = 0
--- a/leverdoor/emulator/world.py
+++ b/leverdoor/emulator/world.py
@@ -17,8 +17,7 @@
 from leverdoor.entry.membership.digests import Message
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.membership.members import HEARTBEAT_S
-from leverdoor.model.resources import Region, Resource, Service, Target
-from leverdoor.model.resources import Work as WorkClass
+from leverdoor.model.resources import Region, Resource, Service, Target, WorkClass
 
 __all__ = ["World", "play"]
 
--- a/leverdoor/entry/requests/retries.py
+++ b/leverdoor/entry/requests/retries.py
@@ -3,7 +3,7 @@
 """Whether a request that failed may be sent to another target."""
 
 from leverdoor.errors import Code, Refusal, Run
-from leverdoor.model.resources import Route, Work
+from leverdoor.model.resources import Route, WorkClass
 
 __all__ = ["may_retry"]
 
@@ -23,7 +23,7 @@
       arrived: whether the request may have reached the target.
       replayable: whether its body can be sent again.
     """
-    safe = route.work is Work.LOOKUP or refusal.run is Run.NO
+    safe = route.work is WorkClass.LOOKUP or refusal.run is Run.NO
     if not safe or not replayable or refusal.code is Code.DEADLINE_PASSED:
         return False
     most = route.attempts if arrived else route.attempts + UNREACHED_ATTEMPTS
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -22,7 +22,7 @@
 from leverdoor.membership.peers import GateState
 from leverdoor.metrics import GateMetrics
 from leverdoor.model.burn import BurnMeter
-from leverdoor.model.resources import Service, Tier, Work
+from leverdoor.model.resources import Service, Tier, WorkClass
 
 __all__ = ["GateHandler", "LookupAnswer", "LookupEntry"]
 
@@ -114,7 +114,7 @@
         home = self._scheduler.view.blocks.region(client) or self._region
         now = asyncio.get_running_loop().time()
         key = ""
-        if service.work is not Work.LOOKUP and self.state is GateState.SERVING:
+        if service.work is not WorkClass.LOOKUP and self.state is GateState.SERVING:
             key = self._ring.issue(secrets.token_bytes(8), now)
         answer = LookupAnswer(
             service.name,
@@ -238,7 +238,7 @@
         if service is None:
             raise Refusal(Code.UNKNOWN_SERVICE)
         path = request.match_info["tail"]
-        bulk = service.work is Work.BULK or any(
+        bulk = service.work is WorkClass.BULK or any(
             path.startswith(p.lstrip("/")) for p in service.bulk_prefixes
         )
         limit_ms = service.deadline_ms
@@ -253,7 +253,7 @@
             forwarded=forwarded,
         )
         key = "" if forwarded else request.headers.get(h.KEY, "")
-        if service.work is Work.ONCE and not bulk and not key and not forwarded:
+        if service.work is WorkClass.ONCE and not bulk and not key and not forwarded:
             raise Refusal(Code.KEY_REQUIRED)
         connection = request.headers.get("Connection", "")
         return GateRequest(
--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -15,7 +15,7 @@
 from leverdoor.gate.shifts import ShiftLimiter, rate_out
 from leverdoor.membership.ownership import cap_row, slot_row
 from leverdoor.membership.peers import Heartbeat, Load
-from leverdoor.model.resources import Service, Target, Work
+from leverdoor.model.resources import Service, Target, WorkClass
 from leverdoor.model.targets import ASSUMED_MS, TargetBook
 from leverdoor.storage.view import View
 
@@ -355,7 +355,7 @@
     def _bulk_room(self, service: Service, now: float) -> bool:
         """Bulk work takes a share of the slots, and none while people wait."""
         held = self.pool.slots(service.name, now)
-        if service.work is not Work.BULK:
+        if service.work is not WorkClass.BULK:
             held = max(1, int(held * BULK_SHARE))
         if self._people(service.name):
             return False
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -22,7 +22,7 @@
     refusal_of,
 )
 from leverdoor.gate.scheduler import Dispatch, Forward, Refuse
-from leverdoor.model.resources import Service, Work
+from leverdoor.model.resources import Service, WorkClass
 from leverdoor.retry_budget import RetryBudget
 
 __all__ = ["GateRequest", "Served", "Server"]
@@ -54,7 +54,7 @@
     @property
     def once(self) -> bool:
         """Return whether a repeat could do harm."""
-        return self.service.work is not Work.LOOKUP or bool(self.key)
+        return self.service.work is not WorkClass.LOOKUP or bool(self.key)
 
 
 class Served:
--- a/leverdoor/model/resources.py
+++ b/leverdoor/model/resources.py
@@ -23,7 +23,7 @@
     "ShiftCap",
     "Target",
     "Tier",
-    "Work",
+    "WorkClass",
     "Workspace",
     "parse_resource",
     "parse_resources",
@@ -39,7 +39,7 @@
 Share: TypeAlias = Annotated[float, Meta(gt=0.0, lt=1.0)]
 
 
-class Work(StrEnum):
+class WorkClass(StrEnum):
     """Class of work, which says what a repeat may do."""
 
     LOOKUP = "lookup"
@@ -63,7 +63,7 @@
 class Service(_Base, frozen=True, tag="service"):
     """A service that callers ask for by name."""
 
-    work: Work
+    work: WorkClass
     deadline_ms: Positive = 2_000
     linger_ms: Millis = 1_000
     """Longest time a target may go on with a request after its connection ended."""
@@ -148,7 +148,7 @@
 
     host: str
     prefix: Annotated[str, Meta(pattern=r"^/(.*/)?$")]
-    work: Work
+    work: WorkClass
     services: dict[Name, Annotated[float, Meta(ge=0.0)]]
     """Weights of the services that share the requests."""
     timeout_ms: Millis = 0
--- a/leverdoor/platform/formats.py
+++ b/leverdoor/platform/formats.py
@@ -16,7 +16,7 @@
     Route,
     Service,
     Target,
-    Work,
+    WorkClass,
     Workspace,
 )
 from leverdoor.storage.store import Entry
@@ -29,7 +29,7 @@
 SERVERS = "servers/"
 PEERS = "leverdoor/entries/"
 
-KINDS = {"safe": Work.LOOKUP, "unsafe": Work.ONCE, "upload": Work.BULK}
+KINDS = {"safe": WorkClass.LOOKUP, "unsafe": WorkClass.ONCE, "upload": WorkClass.BULK}
 
 
 class _Part(msgspec.Struct):
@@ -60,7 +60,7 @@
             name=self.name,
             host=self.host,
             prefix=self.path_prefix,
-            work=KINDS.get(self.kind, Work.ONCE),
+            work=KINDS.get(self.kind, WorkClass.ONCE),
             services=weights,
             timeout_ms=round(self.timeout_ms),
             target_latency_ms=round(self.target_latency_ms),
@@ -100,7 +100,7 @@
     def resource(self) -> Service:
         return Service(
             name=self.name,
-            work=Work.ONCE,
+            work=WorkClass.ONCE,
             health_path=self.health_check_path,
             connections=self.connection_limit,
             warmup_per_s=self.warmup_per_s,
--- a/leverdoor/standins/deployments.py
+++ b/leverdoor/standins/deployments.py
@@ -12,7 +12,7 @@
     ShiftCap,
     Target,
     Tier,
-    Work,
+    WorkClass,
 )
 
 __all__ = ["DEPLOYMENTS", "Deployment", "EntryVm", "TargetPlan", "build"]
@@ -87,12 +87,14 @@
         slots=6,
         entry_vms=12,
         services=(
-            ServicePlan(Service(name="call-records", work=Work.LOOKUP), 25),
-            ServicePlan(Service(name="disputes", work=Work.ONCE, deadline_ms=5000), 10),
+            ServicePlan(Service(name="call-records", work=WorkClass.LOOKUP), 25),
+            ServicePlan(
+                Service(name="disputes", work=WorkClass.ONCE, deadline_ms=5000), 10
+            ),
             ServicePlan(
                 Service(
                     name="records",
-                    work=Work.ONCE,
+                    work=WorkClass.ONCE,
                     deadline_ms=5000,
                     bulk_prefixes=["batch/"],
                 ),
@@ -112,12 +114,12 @@
         slots=4,
         entry_vms=11,
         services=(
-            ServicePlan(Service(name="contacts", work=Work.LOOKUP), 20),
-            ServicePlan(Service(name="confirmations", work=Work.ONCE), 10),
+            ServicePlan(Service(name="contacts", work=WorkClass.LOOKUP), 20),
+            ServicePlan(Service(name="confirmations", work=WorkClass.ONCE), 10),
             ServicePlan(
                 Service(
                     name="logs",
-                    work=Work.ONCE,
+                    work=WorkClass.ONCE,
                     deadline_ms=5000,
                     bulk_prefixes=["upload/"],
                 ),
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -20,7 +20,7 @@
     Service,
     ShiftCap,
     Tier,
-    Work,
+    WorkClass,
 )
 from leverdoor.settings import AgentSettings, GateSettings, parse_address
 from leverdoor.standins.deployments import Deployment, EntryVm, TargetPlan
@@ -34,10 +34,10 @@
 TIMEOUT_S = 20.0
 
 
-LOOKUP = Service(name="look", work=Work.LOOKUP, deadline_ms=2000, linger_ms=50)
+LOOKUP = Service(name="look", work=WorkClass.LOOKUP, deadline_ms=2000, linger_ms=50)
 ONCE = Service(
     name="once",
-    work=Work.ONCE,
+    work=WorkClass.ONCE,
     deadline_ms=2000,
     linger_ms=50,
     bulk_prefixes=["bulk/"],
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -12,7 +12,14 @@
     Rejection,
 )
 from leverdoor.entry.placement.policy import PlacementPolicy
-from leverdoor.model.resources import Region, Resource, Route, Service, Target, Work
+from leverdoor.model.resources import (
+    Region,
+    Resource,
+    Route,
+    Service,
+    Target,
+    WorkClass,
+)
 
 REGIONS = [
     Region(name="a", domains=["a1", "a2"]),
@@ -25,7 +32,7 @@
     name="r",
     host="h",
     prefix="/",
-    work=Work.LOOKUP,
+    work=WorkClass.LOOKUP,
     services={"s": 1.0},
     target_latency_ms=500,
     affinity=True,
@@ -47,7 +54,7 @@
 
 
 def service(per_s: float = 0.0) -> Service:
-    return Service(name="s", work=Work.ONCE, warmup_per_s=per_s)
+    return Service(name="s", work=WorkClass.ONCE, warmup_per_s=per_s)
 
 
 class Desk:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -17,7 +17,14 @@
 from returns.result import Failure, Success
 
 from leverdoor.errors import Code, StoreUnavailable, StoreUnknown
-from leverdoor.model.resources import Region, Resource, Service, ShiftCap, Tier, Work
+from leverdoor.model.resources import (
+    Region,
+    Resource,
+    Service,
+    ShiftCap,
+    Tier,
+    WorkClass,
+)
 from leverdoor.storage.configuration import Configuration
 from leverdoor.storage.state import PREFIX, State
 from leverdoor.storage.store import Commit, Listing, MemoryStore, Store, Write
@@ -202,7 +209,11 @@
 async def test_what_is_referred_to_cannot_be_deleted(key: str) -> None:
     agent = Configuration(MemoryStore(), State())
     cap = ShiftCap(name="c", service="s", region="r", units=1, window_ms=1000)
-    resources: list[Resource] = [region("r"), Service(name="s", work=Work.LOOKUP), cap]
+    resources: list[Resource] = [
+        region("r"),
+        Service(name="s", work=WorkClass.LOOKUP),
+        cap,
+    ]
     assert isinstance(await agent.apply(resources), Success)
     result = await agent.delete(key)
     assert result.failure().code is Code.DANGLING_REFERENCE
--- a/tests/test_entry_catalog.py
+++ b/tests/test_entry_catalog.py
@@ -5,12 +5,12 @@
 import pytest
 
 from leverdoor.entry.configuration.catalog import Catalog, entry_host
-from leverdoor.model.resources import Route, Work
+from leverdoor.model.resources import Route, WorkClass
 
 
 def test_the_longest_prefix_wins() -> None:
     routes = [
-        Route(name=n, host=h, prefix=p, work=Work.LOOKUP, services={"s": 1.0})
+        Route(name=n, host=h, prefix=p, work=WorkClass.LOOKUP, services={"s": 1.0})
         for n, h, p in (("r1", "h", "/"), ("r2", "h", "/a/"), ("r3", "i", "/a/b/"))
     ]
     catalog = Catalog(1, "v", routes)
--- a/tests/test_entry_placement.py
+++ b/tests/test_entry_placement.py
@@ -9,7 +9,7 @@
 from leverdoor.entry.placement.placement_request import Placement, Rejection
 from leverdoor.entry.placement.warmth import SharedWarmth
 from leverdoor.errors import Code
-from leverdoor.model.resources import Drain, Resource, Route, Work
+from leverdoor.model.resources import Drain, Resource, Route, WorkClass
 
 
 def test_a_key_stays_with_its_target() -> None:
@@ -267,7 +267,11 @@
 
 def test_weights_are_kept_to() -> None:
     split = Route(
-        name="r", host="h", prefix="/", work=Work.LOOKUP, services={"s": 90, "u": 10}
+        name="r",
+        host="h",
+        prefix="/",
+        work=WorkClass.LOOKUP,
+        services={"s": 90, "u": 10},
     )
     desk = Desk()
     picked = [desk.placement.pick_service(split) for _ in range(300)]
--- a/tests/test_entry_retries.py
+++ b/tests/test_entry_retries.py
@@ -6,10 +6,10 @@
 
 from leverdoor.entry.requests.retries import may_retry
 from leverdoor.errors import Code, Refusal
-from leverdoor.model.resources import Route, Work
+from leverdoor.model.resources import Route, WorkClass
 
 
-def route(work: Work, attempts: int = 2) -> Route:
+def route(work: WorkClass, attempts: int = 2) -> Route:
     return Route(
         name="r",
         host="h",
@@ -23,18 +23,18 @@
 @pytest.mark.parametrize(
     ("work", "code", "attempt", "arrived", "replayable", "expected"),
     [
-        (Work.LOOKUP, Code.ANSWER_LOST, 1, True, True, True),
-        (Work.LOOKUP, Code.ANSWER_LOST, 2, True, True, False),
-        (Work.LOOKUP, Code.ANSWER_LOST, 1, True, False, False),
-        (Work.LOOKUP, Code.DEADLINE_PASSED, 1, True, True, False),
-        (Work.ONCE, Code.ANSWER_LOST, 1, True, True, False),
-        (Work.ONCE, Code.TARGET_REFUSED, 1, True, True, True),
-        (Work.ONCE, Code.CONNECT_FAILED, 3, False, True, True),
-        (Work.ONCE, Code.CONNECT_FAILED, 4, False, True, False),
+        (WorkClass.LOOKUP, Code.ANSWER_LOST, 1, True, True, True),
+        (WorkClass.LOOKUP, Code.ANSWER_LOST, 2, True, True, False),
+        (WorkClass.LOOKUP, Code.ANSWER_LOST, 1, True, False, False),
+        (WorkClass.LOOKUP, Code.DEADLINE_PASSED, 1, True, True, False),
+        (WorkClass.ONCE, Code.ANSWER_LOST, 1, True, True, False),
+        (WorkClass.ONCE, Code.TARGET_REFUSED, 1, True, True, True),
+        (WorkClass.ONCE, Code.CONNECT_FAILED, 3, False, True, True),
+        (WorkClass.ONCE, Code.CONNECT_FAILED, 4, False, True, False),
     ],
 )
 def test_only_what_is_safe_is_repeated_and_not_too_often(
-    work: Work,
+    work: WorkClass,
     code: Code,
     attempt: int,
     arrived: bool,
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -11,7 +11,14 @@
 import pytest
 
 from leverdoor.errors import SettingsError
-from leverdoor.model.resources import ClientLimits, Drain, Route, Service, Target, Work
+from leverdoor.model.resources import (
+    ClientLimits,
+    Drain,
+    Route,
+    Service,
+    Target,
+    WorkClass,
+)
 from leverdoor.platform.formats import Translator, parse_load
 from leverdoor.platform.settings import METRICS_PORT, parse_settings
 from leverdoor.storage.store import Entry
@@ -87,7 +94,7 @@
         name="r-1",
         host="h.example",
         prefix="/p/",
-        work=Work.ONCE,
+        work=WorkClass.ONCE,
         services={"s1": 1.0},
         timeout_ms=2500,
         target_latency_ms=600,
@@ -97,7 +104,7 @@
         homes=["a"],
     )
     assert routes[1].services == {"s1": 90.0, "s2": 10.0}
-    assert routes[1].work is Work.BULK
+    assert routes[1].work is WorkClass.BULK
     services = [r for r in said.resources if isinstance(r, Service)]
     assert (services[0].warmup_per_s, services[1].connections) == (11.0, 390)
     limits = [r for r in said.resources if isinstance(r, ClientLimits)]
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -23,7 +23,7 @@
     ShiftCap,
     Target,
     Tier,
-    Work,
+    WorkClass,
     resource_key,
 )
 from leverdoor.model.targets import Probe, TargetHealth
@@ -46,7 +46,7 @@
     )
 
 
-def view(*more: Resource, queue: int = 4, work: Work = Work.LOOKUP) -> View:
+def view(*more: Resource, queue: int = 4, work: WorkClass = WorkClass.LOOKUP) -> View:
     resources: list[Resource] = [
         Region(name="home", domains=["d0"], latency_ms={"near": 10, "far": 50}),
         Region(name="near", domains=["d1"]),
@@ -183,7 +183,7 @@
 
 
 def test_bulk_gives_way_to_people() -> None:
-    s = scheduler(view(target(0, 4), work=Work.ONCE, queue=20))
+    s = scheduler(view(target(0, 4), work=WorkClass.ONCE, queue=20))
     bulk = [job(bulk=True) for _ in range(4)]
     taken = [s.offer(j, 0.0) for j in bulk]
     assert [isinstance(d, Dispatch) for d in taken] == [True, True, False, False]
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -47,7 +47,7 @@
     Service,
     Target,
     Tier,
-    Work,
+    WorkClass,
     Workspace,
     parse_resource,
     resource_key,
@@ -641,7 +641,7 @@
         name="r-1",
         host="h.example",
         prefix="/p/",
-        work=Work.LOOKUP,
+        work=WorkClass.LOOKUP,
         services={"s1": 1.0, "s2": 10.0},
         timeout_ms=2_500,
         target_latency_ms=600,
@@ -653,7 +653,7 @@
     ),
     Service(
         name="s1",
-        work=Work.ONCE,
+        work=WorkClass.ONCE,
         health_path="/health",
         connections=390,
         warmup_per_s=11.5,
@@ -808,8 +808,8 @@
         "servers/i-1": Entry("servers/i-1", server, 3),
     }
     assert wire({}).translate(entries).resources == [
-        Route(name="r", host="h", prefix="/", work=Work.ONCE, services={}),
-        Service(name="s", work=Work.ONCE),
+        Route(name="r", host="h", prefix="/", work=WorkClass.ONCE, services={}),
+        Service(name="s", work=WorkClass.ONCE),
         Workspace(name="w"),
         ClientLimits(name="limits"),
         Target(
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -41,7 +41,7 @@
     ShiftCap,
     Target,
     Tier,
-    Work,
+    WorkClass,
     Workspace,
 )
 from leverdoor.model.targets import Probe
@@ -231,7 +231,7 @@
     Region(name="siliguri", domains=["siliguri-a"], latency_ms={"kolkata": 35}),
     Service(
         name="look",
-        work=Work.BULK,
+        work=WorkClass.BULK,
         deadline_ms=1_900,
         linger_ms=900,
         queue=65,
@@ -270,7 +270,7 @@
         name="route1",
         host="records.example",
         prefix="/look/",
-        work=Work.ONCE,
+        work=WorkClass.ONCE,
         services={"look": 0.75, "look2": 0.25},
         timeout_ms=1_800,
         target_latency_ms=150,
