--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -29,8 +29,8 @@
 from leverdoor.gate.queueing import QueuedRequest
 from leverdoor.gate.scheduler import Dispatch, Forward, Refuse, Scheduler
 from leverdoor.membership import ownership
-from leverdoor.membership.ownership import Ack, Member, Table, plan
-from leverdoor.membership.peers import GateState, Heartbeat
+from leverdoor.membership.ownership import Ack, GateProcess, Table, plan
+from leverdoor.membership.peers import AgentHeartbeat, GateState
 from leverdoor.model.resources import (
     Region,
     Resource,
@@ -57,7 +57,9 @@
     """Run the product's own decisions, gates forwarding on hints."""
     clock, out = Clock(), Outcome()
     view = _view(setup)
-    members = [Member(f"vm{i}", f"g{i}", 1, f"d{i % 2}") for i in range(setup.gates)]
+    members = [
+        GateProcess(f"vm{i}", f"g{i}", 1, f"d{i % 2}") for i in range(setup.gates)
+    ]
     table: Table = Table("r")
     acks = {m.identity: Ack(10**9) for m in members}
     while (after := plan(table, view.specs("r"), members, acks=acks)) is not None:
@@ -127,7 +129,7 @@
     def hint(i: int) -> None:
         gate = gates[i]
         gate.seq += 1
-        heartbeat = Heartbeat(
+        heartbeat = AgentHeartbeat(
             f"vm{i}",
             "r",
             f"d{i % 2}",
@@ -146,7 +148,7 @@
                 clock.at(clock.now + HOP_S, lambda j=j: heard(j, heartbeat))
         clock.at(clock.now + setup.hint_s, lambda: hint(i))
 
-    def heard(j: int, heartbeat: Heartbeat) -> None:
+    def heard(j: int, heartbeat: AgentHeartbeat) -> None:
         gates[j].scheduler.neighbours.hear([heartbeat], clock.now)
         poll(j)
 
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -15,7 +15,7 @@
 
 from leverdoor.codec import pack
 from leverdoor.entry.configuration.catalog import Catalog
-from leverdoor.entry.membership.digests import Heartbeat
+from leverdoor.entry.membership.digests import EntryHeartbeat
 from leverdoor.entry.membership.exchange import Exchange
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
@@ -124,7 +124,7 @@
     exchange.lists.renew({r: [f"i-{r}{i:07x}" for i in range(180)] for r in REGIONS})
     counts = {f"i-a{i:07x}": 2 for i in range(20)}
     heartbeats = [
-        Heartbeat(member(i), 1, SERVING, 5, counts) for i in range(1, entries)
+        EntryHeartbeat(member(i), 1, SERVING, 5, counts) for i in range(1, entries)
     ]
     for heartbeat in heartbeats:
         exchange.take(heartbeat, 5, 0.0)
@@ -133,7 +133,7 @@
     def hear() -> None:
         n = next(numbers)
         heartbeat = heartbeats[n % len(heartbeats)]
-        exchange.take(Heartbeat(heartbeat.member, n, SERVING, 5, counts), 5, 0.0)
+        exchange.take(EntryHeartbeat(heartbeat.member, n, SERVING, 5, counts), 5, 0.0)
 
     report = Report(SERVING, 5, counts, {}, -1, [])
     heard = median_us(hear, 200)
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -22,14 +22,14 @@
 from leverdoor.codec import pack, unpack
 from leverdoor.membership.ownership import (
     Ack,
-    Member,
+    GateProcess,
     RowSpec,
     Table,
     parse_table,
     plan,
     serialize_table,
 )
-from leverdoor.membership.peers import GateState, Gossip, Heartbeat, Load, Peers
+from leverdoor.membership.peers import AgentHeartbeat, GateState, Gossip, Load, Peers
 from leverdoor.model.blocks import BlockMap, compile_chunk
 from leverdoor.model.resources import (
     ClientBlocks,
@@ -139,9 +139,9 @@
     return found
 
 
-def heartbeat(i: int, region: str = "r", seq: int = 1) -> Heartbeat:
+def heartbeat(i: int, region: str = "r", seq: int = 1) -> AgentHeartbeat:
     loads = {s: Load(60, 20, 3, 21.5) for s in ("call-records", "disputes", "records")}
-    return Heartbeat(
+    return AgentHeartbeat(
         vm=f"vm{i:04}",
         region=region,
         domain=f"{region}-{i % 2}",
@@ -181,7 +181,7 @@
     else:
         peers = Peers("vm", "r")
         raw = [pack(heartbeat(i, f"r{i % 28}")) for i in range(size)]
-        peers.merge((unpack(b, Heartbeat) for b in raw), 0.0)
+        peers.merge((unpack(b, AgentHeartbeat) for b in raw), 0.0)
         kept = peers
     gc.collect()
     used = rss_kb() - before
@@ -245,7 +245,7 @@
     sizes, costs, after_gone = [], [], []
     for targets in (125, 250, 500, 1_000):
         members = [
-            Member(f"vm{i:04}", f"10.0.0.{i}:8080", 1764666000000000, f"d{i % 2}")
+            GateProcess(f"vm{i:04}", f"10.0.0.{i}:8080", 1764666000000000, f"d{i % 2}")
             for i in range(90)
         ]
         specs = {f"t:10.0.{i // 250}.{i % 250}:80": RowSpec(6) for i in range(targets)}
@@ -334,7 +334,7 @@
     for targets in (8, 16, 32, 64):
         resources = region_resources(targets)
         view = View(1, {resource_key(r): r for r in resources}, BlockMap({}))
-        member = Member("vm0", "g0", 1)
+        member = GateProcess("vm0", "g0", 1)
         held = plan(Table("r"), view.specs("r"), [member])
         assert held is not None
         holdings = Holdings("g0", 1)
--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -19,7 +19,7 @@
 from leverdoor.daemon import keep_running
 from leverdoor.errors import LeverdoorError
 from leverdoor.membership.gossip import GossipSocket
-from leverdoor.membership.peers import Gossip, Heartbeat, Peers
+from leverdoor.membership.peers import AgentHeartbeat, Gossip, Peers
 from leverdoor.metrics import AgentMetrics
 from leverdoor.model.targets import Probe
 from leverdoor.settings import AgentSettings
@@ -59,7 +59,7 @@
         self._gates: dict[bytes, float] = {}
         self._report: GateReport | None = None
         self._report_at = 0.0
-        self._news: dict[str, Heartbeat] = {}
+        self._news: dict[str, AgentHeartbeat] = {}
 
     def stop(self) -> None:
         """Ask the agent to end; its gate goes on serving."""
@@ -149,12 +149,12 @@
 
     # Membership.
 
-    def _heartbeat(self) -> Heartbeat:
+    def _heartbeat(self) -> AgentHeartbeat:
         """Renew this VM's own heartbeat."""
         s = self._settings
         now = self._now()
         self._seq += 1
-        heartbeat = Heartbeat(
+        heartbeat = AgentHeartbeat(
             vm=s.vm,
             region=s.region,
             domain=s.domain,
--- a/leverdoor/agent/link.py
+++ b/leverdoor/agent/link.py
@@ -10,7 +10,7 @@
 
 from leverdoor.codec import pack, unpack
 from leverdoor.membership.ownership import Ack
-from leverdoor.membership.peers import GateState, Heartbeat, Load
+from leverdoor.membership.peers import AgentHeartbeat, GateState, Load
 from leverdoor.model.targets import Probe
 from leverdoor.settings import Address
 from leverdoor.storage.state import Delta
@@ -39,7 +39,7 @@
 class Hints(msgspec.Struct, frozen=True, tag=True):
     """What an agent tells its gate of other gates and of targets."""
 
-    heartbeats: list[Heartbeat]
+    heartbeats: list[AgentHeartbeat]
     leaving_vms: list[str]
     probes: dict[str, Probe]
     incarnation_floor: int = 0
--- a/leverdoor/agent/planning.py
+++ b/leverdoor/agent/planning.py
@@ -9,7 +9,13 @@
 from loguru import logger
 
 from leverdoor.errors import StoreUnavailable, StoreUnknown
-from leverdoor.membership.ownership import Ack, Member, Table, plan, serialize_table
+from leverdoor.membership.ownership import (
+    Ack,
+    GateProcess,
+    Table,
+    plan,
+    serialize_table,
+)
 from leverdoor.membership.peers import GateState, Peers
 from leverdoor.storage.state import TABLES, State
 from leverdoor.storage.store import Store, Write
@@ -89,7 +95,9 @@
         now = asyncio.get_running_loop().time()
         heartbeats = self._peers.live_near(now)
         live = [
-            Member(b.vm, b.gate, b.incarnation, b.domain) for b in heartbeats if b.gate
+            GateProcess(b.vm, b.gate, b.incarnation, b.domain)
+            for b in heartbeats
+            if b.gate
         ]
         stopping = {b.vm for b in heartbeats if b.state is GateState.LEAVING}
         drained = {b.vm for b in heartbeats if self._cache.view.vm_drained(b.vm)}
--- a/leverdoor/entry/membership/digests.py
+++ b/leverdoor/entry/membership/digests.py
@@ -25,7 +25,7 @@
     "Digest",
     "DigestScope",
     "DomainView",
-    "Heartbeat",
+    "EntryHeartbeat",
     "Message",
     "News",
     "RegionCounts",
@@ -56,7 +56,7 @@
 """For each service, the regions' shares of the keys asked for in one region."""
 
 
-class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="h"):
+class EntryHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="h"):
     """What an entry tells the aggregators of its failure domain each round."""
 
     member: Member
@@ -154,7 +154,7 @@
     """Where it can be fetched, by HTTP."""
 
 
-Message: TypeAlias = Heartbeat | Digest | News
+Message: TypeAlias = EntryHeartbeat | Digest | News
 
 
 def serialize_rows(rows: Iterable[MemberRow]) -> bytes:
--- a/leverdoor/entry/membership/exchange.py
+++ b/leverdoor/entry/membership/exchange.py
@@ -22,7 +22,7 @@
     Digest,
     DigestScope,
     DomainView,
-    Heartbeat,
+    EntryHeartbeat,
     Message,
     News,
     RegionCounts,
@@ -97,11 +97,13 @@
         """
         if isinstance(message, News):
             return Heard(source=message.pull if message.revision > revision else "")
-        if isinstance(message, Heartbeat):
+        if isinstance(message, EntryHeartbeat):
             return self._take_heartbeat(message, revision, now)
         return self._take_digest(message, revision, now)
 
-    def _take_heartbeat(self, heard: Heartbeat, revision: int, now: float) -> Heard:
+    def _take_heartbeat(
+        self, heard: EntryHeartbeat, revision: int, now: float
+    ) -> Heard:
         name = heard.member.name
         if name == self._own.name or self._merger.is_old(heard):
             return Heard()
@@ -191,13 +193,13 @@
 
     # What this entry tells.
 
-    def heartbeat(self, report: Report) -> Heartbeat:
+    def heartbeat(self, report: Report) -> EntryHeartbeat:
         """Return the next heartbeat."""
         self._seq += 1
         self._own_counts[self._seq % 256] = _OwnCounts(report.in_flight, report.use)
         while len(self._own_counts) > OWN_COUNTS_KEPT:
             self._own_counts.popitem(last=False)
-        return Heartbeat(
+        return EntryHeartbeat(
             self._own,
             self._seq,
             report.state,
--- a/leverdoor/entry/membership/merging.py
+++ b/leverdoor/entry/membership/merging.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from leverdoor.entry.membership.digests import Heartbeat, Shares
+from leverdoor.entry.membership.digests import EntryHeartbeat, Shares
 from leverdoor.entry.membership.sightings import NEVER
 
 __all__ = ["PART_TRUST_S", "MeanShares", "Merger", "merged"]
@@ -62,13 +62,13 @@
           domain: the failure domain whose heartbeats are merged here.
         """
         self._domain = domain
-        self._heartbeats: dict[str, tuple[float, Heartbeat]] = {}
+        self._heartbeats: dict[str, tuple[float, EntryHeartbeat]] = {}
         self._shares: dict[str, Shares] = {}
         """By entry of the own domain; heartbeats tell them seldom."""
         self._domains: dict[str, _Part] = {}
         self._regions: dict[str, _Part] = {}
 
-    def is_old(self, heartbeat: Heartbeat) -> bool:
+    def is_old(self, heartbeat: EntryHeartbeat) -> bool:
         """Return whether a heartbeat was overtaken by a later one of its life."""
         last = self._last(heartbeat.member.name)
         if last is None or last.member.incarnation != heartbeat.member.incarnation:
@@ -80,11 +80,11 @@
         last = self._last(name)
         return last.seq if last is not None else 0
 
-    def _last(self, name: str) -> Heartbeat | None:
+    def _last(self, name: str) -> EntryHeartbeat | None:
         _, last = self._heartbeats.get(name, (0.0, None))
         return last
 
-    def take_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+    def take_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
         """Take an entry's own word."""
         name = heartbeat.member.name
         self._heartbeats[name] = (now, heartbeat)
--- a/leverdoor/entry/membership/use_exchange.py
+++ b/leverdoor/entry/membership/use_exchange.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from leverdoor.entry.membership.digests import Digest, DigestScope, Heartbeat
+from leverdoor.entry.membership.digests import Digest, DigestScope, EntryHeartbeat
 from leverdoor.entry.membership.member import LEAVING, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.use import Use, UseLists
@@ -64,7 +64,7 @@
         """Serialize the own use for a heartbeat."""
         return self._lists.serialize(use)
 
-    def take_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+    def take_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
         """Take the report of an entry, if it is of the own failure domain."""
         member = heartbeat.member
         use = self._lists.parse(heartbeat.use)
--- a/leverdoor/gate/keyed.py
+++ b/leverdoor/gate/keyed.py
@@ -13,7 +13,7 @@
 from leverdoor.gate.relay import Hop, HopClient, refusal_of
 from leverdoor.gate.scheduler import Scheduler
 from leverdoor.gate.serving import GateRequest, Served, Server, finishing
-from leverdoor.membership.peers import Heartbeat
+from leverdoor.membership.peers import AgentHeartbeat
 
 __all__ = ["KeyedServer"]
 
@@ -130,7 +130,7 @@
             raise refusal_of(problem)
         return await self._collect(Served(self._server, inbound, answer, None, 0.0))
 
-    def _is_gone(self, key: Key, issuer: Heartbeat | None) -> bool:
+    def _is_gone(self, key: Key, issuer: AgentHeartbeat | None) -> bool:
         """Return whether the process that issued a key is proved to be gone."""
         if self._ring.replaced(key):
             return True
@@ -138,7 +138,7 @@
             return False
         return issuer.incarnation > key.incarnation
 
-    def _hop(self, inbound: GateRequest, issuer: Heartbeat) -> Hop:
+    def _hop(self, inbound: GateRequest, issuer: AgentHeartbeat) -> Hop:
         left_ms = max(int((inbound.job.deadline - _now()) * 1000), 1)
         extra = [
             (h.REQUEST_ID, inbound.request_id),
--- a/leverdoor/gate/neighbours.py
+++ b/leverdoor/gate/neighbours.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from leverdoor.membership.peers import GateState, Heartbeat, Peer
+from leverdoor.membership.peers import AgentHeartbeat, GateState, Peer
 from leverdoor.model.targets import ASSUMED_MS
 
 __all__ = ["Neighbour", "Neighbours", "RegionLoad"]
@@ -37,7 +37,7 @@
     out_until: float = 0.0
 
     @property
-    def heartbeat(self) -> Heartbeat:
+    def heartbeat(self) -> AgentHeartbeat:
         """The latest heartbeat."""
         return self.peer.heartbeat
 
@@ -72,7 +72,7 @@
         self._rng = rng
         self._known: dict[str, Neighbour] = {}
 
-    def hear(self, heartbeats: Iterable[Heartbeat], now: float) -> None:
+    def hear(self, heartbeats: Iterable[AgentHeartbeat], now: float) -> None:
         """Take hints that are newer than those known."""
         for heartbeat in heartbeats:
             if heartbeat.vm == self._vm or not heartbeat.gate:
@@ -88,7 +88,7 @@
                 continue
             n.refresh()
 
-    def get(self, vm: str) -> Heartbeat | None:
+    def get(self, vm: str) -> AgentHeartbeat | None:
         """Return the latest heartbeat of a VM, however old."""
         found = self._known.get(vm)
         return found.heartbeat if found else None
--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -14,7 +14,7 @@
 from leverdoor.gate.queueing import QueuedRequest, WaitQueue
 from leverdoor.gate.shifts import ShiftLimiter, rate_out
 from leverdoor.membership.ownership import cap_row, slot_row
-from leverdoor.membership.peers import Heartbeat, Load
+from leverdoor.membership.peers import AgentHeartbeat, Load
 from leverdoor.model.resources import Service, Target, WorkClass
 from leverdoor.model.targets import ASSUMED_MS, TargetBook
 from leverdoor.storage.view import View
@@ -104,7 +104,7 @@
         """Return whether a VM leaves by the platform's word or by a drain."""
         return vm in self.pool.leaving_vms or self.view.vm_drained(vm)
 
-    def usable_gates(self, now: float) -> list[Heartbeat]:
+    def usable_gates(self, now: float) -> list[AgentHeartbeat]:
         """Heartbeats of the other gates that can be used now."""
         return [n.heartbeat for n in self.neighbours.usable(now)]
 
--- a/leverdoor/membership/ownership.py
+++ b/leverdoor/membership/ownership.py
@@ -16,7 +16,7 @@
 
 __all__ = [
     "Ack",
-    "Member",
+    "GateProcess",
     "Release",
     "Row",
     "RowSpec",
@@ -34,7 +34,7 @@
 """How uneven holdings may be before units move; chosen, fewer moves."""
 
 
-class Member(msgspec.Struct, frozen=True, array_like=True):
+class GateProcess(msgspec.Struct, frozen=True, array_like=True):
     """One gate process: an address on a VM and its incarnation."""
 
     vm: str
@@ -74,7 +74,7 @@
     region: str
     version: int = 0
     next_member: int = 1
-    members: dict[int, Member] = {}
+    members: dict[int, GateProcess] = {}
     rows: dict[str, Row] = {}
 
     def member_id(self, gate: str, incarnation: int) -> int:
@@ -122,7 +122,7 @@
 def plan(
     table: Table,
     specs: Mapping[str, RowSpec],
-    live: Iterable[Member],
+    live: Iterable[GateProcess],
     leaving: frozenset[str] = frozenset(),
     gone: frozenset[str] = frozenset(),
     acks: Mapping[str, Ack] | None = None,
@@ -186,7 +186,7 @@
         row.releases = [r for r in row.releases if r.member not in dead]
 
 
-def _admit(table: Table, live: Iterable[Member], leaving: frozenset[str]) -> None:
+def _admit(table: Table, live: Iterable[GateProcess], leaving: frozenset[str]) -> None:
     """Enter new processes.
 
     A process binds its address before it is heard from, so a later
--- a/leverdoor/membership/peers.py
+++ b/leverdoor/membership/peers.py
@@ -11,7 +11,7 @@
 
 from leverdoor.membership.ownership import Ack
 
-__all__ = ["Heartbeat", "GateState", "Gossip", "Load", "Peer", "Peers"]
+__all__ = ["AgentHeartbeat", "GateState", "Gossip", "Load", "Peer", "Peers"]
 
 LEAST_SILENCE_S = 1.5
 """Least silence after which a peer passes for gone, in seconds; chosen."""
@@ -51,7 +51,7 @@
     mean_ms: float = 0.0
 
 
-class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
+class AgentHeartbeat(msgspec.Struct, frozen=True, array_like=True):
     """One VM's heartbeat: its agent, its gate, and how loaded the gate is."""
 
     vm: str
@@ -74,7 +74,7 @@
     leaving_vms: list[str] = []
     draining: dict[str, int] = {}
 
-    def newer(self, other: "Heartbeat") -> bool:
+    def newer(self, other: "AgentHeartbeat") -> bool:
         """Return whether this heartbeat supersedes another of the same VM."""
         return (self.agent, self.seq) > (other.agent, other.seq)
 
@@ -87,7 +87,7 @@
 class Gossip(msgspec.Struct, frozen=True, array_like=True):
     """One gossip message: the sender's own heartbeat first, then others."""
 
-    heartbeats: list[Heartbeat]
+    heartbeats: list[AgentHeartbeat]
 
 
 class Peer(msgspec.Struct):
@@ -97,11 +97,11 @@
     long a silence means anything depends on how often a peer was heard.
     """
 
-    heartbeat: Heartbeat
+    heartbeat: AgentHeartbeat
     heard_at: float
     gap_s: float = 0.0
 
-    def hear(self, heartbeat: Heartbeat, now: float) -> None:
+    def hear(self, heartbeat: AgentHeartbeat, now: float) -> None:
         """Take a newer heartbeat."""
         self.gap_s += GAP_WEIGHT * (now - self.heard_at - self.gap_s)
         self.heartbeat = heartbeat
@@ -132,7 +132,9 @@
         self._ring: list[str] = []
         self.known: dict[str, Peer] = {}
 
-    def merge(self, heartbeats: Iterable[Heartbeat], now: float) -> list[Heartbeat]:
+    def merge(
+        self, heartbeats: Iterable[AgentHeartbeat], now: float
+    ) -> list[AgentHeartbeat]:
         """Take heartbeats that are newer than those known.
 
         Returns: the heartbeats that were news.
@@ -176,7 +178,7 @@
         found = [p for p in self.known.values() if not p.silent(now)]
         return sorted(found, key=lambda p: p.heartbeat.vm)
 
-    def live_near(self, now: float) -> list[Heartbeat]:
+    def live_near(self, now: float) -> list[AgentHeartbeat]:
         """Heartbeats of this region's live VMs, this one's included, by name."""
         self._arrange()
         names = sorted([*self._near, *([self._vm] if self._vm in self.known else [])])
@@ -204,7 +206,7 @@
 
     def _sample(
         self, names: list[str], count: int, rng: Random, now: float
-    ) -> list[Heartbeat]:
+    ) -> list[AgentHeartbeat]:
         """Draw live peers; a silent one that is drawn is left out."""
         drawn = rng.sample(names, min(len(names), count))
         peers = [self.known[vm] for vm in drawn]
--- a/tests/test_entry_digests.py
+++ b/tests/test_entry_digests.py
@@ -14,7 +14,7 @@
     Digest,
     DigestScope,
     DomainView,
-    Heartbeat,
+    EntryHeartbeat,
     Message,
     News,
     RegionCounts,
@@ -63,7 +63,7 @@
         "e", DigestScope.ALL, 1, 7, 3, "p", [view], [RegionCounts("a", 2, b"\x01")]
     )
     messages: list[Message] = [
-        Heartbeat(member, 1, SERVING, 3, {"t": 2}),
+        EntryHeartbeat(member, 1, SERVING, 3, {"t": 2}),
         digest,
         News(4, "p"),
     ]
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from leverdoor.entry.membership.digests import Digest, DigestScope, Heartbeat, News
+from leverdoor.entry.membership.digests import Digest, DigestScope, EntryHeartbeat, News
 from leverdoor.entry.membership.exchange import Exchange
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member
 from leverdoor.entry.membership.members import HEARTBEAT_S, Membership
@@ -234,7 +234,7 @@
         s.exchanges["a1-0"].take(message, 1, s.now)
     s.round()
     assert s.others("a1-0") == {"ta1": 1}
-    assert isinstance(early, Heartbeat)
+    assert isinstance(early, EntryHeartbeat)
 
 
 def test_a_repeated_digest_does_not_count() -> None:
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Tests of the ownership table."""
 
-from leverdoor.membership.ownership import Ack, Member, RowSpec, Table, plan
+from leverdoor.membership.ownership import Ack, GateProcess, RowSpec, Table, plan
 
 SPECS = {f"t:{i}": RowSpec(6) for i in range(8)} | {"c:x": RowSpec(3, 0)}
-LIVE = [Member(f"vm{i}", f"gate{i}", 1, f"d{i % 2}") for i in range(4)]
+LIVE = [GateProcess(f"vm{i}", f"gate{i}", 1, f"d{i % 2}") for i in range(4)]
 
 
 def settled(table: Table) -> Table:
@@ -69,7 +69,7 @@
 
 def test_a_later_incarnation_takes_over_an_earlier_one_never() -> None:
     table = settled(Table("r"))
-    later = Member("vm3", "gate3", 2, "d1")
+    later = GateProcess("vm3", "gate3", 2, "d1")
     after = plan(table, SPECS, [*LIVE[:3], later])
     assert after is not None
     assert later in after.members.values()
@@ -79,7 +79,7 @@
 
 def test_few_units_move_when_a_member_joins() -> None:
     table = settled(Table("r"))
-    joined = [*LIVE, Member("vm4", "gate4", 1, "d0")]
+    joined = [*LIVE, GateProcess("vm4", "gate4", 1, "d0")]
     after = plan(table, SPECS, joined)
     assert after is not None
     moved = sum(r.units for row in after.rows.values() for r in row.releases)
--- a/tests/test_ownership_machine.py
+++ b/tests/test_ownership_machine.py
@@ -20,7 +20,7 @@
 from leverdoor.membership import ownership
 from leverdoor.membership.ownership import (
     Ack,
-    Member,
+    GateProcess,
     Row,
     RowSpec,
     Table,
@@ -50,7 +50,7 @@
     """One gate process: its holdings, and the work it has at targets."""
 
     def __init__(self, number: int, incarnation: int) -> None:
-        self.member = Member(
+        self.member = GateProcess(
             f"vm{number}", f"gate{number}", incarnation, f"d{number % 2}"
         )
         self.holdings = Holdings(f"gate{number}", incarnation)
@@ -300,7 +300,7 @@
     if table.version >= MOST_WRITES:
         return
     live = [
-        Member(VMS[i], f"g{i}", g.incarnation, f"d{i}")
+        GateProcess(VMS[i], f"g{i}", g.incarnation, f"d{i}")
         for i, g in enumerate(s.gates)
         if g.alive
     ]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,13 +8,15 @@
     LEAST_SILENCE_S,
     MOST_SILENCE_S,
     RING,
-    Heartbeat,
+    AgentHeartbeat,
     Peers,
 )
 
 
-def heartbeat(vm: str, seq: int = 1, region: str = "r0", agent: int = 1) -> Heartbeat:
-    return Heartbeat(vm, region, f"{region}-0", f"{vm}:1", f"{vm}:2", agent, seq)
+def heartbeat(
+    vm: str, seq: int = 1, region: str = "r0", agent: int = 1
+) -> AgentHeartbeat:
+    return AgentHeartbeat(vm, region, f"{region}-0", f"{vm}:1", f"{vm}:2", agent, seq)
 
 
 def fleet(size: int, regions: int) -> list[Peers]:
@@ -75,7 +77,7 @@
     """An agent that hears of a newer revision takes it and tells it on."""
     agents = {f"{a._vm}:1": a for a in fleet(200, 8)}
     rng = Random(2)
-    next(iter(agents.values())).merge([Heartbeat(*_place("vm0", "r0"), 99)], 0.0)
+    next(iter(agents.values())).merge([AgentHeartbeat(*_place("vm0", "r0"), 99)], 0.0)
     for _ in range(14):
         for agent in list(agents.values()):
             message = agent.message(rng, 0.0)
@@ -84,7 +86,9 @@
                 newest = max(b.revision for b in message.heartbeats)
                 own = peer.known[peer._vm].heartbeat
                 if newest > own.revision:
-                    peer.merge([Heartbeat(*_place(own.vm, own.region), newest)], 0.0)
+                    peer.merge(
+                        [AgentHeartbeat(*_place(own.vm, own.region), newest)], 0.0
+                    )
     assert all(a.known[a._vm].heartbeat.revision == 99 for a in agents.values())
 
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -12,8 +12,8 @@
 from leverdoor.gate.queueing import QueuedRequest, WaitQueue
 from leverdoor.gate.ramp import Ramp
 from leverdoor.gate.scheduler import Dispatch, Forward, Refuse, Scheduler
-from leverdoor.membership.ownership import Member, Table, plan
-from leverdoor.membership.peers import GateState, Heartbeat, Load
+from leverdoor.membership.ownership import GateProcess, Table, plan
+from leverdoor.membership.peers import AgentHeartbeat, GateState, Load
 from leverdoor.model.blocks import BlockMap
 from leverdoor.model.resources import (
     Drain,
@@ -60,7 +60,7 @@
 
 
 def scheduler(v: View) -> Scheduler:
-    member = Member("vm0", "g0", 1)
+    member = GateProcess("vm0", "g0", 1)
     table = plan(Table("home"), v.specs("home"), [member]) or Table("home")
     holdings = Holdings("g0", 1)
     holdings.apply(table, {}, -100.0)
@@ -73,8 +73,8 @@
     return QueuedRequest("s", tier, home, 0.0, deadline, bulk=bulk)
 
 
-def neighbour(region: str, free: int, seq: int = 1, caps: int = 0) -> Heartbeat:
-    return Heartbeat(
+def neighbour(region: str, free: int, seq: int = 1, caps: int = 0) -> AgentHeartbeat:
+    return AgentHeartbeat(
         f"vm-{region}",
         region,
         "d",
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -27,7 +27,7 @@
 from leverdoor.gate.handler import LookupAnswer, LookupEntry
 from leverdoor.gate.keys import Key
 from leverdoor.membership import ownership
-from leverdoor.membership.peers import GateState, Gossip, Heartbeat, Load
+from leverdoor.membership.peers import AgentHeartbeat, GateState, Gossip, Load
 from leverdoor.model.burn import BurnLine, Counts, Series
 from leverdoor.model.resources import (
     ClientBlocks,
@@ -80,7 +80,7 @@
     link_mbps=1_000,
 )
 SHARES = {"look": {"siliguri": 0.75, "kolkata": 0.25}}
-ENTRY_HEARTBEAT = digests.Heartbeat(
+ENTRY_HEARTBEAT = digests.EntryHeartbeat(
     member=MEMBER,
     seq=300,
     state=SERVING,
@@ -146,7 +146,7 @@
     held=["t:10.0.0.9:80"],
     draining={"t1": 2},
 )
-GATE_HEARTBEAT = Heartbeat(
+GATE_HEARTBEAT = AgentHeartbeat(
     vm="vm1",
     region="siliguri",
     domain="siliguri-a",
@@ -219,7 +219,7 @@
     "stored entry": Sample(ENTRY, Entry),
     "gate report": Sample(GATE_REPORT, GateReport),
     "hints": Sample(HINTS, Delta | Hints),
-    "gate heartbeat": Sample(GATE_HEARTBEAT, Heartbeat),
+    "gate heartbeat": Sample(GATE_HEARTBEAT, AgentHeartbeat),
     "gossip": Sample(Gossip([GATE_HEARTBEAT]), Gossip),
     "ownership table": Sample(TABLE, ownership.Table),
     "idempotency key": Sample(KEY, Key),
