--- a/leverdoor/agent/api.py
+++ b/leverdoor/agent/api.py
@@ -24,7 +24,7 @@
 )
 from leverdoor.storage.configuration import Applied, Configuration
 from leverdoor.storage.state import RESOURCES, Delta, State
-from leverdoor.storage.store import Entry, Event
+from leverdoor.storage.store import Event, KeyValue
 
 __all__ = ["Api", "Change", "Item", "ItemList", "Status"]
 
@@ -144,7 +144,7 @@
         response.headers["ETag"] = f'"{entry.revision}"'
         return response
 
-    def _item(self, entry: Entry) -> Item:
+    def _item(self, entry: KeyValue) -> Item:
         in_force, entries = self._reporter.in_force(entry.revision)
         return Item(entry.revision, msgspec.Raw(entry.value), in_force, entries)
 
--- a/leverdoor/emulator/clients.py
+++ b/leverdoor/emulator/clients.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from leverdoor.emulator.entries import EmulatedEntry, EmulatedRequest, Reply
+from leverdoor.emulator.entries import EmulatedEntry, EmulatedReply, EmulatedRequest
 from leverdoor.emulator.plan import Load
 from leverdoor.entry.placement.placement_request import PlacementRequest
 from leverdoor.model.resources import Route
@@ -113,10 +113,10 @@
         work = EmulatedRequest(request, self._work_s)
         world.clock.at(arrives, lambda: entry.serve(work, self._replied))
 
-    def _replied(self, reply: Reply) -> None:
+    def _replied(self, reply: EmulatedReply) -> None:
         self._clients.world.clock.after(CLIENT_MS / 1000, lambda: self._take(reply))
 
-    def _take(self, reply: Reply) -> None:
+    def _take(self, reply: EmulatedReply) -> None:
         world = self._clients.world
         load = self._clients.load
         took_ms = (world.clock.now - self._began) * 1000
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -38,7 +38,7 @@
 from leverdoor.errors import Code, Refusal
 from leverdoor.retry_budget import RetryBudget
 
-__all__ = ["EmulatedEntry", "Reply", "EmulatedRequest"]
+__all__ = ["EmulatedEntry", "EmulatedReply", "EmulatedRequest"]
 
 
 class EmulatedRequest(msgspec.Struct, frozen=True):
@@ -49,7 +49,7 @@
     """Time of a cold run."""
 
 
-class Reply(msgspec.Struct, frozen=True):
+class EmulatedReply(msgspec.Struct, frozen=True):
     """What a client gets."""
 
     refusal: Refusal | None
@@ -157,7 +157,9 @@
 
     # Requests.
 
-    def serve(self, work: EmulatedRequest, reply: Callable[[Reply], None]) -> None:
+    def serve(
+        self, work: EmulatedRequest, reply: Callable[[EmulatedReply], None]
+    ) -> None:
         """Serve a request; the reply comes when it ends."""
         self._budget.earn(work.request.service)
         self._attempt(work, 1, None, reply)
@@ -167,14 +169,14 @@
         work: EmulatedRequest,
         attempt: int,
         lost: Refusal | None,
-        reply: Callable[[Reply], None],
+        reply: Callable[[EmulatedReply], None],
     ) -> None:
         decision = self._policy.place(work.request, self._clock.now)
         if isinstance(decision, Rejection):
             refusal = Refusal(
                 decision.code, decision.reason, retry_after_ms=decision.retry_after_ms
             )
-            reply(Reply(lost or refusal))
+            reply(EmulatedReply(lost or refusal))
             return
         work.request.tried.add(decision.target.name)
         sending = _Sending(self, work, attempt, lost, decision, reply)
@@ -187,7 +189,7 @@
         refusal: Refusal,
         lost: Refusal | None,
         arrived: bool,
-        reply: Callable[[Reply], None],
+        reply: Callable[[EmulatedReply], None],
     ) -> None:
         """Try another target, or give up."""
         route = work.request.route
@@ -196,7 +198,7 @@
             self.repeats += 1
             self._attempt(work, attempt + 1, lost, reply)
             return
-        reply(Reply(lost or refusal))
+        reply(EmulatedReply(lost or refusal))
 
     def delay_s(self, placement: Placement) -> float:
         """Return the time one way to a target, in seconds."""
@@ -236,7 +238,7 @@
         attempt: int,
         lost: Refusal | None,
         placement: Placement,
-        reply: Callable[[Reply], None],
+        reply: Callable[[EmulatedReply], None],
     ) -> None:
         self._entry = entry
         self._work = work
@@ -274,7 +276,7 @@
                 state.reported(load, now)
             took_ms = (now - self._began) * 1000
             self._policy.answered(self._work.request, self._placement, took_ms, 0, now)
-            self._reply(Reply(None))
+            self._reply(EmulatedReply(None))
             return
         self._failed(outcome, now)
 
@@ -304,4 +306,4 @@
         state = self._fleet.of(self._placement.target, now)
         took_ms = (now - self._began) * 1000
         state.overran(took_ms / max(self._placement.expected_ms, 1.0), now)
-        self._reply(Reply(self._lost or Refusal(Code.DEADLINE_PASSED)))
+        self._reply(EmulatedReply(self._lost or Refusal(Code.DEADLINE_PASSED)))
--- a/leverdoor/entry/membership/joining.py
+++ b/leverdoor/entry/membership/joining.py
@@ -16,7 +16,7 @@
 from leverdoor.errors import LeverdoorError
 from leverdoor.storage.following import PeerFollower
 from leverdoor.storage.state import State
-from leverdoor.storage.store import Entry, LeasingStore
+from leverdoor.storage.store import KeyValue, LeasingStore
 
 __all__ = ["Joining"]
 
@@ -78,7 +78,7 @@
         """Monotonic time from which this entry may be a follower of the store."""
         state.changes.subscribe(lambda _: self._has_state.set())
 
-    async def find(self) -> Mapping[str, Entry]:
+    async def find(self) -> Mapping[str, KeyValue]:
         """Read who is written in the store; nobody if it does not answer."""
         try:
             listing = await self._store.read_stale(self._prefix)
--- a/leverdoor/entry/membership/registration.py
+++ b/leverdoor/entry/membership/registration.py
@@ -12,7 +12,7 @@
 from leverdoor.entry.events import Events
 from leverdoor.entry.membership.member import Member
 from leverdoor.errors import LeverdoorError
-from leverdoor.storage.store import Entry, LeasingStore
+from leverdoor.storage.store import KeyValue, LeasingStore
 
 __all__ = ["Registration", "retry_pause_s"]
 
@@ -69,7 +69,7 @@
         self._pause_s = pause_s
         self._lease = 0
 
-    def adopt(self, written: Entry | None) -> None:
+    def adopt(self, written: KeyValue | None) -> None:
         """Go on with the key and lease of a former life, if they still fit.
 
         That saves the two writing calls of each start; whether the lease is over
--- a/leverdoor/entry/requests/connection.py
+++ b/leverdoor/entry/requests/connection.py
@@ -16,7 +16,13 @@
 import httptools
 import msgspec
 
-__all__ = ["AnswerLost", "NotSent", "Reply", "TargetConnection", "open_connection"]
+__all__ = [
+    "AnswerLost",
+    "NotSent",
+    "TargetReply",
+    "TargetConnection",
+    "open_connection",
+]
 
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 """Longest answer that is read whole; a fifth of a VM of 300 MB."""
@@ -53,7 +59,7 @@
         self.unreachable = unreachable
 
 
-class Reply(msgspec.Struct):
+class TargetReply(msgspec.Struct):
     """A whole answer."""
 
     status: int
@@ -78,7 +84,7 @@
         self.request_id = request_id
         self.id_header = id_header
         self.bodyless = bodyless
-        self.answer: asyncio.Future[Reply] = asyncio.Future()
+        self.answer: asyncio.Future[TargetReply] = asyncio.Future()
         self.began = False
 
 
@@ -210,7 +216,7 @@
             # A second answer to one request: its bytes belong to nobody.
             self.usable = False
             return
-        reply = Reply(status, self._reason, self._headers, bytes(self._body))
+        reply = TargetReply(status, self._reason, self._headers, bytes(self._body))
         if reply.get(pending.id_header) not in ("", pending.request_id):
             return
         if not self._delimited or not self._parser.should_keep_alive():
@@ -240,7 +246,7 @@
         request_id: str,
         id_header: str,
         bodyless: bool,
-    ) -> Reply:
+    ) -> TargetReply:
         """Send a request and wait for its whole answer.
 
         Args:
@@ -273,7 +279,7 @@
 
     async def _stream(
         self, pending: _Pending, head: bytes, body: AsyncIterator[bytes]
-    ) -> Reply:
+    ) -> TargetReply:
         """Send the parts of a body; an answer may come before the last."""
         assert self._transport is not None
         self._transport.write(head)
--- a/leverdoor/entry/requests/connections.py
+++ b/leverdoor/entry/requests/connections.py
@@ -9,8 +9,8 @@
 
 from leverdoor.entry.requests.connection import (
     AnswerLost,
-    Reply,
     TargetConnection,
+    TargetReply,
     open_connection,
 )
 from leverdoor.entry.requests.idle_timeouts import IdleTimeouts
@@ -63,7 +63,7 @@
         self._idle: dict[str, list[TargetConnection]] = {}
         self.opened = 0
 
-    async def exchange(self, target: Target, outgoing: Outgoing) -> Reply:
+    async def exchange(self, target: Target, outgoing: Outgoing) -> TargetReply:
         """Send a request to a target and wait for the whole answer.
 
         Raises:
@@ -114,7 +114,9 @@
         self.opened += 1
         return await open_connection(address.host, address.port, timeout_s)
 
-    def _keep(self, target: Target, connection: TargetConnection, reply: Reply) -> None:
+    def _keep(
+        self, target: Target, connection: TargetConnection, reply: TargetReply
+    ) -> None:
         if connection.closed:
             return
         kept = self._idle.setdefault(target.name, [])
--- a/leverdoor/entry/requests/forwarding.py
+++ b/leverdoor/entry/requests/forwarding.py
@@ -15,7 +15,7 @@
     Rejection,
 )
 from leverdoor.entry.placement.policy import PlacementPolicy
-from leverdoor.entry.requests.connection import AnswerLost, NotSent, Reply
+from leverdoor.entry.requests.connection import AnswerLost, NotSent, TargetReply
 from leverdoor.entry.requests.connections import Connections, Outgoing
 from leverdoor.entry.requests.retries import may_retry
 from leverdoor.entry.wire import Wire
@@ -75,7 +75,7 @@
         self._events = events
         self._quotas = quotas
 
-    async def serve(self, incoming: EntryRequest) -> Reply:
+    async def serve(self, incoming: EntryRequest) -> TargetReply:
         """Get a whole answer of a target.
 
         Raises:
@@ -113,7 +113,7 @@
             self._quotas.again(workspace, asyncio.get_running_loop().time())
         return True
 
-    async def _attempt(self, incoming: EntryRequest, attempt: int) -> Reply:
+    async def _attempt(self, incoming: EntryRequest, attempt: int) -> TargetReply:
         loop = asyncio.get_running_loop()
         request = incoming.request
         decision = self._policy.place(request, loop.time())
@@ -139,7 +139,11 @@
         return reply
 
     def _learn(
-        self, incoming: EntryRequest, placement: Placement, reply: Reply, took_s: float
+        self,
+        incoming: EntryRequest,
+        placement: Placement,
+        reply: TargetReply,
+        took_s: float,
     ) -> None:
         now = asyncio.get_running_loop().time()
         state = self._fleet.of(placement.target, now)
@@ -154,7 +158,7 @@
         if self._policy.answered(request, placement, took_s * 1000, size, now):
             self._events.target_ejected(placement.target.name, "slow", SLOW_EJECTION_S)
 
-    async def _send(self, incoming: EntryRequest, placement: Placement) -> Reply:
+    async def _send(self, incoming: EntryRequest, placement: Placement) -> TargetReply:
         loop = asyncio.get_running_loop()
         request = incoming.request
         began = loop.time()
@@ -179,7 +183,9 @@
             self._turned_away(placement, reply, loop.time())
         return reply
 
-    def _turned_away(self, placement: Placement, reply: Reply, now: float) -> None:
+    def _turned_away(
+        self, placement: Placement, reply: TargetReply, now: float
+    ) -> None:
         """Take a target's word that it did not run the request."""
         if reply.status == 421:
             self._unreached(placement, "another instance")
--- a/leverdoor/entry/requests/handler.py
+++ b/leverdoor/entry/requests/handler.py
@@ -15,7 +15,7 @@
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.placement.placement_request import PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
-from leverdoor.entry.requests.connection import Reply
+from leverdoor.entry.requests.connection import TargetReply
 from leverdoor.entry.requests.forwarding import EntryRequest, Forwarder
 from leverdoor.entry.wire import Wire
 from leverdoor.errors import Code, Refusal, Run, code_info
@@ -273,7 +273,7 @@
     # Out.
 
     async def _answer(
-        self, request: web.BaseRequest, reply: Reply
+        self, request: web.BaseRequest, reply: TargetReply
     ) -> web.StreamResponse:
         """Pass a target's whole answer on."""
         connection = reply.get("connection")
--- a/leverdoor/entry/wire.py
+++ b/leverdoor/entry/wire.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from leverdoor.model.resources import Resource
-from leverdoor.storage.store import Entry
+from leverdoor.storage.store import KeyValue
 
 __all__ = ["Configured", "Wire", "HeaderNames", "TargetLoad", "Translate"]
 
@@ -26,7 +26,7 @@
     """By entry name, what other entries wrote of themselves."""
 
 
-Translate: TypeAlias = Callable[[Mapping[str, Entry]], Configured]
+Translate: TypeAlias = Callable[[Mapping[str, KeyValue]], Configured]
 
 
 class TargetLoad(msgspec.Struct, frozen=True):
--- a/leverdoor/platform/formats.py
+++ b/leverdoor/platform/formats.py
@@ -19,7 +19,7 @@
     WorkClass,
     Workspace,
 )
-from leverdoor.storage.store import Entry
+from leverdoor.storage.store import KeyValue
 from leverdoor.workspaces.keys import key_digest
 
 __all__ = ["PEERS", "Translator", "parse_load"]
@@ -178,7 +178,7 @@
         self._config_resources: list[Resource] = []
         self._targets: dict[str, tuple[int, Target]] = {}
 
-    def __call__(self, entries: Mapping[str, Entry]) -> Configured:
+    def __call__(self, entries: Mapping[str, KeyValue]) -> Configured:
         """Translate all entries of the store."""
         config = entries.get(CONFIG)
         if config is not None and config.revision != self._config_revision:
@@ -200,7 +200,7 @@
         resources += [target for _, target in targets.values()]
         return Configured(self._config.version, resources, peers)
 
-    def _take_config(self, entry: Entry) -> None:
+    def _take_config(self, entry: KeyValue) -> None:
         try:
             config = msgspec.json.decode(entry.value, type=_Config)
             self._config_resources = config.resources()
@@ -209,7 +209,7 @@
             logger.error("configuration not taken", key=entry.key, error=str(e))
         self._config_revision = entry.revision
 
-    def _target(self, entry: Entry) -> tuple[int, Target] | None:
+    def _target(self, entry: KeyValue) -> tuple[int, Target] | None:
         known = self._targets.get(entry.key)
         if known is not None and known[0] == entry.revision:
             return known
--- a/leverdoor/platform/store.py
+++ b/leverdoor/platform/store.py
@@ -11,7 +11,14 @@
 
 from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
 from leverdoor.sessions import new_session
-from leverdoor.storage.store import Commit, Entry, Event, LeasingStore, Listing, Write
+from leverdoor.storage.store import (
+    Commit,
+    Event,
+    KeyValue,
+    LeasingStore,
+    Listing,
+    Write,
+)
 
 __all__ = ["PlatformStore"]
 
@@ -36,8 +43,8 @@
     gone: bool = False
     lease: int = 0
 
-    def entry(self) -> Entry:
-        return Entry(self.key, self.value, self.revision, self.lease)
+    def entry(self) -> KeyValue:
+        return KeyValue(self.key, self.value, self.revision, self.lease)
 
     def event(self) -> Event:
         return Event(self.revision, self.key, None if self.gone else self.value)
@@ -90,7 +97,7 @@
 
     async def _list(self, query: dict[str, str]) -> Listing:
         revision = 0
-        found: dict[str, Entry] = {}
+        found: dict[str, KeyValue] = {}
         after = ""
         while True:
             page_query = query | ({"after": after} if after else {})
--- a/leverdoor/storage/configuration.py
+++ b/leverdoor/storage/configuration.py
@@ -20,7 +20,7 @@
 from leverdoor.model.resource_checks import check_removal, validate
 from leverdoor.model.resources import Resource, resource_key, serialize_resource
 from leverdoor.storage.state import GUARD, PREFIX, RESOURCES, State
-from leverdoor.storage.store import Entry, Store, Write
+from leverdoor.storage.store import KeyValue, Store, Write
 from leverdoor.storage.view import ViewCache, parse_entries
 
 __all__ = ["Applied", "Configuration", "Guard"]
@@ -217,7 +217,7 @@
             raise StoreUnknown(e.detail) from None
 
 
-def _parse_guard(entry: Entry | None) -> Guard:
+def _parse_guard(entry: KeyValue | None) -> Guard:
     return msgspec.json.decode(entry.value, type=Guard) if entry else Guard([])
 
 
--- a/leverdoor/storage/etcd.py
+++ b/leverdoor/storage/etcd.py
@@ -14,8 +14,8 @@
 from leverdoor.storage.store import (
     WATCH_SILENCE_S,
     Commit,
-    Entry,
     Event,
+    KeyValue,
     Listing,
     Store,
     Write,
@@ -140,8 +140,8 @@
     value: str = ""
     mod_revision: int = 0
 
-    def entry(self) -> Entry:
-        return Entry(key_text(self.key), from_base64(self.value), self.mod_revision)
+    def entry(self) -> KeyValue:
+        return KeyValue(key_text(self.key), from_base64(self.value), self.mod_revision)
 
 
 class _RangeAnswer(msgspec.Struct):
--- a/leverdoor/storage/state.py
+++ b/leverdoor/storage/state.py
@@ -8,7 +8,7 @@
 import msgspec
 from reactivex import Subject
 
-from leverdoor.storage.store import Entry, Event, Listing
+from leverdoor.storage.store import Event, KeyValue, Listing
 
 __all__ = ["PREFIX", "RESOURCES", "TABLES", "Delta", "State"]
 
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         """Create an empty copy at revision 0."""
         self.revision = 0
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, KeyValue] = {}
         self.changes: Subject[Delta] = Subject()
         self._log: deque[Event] = deque()
         self._log_after = 0
@@ -79,7 +79,7 @@
 
     def _replace(self, delta: Delta) -> None:
         self.entries = {
-            e.key: Entry(e.key, e.value, e.revision)
+            e.key: KeyValue(e.key, e.value, e.revision)
             for e in delta.events
             if e.value is not None
         }
@@ -97,7 +97,7 @@
             if e.value is None:
                 self.entries.pop(e.key, None)
             else:
-                self.entries[e.key] = Entry(e.key, e.value, e.revision)
+                self.entries[e.key] = KeyValue(e.key, e.value, e.revision)
             self._log.append(e)
         while len(self._log) > LOG_EVENTS:
             self._drop_oldest()
@@ -121,7 +121,7 @@
         events = [Event(e.revision, e.key, e.value) for e in self.entries.values()]
         return Delta(0, self.revision, True, events)
 
-    def under(self, prefix: str) -> list[Entry]:
+    def under(self, prefix: str) -> list[KeyValue]:
         """Return the entries under a prefix, by key."""
         found = [e for k, e in self.entries.items() if k.startswith(prefix)]
         return sorted(found, key=lambda e: e.key)
--- a/leverdoor/storage/store.py
+++ b/leverdoor/storage/store.py
@@ -16,7 +16,7 @@
 
 __all__ = [
     "Commit",
-    "Entry",
+    "KeyValue",
     "Event",
     "LeasingStore",
     "Listing",
@@ -31,7 +31,7 @@
 """Events that the store in memory keeps before it forgets; chosen."""
 
 
-class Entry(msgspec.Struct, frozen=True, array_like=True):
+class KeyValue(msgspec.Struct, frozen=True, array_like=True):
     """One key as it stands."""
 
     key: str
@@ -53,7 +53,7 @@
     """All entries under a prefix at one revision."""
 
     revision: int
-    entries: list[Entry]
+    entries: list[KeyValue]
 
 
 class Write(msgspec.Struct, frozen=True):
@@ -155,7 +155,7 @@
         self.reads = 0
         self.writes = 0
         self.waiting = 0
-        self._entries: dict[str, Entry] = {}
+        self._entries: dict[str, KeyValue] = {}
         self._log: deque[Event] = deque(maxlen=EVENT_LOG)
         self._compacted = 0
         self._changed = asyncio.Event()
@@ -189,7 +189,7 @@
             if w.value is None:
                 self._entries.pop(w.key, None)
             else:
-                self._entries[w.key] = Entry(w.key, w.value, self.revision)
+                self._entries[w.key] = KeyValue(w.key, w.value, self.revision)
             if len(self._log) == EVENT_LOG:
                 self._compacted = self._log[0].revision
             self._log.append(Event(self.revision, w.key, w.value))
--- a/leverdoor/storage/view.py
+++ b/leverdoor/storage/view.py
@@ -29,7 +29,7 @@
     parse_resource,
 )
 from leverdoor.storage.state import RESOURCES, TABLES, Delta, State
-from leverdoor.storage.store import Entry
+from leverdoor.storage.store import KeyValue
 
 __all__ = ["DEFAULT_TIER", "View", "ViewCache"]
 
@@ -210,7 +210,7 @@
 
 
 def parse_entries(
-    entries: Iterable[Entry], known: View | None, state: State
+    entries: Iterable[KeyValue], known: View | None, state: State
 ) -> dict[str, Resource]:
     """Parse stored resources by `kind/name`.
 
--- a/tests/test_entry_connection.py
+++ b/tests/test_entry_connection.py
@@ -12,8 +12,8 @@
 from leverdoor.entry.requests.connection import (
     AnswerLost,
     NotSent,
-    Reply,
     TargetConnection,
+    TargetReply,
     open_connection,
 )
 
@@ -68,7 +68,7 @@
     request_id: str,
     body: bytes | AsyncIterator[bytes] = b"",
     method: str = "GET",
-) -> Reply:
+) -> TargetReply:
     async with asyncio.timeout(5):
         return await connection.exchange(
             request(request_id, method), body, request_id, ID, method == "HEAD"
--- a/tests/test_entry_joining.py
+++ b/tests/test_entry_joining.py
@@ -14,7 +14,7 @@
 from leverdoor.errors import StoreUnavailable
 from leverdoor.storage.following import PeerFollower
 from leverdoor.storage.state import Delta, State
-from leverdoor.storage.store import Commit, Entry, Event, LeasingStore, Listing
+from leverdoor.storage.store import Commit, Event, KeyValue, LeasingStore, Listing
 
 PREFIX = "entries/"
 
@@ -22,7 +22,7 @@
 class Store(LeasingStore):
     """A store that knows some entries, or is away."""
 
-    def __init__(self, entries: list[Entry], away: bool = False) -> None:
+    def __init__(self, entries: list[KeyValue], away: bool = False) -> None:
         self.entries = entries
         self.away = away
         self.stale_reads = 0
@@ -76,8 +76,8 @@
     )
 
 
-def written(*members: Member) -> list[Entry]:
-    return [Entry(PREFIX + m.name, pack(m), 1, 7) for m in members]
+def written(*members: Member) -> list[KeyValue]:
+    return [KeyValue(PREFIX + m.name, pack(m), 1, 7) for m in members]
 
 
 class Start:
--- a/tests/test_entry_registration.py
+++ b/tests/test_entry_registration.py
@@ -18,7 +18,7 @@
     Registration,
     retry_pause_s,
 )
-from leverdoor.storage.store import Commit, Entry, LeasingStore, Listing
+from leverdoor.storage.store import Commit, KeyValue, LeasingStore, Listing
 
 
 @pytest.mark.parametrize(
@@ -74,7 +74,7 @@
     return Registration(store, "entries/n1", OWN, events, Random(1), lambda: 0.01)
 
 
-async def play(store: Store, written: Entry | None) -> None:
+async def play(store: Store, written: KeyValue | None) -> None:
     one = registration(store)
     one.adopt(written)
     task = asyncio.create_task(one.run())
@@ -82,9 +82,9 @@
     task.cancel()
 
 
-def former(lease: int, **changed: object) -> Entry:
+def former(lease: int, **changed: object) -> KeyValue:
     before = msgspec.structs.replace(OWN, incarnation=7, **changed)
-    return Entry("entries/n1", pack(before), 3, lease)
+    return KeyValue("entries/n1", pack(before), 3, lease)
 
 
 async def test_the_lease_of_a_former_life_is_kept() -> None:
@@ -105,10 +105,10 @@
         None,
         former(0),
         former(12, gossip="other"),
-        Entry("entries/n1", b"\xff", 3, 12),
+        KeyValue("entries/n1", b"\xff", 3, 12),
     ],
 )
-async def test_what_does_not_fit_is_written_anew(written: Entry | None) -> None:
+async def test_what_does_not_fit_is_written_anew(written: KeyValue | None) -> None:
     store = Store(set())
     await play(store, written)
     assert (store.kept, store.held) == ([], ["entries/n1"])
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -21,7 +21,7 @@
 )
 from leverdoor.platform.formats import Translator, parse_load
 from leverdoor.platform.settings import METRICS_PORT, parse_settings
-from leverdoor.storage.store import Entry
+from leverdoor.storage.store import KeyValue
 
 PACKAGE = Path(__file__).parent.parent / "leverdoor"
 NAMES = re.compile(
@@ -78,10 +78,10 @@
 }
 
 
-def entries(**more: object) -> dict[str, Entry]:
+def entries(**more: object) -> dict[str, KeyValue]:
     found = {"op/config": CONFIG, "servers/i-1": SERVER, **more}
     return {
-        k: Entry(k, json.dumps(v).encode(), i + 2)
+        k: KeyValue(k, json.dumps(v).encode(), i + 2)
         for i, (k, v) in enumerate(found.items())
     }
 
@@ -137,7 +137,7 @@
     translate = Translator(ZONES)
     translate(entries())
     broken = entries(**{"servers/i-2": {"zone": 3}})
-    broken["op/config"] = Entry("op/config", b'{"version":', 99)
+    broken["op/config"] = KeyValue("op/config", b'{"version":', 99)
     said = translate(broken)
     assert said.version == "0000000c"
     assert [r.name for r in said.resources if isinstance(r, Target)] == ["i-1"]
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -64,8 +64,8 @@
 from leverdoor.storage.state import GUARD, PREFIX, RESOURCES, TABLES, Delta, State
 from leverdoor.storage.store import (
     Commit,
-    Entry,
     Event,
+    KeyValue,
     Listing,
     MemoryStore,
     Store,
@@ -692,7 +692,7 @@
 def test_platform_documents() -> None:
     """Each kind of document in the platform's store, with every field."""
     entries = {
-        key: Entry(key, data, revision)
+        key: KeyValue(key, data, revision)
         for revision, (key, data) in enumerate(PLATFORM_ENTRIES.items(), 2)
     }
     configured = wire({"a1": "a", "a2": "a", "b1": "b"}).translate(entries)
@@ -804,8 +804,8 @@
     }"""
     server = b'{"service": "s", "address": "10.0.0.9:80", "zone": "a1"}'
     entries = {
-        "op/config": Entry("op/config", config, 2),
-        "servers/i-1": Entry("servers/i-1", server, 3),
+        "op/config": KeyValue("op/config", config, 2),
+        "servers/i-1": KeyValue("servers/i-1", server, 3),
     }
     assert wire({}).translate(entries).resources == [
         Route(name="r", host="h", prefix="/", work=WorkClass.ONCE, services={}),
@@ -905,7 +905,7 @@
         b'{"key":"b3Av","range_end":"b3Aw"}',
         b'{"header":{"revision":"9"},"kvs":'
         b'[{"key":"b3AvYQ==","value":"MQ==","mod_revision":"8"}]}',
-        Listing(9, [Entry("op/a", b"1", 8)]),
+        Listing(9, [KeyValue("op/a", b"1", 8)]),
     ),
     StoreCall(
         "commit",
@@ -952,7 +952,7 @@
         "GET /api/kv-range?path-prefix=op/ HTTP/1.1",
         b"",
         b'{"items":[' + ITEM + b'],"more":false,"at":9}',
-        Listing(9, [Entry("op/a", b"1", 8, 5)]),
+        Listing(9, [KeyValue("op/a", b"1", 8, 5)]),
     ),
     StoreCall(
         "stale read",
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -47,7 +47,7 @@
 from leverdoor.model.targets import Probe
 from leverdoor.storage.configuration import Applied, Guard
 from leverdoor.storage.state import Delta
-from leverdoor.storage.store import Entry, Event
+from leverdoor.storage.store import Event, KeyValue
 from leverdoor.storage.vmlist import Vm, VmState
 
 
@@ -130,7 +130,7 @@
         Event(70_000, "/leverdoor/resources/drain/d1", None),
     ],
 )
-ENTRY = Entry(key="servers/t1", value=b"{}", revision=70_000, lease=12)
+ENTRY = KeyValue(key="servers/t1", value=b"{}", revision=70_000, lease=12)
 
 ACK = ownership.Ack(version=40, over=["t:10.0.0.9:80"])
 LOAD = Load(held=5, free=2, waiting=3, mean_ms=12.5)
@@ -216,7 +216,7 @@
     "digest": Sample(DIGEST, digests.Message),
     "news": Sample(NEWS, digests.Message),
     "delta": Sample(DELTA, Delta),
-    "stored entry": Sample(ENTRY, Entry),
+    "stored entry": Sample(ENTRY, KeyValue),
     "gate report": Sample(GATE_REPORT, GateReport),
     "hints": Sample(HINTS, Delta | Hints),
     "gate heartbeat": Sample(GATE_HEARTBEAT, AgentHeartbeat),
