--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -145,11 +145,11 @@
         )
         for j in range(setup.gates):
             if j != i:
-                clock.at(clock.now + HOP_S, lambda j=j: heard(j, heartbeat))
+                clock.at(clock.now + HOP_S, lambda j=j: receive_heartbeat(j, heartbeat))
         clock.at(clock.now + setup.hint_s, lambda: hint(i))
 
-    def heard(j: int, heartbeat: AgentHeartbeat) -> None:
-        gates[j].scheduler.neighbours.hear([heartbeat], clock.now)
+    def receive_heartbeat(j: int, heartbeat: AgentHeartbeat) -> None:
+        gates[j].scheduler.neighbours.receive([heartbeat], clock.now)
         poll(j)
 
     def tick(i: int) -> None:
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -17,9 +17,9 @@
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.membership.digests import EntryHeartbeat
 from leverdoor.entry.membership.exchange import Exchange
+from leverdoor.entry.membership.exchange_types import EntryStatus
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.report import Report
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
@@ -102,7 +102,7 @@
     decided = median_us(decide, 300)
     updated = median_us(lambda: placement.shares.update([], 1.0), 3)
     counts = {f"t{i}": 2 for i in range(0, min(targets, 60), 3)}
-    heard = median_us(lambda: fleet.hear("p", counts, 0.0), 100)
+    heard = median_us(lambda: fleet.receive("p", counts, 0.0), 100)
     print(
         f"| {targets} | {compiled / 1000:.2f} | {ranked / 1000:.2f} | {decided:.1f}"
         f" | {updated / 1000:.2f} | {heard:.1f} |"
@@ -130,13 +130,13 @@
         exchange.take(heartbeat, 5, 0.0)
     numbers = iter(range(2, 10**9))
 
-    def hear() -> None:
+    def receive() -> None:
         n = next(numbers)
         heartbeat = heartbeats[n % len(heartbeats)]
         exchange.take(EntryHeartbeat(heartbeat.member, n, SERVING, 5, counts), 5, 0.0)
 
-    report = Report(SERVING, 5, counts, {}, -1, [])
-    heard = median_us(hear, 200)
+    report = EntryStatus(SERVING, 5, counts, {}, -1, [])
+    heard = median_us(receive, 200)
     named = median_us(lambda: membership.addresses("a", "a1", SERVING, 0.1), 20)
     played = median_us(lambda: exchange.round(report, 0.1), 20)
     size = len(zlib.compress(pack(heartbeats[0]), 1))
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -299,7 +299,7 @@
                     delay = 0.001 if near else HOP_S
                     world.clock.at(
                         world.clock.now + delay,
-                        lambda o=other, n=one.name, c=counts: o.fleet.hear(  # type: ignore[misc]
+                        lambda o=other, n=one.name, c=counts: o.fleet.receive(  # type: ignore[misc]
                             n, c, world.clock.now
                         ),
                     )
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -23,9 +23,9 @@
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.membership.digests import Message
 from leverdoor.entry.membership.exchange import Exchange
+from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.report import Heard, Report
 from leverdoor.entry.placement.fleet import OTHERS, Fleet
 from leverdoor.entry.placement.placement_request import (
     Placement,
@@ -129,14 +129,14 @@
             size = len(pack(sending.message))
             self.heartbeat_bytes += size * len(sending.to)
             send(sending.message, sending.to)
-        self._take_heard(heard)
+        self._take_update(heard)
         if self._rounds % SHARE_ROUNDS == 0:
             self._policy.shares.update([self._exchange.region_shares()], now)
 
-    def _report(self, now: float) -> Report:
+    def _report(self, now: float) -> EntryStatus:
         tells = self._experiment.shares_load and self._shared_fleet is None
         warm = self._policy.shared_warmth.recent(WARM_TOLD_S, now)
-        return Report(
+        return EntryStatus(
             SERVING,
             1,
             self.fleet.in_flight() if tells else {},
@@ -145,15 +145,15 @@
             warm if self._experiment.shares_warmth else [],
         )
 
-    def hear(self, message: Message) -> None:
+    def receive(self, message: Message) -> None:
         """Take another entry's message."""
-        self._take_heard(self._exchange.take(message, 1, self._clock.now))
+        self._take_update(self._exchange.take(message, 1, self._clock.now))
 
-    def _take_heard(self, heard: Heard) -> None:
+    def _take_update(self, heard: PeerUpdate) -> None:
         now = self._clock.now
         if heard.others is not None and self._shared_fleet is None:
-            self.fleet.hear(OTHERS, heard.others, now)
-        self._policy.shared_warmth.hear(heard.warm, now)
+            self.fleet.receive(OTHERS, heard.others, now)
+        self._policy.shared_warmth.receive(heard.warm, now)
 
     # Requests.
 
--- a/leverdoor/emulator/knowledge.py
+++ b/leverdoor/emulator/knowledge.py
@@ -20,9 +20,9 @@
 from leverdoor.codec import pack
 from leverdoor.entry.membership.digests import Message
 from leverdoor.entry.membership.exchange import Exchange
+from leverdoor.entry.membership.exchange_types import EntryStatus
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import HEARTBEAT_S, Membership
-from leverdoor.entry.membership.report import Report
 
 __all__ = ["Figures", "KnowledgeSite", "MakeNode", "Node", "Outgoing", "measure"]
 
@@ -123,7 +123,7 @@
     def round(self, now: float) -> list[Outgoing]:
         """Return what it sends in a round, with requests at a few targets."""
         counts = Counter(self._rng.choices(self._targets, k=BUSY_TARGETS))
-        report = Report(SERVING, 1, dict(counts), self._shares, -1, [])
+        report = EntryStatus(SERVING, 1, dict(counts), self._shares, -1, [])
         sendings, _ = self._exchange.round(report, now)
         return [(s.message, s.to) for s in sendings]
 
--- a/leverdoor/emulator/quotas.py
+++ b/leverdoor/emulator/quotas.py
@@ -17,9 +17,9 @@
 from leverdoor.emulator.knowledge import KnowledgeSite, Outgoing
 from leverdoor.entry.membership.digests import Message
 from leverdoor.entry.membership.exchange import Exchange
+from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.report import Heard, Report
 from leverdoor.errors import Refusal
 from leverdoor.model.resources import Workspace
 from leverdoor.workspaces.quota import Quotas
@@ -121,7 +121,7 @@
         self.quotas.entries = self.membership.count
         use = self.quotas.report(now)
         lived_s = self.quotas.lived_s(now)
-        report = Report(SERVING, 1, {}, {}, -1, [], use, lived_s)
+        report = EntryStatus(SERVING, 1, {}, {}, -1, [], use, lived_s)
         sendings, heard = self.exchange.round(report, now)
         self._hear(heard, now)
         self.exchange.forget(now)
@@ -131,9 +131,9 @@
         """Take a message."""
         self._hear(self.exchange.take(message, 1, now), now)
 
-    def _hear(self, heard: Heard, now: float) -> None:
+    def _hear(self, heard: PeerUpdate, now: float) -> None:
         if heard.use is not None:
-            self.quotas.hear(heard.use, now)
+            self.quotas.receive(heard.use, now)
 
 
 class _Play:
--- a/leverdoor/emulator/world.py
+++ b/leverdoor/emulator/world.py
@@ -158,7 +158,7 @@
 
     def _deliver(self, entry: EmulatedEntry, message: Message) -> None:
         if entry.member.name not in self._away:
-            entry.hear(message)
+            entry.receive(message)
 
     # What clients see.
 
--- a/leverdoor/entry/configuration/confirmation.py
+++ b/leverdoor/entry/configuration/confirmation.py
@@ -23,7 +23,7 @@
         """Record that the store answered here."""
         self._at = now
 
-    def heard(self, age_ms: int, now: float) -> None:
+    def peer_reported(self, age_ms: int, now: float) -> None:
         """Take the age of the newest answer that another entry knows of."""
         if age_ms == NEVER_MS:
             return
--- a/leverdoor/entry/configuration/expired_registrations.py
+++ b/leverdoor/entry/configuration/expired_registrations.py
@@ -39,7 +39,7 @@
             self._last = now
         self._lost_here = not reachable
 
-    def heard(self, age_ms: int, now: float) -> None:
+    def peer_reported(self, age_ms: int, now: float) -> None:
         """Take the age of the newest outage that another entry knows of."""
         if age_ms == NEVER_MS:
             return
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -24,12 +24,12 @@
 from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
 from leverdoor.entry.events import Events
 from leverdoor.entry.membership.exchange import Exchange
+from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate
 from leverdoor.entry.membership.joining import Joining
 from leverdoor.entry.membership.member import LEAVING, SERVING, STARTING, Member
 from leverdoor.entry.membership.members import HEARTBEAT_S, Membership
 from leverdoor.entry.membership.peer_link import PeerLink
 from leverdoor.entry.membership.registration import Registration, retry_pause_s
-from leverdoor.entry.membership.report import Heard, Report
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.placement.fleet import OTHERS, Fleet
 from leverdoor.entry.placement.policy import PlacementPolicy
@@ -212,7 +212,7 @@
         )
         self._admin_server = web.Server(admin.handle, access_log=None)
         self._peers = PeerLink(
-            self._exchange, self._state, self._keeper, self._report, self._take_heard
+            self._exchange, self._state, self._keeper, self._report, self._take_update
         )
         self._joining = Joining(
             self._store,
@@ -323,16 +323,16 @@
         workspaces = catalog.workspaces.by_name.values()
         self._exchange.use.renew(self._quotas.plans(workspaces))
 
-    def _take_heard(self, heard: Heard, now: float) -> None:
+    def _take_update(self, heard: PeerUpdate, now: float) -> None:
         """Let the other parts know what others told."""
         if heard.others is not None:
-            self._fleet.hear(OTHERS, heard.others, now)
-        self._placement.shared_warmth.hear(heard.warm, now)
-        self._keeper.outage.heard(heard.outage_ms, now)
-        self._keeper.confirmation.heard(heard.confirmed_ms, now)
+            self._fleet.receive(OTHERS, heard.others, now)
+        self._placement.shared_warmth.receive(heard.warm, now)
+        self._keeper.outage.peer_reported(heard.outage_ms, now)
+        self._keeper.confirmation.peer_reported(heard.confirmed_ms, now)
         if heard.use is not None:
             self._quotas.entries = self._membership.count
-            self._quotas.hear(heard.use, now)
+            self._quotas.receive(heard.use, now)
 
     def _sharers(self, target: Target) -> int:
         """Count the entries that share a cold target's allowance."""
@@ -346,9 +346,9 @@
 
     # Heartbeats.
 
-    def _report(self) -> Report:
+    def _report(self) -> EntryStatus:
         now = asyncio.get_running_loop().time()
-        return Report(
+        return EntryStatus(
             self._life,
             self._state.revision,
             self._fleet.in_flight(),
--- a/leverdoor/entry/membership/exchange.py
+++ b/leverdoor/entry/membership/exchange.py
@@ -31,11 +31,11 @@
     parse_ids,
     serialize_ids,
 )
+from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate, Sending
 from leverdoor.entry.membership.member import member_id
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.merging import PART_TRUST_S, MeanShares, Merger, merged
 from leverdoor.entry.membership.partners import Partners, in_turn
-from leverdoor.entry.membership.report import Heard, Report, Sending
 from leverdoor.entry.membership.sightings import MemberRow, Sighting
 from leverdoor.entry.membership.use import Use
 from leverdoor.entry.membership.use_exchange import UseExchange, UseSummary
@@ -87,7 +87,7 @@
 
     # What others tell.
 
-    def take(self, message: Message, revision: int, now: float) -> Heard:
+    def take(self, message: Message, revision: int, now: float) -> PeerUpdate:
         """Take a message.
 
         Args:
@@ -96,43 +96,45 @@
           now: monotonic time in seconds.
         """
         if isinstance(message, News):
-            return Heard(source=message.pull if message.revision > revision else "")
+            return PeerUpdate(
+                source=message.pull if message.revision > revision else ""
+            )
         if isinstance(message, EntryHeartbeat):
             return self._take_heartbeat(message, revision, now)
         return self._take_digest(message, revision, now)
 
     def _take_heartbeat(
         self, heard: EntryHeartbeat, revision: int, now: float
-    ) -> Heard:
+    ) -> PeerUpdate:
         name = heard.member.name
         if name == self._own.name or self._merger.is_old(heard):
-            return Heard()
+            return PeerUpdate()
         self._membership.introduce(heard.member, now)
         row = MemberRow(member_id(name), heard.member.incarnation, heard.state)
         self._membership.sight(Sighting(row, now), now)
         known = self._membership.member(name)
         if known is None or known.incarnation != heard.member.incarnation:
-            return Heard()
+            return PeerUpdate()
         self._merger.take_heartbeat(heard, now)
         self.use.take_heartbeat(heard, now)
         warm = parse_ids(heard.warm)
         self._warm_news.take_from_domain(warm, now)
         source = heard.member.pull if heard.revision > revision else ""
-        return Heard(
+        return PeerUpdate(
             warm=warm,
             outage_ms=heard.outage_ms,
             source=source,
             confirmed_ms=heard.confirmed_ms,
         )
 
-    def _take_digest(self, digest: Digest, revision: int, now: float) -> Heard:
+    def _take_digest(self, digest: Digest, revision: int, now: float) -> PeerUpdate:
         self._membership.digest_came(digest.sender, now)
         for view in digest.views:
             self._views.take(view, now)
         sender = self._membership.member(digest.sender)
         source = digest.pull if digest.revision > revision else ""
         if sender is None or not self._is_next(digest):
-            return Heard(source=source)
+            return PeerUpdate(source=source)
         warm = parse_ids(digest.warm)
         others = None
         if digest.scope == DigestScope.DOMAIN:
@@ -149,7 +151,9 @@
         use = None
         if others is not None:
             use = self.use.parse_total(digest, self._counted(digest).use)
-        return Heard(others, warm, digest.outage_ms, source, digest.confirmed_ms, use)
+        return PeerUpdate(
+            others, warm, digest.outage_ms, source, digest.confirmed_ms, use
+        )
 
     def _is_next(self, digest: Digest) -> bool:
         """Return whether a digest is newer than the last one of its sender."""
@@ -193,7 +197,7 @@
 
     # What this entry tells.
 
-    def heartbeat(self, report: Report) -> EntryHeartbeat:
+    def heartbeat(self, report: EntryStatus) -> EntryHeartbeat:
         """Return the next heartbeat."""
         self._seq += 1
         self._own_counts[self._seq % 256] = _OwnCounts(report.in_flight, report.use)
@@ -212,11 +216,11 @@
             report.confirmed_ms,
         )
 
-    def announce(self, report: Report, now: float) -> list[Sending]:
+    def announce(self, report: EntryStatus, now: float) -> list[Sending]:
         """Tell the aggregators a changed state between two rounds."""
         return [Sending(self.heartbeat(report), self._partners.aggregators(now))]
 
-    def say_goodbye(self, report: Report) -> list[Sending]:
+    def say_goodbye(self, report: EntryStatus) -> list[Sending]:
         """Tell the whole region that this entry leaves: it must not be named."""
         to = [m.gossip for m in self._membership.in_own_region()]
         return [Sending(self.heartbeat(report), to)]
@@ -231,15 +235,17 @@
             to += [m.gossip for m in self._partners.far(self._turn, now)]
         return [Sending(News(revision, self._own.pull), to)]
 
-    def round(self, report: Report, now: float) -> tuple[list[Sending], Heard]:
+    def round(
+        self, report: EntryStatus, now: float
+    ) -> tuple[list[Sending], PeerUpdate]:
         """Return what to send this round, and what the sums of others are."""
         self._turn += 1
         sendings = self.announce(report, now)
         if not self._membership.is_aggregator(now):
             self.use.merge_no_more()
-            return sendings, Heard()
+            return sendings, PeerUpdate()
         self._region_shares = self._merger.region_shares(report.shares).shares
-        heard = Heard(
+        heard = PeerUpdate(
             others=self._merger.of_others(now),
             use=self.use.of_others(report.lived_s, now),
         )
@@ -254,7 +260,7 @@
         self._merger.forget(now)
         self.use.forget(now)
 
-    def _digests(self, report: Report, now: float) -> list[Sending]:
+    def _digests(self, report: EntryStatus, now: float) -> list[Sending]:
         """Return an aggregator's digests of a round."""
         domain = self._merger.of_domain(report.in_flight, now)
         region = self._merger.with_domains(domain, now)
@@ -287,7 +293,7 @@
 
     def _domain_digest(
         self,
-        report: Report,
+        report: EntryStatus,
         counts: dict[str, int],
         views: list[DomainView],
         use: UseSummary,
@@ -306,7 +312,7 @@
 
     def _total_digest(
         self,
-        report: Report,
+        report: EntryStatus,
         counts: dict[str, int],
         near: list[DomainView],
         use: UseSummary,
@@ -346,7 +352,7 @@
 
     def _digest(
         self,
-        report: Report,
+        report: EntryStatus,
         scope: DigestScope,
         views: list[DomainView],
         loads: list[RegionCounts],
@@ -369,7 +375,7 @@
             merged_ms=use.merged_ms,
         )
 
-    def _view(self, domain: str, report: Report, now: float) -> DomainView:
+    def _view(self, domain: str, report: EntryStatus, now: float) -> DomainView:
         return self._views.make(domain, report.state, self._newest_seq, self._turn, now)
 
     def _newest_seq(self, name: str) -> int:
--- a/leverdoor/entry/membership/report.py
+++ b/leverdoor/entry/membership/exchange_types.py
@@ -9,10 +9,10 @@
 from leverdoor.entry.membership.use import Use
 from leverdoor.workspaces.room import OthersUse
 
-__all__ = ["Heard", "Report", "Sending"]
+__all__ = ["PeerUpdate", "EntryStatus", "Sending"]
 
 
-class Report(msgspec.Struct, frozen=True):
+class EntryStatus(msgspec.Struct, frozen=True):
     """How this entry fares, as its heartbeats tell it."""
 
     state: EntryState
@@ -35,7 +35,7 @@
     to: list[str]
 
 
-class Heard(msgspec.Struct, frozen=True):
+class PeerUpdate(msgspec.Struct, frozen=True):
     """What a message or a round tells the other parts of this entry."""
 
     others: dict[str, int] | None = None
--- a/leverdoor/entry/membership/peer_link.py
+++ b/leverdoor/entry/membership/peer_link.py
@@ -9,7 +9,7 @@
 from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
 from leverdoor.entry.membership.digests import Message
 from leverdoor.entry.membership.exchange import Exchange
-from leverdoor.entry.membership.report import Heard, Report, Sending
+from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate, Sending
 from leverdoor.membership.gossip import GossipSocket
 from leverdoor.settings import Address
 from leverdoor.storage.following import PeerFollower
@@ -28,7 +28,7 @@
 steps to the last entry it adds 0.45 s at most, of a bound of 2.5 s.
 """
 
-TakeHeard: TypeAlias = Callable[[Heard, float], None]
+TakeHeard: TypeAlias = Callable[[PeerUpdate, float], None]
 """Called with what others told, and the monotonic time in seconds."""
 
 
@@ -40,7 +40,7 @@
         exchange: Exchange,
         state: State,
         keeper: CatalogKeeper,
-        report: Callable[[], Report],
+        report: Callable[[], EntryStatus],
         take: TakeHeard,
     ) -> None:
         """Create it; nothing is opened yet.
@@ -75,7 +75,7 @@
         """Send the heartbeats and digests of a round."""
         sendings, heard = self._exchange.round(self._report(), now)
         self._send(sendings)
-        self._take_heard(heard, now)
+        self._take_update(heard, now)
 
     def announce(self) -> None:
         """Tell a state that changed without waiting for the next round."""
@@ -110,9 +110,9 @@
 
     def _take_message(self, message: Message) -> None:
         now = asyncio.get_running_loop().time()
-        self._take_heard(self._exchange.take(message, self._state.revision, now), now)
+        self._take_update(self._exchange.take(message, self._state.revision, now), now)
 
-    def _take_heard(self, heard: Heard, now: float) -> None:
+    def _take_update(self, heard: PeerUpdate, now: float) -> None:
         self._take(heard, now)
         if heard.source:
             asyncio.ensure_future(self._pull(heard.source))
--- a/leverdoor/entry/placement/fleet.py
+++ b/leverdoor/entry/placement/fleet.py
@@ -345,7 +345,7 @@
         """Return how many requests this entry has at each target, if any."""
         return {n: s.in_flight for n, s in self._states.items() if s.in_flight}
 
-    def hear(self, peer: str, counts: Mapping[str, int], now: float) -> None:
+    def receive(self, peer: str, counts: Mapping[str, int], now: float) -> None:
         """Take the counts of another entry; what it does not name is none."""
         states = self._states
         for name in self._told.get(peer, frozenset()) - counts.keys():
--- a/leverdoor/entry/placement/warmth.py
+++ b/leverdoor/entry/placement/warmth.py
@@ -125,7 +125,7 @@
         """Return the digests of the last seconds, for a heartbeat."""
         return [digest for at, digest in self._recent if now - at <= span_s]
 
-    def hear(self, digests: Iterable[int], now: float) -> None:
+    def receive(self, digests: Iterable[int], now: float) -> None:
         """Take the digests of another entry's heartbeat."""
         for digest in digests:
             self._remember(digest, now)
--- a/leverdoor/gate/daemon.py
+++ b/leverdoor/gate/daemon.py
@@ -182,7 +182,7 @@
 
     def _take_hints(self, hints: Hints) -> None:
         now = asyncio.get_running_loop().time()
-        self._scheduler.neighbours.hear(hints.heartbeats, now)
+        self._scheduler.neighbours.receive(hints.heartbeats, now)
         self._scheduler.pool.leaving_vms = frozenset(hints.leaving_vms)
         for address, probe in hints.probes.items():
             self._scheduler.targets.report(address, probe)
--- a/leverdoor/gate/neighbours.py
+++ b/leverdoor/gate/neighbours.py
@@ -72,7 +72,7 @@
         self._rng = rng
         self._known: dict[str, Neighbour] = {}
 
-    def hear(self, heartbeats: Iterable[AgentHeartbeat], now: float) -> None:
+    def receive(self, heartbeats: Iterable[AgentHeartbeat], now: float) -> None:
         """Take hints that are newer than those known."""
         for heartbeat in heartbeats:
             if heartbeat.vm == self._vm or not heartbeat.gate:
@@ -83,7 +83,7 @@
             elif heartbeat.newer(n.heartbeat):
                 if heartbeat.incarnation != n.heartbeat.incarnation:
                     n.out_until = 0.0
-                n.peer.hear(heartbeat, now)
+                n.peer.receive(heartbeat, now)
             else:
                 continue
             n.refresh()
--- a/leverdoor/membership/peers.py
+++ b/leverdoor/membership/peers.py
@@ -101,7 +101,7 @@
     heard_at: float
     gap_s: float = 0.0
 
-    def hear(self, heartbeat: AgentHeartbeat, now: float) -> None:
+    def receive(self, heartbeat: AgentHeartbeat, now: float) -> None:
         """Take a newer heartbeat."""
         self.gap_s += GAP_WEIGHT * (now - self.heard_at - self.gap_s)
         self.heartbeat = heartbeat
@@ -146,7 +146,7 @@
                 self.known[heartbeat.vm] = Peer(heartbeat, now)
                 self._changed = True
             elif heartbeat.newer(have.heartbeat):
-                have.hear(heartbeat, now)
+                have.receive(heartbeat, now)
             else:
                 continue
             news.append(heartbeat)
--- a/leverdoor/workspaces/quota.py
+++ b/leverdoor/workspaces/quota.py
@@ -83,7 +83,7 @@
 
     # What is known.
 
-    def hear(self, others: OthersUse, now: float) -> None:
+    def receive(self, others: OthersUse, now: float) -> None:
         """Take what the others used, if there is any that is heard.
 
         One that merges itself, and hears nobody, knows no more than at the last time:
--- a/tests/test_entry_confirmation.py
+++ b/tests/test_entry_confirmation.py
@@ -17,11 +17,11 @@
     assert c.age_ms(10.0) == -1
     assert c.holds(0.0, 10.0)
     assert not c.holds(5.0, 10.0)
-    c.heard(2_000, 10.0)
+    c.peer_reported(2_000, 10.0)
     assert c.holds(5.0, 12.9)
     assert not c.holds(5.0, 13.1)
-    c.heard(4_000, 10.5)
-    c.heard(-1, 10.5)
+    c.peer_reported(4_000, 10.5)
+    c.peer_reported(-1, 10.5)
     assert c.age_ms(10.5) == 2_500
     c.answered(11.0)
     assert c.age_ms(11.2) == 200
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -9,9 +9,9 @@
 
 from leverdoor.entry.membership.digests import Digest, DigestScope, EntryHeartbeat, News
 from leverdoor.entry.membership.exchange import Exchange
+from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate, Sending
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member
 from leverdoor.entry.membership.members import HEARTBEAT_S, Membership
-from leverdoor.entry.membership.report import Heard, Report, Sending
 
 TARGETS = {"a": ["ta1", "ta2"], "b": ["tb1"]}
 
@@ -21,9 +21,9 @@
 
     def __init__(self, names: list[str], wide: int = 200) -> None:
         self.now = 100.0
-        self.reports: dict[str, Report] = {}
+        self.reports: dict[str, EntryStatus] = {}
         self.exchanges: dict[str, Exchange] = {}
-        self.heard: dict[str, Heard] = {}
+        self.heard: dict[str, PeerUpdate] = {}
         self.sent: list[tuple[str, Sending]] = []
         self.silent: set[str] = set()
         members = [_member(n, wide if n.endswith(("-0", "-1")) else 20) for n in names]
@@ -34,7 +34,7 @@
             exchange = Exchange(membership)
             exchange.lists.renew(TARGETS)
             self.exchanges[own.name] = exchange
-            self.reports[own.name] = Report(SERVING, 1, {}, {}, -1, [])
+            self.reports[own.name] = EntryStatus(SERVING, 1, {}, {}, -1, [])
 
     def report(self, name: str, **fields: object) -> None:
         self.reports[name] = msgspec.structs.replace(self.reports[name], **fields)
@@ -58,13 +58,13 @@
                     heard = self.exchanges[to].take(sending.message, revision, self.now)
                     self._note(to, heard)
 
-    def _note(self, name: str, heard: Heard) -> None:
-        before = self.heard.get(name, Heard())
+    def _note(self, name: str, heard: PeerUpdate) -> None:
+        before = self.heard.get(name, PeerUpdate())
         others = before.others if heard.others is None else heard.others
         warm = [*before.warm, *heard.warm]
         outage_ms = max(before.outage_ms, heard.outage_ms)
         source = heard.source or before.source
-        self.heard[name] = Heard(others, warm, outage_ms, source)
+        self.heard[name] = PeerUpdate(others, warm, outage_ms, source)
 
     def others(self, name: str) -> Mapping[str, int]:
         return self.heard[name].others or {}
@@ -242,7 +242,7 @@
     s.round(4)
     told = [x.message for _, x in s.sent if _is_total(x) and "g/a1-3" in x.to]
     again = s.exchanges["a1-3"].take(told[-1], 1, s.now)
-    assert again == Heard()
+    assert again == PeerUpdate()
 
 
 def test_news_reach_all_of_a_large_site_in_a_few_steps() -> None:
--- a/tests/test_entry_expired_registrations.py
+++ b/tests/test_entry_expired_registrations.py
@@ -60,12 +60,12 @@
     outage = Outage()
     assert not outage.recent(0.0)
     assert outage.age_ms(0.0) == -1
-    outage.heard(-1, 0.0)
+    outage.peer_reported(-1, 0.0)
     assert not outage.recent(0.0)
-    outage.heard(500, 1.0)
+    outage.peer_reported(500, 1.0)
     assert outage.recent(1.0)
     assert outage.age_ms(1.5) == 1000
-    outage.heard(2000, 1.5)
+    outage.peer_reported(2000, 1.5)
     assert outage.age_ms(1.5) == 1000
     assert not outage.recent(1.0 + RECENT_S)
 
--- a/tests/test_entry_fleet.py
+++ b/tests/test_entry_fleet.py
@@ -91,8 +91,8 @@
     t0, t1 = target("t0"), target("t1")
     for t in (t0, t1):
         fleet.of(t, 0.0)
-    fleet.hear("p", {"t0": 2, "t1": 1, "unknown": 5}, 0.0)
-    fleet.hear("p", {"t1": 3}, 0.1)
+    fleet.receive("p", {"t0": 2, "t1": 1, "unknown": 5}, 0.0)
+    fleet.receive("p", {"t1": 3}, 0.1)
     assert [fleet.of(t, 0.1).load(0.1) for t in (t0, t1)] == [0, 3]
 
 
--- a/tests/test_entry_membership.py
+++ b/tests/test_entry_membership.py
@@ -36,7 +36,7 @@
     )
 
 
-def hear(
+def receive(
     r: Membership,
     name: str,
     now: float,
@@ -59,40 +59,40 @@
     r.found({"x": pack(member("a1-1")), "bad": b"\xff"}, 0.0)
     assert r.everyone() == ["g/a1-1"]
     assert r.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
-    hear(r, "a1-1", 0.1)
+    receive(r, "a1-1", 0.1)
     assert r.addresses("a", "a1", SERVING, 0.2) == ["f/a1-0", "f/a1-1"]
 
 
 def test_a_silent_entry_is_not_named() -> None:
     r = membership()
-    hear(r, "a1-1", 0.0)
+    receive(r, "a1-1", 0.0)
     late = SILENCE_S + 0.1
     assert r.addresses("a", "a1", SERVING, late) == ["f/a1-0"]
 
 
 def test_a_leaving_or_starting_entry_is_not_named() -> None:
     r = membership()
-    hear(r, "a1-1", 0.0, LEAVING)
-    hear(r, "a1-2", 0.0, STARTING)
+    receive(r, "a1-1", 0.0, LEAVING)
+    receive(r, "a1-2", 0.0, STARTING)
     assert r.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
     assert r.addresses("a", "a1", LEAVING, 0.0) == ["f/a1-0"]
-    hear(r, "a1-3", 0.0)
+    receive(r, "a1-3", 0.0)
     assert r.addresses("a", "a1", LEAVING, 0.0) == ["f/a1-3"]
 
 
 def test_an_old_life_says_nothing_about_a_new_one() -> None:
     r = membership()
-    hear(r, "a1-1", 0.0, incarnation=2)
-    assert not hear(r, "a1-1", 0.1, LEAVING, incarnation=1)
+    receive(r, "a1-1", 0.0, incarnation=2)
+    assert not receive(r, "a1-1", 0.1, LEAVING, incarnation=1)
     assert r.addresses("a", "a1", SERVING, 0.1) == ["f/a1-0", "f/a1-1"]
 
 
 def test_an_entry_whose_clock_was_set_back_is_heard_again() -> None:
     """Its new life has the lower incarnation; the old one speaks no more."""
     r = membership()
-    hear(r, "a1-1", 0.0, incarnation=9)
-    assert not hear(r, "a1-1", 0.2, incarnation=3)
-    hear(r, "a1-1", OLD_LIFE_S + 0.1, incarnation=3)
+    receive(r, "a1-1", 0.0, incarnation=9)
+    assert not receive(r, "a1-1", 0.2, incarnation=3)
+    receive(r, "a1-1", OLD_LIFE_S + 0.1, incarnation=3)
     now = OLD_LIFE_S + 0.2
     assert r.addresses("a", "a1", SERVING, now) == ["f/a1-0", "f/a1-1"]
     r.found({"x": pack(member("a1-1", 9))}, now)
@@ -102,14 +102,14 @@
 def test_a_domain_with_one_entry_is_helped_by_its_region() -> None:
     r = membership()
     for name in ("a2-0", "a2-1", "b1-0"):
-        hear(r, name, 0.0)
+        receive(r, name, 0.0)
     assert r.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0", "f/a2-0", "f/a2-1"]
     assert r.addresses("a", "a2", SERVING, 0.0) == ["f/a2-0", "f/a2-1"]
 
 
 def test_another_region_is_named_only_when_the_clients_has_none() -> None:
     r = membership()
-    hear(r, "b1-0", 0.0)
+    receive(r, "b1-0", 0.0)
     assert r.addresses("b", "b1", SERVING, 0.0) == ["f/b1-0"]
     assert r.addresses("b", "b1", SERVING, 9.0) == ["f/a1-0"]
 
@@ -119,13 +119,13 @@
     views = {n: membership(n) for n in names}
     for r in views.values():
         for n in names:
-            hear(r, n, 0.0)
+            receive(r, n, 0.0)
     elected = [n for n, r in views.items() if r.elected(2, 0.0)]
     assert len(elected) == 2
     for n, r in views.items():
         for other in names:
             if other not in elected and other != n:
-                hear(r, other, 5.0)
+                receive(r, other, 5.0)
     again = [n for n, r in views.items() if n not in elected and r.elected(2, 5.0)]
     assert len(again) == 2
 
@@ -146,7 +146,7 @@
     views = [Membership(m, Random(m.name)) for m in members]
     for r in views:
         for m in members:
-            hear(r, m.name, now, link_mbps=m.link_mbps)
+            receive(r, m.name, now, link_mbps=m.link_mbps)
     return views
 
 
@@ -172,7 +172,7 @@
     members = links(20)
     r = Membership(members[9], Random(1))
     for m in members:
-        hear(r, m.name, 0.0, link_mbps=m.link_mbps)
+        receive(r, m.name, 0.0, link_mbps=m.link_mbps)
     first, second = (m.name for m in r.aggregators("a1", 0.0))
     late = AGGREGATOR_SILENCE_S + 0.1
     r.digest_came(second, late)
@@ -190,7 +190,7 @@
     members = links(2)
     r = Membership(members[1], Random(1))
     for now in (0.0, AGGREGATOR_SILENCE_S + 0.1, AGGREGATOR_RETRY_S + 0.1):
-        hear(r, "a1-0", now, link_mbps=200)
+        receive(r, "a1-0", now, link_mbps=200)
         r.aggregators("a1", now)
     now = AGGREGATOR_RETRY_S + 0.1
     assert "a1-0" in [m.name for m in r.aggregators("a1", now)]
@@ -199,7 +199,7 @@
 def test_a_domain_that_is_cut_off_is_tried_until_it_is_heard() -> None:
     r = membership()
     for i in range(5):
-        hear(r, f"b1-{i}", 0.0)
+        receive(r, f"b1-{i}", 0.0)
     late = FAR_SILENCE_S + 1.0
     assert r.aggregators("b1", late) == []
     assert 0 < len(r.to_tell("b1", late)) <= 2 * AGGREGATORS + 1
@@ -207,8 +207,8 @@
 
 def test_far_entries_are_given_more_time_than_near_ones() -> None:
     r = membership()
-    hear(r, "a1-1", 0.0)
-    hear(r, "b1-1", 0.0)
+    receive(r, "a1-1", 0.0)
+    receive(r, "b1-1", 0.0)
     later = SILENCE_S + 0.1
     assert [m.name for m in r.live(later)] == ["b1-1"]
     assert r.live(FAR_SILENCE_S + 0.1) == []
@@ -219,13 +219,13 @@
     members = [member(f"a1-{i}") for i in range(195)]
     r = Membership(members[0], Random(1))
     for m in members:
-        hear(r, m.name, 0.0)
+        receive(r, m.name, 0.0)
     assert r.addresses("a", "a1", SERVING, SILENCE_S + 0.2) == ["f/a1-0"]
 
 
 def test_who_is_found_and_lost_is_logged_once() -> None:
     r = membership()
-    hear(r, "a1-1", 0.0)
+    receive(r, "a1-1", 0.0)
     assert r.changes(0.1) == [("a1-1", "heard", 0.0)]
     assert r.changes(0.2) == []
     assert r.changes(5.0) == [("a1-1", "silent", 5.0)]
@@ -279,6 +279,6 @@
     now = 0.0
     for incarnation in incarnations:
         now += 0.2
-        hear(r, "a1-1", now, incarnation=5)
-        hear(r, "a1-1", now, LEAVING, incarnation=incarnation)
+        receive(r, "a1-1", now, incarnation=5)
+        receive(r, "a1-1", now, LEAVING, incarnation=incarnation)
         assert "f/a1-1" in r.addresses("a", "a1", SERVING, now)
--- a/tests/test_entry_placement.py
+++ b/tests/test_entry_placement.py
@@ -93,7 +93,7 @@
     assert isinstance(desk.place("k"), Rejection)
     other = SharedWarmth()
     other.note(second, "k", desk.now)
-    desk.placement.shared_warmth.hear(other.recent(1.0, desk.now), desk.now)
+    desk.placement.shared_warmth.receive(other.recent(1.0, desk.now), desk.now)
     assert desk.name("k") == second.name
 
 
--- a/tests/test_entry_warmth.py
+++ b/tests/test_entry_warmth.py
@@ -66,7 +66,7 @@
     mine, other = SharedWarmth(), SharedWarmth()
     one = target("t")
     mine.note(one, "k", 10.0)
-    other.hear(mine.recent(0.4, 10.2), 10.2)
+    other.receive(mine.recent(0.4, 10.2), 10.2)
     assert other.warm(one, "k", since=0.0, now=11.0)
     assert not other.warm(one, "another", since=0.0, now=11.0)
     assert not other.warm(one, "k", since=10.5, now=11.0), "it was emptied since"
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -68,9 +68,9 @@
 def test_what_others_used_counts() -> None:
     quotas = Quotas(BOUNDS, Random(1), 100.0, first_start=True)
     quotas.entries = 2
-    quotas.hear(OthersUse({"ward": 70}, 0.0, 5.0, 0.0), 100.0)
+    quotas.receive(OthersUse({"ward": 70}, 0.0, 5.0, 0.0), 100.0)
     assert admitted(quotas, 200, 100.0) <= 4
-    quotas.hear(OthersUse({"ward": 90}, 0.0, 5.0, 0.0), 101.0)
+    quotas.receive(OthersUse({"ward": 90}, 0.0, 5.0, 0.0), 101.0)
     assert admitted(quotas, 200, 101.0) == 0
 
 
@@ -99,7 +99,7 @@
     assert so_far < BOUNDS.planned(WARD) * 2.6 / 5 + 10
     later = Quotas(BOUNDS, Random(1), 100.0, first_start=False)
     later.entries = 2
-    later.hear(OthersUse({}, 0.0, 30.0, 0.0), 100.1)
+    later.receive(OthersUse({}, 0.0, 30.0, 0.0), 100.1)
     assert admitted(later, 200, 100.1) > at_once
 
 
@@ -108,7 +108,7 @@
     quotas.entries = 10
     assert admitted(quotas, 4, 100.0) == 4
     quotas.report(100.0)
-    quotas.hear(OthersUse({"ward": 36}, 0.0, 5.0, 0.0), 100.0)
+    quotas.receive(OthersUse({"ward": 36}, 0.0, 5.0, 0.0), 100.0)
     took = admitted(quotas, 200, 100.0 + 5.2)
     times = stretch(BOUNDS.planned(WARD), 40)
     assert 4 <= took <= 4 * times + 1
@@ -119,9 +119,9 @@
     """An entry that has just started knows of few others at first."""
     quotas = Quotas(BOUNDS, Random(1), 100.0, first_start=True)
     quotas.entries = 3
-    quotas.hear(OthersUse({}, 0.0, 5.0, 0.0, silent=1), 100.0)
+    quotas.receive(OthersUse({}, 0.0, 5.0, 0.0, silent=1), 100.0)
     quotas.entries = 1
-    quotas.hear(OthersUse({}, 0.0, 5.0, 0.0, silent=50), 100.0)
+    quotas.receive(OthersUse({}, 0.0, 5.0, 0.0, silent=50), 100.0)
     assert admitted(quotas, 10, 100.1) == 10
 
 
@@ -189,7 +189,7 @@
                 others = sum(self._known(n) for n in range(self.ENTRIES) if n != number)
                 silent = len(self.cut)
                 told = OthersUse({"ward": others}, 0.0, 5.0, 0.0, silent)
-                quotas.hear(told, self.now)
+                quotas.receive(told, self.now)
 
     def _known(self, number: int) -> int:
         """Return what all know of an entry: late, and reserved while it is cut off."""
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -197,18 +197,18 @@
 
 def test_work_stays_at_home_while_the_wait_is_short() -> None:
     s = scheduler(view(target(0)))
-    s.neighbours.hear([neighbour("near", 4)], 0.0)
+    s.neighbours.receive([neighbour("near", 4)], 0.0)
     fill(s)
     assert s.offer(job(), 0.0) is None
 
 
 def test_work_goes_to_the_nearest_region_with_room_when_home_is_out() -> None:
     s = scheduler(view(target(0), Drain(name="d", region="home")))
-    s.neighbours.hear([neighbour("near", 0), neighbour("far", 4)], 0.0)
+    s.neighbours.receive([neighbour("near", 0), neighbour("far", 4)], 0.0)
     made = s.offer(job(), 0.0)
     assert isinstance(made, Forward)
     assert made.region == "far"
-    s.neighbours.hear([neighbour("near", 4, seq=2)], 0.0)
+    s.neighbours.receive([neighbour("near", 4, seq=2)], 0.0)
     made = s.offer(job(), 0.0)
     assert isinstance(made, Forward)
     assert made.region == "near"
@@ -226,7 +226,7 @@
         slots=2,
     )
     s.view = view(target(0), away, Drain(name="d", region="home"), cap)
-    s.neighbours.hear([neighbour("near", 4, caps=1)], 0.0)
+    s.neighbours.receive([neighbour("near", 4, caps=1)], 0.0)
     assert isinstance(s.offer(job(), 0.0), Forward)
     assert s.offer(job(), 0.0) is None
 
@@ -248,7 +248,7 @@
 
 def test_a_silent_gate_is_not_used() -> None:
     s = scheduler(view(target(0), Drain(name="d", region="home")))
-    s.neighbours.hear([neighbour("near", 4)], 0.0)
+    s.neighbours.receive([neighbour("near", 4)], 0.0)
     assert s.usable_gates(1.0)
     assert not s.usable_gates(2.0)
 
@@ -308,6 +308,6 @@
         s.offer(job(FREE), 0.0)
     crowded = neighbour("home", 0)
     loads = {"s": Load(2, 0, 300, 20.0)}
-    s.neighbours.hear([msgspec.structs.replace(crowded, loads=loads)], 0.0)
+    s.neighbours.receive([msgspec.structs.replace(crowded, loads=loads)], 0.0)
     assert isinstance(s.offer(job(FREE, deadline=1.0), 0.0), Refuse)
     assert s.offer(job(PAID, deadline=1.0), 0.0) is None
