--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -16,8 +16,8 @@
 from leverdoor.agent.planning import Planner
 from leverdoor.agent.probing import Prober
 from leverdoor.agent.reports import Reporter
-from leverdoor.daemon import keep_running
 from leverdoor.errors import LeverdoorError
+from leverdoor.lifecycle import keep_running
 from leverdoor.membership.gossip import GossipSocket
 from leverdoor.membership.peers import AgentHeartbeat, Gossip, Peers
 from leverdoor.metrics import AgentMetrics
--- a/leverdoor/commands/daemons.py
+++ b/leverdoor/commands/daemons.py
@@ -4,7 +4,7 @@
 
 import click
 
-from leverdoor.daemon import run_daemon
+from leverdoor.lifecycle import run_daemon
 from leverdoor.logs import setup_logs
 from leverdoor.options import ADDRESS, setting
 from leverdoor.settings import Address, AgentSettings, GateSettings
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -9,7 +9,6 @@
 
 from aiohttp import web
 
-from leverdoor.daemon import keep_running
 from leverdoor.entry.admin import AdminServer
 from leverdoor.entry.bounds import (
     MOVED_SHARE,
@@ -40,6 +39,7 @@
 from leverdoor.entry.settings import EntrySettings, reload_settings
 from leverdoor.entry.shutdown import STOP_POLL_S, finish
 from leverdoor.entry.wire import Wire
+from leverdoor.lifecycle import keep_running
 from leverdoor.model.resources import Target
 from leverdoor.retry_budget import RetryBudget
 from leverdoor.settings import Address
--- a/leverdoor/gate/daemon.py
+++ b/leverdoor/gate/daemon.py
@@ -12,7 +12,6 @@
 from loguru import logger
 
 from leverdoor.agent.link import GateLink, GateReport, Hints
-from leverdoor.daemon import keep_running
 from leverdoor.gate.dispatch import Dispatcher
 from leverdoor.gate.handler import MAX_HEADER_BYTES, GateHandler
 from leverdoor.gate.holdings import Holdings
@@ -21,6 +20,7 @@
 from leverdoor.gate.relay import HopClient
 from leverdoor.gate.scheduler import Scheduler
 from leverdoor.gate.serving import Server
+from leverdoor.lifecycle import keep_running
 from leverdoor.membership.peers import GateState
 from leverdoor.metrics import GateMetrics
 from leverdoor.model.burn import BurnMeter
--- a/leverdoor/platform/program.py
+++ b/leverdoor/platform/program.py
@@ -6,10 +6,10 @@
 import sys
 from pathlib import Path
 
-from leverdoor.daemon import run_daemon
 from leverdoor.entry.daemon import Entry
 from leverdoor.entry.events import Events, LineWriter
 from leverdoor.errors import SettingsError, code_info
+from leverdoor.lifecycle import run_daemon
 from leverdoor.logs import setup_logs
 from leverdoor.platform.names import wire
 from leverdoor.platform.settings import PlatformSettings, parse_settings
--- a/leverdoor/standins/cli.py
+++ b/leverdoor/standins/cli.py
@@ -6,7 +6,7 @@
 
 import click
 
-from leverdoor.daemon import serve_apps
+from leverdoor.lifecycle import serve_apps
 from leverdoor.options import ADDRESS
 from leverdoor.settings import Address
 from leverdoor.standins.kv import KvStandin
--- a/tests/test_daemon.py
+++ b/tests/test_lifecycle.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from leverdoor import daemon
+from leverdoor import lifecycle
 
 
 async def test_a_loop_that_fails_starts_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(daemon, "RESTART_S", 0.0)
+    monkeypatch.setattr(lifecycle, "RESTART_S", 0.0)
     starts = 0
 
     async def work() -> None:
@@ -23,12 +23,12 @@
         if starts < 3:
             raise ValueError("fault")
 
-    await daemon.keep_running("work", work)
+    await lifecycle.keep_running("work", work)
     assert starts == 3
 
 
 async def test_a_loop_can_be_cancelled() -> None:
-    task = asyncio.create_task(daemon.keep_running("wait", asyncio.Event().wait))  # type: ignore[arg-type]
+    task = asyncio.create_task(lifecycle.keep_running("wait", asyncio.Event().wait))  # type: ignore[arg-type]
     await asyncio.sleep(0)
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
@@ -58,7 +58,7 @@
 async def test_a_file_that_changes_without_a_signal_is_noticed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(daemon, "SETTINGS_POLL_S", 0.01)
+    monkeypatch.setattr(lifecycle, "SETTINGS_POLL_S", 0.01)
     settings = tmp_path / "settings"
     settings.write_text("1")
     seen: list[str] = []
@@ -68,7 +68,7 @@
         seen.append(settings.read_text())
         told.set()
 
-    task = asyncio.create_task(daemon.call_on_change(settings, take))
+    task = asyncio.create_task(lifecycle.call_on_change(settings, take))
     await asyncio.sleep(0.05)
     assert seen == []
     settings.unlink()
