--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -25,9 +25,10 @@
     run_queue,
     run_simple,
 )
+from leverdoor.errors import Rejection
 from leverdoor.gate.holdings import Holdings
 from leverdoor.gate.queueing import QueuedRequest
-from leverdoor.gate.scheduler import Dispatch, Forward, Refuse, Scheduler
+from leverdoor.gate.scheduler import Dispatch, Forward, Scheduler
 from leverdoor.membership import ownership
 from leverdoor.membership.ownership import Ack, GateProcess, Table, plan
 from leverdoor.membership.peers import AgentHeartbeat, GateState
@@ -90,7 +91,7 @@
         decision: object,
         answer: Callable[[bool], None],
     ) -> None:
-        if isinstance(decision, Refuse):
+        if isinstance(decision, Rejection):
             answer(False)
         elif isinstance(decision, Dispatch):
             made = decision
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -30,12 +30,11 @@
 from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementRequest,
-    Rejection,
 )
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.retries import may_retry
 from leverdoor.entry.wire import TargetLoad
-from leverdoor.errors import Code, Refusal
+from leverdoor.errors import Code, Refusal, Rejection
 from leverdoor.retry_budget import RetryBudget
 
 __all__ = ["EmulatedEntry", "EmulatedReply", "EmulatedRequest"]
@@ -173,10 +172,7 @@
     ) -> None:
         decision = self._policy.place(work.request, self._clock.now)
         if isinstance(decision, Rejection):
-            refusal = Refusal(
-                decision.code, decision.reason, retry_after_ms=decision.retry_after_ms
-            )
-            reply(EmulatedReply(lost or refusal))
+            reply(EmulatedReply(lost or decision.refusal()))
             return
         work.request.tried.add(decision.target.name)
         sending = _Sending(self, work, attempt, lost, decision, reply)
--- a/leverdoor/entry/placement/placement_request.py
+++ b/leverdoor/entry/placement/placement_request.py
@@ -4,10 +4,9 @@
 
 import msgspec
 
-from leverdoor.errors import Code
 from leverdoor.model.resources import Route, Target, Workspace
 
-__all__ = ["Placement", "PlacementRequest", "Rejection"]
+__all__ = ["Placement", "PlacementRequest"]
 
 
 class PlacementRequest(msgspec.Struct):
@@ -61,11 +60,3 @@
     load_age_ms: int
     """Age of the newest report or heartbeat about the load; -1 if there is none."""
     reason: str
-
-
-class Rejection(msgspec.Struct, frozen=True):
-    """Refuse it now; it was not run."""
-
-    code: Code
-    retry_after_ms: int
-    reason: str
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -12,14 +12,13 @@
 from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementRequest,
-    Rejection,
 )
 from leverdoor.entry.placement.sharing import NO_SLOTS, ShareBook
 from leverdoor.entry.placement.spill import MOVE_PER_S
 from leverdoor.entry.placement.times import SizeBook
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
 from leverdoor.entry.placement.warmth import SharedWarmth
-from leverdoor.errors import Code
+from leverdoor.errors import Code, Rejection
 from leverdoor.model.resources import Route, Target
 
 __all__ = ["PlacementPolicy"]
--- a/leverdoor/entry/requests/forwarding.py
+++ b/leverdoor/entry/requests/forwarding.py
@@ -12,14 +12,13 @@
 from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementRequest,
-    Rejection,
 )
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.connection import AnswerLost, NotSent, TargetReply
 from leverdoor.entry.requests.connections import Connections, Outgoing
 from leverdoor.entry.requests.retries import may_retry
 from leverdoor.entry.wire import Wire
-from leverdoor.errors import Code, Refusal, Run
+from leverdoor.errors import Code, Refusal, Rejection, Run
 from leverdoor.retry_budget import RetryBudget
 from leverdoor.workspaces.quota import Quotas
 
@@ -118,10 +117,7 @@
         request = incoming.request
         decision = self._policy.place(request, loop.time())
         if isinstance(decision, Rejection):
-            refusal = Refusal(
-                decision.code, decision.reason, retry_after_ms=decision.retry_after_ms
-            )
-            raise _Failed(refusal, placed=False, arrived=False)
+            raise _Failed(decision.refusal(), placed=False, arrived=False)
         request.tried.add(decision.target.name)
         began = loop.time()
         outcome = "cancelled"
--- a/leverdoor/errors.py
+++ b/leverdoor/errors.py
@@ -12,6 +12,7 @@
     "LeverdoorError",
     "Problem",
     "Refusal",
+    "Rejection",
     "Run",
     "SettingsError",
     "StoreUnavailable",
@@ -293,6 +294,20 @@
         super().__init__(code, detail, retry_after_ms=retry_after_ms)
 
 
+class Rejection(msgspec.Struct, frozen=True):
+    """The decision not to serve a request, made before anything was sent."""
+
+    code: Code
+    retry_after_ms: int
+    """When the caller should come back, in milliseconds."""
+    reason: str = ""
+    """What left no room, for the log; the code's meaning if empty."""
+
+    def refusal(self) -> Refusal:
+        """Return the error that carries the decision to the caller."""
+        return Refusal(self.code, self.reason, retry_after_ms=self.retry_after_ms)
+
+
 class StoreUnavailable(LeverdoorError):
     """The store did not take the call; nothing was written."""
 
--- a/leverdoor/gate/dispatch.py
+++ b/leverdoor/gate/dispatch.py
@@ -5,9 +5,9 @@
 import asyncio
 import contextlib
 
-from leverdoor.errors import Code
+from leverdoor.errors import Code, Rejection
 from leverdoor.gate.queueing import QueuedRequest
-from leverdoor.gate.scheduler import Decision, Dispatch, Refuse, Scheduler
+from leverdoor.gate.scheduler import Decision, Dispatch, Scheduler
 
 __all__ = ["Dispatcher"]
 
@@ -54,7 +54,7 @@
 
     def _offer(self, job: QueuedRequest, now: float) -> Decision | None:
         decision = self.scheduler.offer(job, now)
-        if not isinstance(decision, Refuse) or decision.code is not Code.QUEUE_FULL:
+        if not isinstance(decision, Rejection) or decision.code is not Code.QUEUE_FULL:
             return decision
         victim = self.scheduler.evictable(job)
         if victim is None:
--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from leverdoor.errors import Code
+from leverdoor.errors import Code, Rejection
 from leverdoor.gate.holdings import Holdings
 from leverdoor.gate.neighbours import Neighbours, RegionLoad
 from leverdoor.gate.pool import TargetPool
@@ -19,7 +19,7 @@
 from leverdoor.model.targets import ASSUMED_MS, TargetBook
 from leverdoor.storage.view import View
 
-__all__ = ["Decision", "Dispatch", "Forward", "Refuse", "Scheduler"]
+__all__ = ["Decision", "Dispatch", "Forward", "Scheduler"]
 
 MIN_RETRY_MS = 50
 """Least time after which to come back, in ms; chosen."""
@@ -47,14 +47,7 @@
     region: str
 
 
-class Refuse(msgspec.Struct, frozen=True):
-    """Give up on it now; it was not run."""
-
-    code: Code
-    retry_after_ms: int
-
-
-Decision: TypeAlias = Dispatch | Forward | Refuse
+Decision: TypeAlias = Dispatch | Forward | Rejection
 
 
 class Scheduler:
@@ -137,7 +130,7 @@
         """
         service = self.view.services.get(job.service)
         if service is None:
-            return Refuse(Code.UNKNOWN_SERVICE, 0)
+            return Rejection(Code.UNKNOWN_SERVICE, 0)
         if now >= job.deadline:
             return self._refuse(Code.DEADLINE_TOO_SHORT, job, now)
         queue = self._queues.setdefault(job.service, WaitQueue())
@@ -189,7 +182,7 @@
         queue = self._queues.get(job.service)
         return None if queue is None or job.bulk else queue.lowest(job.tier)
 
-    def evict(self, job: QueuedRequest, now: float) -> Refuse | None:
+    def evict(self, job: QueuedRequest, now: float) -> Rejection | None:
         """Refuse a waiting job to make way for a higher tier."""
         if not self._queues[job.service].remove(job):
             return None
@@ -371,7 +364,7 @@
             return None
         return Forward(found.heartbeat.vm, found.heartbeat.relay, region)
 
-    def _refuse(self, code: Code, job: QueuedRequest, now: float) -> Refuse:
+    def _refuse(self, code: Code, job: QueuedRequest, now: float) -> Rejection:
         """Refuse with when to come back, spread so callers don't return together."""
         wait_ms = self.expected_wait_ms(job, now)
         if code is Code.CAP_REACHED:
@@ -380,4 +373,4 @@
         if code is Code.NO_TARGET:
             wait_ms = max(wait_ms, 1_000.0)
         spread = wait_ms * (1 + self._rng.random()) + MIN_RETRY_MS * self._rng.random()
-        return Refuse(code, int(min(max(spread, MIN_RETRY_MS), MAX_RETRY_MS)))
+        return Rejection(code, int(min(max(spread, MIN_RETRY_MS), MAX_RETRY_MS)))
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from leverdoor import headers as h
-from leverdoor.errors import Code, Refusal, Run
+from leverdoor.errors import Code, Refusal, Rejection, Run
 from leverdoor.gate.dispatch import Dispatcher
 from leverdoor.gate.queueing import QueuedRequest
 from leverdoor.gate.relay import (
@@ -21,7 +21,7 @@
     HopClient,
     refusal_of,
 )
-from leverdoor.gate.scheduler import Dispatch, Forward, Refuse
+from leverdoor.gate.scheduler import Dispatch, Forward
 from leverdoor.model.resources import Service, WorkClass
 from leverdoor.retry_budget import RetryBudget
 
@@ -154,15 +154,15 @@
             attempt += 1
             decision = await self._dispatcher.place(inbound.job)
             try:
-                if isinstance(decision, Refuse):
-                    raise Refusal(decision.code, retry_after_ms=decision.retry_after_ms)
+                if isinstance(decision, Rejection):
+                    raise decision.refusal()
                 if isinstance(decision, Dispatch):
                     return await self._to_target(inbound, decision)
                 return await self._to_gate(inbound, decision)
             except Refusal as e:
                 if e.run is not Run.NO:
                     lost = e
-                ended = isinstance(decision, Refuse) or attempt >= MAX_ATTEMPTS
+                ended = isinstance(decision, Rejection) or attempt >= MAX_ATTEMPTS
                 if ended or not self._again(inbound, e):
                     raise lost or e from None
                 logger.info(
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -9,9 +9,9 @@
 from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementRequest,
-    Rejection,
 )
 from leverdoor.entry.placement.policy import PlacementPolicy
+from leverdoor.errors import Rejection
 from leverdoor.model.resources import (
     Region,
     Resource,
--- a/tests/test_entry_placement.py
+++ b/tests/test_entry_placement.py
@@ -6,9 +6,9 @@
 
 from desk import ROUTE, SLOTS, Desk, target
 from leverdoor.entry.placement.affinity import Ranking
-from leverdoor.entry.placement.placement_request import Placement, Rejection
+from leverdoor.entry.placement.placement_request import Placement
 from leverdoor.entry.placement.warmth import SharedWarmth
-from leverdoor.errors import Code
+from leverdoor.errors import Code, Rejection
 from leverdoor.model.resources import Drain, Resource, Route, WorkClass
 
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -7,11 +7,11 @@
 import msgspec
 import pytest
 
-from leverdoor.errors import Code
+from leverdoor.errors import Code, Rejection
 from leverdoor.gate.holdings import Holdings
 from leverdoor.gate.queueing import QueuedRequest, WaitQueue
 from leverdoor.gate.ramp import Ramp
-from leverdoor.gate.scheduler import Dispatch, Forward, Refuse, Scheduler
+from leverdoor.gate.scheduler import Dispatch, Forward, Scheduler
 from leverdoor.membership.ownership import GateProcess, Table, plan
 from leverdoor.membership.peers import AgentHeartbeat, GateState, Load
 from leverdoor.model.blocks import BlockMap
@@ -137,7 +137,7 @@
     assert [s.offer(j, 0.0) for j in low] == [None, None]
     paid = job(PAID)
     refused = s.offer(paid, 0.0)
-    assert isinstance(refused, Refuse)
+    assert isinstance(refused, Rejection)
     assert refused.code is Code.QUEUE_FULL
     victim = s.evictable(paid)
     assert victim is low[1]
@@ -156,7 +156,7 @@
     fill(s)
     assert s.offer(job(deadline=2.0), 0.0) is None
     refused = s.offer(job(deadline=0.3), 0.0)
-    assert isinstance(refused, Refuse)
+    assert isinstance(refused, Rejection)
     assert refused.code is Code.DEADLINE_TOO_SHORT
     assert refused.retry_after_ms > 0
 
@@ -168,7 +168,7 @@
     assert s.offer(j, 0.0) is None
     made = s.poll(1.0)
     assert made[0][0] is j
-    assert isinstance(made[0][1], Refuse)
+    assert isinstance(made[0][1], Rejection)
 
 
 def test_hints_to_come_back_are_spread() -> None:
@@ -177,7 +177,7 @@
     hints = set()
     for _ in range(20):
         refused = s.offer(job(), 0.0)
-        assert isinstance(refused, Refuse)
+        assert isinstance(refused, Rejection)
         hints.add(refused.retry_after_ms)
     assert len(hints) > 5
 
@@ -242,7 +242,7 @@
     assert made.cap
     s.done(first, made, 0.2, 200.0, True, 0.0)
     again = QueuedRequest("s", FREE, "near", 0.0, 9.0, forwarded=True)
-    assert isinstance(s.offer(again, 1.1), Refuse)
+    assert isinstance(s.offer(again, 1.1), Rejection)
     assert isinstance(s.offer(again, 1.3), Dispatch)
 
 
@@ -309,5 +309,5 @@
     crowded = neighbour("home", 0)
     loads = {"s": Load(2, 0, 300, 20.0)}
     s.neighbours.receive([msgspec.structs.replace(crowded, loads=loads)], 0.0)
-    assert isinstance(s.offer(job(FREE, deadline=1.0), 0.0), Refuse)
+    assert isinstance(s.offer(job(FREE, deadline=1.0), 0.0), Rejection)
     assert s.offer(job(PAID, deadline=1.0), 0.0) is None
