--- a/leverdoor/commands/daemons.py
+++ b/leverdoor/commands/daemons.py
@@ -1,6 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""`leverdoor gate` and `leverdoor agent`: the daemons of an entry VM."""
+"""`leverdoor gate` and `leverdoor agent`: the daemons of an entry VM on a plain site.
+
+Each option is a field of `GateSettings` or `AgentSettings` of the same name, except
+`--peer` (`seeds`) and `--log-level`. Owns no state; the daemons are imported only
+when they run, so that other commands start quickly.
+"""
+
+from typing import Any
 
 import click
 
@@ -32,19 +39,7 @@
 @setting("--leave-grace-s", type=click.FloatRange(0, 600), default=3.0)
 @level_setting
 @seed_setting
-def gate(
-    vm: str,
-    region: str,
-    domain: str,
-    listen: Address,
-    relay: Address,
-    relay_as: Address | None,
-    agent: Address,
-    lookup_ttl_ms: int,
-    leave_grace_s: float,
-    log_level: str,
-    seed: int,
-) -> None:
+def gate(log_level: str, **settings: Any) -> None:
     """Run the data path of an entry VM.
 
     SIGTERM makes it leave: it stops being named by look-ups, serves cached
@@ -52,23 +47,9 @@
     """
     from leverdoor.gate.daemon import Gate
 
-    setup_logs("gate", vm, log_level)
-    run_daemon(
-        Gate(
-            GateSettings(
-                vm=vm,
-                region=region,
-                domain=domain,
-                listen=listen,
-                relay=relay,
-                relay_as=relay_as,
-                agent=agent,
-                lookup_ttl_ms=lookup_ttl_ms,
-                leave_grace_s=leave_grace_s,
-                seed=seed,
-            )
-        )
-    )
+    checked = GateSettings(**settings)
+    setup_logs("gate", checked.vm, log_level)
+    run_daemon(Gate(checked))
 
 
 @click.command()
@@ -92,44 +73,10 @@
 @setting("--probe-interval-ms", type=click.IntRange(100, 60_000), default=1_000)
 @level_setting
 @seed_setting
-def agent(
-    vm: str,
-    region: str,
-    domain: str,
-    api: Address,
-    gossip: Address,
-    link: Address,
-    store: tuple[str, ...],
-    vm_list: str,
-    peer: tuple[Address, ...],
-    gossip_interval_ms: int,
-    vm_list_interval_ms: int,
-    vm_list_lag_ms: int,
-    probe_interval_ms: int,
-    log_level: str,
-    seed: int,
-) -> None:
+def agent(log_level: str, peer: tuple[Address, ...], **settings: Any) -> None:
     """Run the control path of an entry VM."""
     from leverdoor.agent.daemon import Agent
 
-    setup_logs("agent", vm, log_level)
-    run_daemon(
-        Agent(
-            AgentSettings(
-                vm=vm,
-                region=region,
-                domain=domain,
-                api=api,
-                gossip=gossip,
-                link=link,
-                store=store,
-                vm_list=vm_list,
-                seeds=peer,
-                gossip_interval_ms=gossip_interval_ms,
-                vm_list_interval_ms=vm_list_interval_ms,
-                vm_list_lag_ms=vm_list_lag_ms,
-                probe_interval_ms=probe_interval_ms,
-                seed=seed,
-            )
-        )
-    )
+    checked = AgentSettings(seeds=peer, **settings)
+    setup_logs("agent", checked.vm, log_level)
+    run_daemon(Agent(checked))
