--- a/leverdoor/codec.py
+++ b/leverdoor/codec.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""JSON towards people and the platform, MessagePack between processes."""
+"""JSON towards people and the platform, MessagePack between processes.
+
+The one place that encodes and decodes typed values; which types are sent stands
+beside the types. Owns no state.
+"""
 
 from typing import Any, TypeVar
 
--- a/leverdoor/commands/apply.py
+++ b/leverdoor/commands/apply.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""`leverdoor apply`: create or replace resources."""
+"""`leverdoor apply`: create or replace resources.
+
+More than one transaction's worth is sent in batches, each all or none. Owns no state.
+"""
 
 from collections.abc import Sequence
 from typing import BinaryIO
--- a/leverdoor/commands/drain.py
+++ b/leverdoor/commands/drain.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""`leverdoor drain` and `undrain`: take places out of service and back."""
+"""`leverdoor drain` and `undrain`: take places out of service and back.
+
+A drain is a resource; with --wait the command polls the report on drains until
+nothing is in flight there. Owns no state.
+"""
 
 import asyncio
 from collections.abc import Sequence
@@ -17,7 +21,8 @@
 __all__ = ["drain", "undrain"]
 
 POLL_S = 0.25
-"""Seconds between two looks at what is still in flight; chosen."""
+"""Seconds between two reads of what is still in flight; chosen: four calls a second of
+one operator, and a wait that ends soon after the drain."""
 WHAT = click.Choice(["region", "domain", "target", "vm"])
 
 
--- a/leverdoor/commands/experiment.py
+++ b/leverdoor/commands/experiment.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""`leverdoor experiment`: weigh policies on emulated sites."""
+"""`leverdoor experiment`: weigh policies on emulated sites.
+
+Thin: reads experiments (`emulator.plan`), plays them (`emulator.series`), prints rows
+(`emulator.results`). Owns no state.
+"""
 
 import sys
 from collections.abc import Callable, Sequence
--- a/leverdoor/commands/load.py
+++ b/leverdoor/commands/load.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""`leverdoor load`: send a load and check every answer."""
+"""`leverdoor load`: send a load to gates and check every answer (`client.load`)."""
 
 import asyncio
 import sys
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -230,8 +230,8 @@
             rng,
             prefix="",
             longest_backoff_s=STORE_BACKOFF_S,
-            tell=self._take_store,
-            answered=self._keeper.store_answered,
+            on_change=self._take_store,
+            on_answer=self._keeper.store_answered,
         )
         self._registration = Registration(
             self._store,
--- a/leverdoor/errors.py
+++ b/leverdoor/errors.py
@@ -1,6 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Numbered result codes and the errors that carry them."""
+"""Numbered result codes, and the errors and decisions that carry them.
+
+The table here is the only one: HTTP status, whether the request ran, exit status and
+meaning of each code; docs/ERRORS.md is checked against it. `Refusal` is raised where
+a request is given up, `Rejection` is what a pure decision returns instead of a place.
+Owns no state.
+"""
 
 from enum import IntEnum, StrEnum
 
@@ -86,8 +92,13 @@
 
 
 COME_BACK_STATUSES = frozenset({408, 429, 503})
+"""HTTP statuses after which the same request may succeed later."""
 SOON_MS = 100
-"""When to come back where nothing better is known, in ms; chosen."""
+"""When to come back where the rule that refused gives no time, in ms.
+
+Chosen: without any time a caller that was told "not run" would come back at once;
+longer would hold up a request that needs only another entry.
+"""
 
 _TABLE: dict[Code, CodeInfo] = {
     Code.OK: CodeInfo(200, Run.YES, 0, "Done."),
--- a/leverdoor/headers.py
+++ b/leverdoor/headers.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""HTTP headers: leverdoor's own names, and what may pass a hop."""
+"""HTTP headers: leverdoor's own names on plain sites, and what may pass a hop.
+
+The names towards callers and targets of the users' platform stand in
+`leverdoor.platform.names`. Owns no state.
+"""
 
 from collections.abc import Iterable, Mapping
 
--- a/leverdoor/lifecycle.py
+++ b/leverdoor/lifecycle.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Runs one daemon on one loop until a signal asks it to stop."""
+"""Runs one daemon on one loop until a signal asks it to stop.
+
+Every daemon (agent, gate, entry, stand-ins) starts here: signals, the restart of a
+loop that failed, and the look at a settings file that changed. Owns the signal
+handlers of the process; relies on `leverdoor.signals` for what came earlier.
+"""
 
 import asyncio
 import signal
@@ -17,19 +22,26 @@
 __all__ = ["Daemon", "call_on_change", "keep_running", "run_daemon", "serve_apps"]
 
 RESTART_S = 1.0
-"""Pause before a loop that failed is run again, in seconds; chosen."""
+"""Pause before a loop that failed is run again, in seconds.
+
+Chosen: without it a loop that fails at once would take the whole core; a longer one
+leaves heartbeats or the store's watch off for that long.
+"""
 SETTINGS_POLL_S = 2.0
-"""Seconds between two looks at the settings file; chosen, below its 2.5 s bound."""
+"""Seconds between two looks at the settings file.
+
+Chosen below the 2.5 s within which a changed setting must be used; one `stat` a look.
+"""
 
 
 class Daemon(Protocol):
-    """What can be run and asked to stop."""
+    """A program that runs until it is stopped."""
 
     async def run(self) -> None:
         """Run until stopped."""
 
     def stop(self) -> None:
-        """Ask it to end."""
+        """Begin the stop; `run` returns when it is complete."""
 
 
 def run_daemon(
@@ -42,15 +54,15 @@
 
     Args:
       daemon: what to run.
-      reload: called at SIGHUP, which is passed over if it is None.
-      early: knows whether the signal came before; then it is called as well.
-      settings: a file that may change without a signal; then it is called as well.
+      reload: called at SIGHUP; None ignores the signal.
+      early: notes a SIGHUP that came before the loop; `reload` is called for it.
+      settings: a file; `reload` is called when it changes without a signal.
     """
     asyncio.run(_run(daemon, reload or _pass_over, early, settings))
 
 
 def _pass_over() -> None:
-    """Do nothing at a signal that would else end the process."""
+    """Do nothing at SIGHUP, which by default would end the process."""
 
 
 async def keep_running(name: str, work: Callable[[], Awaitable[None]]) -> None:
@@ -139,7 +151,7 @@
             await runner.cleanup()
 
     def stop(self) -> None:
-        """Ask it to end."""
+        """Begin the stop."""
         self._stop.set()
 
 
--- a/leverdoor/metrics.py
+++ b/leverdoor/metrics.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Prometheus metrics of the daemons; labels come from resources only."""
+"""Prometheus metrics of agents and gates; labels come from resources only.
+
+So their number is bounded by the configuration, not by callers. The entry's stand in
+`leverdoor.entry.metrics`. Owns the counters, which start at zero with the process.
+"""
 
 from aiohttp import web
 from prometheus_client import (
@@ -17,10 +21,13 @@
 __all__ = ["AgentMetrics", "GateMetrics"]
 
 LATENCY_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0)
-"""Bounds of the latency histogram, in seconds; chosen."""
+"""Bounds of the latency histogram, in seconds; chosen: the usual steps from a cached
+look-up (5 ms) to an upload (10 s)."""
 
 
 class _Metrics:
+    """A registry of a daemon's own, and its scrape."""
+
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
 
--- a/leverdoor/model/blocks.py
+++ b/leverdoor/model/blocks.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The map from client networks to home regions, as flat sorted arrays."""
+"""The map from client networks to home regions, as flat sorted arrays.
+
+Arrays of 64-bit bounds, since 220,000 networks must fit beside all else into the 64 MB
+of a node (docs/CAPACITY.md). Immutable once compiled; a changed resource recompiles
+only its own chunk.
+"""
 
 import ipaddress
 import socket
@@ -16,7 +21,7 @@
 __all__ = ["BlockMap", "Chunk", "compile_chunk", "outline"]
 
 NO_REGION = 0
-"""Stands for a network that no block covers."""
+"""Number of the region of addresses that no block covers."""
 HALF_BITS = 64
 """Bits of each half of an IPv6 address in the arrays."""
 
@@ -70,7 +75,8 @@
 
     Each chunk is flattened by itself into disjoint ranges that have one answer
     each; a look-up bisects the chunks and then one chunk. Only chunks that
-    overlap are flattened together. A v6 address is told by its upper 64 bits.
+    overlap are flattened together. A v6 address is looked up by its
+    upper 64 bits.
     """
 
     def __init__(
--- a/leverdoor/model/burn.py
+++ b/leverdoor/model/burn.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Service-level burn: how fast each objective's error budget is used up."""
+"""Service-level burn: how fast each objective's error budget is used up.
+
+A gate counts its own requests in buckets; an agent merges the series of all gates and
+computes the report's lines. Owns the counts of the last hour of one gate, which are
+lost with it.
+"""
 
 from collections import deque
 from collections.abc import Iterable
@@ -13,13 +18,14 @@
 __all__ = ["BurnLine", "BurnMeter", "Series", "merge_series", "summarize"]
 
 BUCKET_S = 10.0
-"""Length of a bucket of counts in seconds; chosen."""
+"""Length of a bucket of counts, in seconds; chosen: 360 buckets an hour, and the short
+window is off by one of its 30 buckets at most."""
 FAST_S = 300.0
 """Short window of the burn rate in seconds: the usual five minutes."""
 SLOW_S = 3600.0
 """Long window of the burn rate in seconds: the usual hour."""
 HISTOGRAM_S = 60.0
-"""Length of one latency histogram in seconds; chosen."""
+"""Length of one latency histogram, in seconds; chosen: a fifth of the short window."""
 HISTOGRAMS = 6
 """Histograms kept: six minutes, a little over the short window."""
 MAX_MS = 600_000
@@ -69,6 +75,8 @@
 
 
 class _Meter:
+    """Counts and latencies of one service and tier, oldest first."""
+
     def __init__(self) -> None:
         self.buckets: deque[tuple[float, Counts]] = deque()
         self.histograms: deque[tuple[float, HdrHistogram]] = deque()
--- a/leverdoor/model/resource_checks.py
+++ b/leverdoor/model/resource_checks.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Checks of resources against one another, before anything is written."""
+"""Checks of resources against one another, before anything is written.
+
+One function a kind says what a resource of it needs; `validate` and `check_removal`
+run them against what all resources would be afterwards. Pure; owns no state.
+"""
 
 import ipaddress
 from collections.abc import Iterable, Mapping
--- a/leverdoor/model/resources.py
+++ b/leverdoor/model/resources.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The kinds of resource that operators write."""
+"""The kinds of resource that operators write.
+
+Their JSON is stored and served: field names, tags and defaults are the interface.
+Immutable; units are in the field names (`_ms`, `_per_s`, `_percent`, `_bytes`).
+"""
 
 from enum import StrEnum
 from typing import Annotated, TypeAlias
@@ -40,7 +44,7 @@
 
 
 class WorkClass(StrEnum):
-    """Class of work, which says what a repeat may do."""
+    """Class of work, which says whether a request may be sent twice."""
 
     LOOKUP = "lookup"
     ONCE = "once"
@@ -156,7 +160,7 @@
     target_latency_ms: Millis = 0
     """Time within which an answer is worth its full price; 0 for none."""
     priority: Annotated[int, Meta(ge=0, le=1_000)] = 0
-    """Rank of the requests, 0 for the most urgent."""
+    """Priority of the requests, 0 for the most urgent."""
     attempts: Annotated[int, Meta(ge=1, le=100)] = 1
     """Most targets that one request may be sent to."""
     affinity: bool = False
@@ -177,7 +181,7 @@
     burst: Annotated[float, Meta(ge=0.0)] = 0.0
     """Requests beyond the rate that may come at once."""
     priority: Annotated[int, Meta(ge=0, le=1_000)] | None = None
-    """Goes before the rank of the route; the route's holds if there is none."""
+    """Goes before the priority of the route; the route's holds if there is none."""
     homes: list[Name] = []
     """Regions that may serve its requests; empty for all."""
 
--- a/leverdoor/options.py
+++ b/leverdoor/options.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Command-line option types that check what they are given."""
+"""Option types of the command line, and settings as flag and environment variable.
+
+Owns no state.
+"""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
--- a/leverdoor/queries/explain.py
+++ b/leverdoor/queries/explain.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""`leverdoor explain`: what became of a request, from log files."""
+"""`leverdoor explain`: what became of a request, from log files.
+
+Thin: `analysis.explaining` finds the way and the cause. Owns no state.
+"""
 
 import sys
 from collections.abc import Iterator
--- a/leverdoor/queries/get.py
+++ b/leverdoor/queries/get.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""`leverdoor get`: read resources."""
+"""`leverdoor get`: read resources, of a kind or one by name."""
 
 from collections.abc import Sequence
 
--- a/leverdoor/queries/losses.py
+++ b/leverdoor/queries/losses.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""`leverdoor losses`: where requests were lost, from log files."""
+"""`leverdoor losses`: where requests were lost, from log files.
+
+Thin: `analysis.losses` finds the causes; this reads files and prints. Owns no state.
+"""
 
 import sys
 from collections.abc import Iterator
--- a/leverdoor/retry_budget.py
+++ b/leverdoor/retry_budget.py
@@ -1,12 +1,19 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How many repeats are allowed, as a share of the requests taken."""
+"""The retry budget: how many retries a process may make, as a share of its requests.
+
+Without it a fault that fails every request would multiply the load by the number of
+attempts. Entries and gates use it, each with its own ratio and limits, which stand
+beside the rule that retries.
+"""
 
 __all__ = ["RetryBudget"]
 
 
 class RetryBudget:
-    """Repeats earned by requests, for each service, so that they never pile up.
+    """Retries earned by requests, by service, up to a limit.
+
+    Owns the retries saved by service; they start anew with the process.
 
     Where several processes share a bound, each has its share of the requests it
     took itself: the sum holds whether they are in touch or not.
@@ -16,9 +23,9 @@
         """Create it.
 
         Args:
-          ratio: repeats earned with each request.
-          limit: most repeats saved up for a service.
-          first: repeats that a service starts with.
+          ratio: retries earned with each request.
+          limit: most retries saved for a service.
+          first: retries that a service starts with.
         """
         self.ratio = ratio
         self._limit = limit
@@ -31,7 +38,7 @@
         self._saved[service] = min(self._limit, saved + self.ratio)
 
     def spend(self, service: str) -> bool:
-        """Take a repeat if there is one."""
+        """Take a retry if one is saved; return whether it was."""
         saved = self._saved.get(service, 0.0)
         if saved < 1.0:
             return False
--- a/leverdoor/settings.py
+++ b/leverdoor/settings.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Checked settings of the daemons."""
+"""Checked settings of agents and gates.
+
+The command line sets them by flag or environment variable; the entry's stand in
+`leverdoor.entry.settings`. Times are in the unit that the name ends with.
+"""
 
 import ipaddress
 
@@ -42,7 +46,7 @@
 
 
 class GateSettings(msgspec.Struct, frozen=True):
-    """Settings of one gate."""
+    """Settings of one gate; each field is the option of that name."""
 
     vm: str
     region: str
@@ -57,12 +61,12 @@
 
     @property
     def relay_address(self) -> str:
-        """Where other gates are told to come."""
+        """The address that other gates use: `relay_as` behind a proxy, else `relay`."""
         return str(self.relay_as or self.relay)
 
 
 class AgentSettings(msgspec.Struct, frozen=True):
-    """Settings of one agent."""
+    """Settings of one agent; each field is the option of that name, `seeds` --peer."""
 
     vm: str
     region: str
--- a/leverdoor/storage/__init__.py
+++ b/leverdoor/storage/__init__.py
@@ -1,3 +1,3 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's store, what follows it, and the configuration in it."""
+"""The key-value store: its interface and clients, followers, and what is stored."""
--- a/leverdoor/storage/configuration.py
+++ b/leverdoor/storage/configuration.py
@@ -1,6 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Writes resources to the store: all checks first, then one transaction."""
+"""Writes resources to the store: all checks first, then one transaction.
+
+Every write replaces the guard key under a condition, so that writes take effect one
+after another (docs/DESIGN.md, Configuration). A write whose answer is lost is looked
+up by its id in the guard. Owns no state but the store's; relies on its
+compare-and-swap.
+"""
 
 import uuid
 from collections.abc import Callable, Mapping, Sequence
@@ -28,9 +34,14 @@
 GUARD_WRITES = 64
 """Resources written in one transaction: half of etcd's usual limit of 128."""
 ATTEMPTS = 6
-"""Tries of a transaction that other operators overtook; chosen."""
+"""Attempts of a transaction that other operators overtook.
+
+Chosen: an operator that is overtaken that often gets CONFLICT and can look at what the
+others wrote; each attempt costs the store a read and a write.
+"""
 MAX_RESOURCES = 100
-"""Resources of one document at most; chosen."""
+"""Resources of one document at most; chosen: with the guard it stays below etcd's
+usual 128 operations of a transaction."""
 
 
 class Guard(msgspec.Struct):
@@ -51,6 +62,8 @@
 
 
 class _Snapshot(msgspec.Struct):
+    """What a write is checked against, and the revisions that it rests on."""
+
     resources: dict[str, Resource]
     revisions: dict[str, int]
     guard: Guard
--- a/leverdoor/storage/etcd.py
+++ b/leverdoor/storage/etcd.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The key-value service's real client: the JSON form of the etcd v3 API."""
+"""The key-value service's real client: the JSON form of the etcd v3 API.
+
+Owns one session and the index of the member in use; a failed call moves to the next
+member. Tells calls that were never taken (`StoreUnavailable`) from calls whose answer
+was lost (`StoreUnknown`).
+"""
 
 import base64
 from collections.abc import AsyncIterator, Sequence
@@ -26,7 +31,8 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S = 2.0
-"""Longest time of a call, in seconds; chosen."""
+"""Longest time of a call, in seconds; chosen: the service answers in milliseconds, and
+a follower must try another member well before its watch counts as lost (6 s)."""
 READ_BUFFER = 4_000_000
 """Longest line of a watch, in bytes; above the largest batch of events."""
 
--- a/leverdoor/storage/following.py
+++ b/leverdoor/storage/following.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Keeps an agent's State in step: from the store, or from peers."""
+"""Keeps a process's State in step: from the store, or from peers.
+
+A few processes of each region are elected to watch the store (`StoreFollower`); all
+others fetch what they lack from one that is ahead (`PeerFollower`). Both are used by
+agents and entries. Owns the watch and the HTTP session; the copy belongs to `State`.
+"""
 
 import asyncio
 import zlib
@@ -22,15 +27,20 @@
 __all__ = ["DEFLATE", "PeerFollower", "StoreFollower", "elected"]
 
 WATCHERS = 2
-"""Members of a region that watch the store; one may be gone."""
+"""Agents of a region that watch the store; one may be gone. More would cost the store
+a waiting call each."""
 FIRST_BACKOFF_S = 0.2
-"""First pause after a failed call, in seconds; it doubles."""
+"""First pause after a failed call, in seconds; it doubles. Shorter would add calls to a
+store that is already overloaded."""
 LONGEST_BACKOFF_S = 5.0
-"""Longest such pause, in seconds; chosen."""
+"""Longest such pause, in seconds; chosen: the time for which a store that is back may
+go unnoticed, beside 0.2 calls a second of each follower while it is down."""
 PULL_TIMEOUT_S = 2.0
-"""Longest time to fetch what a peer has, in seconds; chosen."""
+"""Longest time to fetch what a peer has, in seconds; chosen: a peer that needs longer
+is slow or dead, and the next one is tried."""
 ELECTION_POLL_S = 0.5
-"""Seconds between two looks at who watches; chosen."""
+"""Seconds between two checks of the election; chosen: part of the time until a dead
+follower is replaced, at no cost to the store."""
 FETCH_FAULTS = (
     aiohttp.ClientError,
     OSError,
@@ -44,20 +54,20 @@
 
 
 def elected(peers: Peers, vm: str, now: float) -> int:
-    """Return this VM's rank among its region's watchers, or -1.
+    """Return this agent's place among its region's followers of the store, or -1.
 
-    Every agent ranks the live VMs of its region by the same hash, so that a
-    few watch the store and the rest hear from them. Two agents that see
-    different peers may both elect themselves; that costs a call, no more.
+    Every agent orders the live VMs of its region by the same hash, so that a few
+    watch the store and pass changes on to the rest. Two agents that see different
+    peers may both elect themselves; that costs a waiting call, no more.
     """
     names = {b.vm for b in peers.live_near(now)} | {vm}
     ranked = sorted(names, key=lambda n: xxhash.xxh3_64_intdigest(n.encode()))
-    rank = ranked.index(vm)
-    return rank if rank < WATCHERS else -1
+    place = ranked.index(vm)
+    return place if place < WATCHERS else -1
 
 
 class StoreFollower:
-    """Watches the store while this agent is elected to."""
+    """Watches the store while this process is elected to."""
 
     def __init__(
         self,
@@ -67,23 +77,23 @@
         rng: Random,
         prefix: str = PREFIX,
         longest_backoff_s: float = LONGEST_BACKOFF_S,
-        tell: Callable[[bool, str], None] | None = None,
-        answered: Callable[[], None] = lambda: None,
+        on_change: Callable[[bool, str], None] | None = None,
+        on_answer: Callable[[], None] = lambda: None,
     ) -> None:
         """Create it.
 
         Args:
           store: the platform's service.
           state: the copy to keep in step.
-          is_elected: whether this agent should watch now.
+          is_elected: whether this process should watch now.
           rng: spreads the calls after an outage.
           prefix: what to follow of the store.
           longest_backoff_s: longest pause between calls that fail, in seconds.
-          tell: called when the store is lost or answers again, and why.
-          answered: called at each answer of the store.
+          on_change: called with whether the store answers, and why, when that changes.
+          on_answer: called at each answer of the store.
         """
-        self._answered = answered
-        self._tell = tell or _log
+        self._on_answer = on_answer
+        self._on_change = on_change or _log
         self._prefix = prefix
         self._longest_backoff_s = longest_backoff_s
         self._store = store
@@ -130,10 +140,10 @@
 
     def _set_reachable(self, reachable: bool, why: str) -> None:
         if reachable:
-            self._answered()
+            self._on_answer()
         if reachable != self.reachable:
             self.reachable = reachable
-            self._tell(reachable, why)
+            self._on_change(reachable, why)
 
     async def _list(self) -> None:
         listing = await self._store.read(self._prefix)
@@ -155,7 +165,7 @@
 
 
 class PeerFollower:
-    """Fetches what a peer has and this agent lacks."""
+    """Fetches what a peer has and this process lacks."""
 
     def __init__(self, state: State) -> None:
         """Create it around the copy to keep in step."""
--- a/leverdoor/storage/state.py
+++ b/leverdoor/storage/state.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A process's copy of what the store holds, which never goes back."""
+"""A process's copy of what the store holds, which never goes back.
+
+Owns the entries at one revision and the log of recent changes for peers; both are
+lost with the process and fetched anew from a peer or the store. A delta is taken only
+if it is newer and follows on, so late and repeated messages do no harm.
+"""
 
 from collections import deque
 from collections.abc import Iterable
@@ -17,7 +22,8 @@
 TABLES = PREFIX + "tables/"
 GUARD = PREFIX + "guard"
 LOG_EVENTS = 5_000
-"""Events kept for peers that fetch what is new; a day of changes of the aim."""
+"""Changes kept for peers that fetch what is new: a day's 4,600 at the size aimed at.
+A peer that is further behind gets everything."""
 
 
 class Delta(msgspec.Struct, frozen=True, tag=True):
--- a/leverdoor/storage/store.py
+++ b/leverdoor/storage/store.py
@@ -2,7 +2,9 @@
 # SPDX-License-Identifier: Apache-2.0
 """The platform's key-value service: interface, and a store in memory.
 
-The real client is in etcd.py; both keep the same contract.
+The contract is atomic compare-and-swap of several keys, revisions that only rise, and
+watches from a revision. The real clients are storage/etcd.py (plain sites) and
+platform/store.py; tests hold all to the same contract. `MemoryStore` owns its entries.
 """
 
 import asyncio
@@ -26,9 +28,11 @@
 ]
 
 WATCH_SILENCE_S = 6.0
-"""Silence of a watch after which the store passes for lost, in seconds; chosen."""
+"""Silence of a watch after which the store counts as lost, in seconds; chosen: several
+missed signs that the service is there, and a fault that operators notice at once."""
 EVENT_LOG = 20_000
-"""Events that the store in memory keeps before it forgets; chosen."""
+"""Events that the store in memory keeps before it compacts; chosen. A watch from
+further back gets COMPACTED, as from the real service."""
 
 
 class KeyValue(msgspec.Struct, frozen=True, array_like=True):
@@ -38,7 +42,7 @@
     value: bytes
     revision: int
     lease: int = 0
-    """The lease under which it goes, where a listing tells; 0 for none."""
+    """The lease that it expires with, where a listing says so; 0 for none."""
 
 
 class Event(msgspec.Struct, frozen=True, array_like=True):
@@ -117,11 +121,11 @@
 
 
 class LeasingStore(Store):
-    """A store whose keys can go by themselves when their writer is gone."""
+    """A store whose keys can expire with the lease of their writer."""
 
     @abstractmethod
     async def hold(self, key: str, value: bytes, ttl_s: float) -> int:
-        """Write a key that goes when its lease is not kept.
+        """Write a key that expires when its lease is not renewed.
 
         Returns: the lease.
         Raises:
@@ -131,7 +135,7 @@
 
     @abstractmethod
     async def keep(self, lease: int) -> bool:
-        """Renew a lease; False when it is over and its keys are gone.
+        """Renew a lease; False when it has expired and its keys are deleted.
 
         Raises:
           StoreUnavailable: the service did not answer.
@@ -139,7 +143,10 @@
 
     @abstractmethod
     async def let_go(self, lease: int) -> None:
-        """End a lease, which removes its keys; faults are passed over."""
+        """End a lease, which deletes its keys.
+
+        Faults are ignored: a lease that nobody renews expires by itself.
+        """
 
 
 class MemoryStore(Store):
--- a/leverdoor/storage/view.py
+++ b/leverdoor/storage/view.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The configuration compiled for look-ups on the request path."""
+"""The configuration compiled for look-ups on the request path of a plain site.
+
+`ViewCache` follows a `State` and owns the compiled view, the ownership tables and the
+client blocks; all are rebuilt from the state and lost with the process.
+"""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -37,7 +41,7 @@
 
 DEFAULT_TIER = Tier(name="default", default=True)
 CAP_SPREAD_ALL = 0
-"""Stands for a cap that all gates of a region share."""
+"""Holders of a cap's units: 0 spreads them over all gates of a region."""
 
 
 class View:
@@ -134,8 +138,8 @@
 class ViewCache:
     """Keeps the compiled view and the ownership tables in step with a State.
 
-    Client blocks are kept compiled only; in their place among the resources
-    stands an outline that names the regions they refer to.
+    Client blocks are kept compiled only; the resource kept for them is an outline
+    that names the regions they refer to.
     """
 
     def __init__(self, state: State, with_blocks: bool = True) -> None:
--- a/leverdoor/terminal.py
+++ b/leverdoor/terminal.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What the command line's parts share: options, output and exit statuses."""
+"""What commands and queries share: options, output and exit statuses.
+
+Runs an operator's work against the resource API and turns a numbered error into text
+on standard error and an exit status. Owns no state.
+"""
 
 import asyncio
 import sys
