--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -69,7 +69,7 @@
 
 
 @cache
-def tests_by_file() -> dict[str, set[str]]:
+def known_tests() -> dict[str, set[str]]:
     """Return the names of the tests of each test file."""
     return {
         path.name: {
@@ -157,7 +157,7 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=page_id)
 def test_tests_that_a_page_names_exist(page: Path) -> None:
-    known = tests_by_file()
+    known = known_tests()
     everywhere = set().union(*known.values())
     missing = [
         f"{file}::{name}" if file else name
