--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -36,6 +36,7 @@
 TEST = re.compile(r"(?:\b(test_\w+\.py)::)?\b(test_\w+)\b(?!\.py)")
 CONSTANT = re.compile(r"_?[A-Z][A-Z0-9_]+")
 CLASS = re.compile(r"(?:[A-Z][a-z]+){2,}")
+NAME = re.compile(r"(?<![\w-])[A-Za-z]\w+(?![\w-])")
 NUMBERED = re.compile(r"(\d{4}) ([A-Z][A-Z_]+)")
 COMMAND = re.compile(r"leverdoor(?: .*)?", re.DOTALL)
 FLAG = re.compile(r"--[a-z][a-z-]*")
@@ -115,6 +116,20 @@
     return found | constants() | set(dir(builtins))
 
 
+@cache
+def attributes() -> set[str]:
+    """Return the names of all functions, attributes, fields and log events."""
+    nodes = [node for tree in trees().values() for node in ast.walk(tree)]
+    found = {n.name for n in nodes if isinstance(n, ast.FunctionDef)}
+    found |= {n.attr for n in nodes if isinstance(n, ast.Attribute)}
+    found |= {n.id for n in nodes if isinstance(n, ast.Name)}
+    return found | {
+        n.value
+        for n in nodes
+        if isinstance(n, ast.Constant) and isinstance(n.value, str)
+    }
+
+
 @cache
 def environment() -> set[str]:
     """Return the names of all environment variables that are read."""
@@ -181,6 +196,14 @@
     assert sorted(named - classes()) == []
 
 
+def test_every_name_of_the_glossary_exists() -> None:
+    page = ROOT / "docs" / "GLOSSARY.md"
+    known = classes() | attributes()
+    named = {part for span in spans(page) for part in NAME.findall(span)}
+    assert len(named) > 50
+    assert sorted(named - known) == []
+
+
 @pytest.mark.parametrize("page", PAGES, ids=page_id)
 def test_codes_that_a_page_names_have_their_numbers(page: Path) -> None:
     found = [m for span in spans(page) if (m := NUMBERED.fullmatch(span))]
