--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -34,6 +34,8 @@
     r"|test_\w+\.py)"
 )
 TEST = re.compile(r"(?:\b(test_\w+\.py)::)?\b(test_\w+)\b(?!\.py)")
+QUALIFIED = re.compile(r"(?<![\w.])(\w+)::(\w+)")
+ALIAS = re.compile(r"`(\w+)`\s+=\s+(?:tests/)?(test_\w+)")
 CONSTANT = re.compile(r"_?[A-Z][A-Z0-9_]+")
 CLASS = re.compile(r"(?:[A-Z][a-z]+){2,}")
 NAME = re.compile(r"(?<![\w-])[A-Za-z]\w+(?![\w-])")
@@ -183,6 +185,18 @@
     assert missing == []
 
 
+@pytest.mark.parametrize("page", PAGES, ids=page_id)
+def test_tests_that_a_page_names_by_short_names_exist(page: Path) -> None:
+    """A page may name files and tests shortly: `keyed` = tests/test_keyed.py."""
+    short = dict(ALIAS.findall(read(page)))
+    missing = [
+        f"{file}::{name}"
+        for file, name in QUALIFIED.findall(read(page))
+        if short.get(name, name) not in known_tests().get(f"{short.get(file)}.py", ())
+    ]
+    assert missing == []
+
+
 @pytest.mark.parametrize("page", PAGES, ids=page_id)
 def test_constants_that_a_page_names_exist(page: Path) -> None:
     named = {span for span in spans(page) if CONSTANT.fullmatch(span)}
