--- a/leverdoor/entry/placement/choice.py
+++ b/leverdoor/entry/placement/choice.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from leverdoor.entry.placement.fleet import Fleet, RunTimes, TargetState
+from leverdoor.entry.placement.fleet import Fleet, TargetState
 from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
-from leverdoor.entry.placement.times import DEFAULT_LATENCY_MS, TimeBook
+from leverdoor.entry.placement.times import DEFAULT_LATENCY_MS, RunTimes, TimeBook
 from leverdoor.entry.placement.tuning import Tuning
 from leverdoor.entry.placement.warmth import RANKS, SharedWarmth, WarmthBook
 from leverdoor.model.resources import Target
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -14,6 +14,7 @@
     PlacementRequest,
 )
 from leverdoor.entry.placement.sharing import NO_SLOTS, ShareBook
+from leverdoor.entry.placement.slow_start import share_per_s
 from leverdoor.entry.placement.spill import MOVE_PER_S
 from leverdoor.entry.placement.times import SizeBook
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
@@ -25,8 +26,6 @@
 
 OVERFLOW_LIMIT = 3.0
 """Most such requests saved up; chosen."""
-COLD_SHARE = 0.8
-"""Part of a cold target's allowance that is used; the rest is for chance."""
 FIRST_RETRY_MS = 150
 """Least time after which a refused request should come back, in ms.
 
@@ -266,7 +265,7 @@
                 entries = self.sharers(target)
                 if entries < 1:
                     continue
-                share = COLD_SHARE * per_s / entries
+                share = share_per_s(per_s, entries)
                 if per_s and not state.spend_allowance(share, now):
                     continue
                 option = self._chooser.warm_up_option(request, state)
--- a/leverdoor/entry/placement/times.py
+++ b/leverdoor/entry/placement/times.py
@@ -6,7 +6,14 @@
 
 from leverdoor.model.resources import Route
 
-__all__ = ["DEFAULT_LATENCY_MS", "ServiceTimes", "SizeBook", "TimeBook", "first_times"]
+__all__ = [
+    "DEFAULT_LATENCY_MS",
+    "RunTimes",
+    "ServiceTimes",
+    "SizeBook",
+    "TimeBook",
+    "first_times",
+]
 
 FAST_SHARE = 0.4
 """First guess of a warm run, as a share of the latency target; the sites' 0.38 to
@@ -36,6 +43,13 @@
 """Requests before the mean counts; chosen."""
 
 
+class RunTimes(msgspec.Struct, frozen=True):
+    """How long requests of one kind run at a target, in seconds."""
+
+    warm_s: float
+    cold_s: float
+
+
 class ServiceTimes(msgspec.Struct):
     """Times of one route's requests at one service: two clusters."""
 
--- a/tests/test_entry_fleet.py
+++ b/tests/test_entry_fleet.py
@@ -8,14 +8,11 @@
 from hypothesis import strategies as st
 
 from desk import SLOTS, Desk, target
-from leverdoor.entry.placement.fleet import (
-    PEER_TRUST_S,
-    SILENT_REQUESTS,
-    SILENT_RUNS,
-    Allowance,
-    Fleet,
-    RunTimes,
-)
+from leverdoor.entry.placement.fleet import Fleet
+from leverdoor.entry.placement.health import SILENT_REQUESTS, SILENT_RUNS
+from leverdoor.entry.placement.load import PEER_TRUST_S
+from leverdoor.entry.placement.slow_start import Allowance
+from leverdoor.entry.placement.times import RunTimes
 from leverdoor.entry.wire import TargetLoad
 
 
