--- a/leverdoor/entry/placement/placement_request.py
+++ b/leverdoor/entry/placement/placement_request.py
@@ -1,12 +1,21 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What placement is asked for and what it answers."""
+"""The input and the result of placement; all times are of the loop's clock.
+
+Owns no state; relies on the resources of the configuration.
+"""
+
+from typing import Literal
 
 import msgspec
 
 from leverdoor.model.resources import Route, Target, Workspace
 
-__all__ = ["Placement", "PlacementRequest"]
+__all__ = ["Placement", "PlacementReason", "PlacementRequest"]
+
+PlacementReason = Literal["share", "overflow", "cold"]
+"""Why a target was chosen, as logged: in the region of its key; in another region, for
+want of room; in its warm-up, for want of any other."""
 
 
 class PlacementRequest(msgspec.Struct):
@@ -19,27 +28,29 @@
     version: str
     """The configuration by which it was routed."""
     arrived: float
+    """Time at which the entry took it in, in seconds."""
     until: float
-    """Loop time at which it is given up, in seconds."""
+    """Time at which it is given up, in seconds."""
     workspace: Workspace | None = None
     """Whose request it is; None without workspaces, or without a key."""
     tried: set[str] = msgspec.field(default_factory=set)
+    """Names of the targets that earlier attempts went to."""
 
     @property
     def priority(self) -> int:
-        """Return its rank, 0 for the most urgent; the workspace's goes first."""
+        """Return its priority, 0 for the most urgent; the workspace's goes first."""
         if self.workspace is None or self.workspace.priority is None:
             return self.route.priority
         return self.workspace.priority
 
     def may_run_in(self, region: str) -> bool:
         """Return whether a region is a home of its route and of its workspace."""
-        return at_home(self.route.homes, region) and (
-            self.workspace is None or at_home(self.workspace.homes, region)
+        return _is_home(self.route.homes, region) and (
+            self.workspace is None or _is_home(self.workspace.homes, region)
         )
 
 
-def at_home(homes: list[str], region: str) -> bool:
+def _is_home(homes: list[str], region: str) -> bool:
     """Return whether a region is among homes, of which none means all."""
     return not homes or region in homes
 
@@ -49,14 +60,17 @@
 
     target: Target
     rank: int
-    """Place of the target in its region's order for the key."""
+    """Place of the target in its region's order for the key, 0 for the first; the
+    greatest for overflow and warm-up."""
     seen: bool
     """Whether an entry had an answer for the key from there."""
     cold_share: float
-    """How likely the run was taken to be cold."""
+    """Likelihood of a cold run, as estimated."""
     expected_ms: float
+    """Wait and run, as estimated."""
     load: float
-    """Requests that it was believed to have, of all entries, this one aside."""
+    """Estimated requests there, of all entries, this one aside."""
     load_age_ms: int
-    """Age of the newest report or heartbeat about the load; -1 if there is none."""
-    reason: str
+    """Time since the last report or digest of that load arrived, in ms; the counts in
+    it may be older. -1 if none has arrived."""
+    reason: PlacementReason
--- /dev/null
+++ b/leverdoor/entry/placement/refusals.py
@@ -0,0 +1,56 @@
+# leverdoor: global traffic steering
+# SPDX-License-Identifier: Apache-2.0
+"""What a caller and the log learn when no target has room for a request.
+
+Owns no state; relies on the states of the targets (fleet.py).
+"""
+
+from collections.abc import Iterable
+
+from leverdoor.entry.placement.fleet import Fleet
+from leverdoor.model.resources import Target
+
+__all__ = ["describe_loads", "retry_after_ms"]
+
+LEAST_RETRY_AFTER_MS = 150
+"""Least time after which a refused request should come back, in ms.
+
+About one warm run: before that the same requests still run. Greater: a caller waits
+while there is room. Smaller: it meets the same load. 400 in place of 150 was better by
+less than noise.
+"""
+RETRY_AFTER_SPREAD_MS = 350
+"""Spread of that time, in ms, so that refused requests come back one by one.
+
+Chosen. Greater: some wait longer than the load lasts. Smaller: requests that were
+refused together come back together.
+"""
+
+
+def retry_after_ms(chance: float) -> int:
+    """Return when a request that placement refused should come back, in ms.
+
+    Between LEAST_RETRY_AFTER_MS and the sum of both bounds, evenly spread. It doesn't
+    depend on the load, which is another by then.
+
+    Args:
+      chance: a random number of [0, 1).
+    """
+    return int(LEAST_RETRY_AFTER_MS + RETRY_AFTER_SPREAD_MS * chance)
+
+
+def describe_loads(targets: Iterable[Target], fleet: Fleet, now: float) -> str:
+    """Return, for the log, the loads that left no room.
+
+    For each target: name, estimated load over slots, time since the last report of it
+    arrived, "cold" in its warm-up, "ejected" if it is ejected or silent.
+    """
+    loads = []
+    for target in targets:
+        state = fleet.of(target, now)
+        cold = " cold" if state.cold(now) else ""
+        out = "" if state.usable(now) else " ejected"
+        age_ms = state.load_age_ms(now)
+        load = f"{state.load(now):.1f}/{target.slots}"
+        loads.append(f"{target.name} {load} ({age_ms} ms){cold}{out}")
+    return ", ".join(loads)
--- a/leverdoor/entry/placement/sharing.py
+++ b/leverdoor/entry/placement/sharing.py
@@ -58,7 +58,7 @@
         """Return the region that a key of a service belongs to."""
         return self._of(service, [], now).region(key, allowed)
 
-    def pressure(self, service: str, region: str, now: float) -> float:
+    def utilization(self, service: str, region: str, now: float) -> float:
         """Return load over slots of a region's usable targets."""
         load, slots = self._fleet.load(self._targets.get((service, region), ()), now)
         return load / slots if slots else NO_SLOTS
@@ -73,10 +73,10 @@
         for service in {s for s, _ in self._targets}:
             reported = [p[service] for p in peers if service in p]
             state = self._of(service, reported, now)
-            pressures = {r: self.pressure(service, r, now) for r in state.shares}
+            utilizations = {r: self.utilization(service, r, now) for r in state.shares}
             if not state.begun and not reported:
                 state.begin_from(first_shares(self._region, self._slots(service)))
-            state.update(pressures, reported, now)
+            state.update(utilizations, reported, now)
 
     def _of(
         self, service: str, reported: list[dict[str, float]], now: float
--- a/leverdoor/entry/placement/slow_start.py
+++ b/leverdoor/entry/placement/slow_start.py
@@ -22,7 +22,7 @@
 each may have saved up. Greater: the sum may pass what the target bears. Smaller: it
 warms up more slowly.
 """
-MOST_SAVED = 1.0
+ALLOWANCE_SAVED = 1.0
 """Requests that an allowance saves up at most.
 
 Chosen: more would let a pause end in a burst; less would never allow a request.
@@ -50,12 +50,12 @@
           now: monotonic time in seconds.
         """
         self.per_s = per_s
-        self._saved = MOST_SAVED
+        self._saved = ALLOWANCE_SAVED
         self._at = now
 
     def spend(self, now: float) -> bool:
         """Take one request if there is one."""
-        self._saved = min(MOST_SAVED, self._saved + (now - self._at) * self.per_s)
+        self._saved = min(ALLOWANCE_SAVED, self._saved + (now - self._at) * self.per_s)
         self._at = now
         if self._saved < 1.0:
             return False
