--- a/leverdoor/entry/placement/affinity.py
+++ b/leverdoor/entry/placement/affinity.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which targets a thing belongs to: rendezvous hashing, alike at every entry."""
+"""The order of targets for a key: weighted rendezvous hashing, alike at every entry.
+
+Owns a cache of orders, which a new configuration drops. Relies on all entries having
+the same names and slots of targets; where these differ, so does the order for a part of
+the keys.
+"""
 
 import math
 
@@ -8,16 +13,23 @@
 
 from leverdoor.model.resources import Target
 
-__all__ = ["Ranking", "key_place"]
+__all__ = ["LEAST_PLACE", "Ranking", "key_place"]
 
 CACHED_KEYS = 4_096
-"""Keys whose order is kept for each place; 1 MB at 20 targets. Chosen."""
-PLACES = float(1 << 64)
+"""Keys whose order is kept for each service and region; 1 MB at 20 targets.
+
+Chosen: more than the keys of a service that are in use at a time. Greater: more memory.
+Smaller: the order is computed anew for each request.
+"""
+HASHES = float(1 << 64)
+"""Count of the hash values, which are mapped to the unit interval."""
+LEAST_PLACE = 1e-18
+"""Least place on the unit interval, so that logarithms stay finite."""
 
 
 def key_place(key: str, salt: str = "") -> float:
     """Return where a key lies on the unit interval, alike at every entry."""
-    return xxhash.xxh3_64_intdigest(f"{salt}|{key}".encode()) / PLACES
+    return xxhash.xxh3_64_intdigest(f"{salt}|{key}".encode()) / HASHES
 
 
 class Ranking:
@@ -49,11 +61,15 @@
     @staticmethod
     def _score(key: str, target: Target) -> float:
         """Return the weighted rendezvous score, smallest first."""
-        place = max(key_place(key, target.name), 1e-18)
+        place = max(key_place(key, target.name), LEAST_PLACE)
         return -math.log(place) / target.slots
 
-    def same(self, targets: list[Target]) -> bool:
-        """Return whether a list holds the same targets with the same weights."""
+    def renew(self, targets: list[Target]) -> bool:
+        """Return whether a list holds the same targets with the same weights.
+
+        If so, its descriptions are taken, and the orders are kept where these are
+        the same too.
+        """
         mine = [(t.name, t.slots) for t in self._targets]
         if mine != [(t.name, t.slots) for t in targets]:
             return False
--- a/leverdoor/entry/placement/candidates.py
+++ b/leverdoor/entry/placement/candidates.py
@@ -12,7 +12,7 @@
 from leverdoor.entry.configuration.catalog import EMPTY, Catalog
 from leverdoor.entry.placement.affinity import Ranking
 from leverdoor.entry.placement.placement_request import PlacementRequest
-from leverdoor.entry.placement.times import SizeBook
+from leverdoor.entry.placement.sizes import SizeBook
 from leverdoor.model.resources import Target
 
 __all__ = ["CandidateBook"]
@@ -106,6 +106,6 @@
     found = {}
     for place, ones in targets.items():
         known = before.get(place)
-        same = known is not None and known.same(ones)
+        same = known is not None and known.renew(ones)
         found[place] = known if known is not None and same else Ranking(ones)
     return found
--- a/leverdoor/entry/placement/choice.py
+++ b/leverdoor/entry/placement/choice.py
@@ -1,26 +1,44 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which of a region's targets answers a request first: by warmth, load and place."""
+"""Which of some targets answers a request first: by warmth, load and distance.
+
+Owns the run times by route and service (times.py), the shares of cold runs
+(warmth.py) and the keys that are warm at a second target (shared_warmth.py); all are
+lost with the process and learned again from answers.
+
+Relies on the states of targets (fleet.py), and on candidates in the key's order, which
+all entries agree on (affinity.py).
+"""
 
 import msgspec
 
 from leverdoor.entry.placement.fleet import Fleet, TargetState
-from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
-from leverdoor.entry.placement.times import DEFAULT_LATENCY_MS, RunTimes, TimeBook
+from leverdoor.entry.placement.placement_request import (
+    Placement,
+    PlacementReason,
+    PlacementRequest,
+)
+from leverdoor.entry.placement.shared_warmth import SharedWarmth
+from leverdoor.entry.placement.times import RunTimes, ServiceTimes, TimeBook
 from leverdoor.entry.placement.tuning import Tuning
-from leverdoor.entry.placement.warmth import RANKS, SharedWarmth, WarmthBook
+from leverdoor.entry.placement.waiting import longest_wait_ms
+from leverdoor.entry.placement.warmth import RANKS, WarmthBook
 from leverdoor.model.resources import Target
 
 __all__ = ["Option", "TargetChooser"]
 
 LIKELY_COLD = 0.5
-"""Share of cold runs from which on a choice counts as cold; chosen, not measured."""
-SPREAD_X = 1.2
-"""Times the mean warm run that is kept free for the run itself; runs vary by 15%."""
-URGENT_PRIORITY = 1
-"""Greatest priority number that counts as urgent; smaller is more urgent."""
+"""Share of cold runs from which on a choice counts as cold.
+
+Chosen: the likelier of two. Greater: more cold runs at second targets, which make busy
+targets slower. Smaller: refusals where a warm run was likely.
+"""
 OTHER_DOMAIN_MS = 8.0
-"""What a target in another failure domain must be sooner by, in ms; saves bytes."""
+"""What a target in another failure domain must be sooner by, in ms.
+
+Chosen: saves bytes between domains where targets are equally good. Greater: requests
+wait for a target that is near. Smaller: chance decides between domains.
+"""
 
 
 class Option(msgspec.Struct, frozen=True):
@@ -28,8 +46,11 @@
 
     state: TargetState
     rank: int
+    """Place of the target in the key's order, among those that are usable."""
     seen: bool
+    """Whether an entry had an answer for the key from there."""
     cold_share: float
+    """Likelihood of a cold run."""
     wait_ms: float
     """Expected time in the target's queue."""
     takes_ms: float
@@ -48,7 +69,7 @@
           region: this entry's region.
           domain: this entry's failure domain.
           fleet: the states of targets.
-          tuning: what is weighed.
+          tuning: bounds and switches of the rules.
         """
         self._tuning = tuning
         self._region = region
@@ -67,17 +88,36 @@
         self,
         request: PlacementRequest,
         candidates: list[Target],
-        reason: str,
+        reason: PlacementReason,
         now: float,
     ) -> Option | None:
-        """Return the best of a region's targets for a key, if one has room.
+        """Return the best of some targets; None if the wait is too long at each.
+
+        Only the key's first targets that are usable count (`Tuning.targets_a_key`).
 
         Args:
           request: what is to be placed.
           candidates: targets in the key's order.
-          reason: "overflow" if it is not the key's region.
+          reason: "overflow" if it is not the key's region: all are likely cold then.
           now: monotonic time in seconds.
         """
+        times = self._times_of(request)
+        most_ms = longest_wait_ms(request, times.warm_run_ms, self._tuning, now)
+        fitting = [
+            option
+            for option in self._options(request, candidates, reason, now)
+            if option.wait_ms <= most_ms and self._may_run(option, now)
+        ]
+        return min(fitting, key=lambda o: o.price_ms, default=None)
+
+    def _options(
+        self,
+        request: PlacementRequest,
+        candidates: list[Target],
+        reason: PlacementReason,
+        now: float,
+    ) -> list[Option]:
+        """Weigh the first usable, warm targets that were not tried."""
         options: list[Option] = []
         for target in candidates:
             if target.name in request.tried:
@@ -89,28 +129,24 @@
             options.append(self._option(request, state, rank, now))
             if len(options) >= self._tuning.targets_a_key:
                 break
-        most_ms = self._most_wait_ms(request, now)
-        fitting = [o for o in options if o.wait_ms <= most_ms and self._admits(o, now)]
-        if not fitting:
-            return None
-        return min(fitting, key=lambda o: o.price_ms)
+        return options
 
     def _option(
         self, request: PlacementRequest, state: TargetState, rank: int, now: float
     ) -> Option:
         """Weigh one target."""
         target = state.target
-        times = self._times.of(request.route, request.service)
+        times = self._times_of(request)
         seen = not request.route.affinity or self._seen(request.key, state, now)
         cold_share = self._warmth.cold_share(target, rank, seen)
-        over = max(state.load(now) - target.slots + 1, 0.0)
+        ahead = max(state.load(now) - target.slots + 1, 0.0)
         run_ms = times.run_ms(self._warmth.forgotten_share(target))
-        wait_ms = over * run_ms / target.slots
+        wait_ms = ahead * run_ms / target.slots
         takes_ms = wait_ms + times.run_ms(cold_share)
         price_ms = takes_ms
         if rank == 0 and not seen:
             # It must become warm somewhere: a cold run here is no reason to go on.
-            price_ms = wait_ms + times.fast_ms
+            price_ms = wait_ms + times.warm_run_ms
         if target.domain != self._domain:
             price_ms += OTHER_DOMAIN_MS
         return Option(state, rank, seen, cold_share, wait_ms, takes_ms, price_ms)
@@ -122,12 +158,14 @@
         since = state.cold_until
         return self.shared_warmth.warm(state.target, key, since, now)
 
-    def _admits(self, option: Option, now: float) -> bool:
-        """Return whether a target may be asked for a key that is likely cold there.
+    def _may_run(self, option: Option, now: float) -> bool:
+        """Return whether a request may run there, its likely cold run considered.
 
-        Only the first two of a key's targets may: all entries agree on them, so
-        that a key costs few cold runs in all. Overflow to whatever has room costs
-        one at each entry and target, and makes a loaded region slower still.
+        A likely cold run is allowed at the key's first target, and at its second one
+        while that has many free slots and doesn't forget keys. All entries agree on
+        these two, so that a key costs few cold runs in all. Overflow to whatever has
+        free slots costs one at each entry and target, and makes a loaded region slower
+        still (six targets a key: worth 0.584 beside 0.678, 65 entries).
         """
         if option.rank == 0 or option.cold_share < LIKELY_COLD:
             return True
@@ -136,27 +174,18 @@
             return False
         return state.load(now) < self._tuning.cold_room * state.target.slots
 
-    def _most_wait_ms(self, request: PlacementRequest, now: float) -> float:
-        """Return the longest wait at a target that still makes sense."""
-        times = self._times.of(request.route, request.service)
-        aim = request.route.target_latency_ms or DEFAULT_LATENCY_MS
-        spent = (now - request.arrived) * 1000
-        least_ms = self._tuning.least_wait_share * aim
-        wait = max(aim - spent - times.fast_ms * SPREAD_X, least_ms)
-        if request.priority > URGENT_PRIORITY:
-            wait *= self._tuning.less_urgent
-        left = (request.until - now) * 1000 - times.fast_ms
-        return min(wait, left)
+    def _times_of(self, request: PlacementRequest) -> ServiceTimes:
+        return self._times.of(request.route, request.service)
 
     def run_times(self, request: PlacementRequest) -> RunTimes:
         """Return how long runs of such requests take."""
-        times = self._times.of(request.route, request.service)
-        return RunTimes(times.fast_ms / 1000, times.slow_ms / 1000)
+        times = self._times_of(request)
+        return RunTimes(times.warm_run_ms / 1000, times.cold_run_ms / 1000)
 
     def warm_up_option(self, request: PlacementRequest, state: TargetState) -> Option:
         """Return the option of a target in its warm-up, where all runs are cold."""
-        slow_ms = self._times.of(request.route, request.service).slow_ms
-        return Option(state, RANKS, False, 1.0, 0.0, slow_ms, slow_ms)
+        cold_run_ms = self._times_of(request).cold_run_ms
+        return Option(state, RANKS, False, 1.0, 0.0, cold_run_ms, cold_run_ms)
 
     def learn(
         self,
@@ -176,7 +205,7 @@
         self, request: PlacementRequest, placement: Placement, took_ms: float
     ) -> None:
         """Learn from the time of a run that had a slot at once."""
-        times = self._times.of(request.route, request.service)
+        times = self._times_of(request)
         if request.route.affinity and self._tuning.learns_warmth:
             cold = times.is_cold(took_ms)
             self._warmth.learn(placement.target, placement.rank, placement.seen, cold)
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -29,11 +29,11 @@
 )
 from leverdoor.entry.placement.refusals import describe_loads, retry_after_ms
 from leverdoor.entry.placement.service_weights import ServiceWeights
-from leverdoor.entry.placement.sharing import NO_SLOTS, ShareBook
+from leverdoor.entry.placement.shared_warmth import SharedWarmth
+from leverdoor.entry.placement.sharing import ShareBook
 from leverdoor.entry.placement.slow_start import share_per_s
-from leverdoor.entry.placement.spill import MOVE_PER_S
+from leverdoor.entry.placement.spill import MOVE_PER_S, NO_SLOTS_UTILIZATION
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
-from leverdoor.entry.placement.warmth import SharedWarmth
 from leverdoor.errors import Code, Rejection
 from leverdoor.model.resources import Route, Target
 
@@ -167,7 +167,7 @@
 
         All may while that has no usable target; else a few, within the budget.
         """
-        if self.shares.utilization(request.service, first, now) >= NO_SLOTS:
+        if self.shares.utilization(request.service, first, now) >= NO_SLOTS_UTILIZATION:
             return True
         return self._overflow.spend()
 
--- /dev/null
+++ b/leverdoor/entry/placement/shared_warmth.py
@@ -0,0 +1,102 @@
+# leverdoor: global traffic steering
+# SPDX-License-Identifier: Apache-2.0
+"""Which keys are warm at another target than their first, over all entries.
+
+One entry sees only a part of a target's requests. Heartbeats carry, as short digests,
+which keys were answered by another than the key's first target: the second entry that
+needs such a target knows that the key is warm there.
+
+Owns the digests that this entry sends and those that all entries sent; both are lost
+with the process and are back within seconds. Relies on heartbeats (entry/membership);
+a digest that is lost costs a refusal or one cold run.
+"""
+
+from collections import OrderedDict, deque
+from collections.abc import Iterable
+
+import msgspec
+import xxhash
+
+from leverdoor.model.resources import Target
+
+__all__ = ["KEPT_S", "MOST_SENT", "SharedWarmth"]
+
+KEPT_S = 20.0
+"""How long an answer counts as a sign that its key is warm, in seconds.
+
+Chosen for keys that are requested each 0.3 to 4 s in their region. Greater: the target
+may have dropped the key. Smaller: the key is refused at a target where it is warm.
+"""
+RESENT_AFTER_S = 5.0
+"""Time after which the same answer is sent again, in seconds; a quarter of `KEPT_S`.
+
+Chosen: three more chances before the first one is void. Smaller: longer heartbeats.
+"""
+MOST_SENT = 64
+"""Digests in one heartbeat at most: 320 bytes.
+
+Chosen. Greater: longer heartbeats. Smaller: a busy entry's oldest ones are not sent.
+"""
+MOST_KNOWN = 8_192
+"""Digests kept; chosen: beyond what 65 entries send in `KEPT_S`. The one that was
+renewed longest ago goes first."""
+
+
+class _Sending(msgspec.Struct, frozen=True):
+    """One digest that goes into heartbeats."""
+
+    at: float
+    """Monotonic time of the answer, in seconds."""
+    digest: int
+
+
+class SharedWarmth:
+    """Keys that were answered by other targets than their first, of all entries."""
+
+    def __init__(self) -> None:
+        """Create it knowing nothing."""
+        self._recent: deque[_Sending] = deque(maxlen=MOST_SENT)
+        self._known: OrderedDict[int, float] = OrderedDict()
+        """When each digest was last renewed, monotonic time in seconds."""
+
+    def note(self, target: Target, key: str, now: float) -> None:
+        """Note an answer for the next heartbeats, unless it was sent lately."""
+        digest = _digest(target, key)
+        at = self._known.get(digest)
+        if at is None or now - at > RESENT_AFTER_S:
+            self._recent.append(_Sending(now, digest))
+        self._remember(digest, now)
+
+    def recent(self, span_s: float, now: float) -> list[int]:
+        """Return the digests of the last seconds, for a heartbeat."""
+        return [
+            sending.digest for sending in self._recent if now - sending.at <= span_s
+        ]
+
+    def receive(self, digests: Iterable[int], now: float) -> None:
+        """Take the digests of another entry's heartbeat."""
+        for digest in digests:
+            self._remember(digest, now)
+
+    def warm(self, target: Target, key: str, since: float, now: float) -> bool:
+        """Return whether an entry had an answer for a key from a target.
+
+        Args:
+          target: which one.
+          key: the key.
+          since: when the target last was empty; older answers are void.
+          now: monotonic time in seconds.
+        """
+        at = self._known.get(_digest(target, key))
+        return at is not None and at >= since and now - at <= KEPT_S
+
+    def _remember(self, digest: int, now: float) -> None:
+        self._known[digest] = now
+        self._known.move_to_end(digest)
+        if len(self._known) > MOST_KNOWN:
+            self._known.popitem(last=False)
+
+
+def _digest(target: Target, key: str) -> int:
+    """Return 32 bits for a key at a target; a clash costs one cold run."""
+    return xxhash.xxh32_intdigest(f"{target.name}|{key}".encode())
--- a/leverdoor/entry/placement/sharing.py
+++ b/leverdoor/entry/placement/sharing.py
@@ -1,24 +1,32 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The regions' shares of every service's keys, as one entry keeps them."""
+"""The regions' shares of every service's keys, as one entry keeps them.
+
+Owns the shares by service (spill.py) and those that were logged last; lost with the
+process. Relies on the states of targets (fleet.py) for the utilization of regions, and
+on digests (entry/membership) for the shares of the region's other entries.
+"""
 
 from collections.abc import Iterable, Mapping
 
 from leverdoor.entry.placement.fleet import Fleet
-from leverdoor.entry.placement.spill import RegionShares, first_shares
+from leverdoor.entry.placement.spill import (
+    NO_SLOTS_UTILIZATION,
+    RegionShares,
+    first_shares,
+)
 from leverdoor.entry.placement.tuning import Tuning
 from leverdoor.model.resources import Target
 
-__all__ = ["NO_SLOTS", "ShareBook"]
+__all__ = ["ShareBook"]
 
-NO_SLOTS = 9.0
-"""Pressure of a region without a usable target."""
 LOGGED_MOVE = 0.05
-"""Change of a share that is worth a line in the log; chosen."""
+"""Change of a share that is worth a line in the log; chosen: some lines a minute while
+keys move at the bounded rate."""
 
 
 class ShareBook:
-    """Shares by service, and the pressure that moves them."""
+    """Shares by service, and the utilization that moves them."""
 
     def __init__(
         self, region: str, fleet: Fleet, move_per_s: float, tuning: Tuning
@@ -27,9 +35,9 @@
 
         Args:
           region: this entry's region.
-          fleet: what is believed of targets.
+          fleet: the states of targets.
           move_per_s: most of a service's keys that change region in a second.
-          tuning: what is weighed.
+          tuning: bounds and switches of the rules.
         """
         self._tuning = tuning
         self._region = region
@@ -61,7 +69,7 @@
     def utilization(self, service: str, region: str, now: float) -> float:
         """Return load over slots of a region's usable targets."""
         load, slots = self._fleet.load(self._targets.get((service, region), ()), now)
-        return load / slots if slots else NO_SLOTS
+        return load / slots if slots else NO_SLOTS_UTILIZATION
 
     def update(self, peers: list[dict[str, dict[str, float]]], now: float) -> None:
         """Move the shares; call several times a second.
--- a/leverdoor/entry/placement/tuning.py
+++ b/leverdoor/entry/placement/tuning.py
@@ -1,9 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What decisions weigh: one value that the decision parts take.
+"""Bounds and switches of placement and spill that experiments may change.
 
-Production uses the defaults. Experiments pass others, to switch a mechanism off or
-to weigh a bound, so that no branch for them stands in the decisions themselves.
+Production uses the defaults (`PRODUCTION`). Experiments pass others, to switch a rule
+off or to try a bound; so no branch for them stands in the rules. Constants that no
+experiment changes stand beside their rule. Owns no state.
+
+Worth is credit less prices, 1 at most; docs/POLICY.md has the trials.
 """
 
 import msgspec
@@ -12,52 +15,59 @@
 
 
 class Tuning(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds and switches of placement and spill; docs/POLICY.md has their trials."""
+    """Bounds and switches; "utilization" is load over slots."""
 
     targets_a_key: int = 2
-    """Targets of a key that may serve it in a region.
+    """Most usable targets of a key that may serve it in a region.
 
-    Six in place of two made runs cold at each entry (65 entries, worth 0.584 beside
-    0.678).
+    Greater: runs are cold at each entry and target (six: worth 0.584 beside 0.678, 65
+    entries). Smaller: a full first target refuses (no second one: -0.0077 of credit,
+    emulated, 12 entries). More are looked at, since some are out (candidates.py).
     """
     cold_room: float = 0.5
-    """Load over slots up to which a key's second target may be asked for it cold.
+    """Utilization up to which a key's second target may run it cold.
 
-    A cold run takes about three times as long: where targets are busy, it makes all
-    of them slower.
+    A cold run takes about three times as long. Greater: where targets are busy, cold
+    runs make all of them slower (any utilization: -0.0094 of credit, emulated, 12
+    entries). Smaller: requests are refused beside free slots.
     """
     least_wait_share: float = 0.8
-    """Longest wait that is always accepted, as a share of the target latency.
+    """Longest wait that is always accepted, as a share of the latency target.
 
-    Worth at 12 entries under high load, loads estimated without bias: 0.3 gives 0.756,
-    0.8 gives 0.767. A request that is refused comes back to the same load, and its
-    second refusal earns nothing; one that waits is late at worst.
+    Smaller: more is refused, comes back to the same load, and its second refusal earns
+    nothing; one that waits is late at worst (0.3: worth 0.756 beside 0.767, 12 entries,
+    high load). Greater: more of what waited is late (1.0 here and for `less_urgent`:
+    0.763 beside 0.784).
     """
     less_urgent: float = 0.7
-    """Part of the longest wait that is left to less urgent routes.
+    """Part of the longest wait that is left to less urgent requests.
 
-    With 1.0 for it and for `least_wait_share` worth was 0.763 in place of 0.784.
+    Greater: urgent ones find no slot earlier than others (see `least_wait_share`).
+    Smaller: less urgent ones are refused where they would be in time.
     """
     high_pressure: float = 0.9
-    """Load over slots from which on a region gives keys away.
+    """Utilization from which on a region gives keys away.
 
-    Worth at 12 entries under high load: with 0.9 and 0.75 for 0.75 and 0.60 0.775 for
-    0.767; the lower ones were found with loads that were estimated a third too high.
+    Worth at 12 entries under high load: 0.9, and 0.75 for `low_pressure`, gives 0.775
+    beside 0.767 of 0.75 and 0.60. Greater: requests are refused before keys move.
+    Smaller: keys leave early, run cold elsewhere and cost bytes between regions.
     """
     low_pressure: float = 0.75
-    """Load over slots up to which a region takes its keys back; see above."""
+    """Utilization below which a region takes its keys back; measured with
+    `high_pressure`. Greater: keys move forth and back. Smaller: they stay away."""
     overflow_earn: float = 0.03
     """Part of requests that may leave their key's region at once.
 
-    Three times as much lost 0.01 to 0.02 of worth at 12 entries.
+    Greater: more cold runs in other regions (three times as much lost 0.01 to 0.02 of
+    worth at 12 entries). Smaller: refusals while shares are on their way.
     """
     learns_warmth: bool = True
-    """Whether run times say how likely a choice runs cold.
+    """Whether run times say how likely a run is cold.
 
-    Else a first choice passes for warm and any other, unless seen, for cold.
+    Else a key's first target counts as warm and any other, unless seen, as cold.
     """
     avoids_slow: bool = True
-    """Whether targets that are ejected as slow serve only when no other can."""
+    """Whether targets that are ejected as slow serve only if no other can."""
 
 
 PRODUCTION = Tuning()
--- a/tests/test_entry_placement.py
+++ b/tests/test_entry_placement.py
@@ -7,7 +7,7 @@
 from desk import ROUTE, SLOTS, Desk, target
 from leverdoor.entry.placement.affinity import Ranking
 from leverdoor.entry.placement.placement_request import Placement
-from leverdoor.entry.placement.warmth import SharedWarmth
+from leverdoor.entry.placement.shared_warmth import SharedWarmth
 from leverdoor.errors import Code, Rejection
 from leverdoor.model.resources import Drain, Resource, Route, WorkClass
 
--- a/tests/test_entry_spill.py
+++ b/tests/test_entry_spill.py
@@ -10,7 +10,7 @@
 from leverdoor.entry.placement.spill import MOVE_PER_S, RegionShares, first_shares
 
 
-def pressures(own: float, other: float = 0.2) -> dict[str, float]:
+def utilizations(own: float, other: float = 0.2) -> dict[str, float]:
     return {"a": own, "b": other, "c": other + 0.05}
 
 
@@ -20,13 +20,13 @@
     before = 1.0
     for _ in range(100):
         now += 0.3
-        state.update(pressures(1.2), [], now)
+        state.update(utilizations(1.2), [], now)
         assert abs(before - state.shares["a"]) <= MOVE_PER_S * 0.3 + 1e-9
         before = state.shares["a"]
     assert state.shares["a"] < 0.2
     for _ in range(200):
         now += 0.3
-        state.update(pressures(0.3), [], now)
+        state.update(utilizations(0.3), [], now)
     assert state.shares["a"] > 0.99
 
 
--- a/tests/test_entry_warmth.py
+++ b/tests/test_entry_warmth.py
@@ -3,32 +3,27 @@
 """What run times tell of caches: warm and cold runs, targets that forget."""
 
 from desk import target
+from leverdoor.entry.placement.shared_warmth import KEPT_S, MOST_SENT, SharedWarmth
 from leverdoor.entry.placement.times import ServiceTimes
-from leverdoor.entry.placement.warmth import (
-    KEPT_S,
-    MOST_SENT,
-    RANKS,
-    SharedWarmth,
-    WarmthBook,
-)
+from leverdoor.entry.placement.warmth import RANKS, WarmthBook
 
 
 def test_times_fall_into_two_clusters_whatever_was_expected() -> None:
-    times = ServiceTimes(fast_ms=200.0, slow_ms=650.0)
+    times = ServiceTimes(warm_run_ms=200.0, cold_run_ms=650.0)
     for turn in range(400):
         times.learn(90.0 if turn % 4 else 320.0)
-    assert 85 < times.fast_ms < 95
-    assert 300 < times.slow_ms < 340
+    assert 85 < times.warm_run_ms < 95
+    assert 300 < times.cold_run_ms < 340
     assert times.is_cold(250.0)
     assert not times.is_cold(120.0)
 
 
 def test_one_cluster_alone_moves_the_other_with_it() -> None:
-    times = ServiceTimes(fast_ms=200.0, slow_ms=650.0)
+    times = ServiceTimes(warm_run_ms=200.0, cold_run_ms=650.0)
     for _ in range(400):
         times.learn(300.0)
-    assert 290 < times.fast_ms < 310
-    assert times.slow_ms > 1.4 * times.fast_ms
+    assert 290 < times.warm_run_ms < 310
+    assert times.cold_run_ms > 1.4 * times.warm_run_ms
 
 
 def test_first_choices_pass_for_warm_and_others_for_cold_until_seen() -> None:
