--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -27,8 +27,9 @@
 )
 from leverdoor.errors import Rejection
 from leverdoor.gate.holdings import Holdings
+from leverdoor.gate.placement import Dispatch, Forward
 from leverdoor.gate.queueing import QueuedRequest
-from leverdoor.gate.scheduler import Dispatch, Forward, Scheduler
+from leverdoor.gate.scheduler import Scheduler
 from leverdoor.membership import ownership
 from leverdoor.membership.ownership import Ack, GateProcess, Table, plan
 from leverdoor.membership.peers import AgentHeartbeat, GateState
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -326,8 +326,9 @@
 def request() -> None:
     """Processor time of the decisions of one request, without I/O."""
     from leverdoor.gate.holdings import Holdings
+    from leverdoor.gate.placement import Dispatch
     from leverdoor.gate.queueing import QueuedRequest
-    from leverdoor.gate.scheduler import Dispatch, Scheduler
+    from leverdoor.gate.scheduler import Scheduler
     from leverdoor.storage.view import DEFAULT_TIER
 
     points = []
--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -21,7 +21,7 @@
 from leverdoor.membership.gossip import GossipSocket
 from leverdoor.membership.peers import AgentHeartbeat, Gossip, Peers
 from leverdoor.metrics import AgentMetrics
-from leverdoor.model.targets import Probe
+from leverdoor.model.probe import Probe
 from leverdoor.settings import AgentSettings
 from leverdoor.storage.configuration import Configuration
 from leverdoor.storage.etcd import EtcdStore
--- a/leverdoor/agent/link.py
+++ b/leverdoor/agent/link.py
@@ -11,7 +11,7 @@
 from leverdoor.codec import pack, unpack
 from leverdoor.membership.ownership import Ack
 from leverdoor.membership.peers import AgentHeartbeat, GateState, Load
-from leverdoor.model.targets import Probe
+from leverdoor.model.probe import Probe
 from leverdoor.settings import Address
 from leverdoor.storage.state import Delta
 
--- a/leverdoor/agent/probing.py
+++ b/leverdoor/agent/probing.py
@@ -8,7 +8,7 @@
 import aiohttp
 import msgspec
 
-from leverdoor.model.targets import Probe
+from leverdoor.model.probe import Probe
 
 __all__ = ["Prober", "TargetReport"]
 
--- a/leverdoor/gate/dispatch.py
+++ b/leverdoor/gate/dispatch.py
@@ -1,24 +1,33 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Runs the scheduler on the loop: lets jobs wait, and wakes them when decided."""
+"""Runs the scheduler on the loop: requests wait here until the scheduler decides.
+
+Owns a future for each waiting request; they end with the process. Relies on `kick`
+being called whenever units, configuration or heartbeats changed.
+"""
 
 import asyncio
 import contextlib
 
 from leverdoor.errors import Code, Rejection
+from leverdoor.gate.placement import Decision, Dispatch
 from leverdoor.gate.queueing import QueuedRequest
-from leverdoor.gate.scheduler import Decision, Dispatch, Scheduler
+from leverdoor.gate.scheduler import Scheduler
 
 __all__ = ["Dispatcher"]
 
 TICK_S = 0.02
-"""Seconds between two rounds of decisions while requests wait; chosen."""
+"""Seconds between two rounds of decisions while requests wait.
+
+Chosen: how late a deadline, a ripened unit or the end of an ejection is seen. A
+greater one adds to the wait; a smaller one costs processor time.
+"""
 IDLE_TICK_S = 0.25
-"""The same while none does."""
+"""The same while none waits, in seconds; chosen, nothing depends on it."""
 
 
 class Dispatcher:
-    """Places jobs; the scheduler decides, this waits."""
+    """Places requests, after a wait if the scheduler lets them wait."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         """Create it around a scheduler."""
@@ -28,63 +37,63 @@
 
     @property
     def waiting(self) -> int:
-        """Count the jobs that wait."""
+        """Count the requests that wait."""
         return len(self._waiting)
 
     def kick(self) -> None:
-        """Have waiting jobs looked at again; call after anything changed."""
+        """Have `run` decide again on waiting requests; call after anything changed."""
         self._wake.set()
 
-    async def place(self, job: QueuedRequest) -> Decision:
-        """Decide on a job, after a wait if need be."""
+    async def place(self, request: QueuedRequest) -> Decision:
+        """Decide on a request, after a wait if need be."""
         loop = asyncio.get_running_loop()
-        decision = self._offer(job, loop.time())
+        decision = self._offer(request, loop.time())
         if decision is not None:
             return decision
         future: asyncio.Future[Decision] = loop.create_future()
-        self._waiting[id(job)] = (job, future)
+        self._waiting[id(request)] = (request, future)
         self.kick()
         try:
             return await future
         except asyncio.CancelledError:
-            self._abandon(job, future, loop.time())
+            self._abandon(request, future, loop.time())
             raise
         finally:
-            self._waiting.pop(id(job), None)
+            self._waiting.pop(id(request), None)
 
-    def _offer(self, job: QueuedRequest, now: float) -> Decision | None:
-        decision = self.scheduler.offer(job, now)
+    def _offer(self, request: QueuedRequest, now: float) -> Decision | None:
+        decision = self.scheduler.offer(request, now)
         if not isinstance(decision, Rejection) or decision.code is not Code.QUEUE_FULL:
             return decision
-        victim = self.scheduler.evictable(job)
+        victim = self.scheduler.evictable(request)
         if victim is None:
             return decision
         refuse = self.scheduler.evict(victim, now)
         if refuse is not None:
             self._resolve(victim, refuse)
-        return self.scheduler.offer(job, now)
+        return self.scheduler.offer(request, now)
 
     def _abandon(
-        self, job: QueuedRequest, future: asyncio.Future[Decision], now: float
+        self, request: QueuedRequest, future: asyncio.Future[Decision], now: float
     ) -> None:
         """Give back what was taken for a caller that went away."""
-        self.scheduler.withdraw(job)
+        self.scheduler.withdraw(request)
         if future.done() and not future.cancelled():
             decision = future.result()
             if isinstance(decision, Dispatch):
-                self.scheduler.done(job, decision, now, 0.0, False, 0.0)
+                self.scheduler.done(request, decision, now, 0.0, False, 0.0)
                 self.kick()
 
-    def _resolve(self, job: QueuedRequest, decision: Decision) -> None:
-        entry = self._waiting.get(id(job))
+    def _resolve(self, request: QueuedRequest, decision: Decision) -> None:
+        entry = self._waiting.get(id(request))
         if entry is not None and not entry[1].done():
             entry[1].set_result(decision)
         elif isinstance(decision, Dispatch):
             now = asyncio.get_running_loop().time()
-            self.scheduler.done(job, decision, now, 0.0, False, 0.0)
+            self.scheduler.done(request, decision, now, 0.0, False, 0.0)
 
     async def run(self) -> None:
-        """Look at waiting jobs whenever something changed, until cancelled."""
+        """Look at waiting requests whenever something changed, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             tick = TICK_S if self._waiting else IDLE_TICK_S
@@ -92,5 +101,5 @@
                 async with asyncio.timeout(tick):
                     await self._wake.wait()
             self._wake.clear()
-            for job, decision in self.scheduler.poll(loop.time()):
-                self._resolve(job, decision)
+            for request, decision in self.scheduler.poll(loop.time()):
+                self._resolve(request, decision)
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -16,8 +16,9 @@
 from leverdoor.gate.keyed import KeyedServer
 from leverdoor.gate.keys import KeyRing, Outcome
 from leverdoor.gate.queueing import QueuedRequest
+from leverdoor.gate.refusals import LEAVING_RETRY_MS, NOT_READY_RETRY_MS
 from leverdoor.gate.relay import Body
-from leverdoor.gate.scheduler import MIN_RETRY_MS, Scheduler
+from leverdoor.gate.scheduler import Scheduler
 from leverdoor.gate.serving import GateRequest, Served, Server, finishing
 from leverdoor.membership.peers import GateState
 from leverdoor.metrics import GateMetrics
@@ -106,7 +107,9 @@
     async def _lookup(self, request: web.Request) -> web.StreamResponse:
         """Say which entry VMs to use."""
         if self.state is GateState.STARTING:
-            return problem_answer(Refusal(Code.NOT_READY, retry_after_ms=500))
+            return problem_answer(
+                Refusal(Code.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
+            )
         service = self._scheduler.view.services.get(request.match_info["service"])
         if service is None:
             return problem_answer(Refusal(Code.UNKNOWN_SERVICE))
@@ -231,9 +234,9 @@
     ) -> GateRequest:
         """Read what a request says of itself."""
         if self.state is GateState.STARTING:
-            raise Refusal(Code.NOT_READY, retry_after_ms=500)
+            raise Refusal(Code.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
         if self.closed:
-            raise Refusal(Code.LEAVING, retry_after_ms=MIN_RETRY_MS)
+            raise Refusal(Code.LEAVING, retry_after_ms=LEAVING_RETRY_MS)
         service = self._scheduler.view.services.get(request.match_info["service"])
         if service is None:
             raise Refusal(Code.UNKNOWN_SERVICE)
@@ -243,7 +246,7 @@
         )
         limit_ms = service.deadline_ms
         asked_ms = h.bounded_int(request.headers, h.DEADLINE, limit_ms)
-        job = QueuedRequest(
+        queued = QueuedRequest(
             service=service.name,
             tier=tier,
             home=home,
@@ -263,7 +266,7 @@
             tail=request.raw_path.split("/", 3)[3],
             headers=h.passing(request.headers.items(), connection),
             body=await self._body(request, service),
-            job=job,
+            queued=queued,
             caller=caller,
             key=key,
             arrived=arrived,
@@ -315,7 +318,7 @@
         if self.state is GateState.SERVING:
             return web.Response(text="ready\n")
         code = Code.LEAVING if self.state is GateState.LEAVING else Code.NOT_READY
-        return problem_answer(Refusal(code, retry_after_ms=500))
+        return problem_answer(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
 
 
 async def _no_expect(request: web.Request) -> None:
--- a/leverdoor/gate/keyed.py
+++ b/leverdoor/gate/keyed.py
@@ -102,7 +102,7 @@
         if task is None:
             raise Refusal(Code.STILL_RUNNING, retry_after_ms=ASK_AGAIN_MS)
         now = asyncio.get_running_loop().time()
-        limit = None if inbound.job.bulk else max(inbound.job.deadline - now, 0.0)
+        limit = None if inbound.queued.bulk else max(inbound.queued.deadline - now, 0.0)
         done, _ = await asyncio.wait({task}, timeout=limit)
         if not done:
             raise Refusal(Code.STILL_RUNNING, retry_after_ms=ASK_AGAIN_MS)
@@ -139,11 +139,11 @@
         return issuer.incarnation > key.incarnation
 
     def _hop(self, inbound: GateRequest, issuer: AgentHeartbeat) -> Hop:
-        left_ms = max(int((inbound.job.deadline - _now()) * 1000), 1)
+        left_ms = max(int((inbound.queued.deadline - _now()) * 1000), 1)
         extra = [
             (h.REQUEST_ID, inbound.request_id),
-            (h.HOME, inbound.job.home),
-            (h.TIER, inbound.job.tier.name),
+            (h.HOME, inbound.queued.home),
+            (h.TIER, inbound.queued.tier.name),
             (h.CALLER, inbound.caller),
             (h.DEADLINE, str(left_ms)),
         ]
@@ -152,7 +152,7 @@
             url=f"http://{issuer.relay}/s/{inbound.service.name}/{inbound.tail}",
             headers=inbound.headers + extra,
             body=inbound.body,
-            deadline=inbound.job.deadline,
+            deadline=inbound.queued.deadline,
             stall_s=inbound.service.deadline_ms / 1000,
             once=True,
             relay=True,
--- a/leverdoor/gate/neighbours.py
+++ b/leverdoor/gate/neighbours.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
+from leverdoor.gate.target_health import ASSUMED_MS
 from leverdoor.membership.peers import AgentHeartbeat, GateState, Peer
-from leverdoor.model.targets import ASSUMED_MS
 
 __all__ = ["Neighbour", "Neighbours", "RegionLoad"]
 
--- a/leverdoor/gate/pool.py
+++ b/leverdoor/gate/pool.py
@@ -6,9 +6,9 @@
 from random import Random
 
 from leverdoor.gate.holdings import Holdings
+from leverdoor.gate.target_health import TargetBook
 from leverdoor.membership.ownership import slot_row
 from leverdoor.model.resources import Target
-from leverdoor.model.targets import TargetBook
 from leverdoor.storage.view import View
 
 __all__ = ["TargetPool"]
--- a/leverdoor/gate/queueing.py
+++ b/leverdoor/gate/queueing.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Who is served next: priority tiers with reserved room, weights, and bulk last."""
+"""Who is served next: tiers below their reserve, then by weight, bulk uploads last.
+
+Owns the requests of one service that wait at this gate, and each tier's turn among
+them (stride scheduling); both end with the process. Relies on the caller for the
+slots in use: nothing is counted here.
+"""
 
 from collections import deque
 
@@ -12,7 +17,12 @@
 
 
 class QueuedRequest(msgspec.Struct, eq=False):
-    """One request as the decisions see it."""
+    """One request as the decisions of a gate need it.
+
+    `home` is the caller's region. `arrived` and `deadline` are loop times in seconds.
+    `forwarded` is set when another gate passed the request on: it isn't passed on
+    again. `tried` holds the addresses of targets where an attempt failed.
+    """
 
     service: str
     tier: Tier
@@ -28,7 +38,7 @@
     """Requests of one service that wait at one gate.
 
     A tier below its reserved share of the slots in use goes first; the rest
-    share by weight (stride scheduling). Bulk work goes after everybody else.
+    share by weight (stride scheduling). Bulk uploads go after all others.
     """
 
     def __init__(self) -> None:
@@ -40,31 +50,31 @@
         self._now = 0.0
 
     def __len__(self) -> int:
-        """Count what waits, bulk work included."""
-        return self.people() + len(self._bulk)
+        """Count the waiting requests, bulk uploads included."""
+        return self.interactive() + len(self._bulk)
 
-    def people(self) -> int:
-        """Count what waits, bulk work left out."""
+    def interactive(self) -> int:
+        """Count the waiting requests, bulk uploads left out."""
         return sum(len(q) for q in self._waiting.values())
 
-    def push(self, job: QueuedRequest) -> None:
-        """Add a job."""
-        if job.bulk:
-            self._bulk.append(job)
+    def push(self, request: QueuedRequest) -> None:
+        """Add a request at the end of its tier."""
+        if request.bulk:
+            self._bulk.append(request)
             return
-        name = job.tier.name
+        name = request.tier.name
         queue = self._waiting.setdefault(name, deque())
         if not queue:
             self._passes[name] = max(self._passes.get(name, 0.0), self._now)
-        self._tiers[name] = job.tier
-        queue.append(job)
+        self._tiers[name] = request.tier
+        queue.append(request)
 
-    def remove(self, job: QueuedRequest) -> bool:
-        """Take a job out wherever it stands."""
-        queue = self._bulk if job.bulk else self._waiting.get(job.tier.name)
-        if queue is None or job not in queue:
+    def remove(self, request: QueuedRequest) -> bool:
+        """Take a request out; return whether it was waiting."""
+        queue = self._bulk if request.bulk else self._waiting.get(request.tier.name)
+        if queue is None or request not in queue:
             return False
-        queue.remove(job)
+        queue.remove(request)
         return True
 
     def order(self, in_use: dict[str, int], held: int) -> list[QueuedRequest]:
@@ -75,59 +85,60 @@
           held: all slots that the gate holds for the service.
         """
         tiers = [self._tiers[n] for n, q in self._waiting.items() if q]
-        tiers.sort(key=lambda t: self._standing(t, in_use, held))
+        tiers.sort(key=lambda t: self._turn(t, in_use, held))
         heads = [self._waiting[t.name][0] for t in tiers]
         return heads + ([self._bulk[0]] if self._bulk else [])
 
-    def _standing(
+    def _turn(
         self, tier: Tier, in_use: dict[str, int], held: int
     ) -> tuple[bool, float, str]:
+        """Order tiers: those below their reserve, the least served of it first."""
         reserved = tier.reserve_percent * held / 100
         used = in_use.get(tier.name, 0)
-        below = used < reserved
-        if below:
+        if used < reserved:
             return (False, used / reserved, tier.name)
         return (True, self._passes.get(tier.name, 0.0), tier.name)
 
-    def pop(self, job: QueuedRequest) -> None:
-        """Take a head out because it is being served."""
-        self.remove(job)
-        if job.bulk:
+    def pop(self, request: QueuedRequest) -> None:
+        """Take out the head of a tier that is being served, and charge its tier."""
+        self.remove(request)
+        if request.bulk:
             return
-        name = job.tier.name
+        name = request.tier.name
         self._now = max(self._now, self._passes.get(name, 0.0))
-        self._passes[name] = self._passes.get(name, 0.0) + 1 / job.tier.weight
+        self._passes[name] = self._passes.get(name, 0.0) + 1 / request.tier.weight
 
     def ahead(self, tier: Tier) -> float:
-        """Estimate how many jobs are served before a new one of a tier."""
+        """Estimate how many requests are served before a new one of a tier."""
         total = 0.0
         for name, queue in self._waiting.items():
             other = self._tiers[name]
-            if other.name == tier.name or _rank(other) >= _rank(tier):
+            if other.name == tier.name or _priority(other) >= _priority(tier):
                 total += len(queue)
             else:
                 total += len(queue) * other.weight / (other.weight + tier.weight)
         return total
 
     def lowest(self, than: Tier) -> QueuedRequest | None:
-        """Return the newest job of the lowest tier below a tier."""
+        """Return the newest request of the lowest tier below a tier."""
         below = [
             t
             for n, t in self._tiers.items()
-            if self._waiting.get(n) and _rank(t) < _rank(than)
+            if self._waiting.get(n) and _priority(t) < _priority(than)
         ]
         if not below:
             return None
-        return self._waiting[min(below, key=_rank).name][-1]
+        return self._waiting[min(below, key=_priority).name][-1]
 
     def expired(self, now: float) -> list[QueuedRequest]:
-        """Take out and return the jobs whose deadline has passed."""
+        """Take out and return the requests whose deadline has passed."""
         queues = [*self._waiting.values(), self._bulk]
-        late = [j for q in queues for j in q if j.deadline <= now]
-        for job in late:
-            self.remove(job)
+        late = [r for q in queues for r in q if r.deadline <= now]
+        for request in late:
+            self.remove(request)
         return late
 
 
-def _rank(tier: Tier) -> tuple[int, int]:
+def _priority(tier: Tier) -> tuple[int, int]:
+    """Order tiers for load shedding: by reserve, then by weight."""
     return (tier.reserve_percent, tier.weight)
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -12,6 +12,7 @@
 from leverdoor import headers as h
 from leverdoor.errors import Code, Refusal, Rejection, Run
 from leverdoor.gate.dispatch import Dispatcher
+from leverdoor.gate.placement import Dispatch, Forward
 from leverdoor.gate.queueing import QueuedRequest
 from leverdoor.gate.relay import (
     BUFFERED_ANSWER,
@@ -21,7 +22,6 @@
     HopClient,
     refusal_of,
 )
-from leverdoor.gate.scheduler import Dispatch, Forward
 from leverdoor.model.resources import Service, WorkClass
 from leverdoor.retry_budget import RetryBudget
 
@@ -46,7 +46,7 @@
     tail: str
     headers: list[tuple[str, str]]
     body: Body
-    job: QueuedRequest
+    queued: QueuedRequest
     caller: str
     key: str = ""
     arrived: float = 0.0
@@ -152,7 +152,7 @@
         lost: Refusal | None = None
         while True:
             attempt += 1
-            decision = await self._dispatcher.place(inbound.job)
+            decision = await self._dispatcher.place(inbound.queued)
             try:
                 if isinstance(decision, Rejection):
                     raise decision.refusal()
@@ -174,7 +174,7 @@
 
     def _again(self, inbound: GateRequest, refusal: Refusal) -> bool:
         """Return whether another attempt is safe and worth it."""
-        if inbound.job.forwarded or not inbound.body.replayable:
+        if inbound.queued.forwarded or not inbound.body.replayable:
             return False
         if refusal.run is Run.NO:
             return True
@@ -189,7 +189,7 @@
         try:
             answer = await self._client.send(hop, began)
         except Refusal as e:
-            inbound.job.tried.add(made.target.address)
+            inbound.queued.tried.add(made.target.address)
             if e.code is not Code.DEADLINE_PASSED:
                 health.failed(loop.time())
             self._return(inbound, made, began, False, e.run is not Run.NO)
@@ -203,7 +203,7 @@
             answer.close()
             health.shed(loop.time())
             self._return(inbound, made, began, False, False)
-            inbound.job.tried.add(made.target.address)
+            inbound.queued.tried.add(made.target.address)
             raise Refusal(Code.CONNECT_FAILED, "the target shed it")
         if answer.status in (429, 503):
             health.shed(loop.time())
@@ -229,15 +229,15 @@
 
     def _hop(self, inbound: GateRequest, url: str, relay: bool = False) -> Hop:
         now = asyncio.get_running_loop().time()
-        left_ms = max(int((inbound.job.deadline - now) * 1000), 1)
+        left_ms = max(int((inbound.queued.deadline - now) * 1000), 1)
         extra = [(h.REQUEST_ID, inbound.request_id)]
-        if not inbound.job.bulk:
+        if not inbound.queued.bulk:
             extra.append((h.DEADLINE, str(left_ms)))
         if relay:
             extra += [
                 (h.HOP, "1"),
-                (h.HOME, inbound.job.home),
-                (h.TIER, inbound.job.tier.name),
+                (h.HOME, inbound.queued.home),
+                (h.TIER, inbound.queued.tier.name),
                 (h.CALLER, inbound.caller),
             ]
         return Hop(
@@ -245,7 +245,7 @@
             url=url,
             headers=inbound.headers + extra,
             body=inbound.body,
-            deadline=inbound.job.deadline,
+            deadline=inbound.queued.deadline,
             stall_s=inbound.service.deadline_ms / 1000,
             once=inbound.once,
             relay=relay,
@@ -271,7 +271,7 @@
         if ok:
             scheduler.targets.of(made.target, now).served(took_ms)
         cool_s = inbound.service.linger_ms / 1000 if may_run else 0.0
-        scheduler.done(inbound.job, made, now, took_ms, ok, cool_s)
+        scheduler.done(inbound.queued, made, now, took_ms, ok, cool_s)
         self._dispatcher.kick()
 
 
--- a/leverdoor/model/targets.py
+++ b/leverdoor/gate/target_health.py
@@ -1,40 +1,58 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What a gate believes of each target, from answers first and reports second."""
+"""The health of each target as one gate sees it: ejection, slow start, latency.
 
-import msgspec
+Owns mean latency, requests in flight, ejections and the last report of each target;
+all of it starts anew with the process. Answers count first: a target that sheds is
+ejected whatever it reports. Reports come from the agent's probes, seconds old.
+"""
 
+from leverdoor.model.probe import Probe
 from leverdoor.model.resources import Target
 
-__all__ = ["Probe", "TargetBook", "TargetHealth"]
+__all__ = ["ASSUMED_MS", "TargetBook", "TargetHealth"]
 
-FIRST_EJECTION_S = 0.25
-"""First ejection of a target that was not reached, in seconds; it doubles."""
-LONGEST_EJECTION_S = 10.0
-"""Longest ejection, in seconds; chosen."""
-FIRST_SHED_S = 0.1
-"""First pause after a target shed a request, in seconds; it doubles."""
-LONGEST_SHED_S = 1.0
-"""Longest such pause, in seconds; chosen."""
+FAILURE_EJECTION_FIRST_S = 0.25
+"""First ejection of a target that failed, in seconds; it doubles with each failure.
+
+Chosen: one failure says little. A longer one idles a good target after one lost
+connection; a shorter one sends retry after retry to a dead one.
+"""
+FAILURE_EJECTION_LONGEST_S = 10.0
+"""Longest ejection after failures, in seconds.
+
+Chosen: a target that is back waits that long at most for its next request; a shorter
+one loses a request more often while it stays dead.
+"""
+SHED_EJECTION_FIRST_S = 0.1
+"""First ejection of a target that shed a request, in seconds; it doubles.
+
+Chosen: some runs of 20 ms, in which a slot of the target is likely to become free.
+"""
+SHED_EJECTION_LONGEST_S = 1.0
+"""Longest ejection after shed requests, in seconds.
+
+Chosen far below that of failures: a target that sheds works, and does so less than a
+dead one keeps its slots idle.
+"""
 LATENCY_WEIGHT = 0.2
-"""Weight of one answer in the mean latency; chosen."""
+"""Weight of one answer in the mean latency of a target.
+
+Chosen: the last five answers. A greater one lets single answers decide; a smaller one
+sends requests to a target that has become slow.
+"""
 ASSUMED_MS = 20.0
-"""Latency of a target before any answer, in ms; chosen."""
+"""Run time assumed before any answer, in ms; chosen, the run of a look-up."""
 REPORT_TRUST_S = 5.0
-"""Age up to which a target's own report is used, in seconds; chosen."""
+"""Age in seconds at which a target's own report counts for nothing.
 
-
-class Probe(msgspec.Struct, frozen=True, array_like=True):
-    """One report of a target: reachable, leaving, and its own in-flight count."""
-
-    ok: bool
-    leaving: bool = False
-    in_flight: int = 0
-    taken_at: float = 0.0
+Chosen: some intervals of the probes, so that one lost probe changes little; a longer
+one orders targets by load that has gone.
+"""
 
 
 class TargetHealth:
-    """One target as its answers show it."""
+    """One target's health; times are loop times in seconds."""
 
     def __init__(self, now: float) -> None:
         """Create it, cold, in service since `now`."""
@@ -55,14 +73,16 @@
 
     def failed(self, now: float) -> None:
         """Record a failed connection or a lost answer."""
-        wait = min(FIRST_EJECTION_S * 2**self._failures, LONGEST_EJECTION_S)
+        wait = min(
+            FAILURE_EJECTION_FIRST_S * 2**self._failures, FAILURE_EJECTION_LONGEST_S
+        )
         self._failures += 1
         self.out_until = max(self.out_until, now + wait)
         self.warm_since = self.out_until
 
     def shed(self, now: float) -> None:
-        """Record a refusal by the target, whatever its reports say."""
-        wait = min(FIRST_SHED_S * 2**self._sheds, LONGEST_SHED_S)
+        """Record that the target shed a request; its reports don't end the pause."""
+        wait = min(SHED_EJECTION_FIRST_S * 2**self._sheds, SHED_EJECTION_LONGEST_S)
         self._sheds += 1
         self.out_until = max(self.out_until, now + wait)
 
@@ -80,16 +100,19 @@
         return not self.leaving and now >= self.out_until
 
     def allowance(self, held: int, warmup_s: float, now: float) -> int:
-        """Most requests in flight from here while the target warms up."""
+        """Return how many slots may be in use from here: slow start.
+
+        They rise evenly over `warmup_s` from the time the target was in service again.
+        """
         if warmup_s <= 0:
             return held
         share = (now - self.warm_since) / warmup_s
         return max(1, min(held, int(share * held)))
 
     def score(self, now: float) -> float:
-        """Expected latency, the smaller the better.
+        """Return the expected latency in ms, the smaller the better.
 
-        A fresh report of others' work counts; an old one does not.
+        Requests of other gates, from the target's report, count less the older it is.
         """
         load = float(self.in_flight)
         probe = self._probe
@@ -100,7 +123,7 @@
 
 
 class TargetBook:
-    """Health of all targets that this gate has to do with, by address."""
+    """The health of all targets that this gate knows, by address."""
 
     def __init__(self) -> None:
         """Create an empty book."""
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -9,12 +9,15 @@
 
 from leverdoor.errors import Code, Rejection
 from leverdoor.gate.holdings import Holdings
+from leverdoor.gate.placement import Dispatch, Forward
 from leverdoor.gate.queueing import QueuedRequest, WaitQueue
 from leverdoor.gate.ramp import Ramp
-from leverdoor.gate.scheduler import Dispatch, Forward, Scheduler
+from leverdoor.gate.scheduler import Scheduler
+from leverdoor.gate.target_health import TargetHealth
 from leverdoor.membership.ownership import GateProcess, Table, plan
 from leverdoor.membership.peers import AgentHeartbeat, GateState, Load
 from leverdoor.model.blocks import BlockMap
+from leverdoor.model.probe import Probe
 from leverdoor.model.resources import (
     Drain,
     Region,
@@ -26,7 +29,6 @@
     WorkClass,
     resource_key,
 )
-from leverdoor.model.targets import Probe, TargetHealth
 from leverdoor.storage.view import View
 
 PAID = Tier(name="paid", reserve_percent=50, weight=4)
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -29,6 +29,7 @@
 from leverdoor.membership import ownership
 from leverdoor.membership.peers import AgentHeartbeat, GateState, Gossip, Load
 from leverdoor.model.burn import BurnLine, Counts, Series
+from leverdoor.model.probe import Probe
 from leverdoor.model.resources import (
     ClientBlocks,
     ClientLimits,
@@ -44,7 +45,6 @@
     WorkClass,
     Workspace,
 )
-from leverdoor.model.targets import Probe
 from leverdoor.storage.configuration import Applied, Guard
 from leverdoor.storage.state import Delta
 from leverdoor.storage.store import Event, KeyValue
