--- a/leverdoor/client/caller.py
+++ b/leverdoor/client/caller.py
@@ -13,7 +13,7 @@
 from leverdoor import headers as h
 from leverdoor.codec import parse_json
 from leverdoor.errors import Code, ConfigError, Problem, Refusal, Run
-from leverdoor.gate.handler import LookupAnswer, LookupEntry
+from leverdoor.gate.lookups import LookupAnswer, LookupEntry
 from leverdoor.gate.relay import refusal_of
 from leverdoor.sessions import new_session
 
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -1,56 +1,43 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What a gate says to callers: look-ups, requests and their answers."""
+"""The HTTP handlers of a gate: look-ups, requests and their answers.
+
+Owns the gate's state (starting, serving, leaving, closed) and the count of requests in
+flight, which the daemon waits for at a stop. Relies on `intake.py` to read a request,
+on `serving.py` and `keyed.py` to serve it, and on `lookups.py` for whom to name.
+"""
 
 import asyncio
 import secrets
 
-import aiohttp
-import msgspec
 from aiohttp import web
 from loguru import logger
 
 from leverdoor import headers as h
 from leverdoor.answers import json_answer, problem_answer
 from leverdoor.errors import Code, Refusal, Run
+from leverdoor.gate.intake import (
+    caller_origin,
+    gate_origin,
+    leave_expect,
+    read_request,
+)
 from leverdoor.gate.keyed import KeyedServer
 from leverdoor.gate.keys import KeyRing, Outcome
-from leverdoor.gate.queueing import QueuedRequest
+from leverdoor.gate.lookups import LookupAnswer, named_entries
 from leverdoor.gate.refusals import LEAVING_RETRY_MS, NOT_READY_RETRY_MS
-from leverdoor.gate.relay import Body
+from leverdoor.gate.requests import GateRequest, Origin
 from leverdoor.gate.scheduler import Scheduler
-from leverdoor.gate.serving import GateRequest, Served, Server, finishing
+from leverdoor.gate.serving import Served, Server, finishing
 from leverdoor.membership.peers import GateState
 from leverdoor.metrics import GateMetrics
 from leverdoor.model.burn import BurnMeter
 from leverdoor.model.resources import Service, Tier, WorkClass
 
-__all__ = ["GateHandler", "LookupAnswer", "LookupEntry"]
+__all__ = ["MAX_HEADER_BYTES", "GateHandler"]
 
-BUFFERED_BODY = 64 * 1024
-"""Longest body kept for a repeat, in bytes; uploads are streamed."""
 MAX_HEADER_BYTES = 8_190
-"""Longest head of a request; the HTTP library's own limit."""
-MAX_ENTRIES = 4
-"""Entries named by a look-up; one answer and three to fail over to."""
-
-
-class LookupEntry(msgspec.Struct, frozen=True):
-    """One entry VM that a caller may use."""
-
-    address: str
-    region: str
-    weight: int
-
-
-class LookupAnswer(msgspec.Struct, frozen=True):
-    """Which entry VMs to use for a service, and for how long."""
-
-    service: str
-    home: str
-    entries: list[LookupEntry]
-    ttl_ms: int
-    key: str = ""
+"""Longest line and field of a request's head, in bytes; the HTTP library's default."""
 
 
 class GateHandler:
@@ -89,7 +76,10 @@
         app.router.add_get("/readyz", self._readyz)
         app.router.add_get("/metrics", self._metrics.handler)
         app.router.add_route(
-            "*", "/s/{service}/{tail:.*}", self._from_caller, expect_handler=_no_expect
+            "*",
+            "/s/{service}/{tail:.*}",
+            self._from_caller,
+            expect_handler=leave_expect,
         )
         return app
 
@@ -98,141 +88,84 @@
         app = web.Application(client_max_size=0)
         app.router.add_get("/v1/burn", self._burn_series)
         app.router.add_route(
-            "*", "/s/{service}/{tail:.*}", self._from_gate, expect_handler=_no_expect
+            "*", "/s/{service}/{tail:.*}", self._from_gate, expect_handler=leave_expect
         )
         return app
 
     # Look-ups.
 
     async def _lookup(self, request: web.Request) -> web.StreamResponse:
-        """Say which entry VMs to use."""
+        """Name the gates to use, with a key where the service needs one."""
         if self.state is GateState.STARTING:
-            return problem_answer(
-                Refusal(Code.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
-            )
-        service = self._scheduler.view.services.get(request.match_info["service"])
+            return _not_ready()
+        view = self._scheduler.view
+        service = view.services.get(request.match_info["service"])
         if service is None:
             return problem_answer(Refusal(Code.UNKNOWN_SERVICE))
         client = request.query.get("client", request.remote or "")
-        home = self._scheduler.view.blocks.region(client) or self._region
+        home = view.blocks.region(client) or self._region
         now = asyncio.get_running_loop().time()
-        key = ""
-        if service.work is not WorkClass.LOOKUP and self.state is GateState.SERVING:
-            key = self._ring.issue(secrets.token_bytes(8), now)
+        address = self.address if self.state is GateState.SERVING else ""
         answer = LookupAnswer(
             service.name,
             home,
-            self._entries(service, home, now),
+            named_entries(self._scheduler, service.name, home, address, now),
             self._lookup_ttl_ms,
-            key,
+            self._issue_key(service, now),
         )
         return json_answer(answer)
 
-    def _entries(self, service: Service, home: str, now: float) -> list[LookupEntry]:
-        """Choose entries by what they hold, the caller's region first."""
-        found = []
-        own = self._scheduler.loads(now).get(service.name)
-        if self.state is GateState.SERVING and not self._scheduler.vm_leaving(
-            self._scheduler.vm
-        ):
-            held = own.held if own else 0
-            found.append(LookupEntry(self.address, self._region, held + 1))
-        for heartbeat in self._scheduler.usable_gates(now):
-            load = heartbeat.loads.get(service.name)
-            held = load.held if load else 0
-            found.append(LookupEntry(heartbeat.gate, heartbeat.region, held + 1))
-        view = self._scheduler.view
-        found.sort(key=lambda e: (view.distance_ms(home, e.region), -e.weight))
-        return found[:MAX_ENTRIES]
+    def _issue_key(self, service: Service, now: float) -> str:
+        """Return a key for one request; none while this gate may end soon."""
+        if service.work is WorkClass.LOOKUP or self.state is not GateState.SERVING:
+            return ""
+        return self._ring.issue(secrets.token_bytes(8), now)
 
     # Requests.
 
     async def _from_caller(self, request: web.Request) -> web.StreamResponse:
-        caller = request.headers.get(h.CALLER, "")
-        tier = self._scheduler.view.tier(caller)
-        home = self._scheduler.view.blocks.region(request.remote or "")
-        hop = request.headers.get(h.REQUEST_ID, "") or secrets.token_hex(8)
-        return await self._handle(request, hop, caller, tier, home or self._region)
+        origin = caller_origin(request, self._scheduler.view, self._region)
+        return await self._handle(request, origin)
 
     async def _from_gate(self, request: web.Request) -> web.StreamResponse:
-        view = self._scheduler.view
-        tier = view.tiers.get(request.headers.get(h.TIER, ""), view.default_tier)
-        caller = request.headers.get(h.CALLER, "")
-        home = request.headers.get(h.HOME, "") or self._region
-        request_id = request.headers.get(h.REQUEST_ID, "")
-        hop = request.headers.get(h.HOP, "")
-        if hop:
-            return await self._handle(request, request_id, caller, tier, home, True)
-        return await self._handle(request, request_id, caller, tier, home)
-
-    async def _handle(
-        self,
-        request: web.Request,
-        request_id: str,
-        caller: str,
-        tier: Tier,
-        home: str,
-        forwarded: bool = False,
-    ) -> web.StreamResponse:
+        origin = gate_origin(request, self._scheduler.view, self._region)
+        return await self._handle(request, origin)
+
+    async def _handle(self, request: web.Request, origin: Origin) -> web.StreamResponse:
         """Serve one request and account for it."""
-        loop = asyncio.get_running_loop()
-        arrived = loop.time()
-        service_name = request.match_info["service"]
+        arrived = asyncio.get_running_loop().time()
+        service = request.match_info["service"]
         answered = False
         self.active += 1
         try:
-            inbound = await self._inbound(
-                request, request_id, caller, tier, home, forwarded, arrived
-            )
-            response = await self._answer(request, inbound, forwarded)
+            response = await self._serve(request, origin, arrived)
             answered = response.status < 500
-            logger.debug(
-                "answered",
-                request_id=request_id,
-                service=service_name,
-                status=response.status,
-                forwarded=forwarded,
-                served_by=response.headers.get(h.SERVED_BY, ""),
-            )
             return response
         except Refusal as e:
-            log = logger.info if e.run is Run.NO else logger.warning
-            log(
-                "refused",
-                request_id=request_id,
-                service=service_name,
-                code=int(e.code),
-                detail=e.detail,
-            )
-            self._metrics.refused(e.code)
-            return problem_answer(e, request_id)
+            return self._refused(e, service, origin)
         finally:
             self.active -= 1
-            if not forwarded and service_name in self._scheduler.view.services:
-                self._account(service_name, tier, arrived, answered)
+            if not origin.forwarded and service in self._scheduler.view.services:
+                self._account(service, origin.tier, arrived, answered)
 
-    def _account(self, service: str, tier: Tier, arrived: float, ok: bool) -> None:
-        now = asyncio.get_running_loop().time()
-        took_ms = (now - arrived) * 1000
-        levels = [
-            v
-            for v in self._scheduler.view.levels.values()
-            if (v.service, v.tier) == (service, tier.name)
-        ]
-        self._burn.record(service, tier.name, took_ms, ok, levels, now)
-        self._metrics.served(service, tier.name, took_ms / 1000, ok)
+    async def _serve(
+        self, request: web.Request, origin: Origin, arrived: float
+    ) -> web.StreamResponse:
+        service = self._open_service(request)
+        inbound = await read_request(request, service, origin, arrived)
+        response = await self._answer(request, inbound)
+        logger.debug(
+            "answered",
+            request_id=origin.request_id,
+            service=service.name,
+            status=response.status,
+            forwarded=origin.forwarded,
+            served_by=response.headers.get(h.SERVED_BY, ""),
+        )
+        return response
 
-    async def _inbound(
-        self,
-        request: web.Request,
-        request_id: str,
-        caller: str,
-        tier: Tier,
-        home: str,
-        forwarded: bool,
-        arrived: float,
-    ) -> GateRequest:
-        """Read what a request says of itself."""
+    def _open_service(self, request: web.Request) -> Service:
+        """Return the service called, if this gate takes requests now."""
         if self.state is GateState.STARTING:
             raise Refusal(Code.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
         if self.closed:
@@ -240,62 +173,10 @@
         service = self._scheduler.view.services.get(request.match_info["service"])
         if service is None:
             raise Refusal(Code.UNKNOWN_SERVICE)
-        path = request.match_info["tail"]
-        bulk = service.work is WorkClass.BULK or any(
-            path.startswith(p.lstrip("/")) for p in service.bulk_prefixes
-        )
-        limit_ms = service.deadline_ms
-        asked_ms = h.bounded_int(request.headers, h.DEADLINE, limit_ms)
-        queued = QueuedRequest(
-            service=service.name,
-            tier=tier,
-            home=home,
-            arrived=arrived,
-            deadline=arrived + min(asked_ms, limit_ms) / 1000,
-            bulk=bulk,
-            forwarded=forwarded,
-        )
-        key = "" if forwarded else request.headers.get(h.KEY, "")
-        if service.work is WorkClass.ONCE and not bulk and not key and not forwarded:
-            raise Refusal(Code.KEY_REQUIRED)
-        connection = request.headers.get("Connection", "")
-        return GateRequest(
-            request_id=request_id,
-            service=service,
-            method=request.method,
-            tail=request.raw_path.split("/", 3)[3],
-            headers=h.passing(request.headers.items(), connection),
-            body=await self._body(request, service),
-            queued=queued,
-            caller=caller,
-            key=key,
-            arrived=arrived,
-        )
-
-    async def _body(self, request: web.Request, service: Service) -> Body:
-        """Take a small body whole, before it can hold a slot; stream others."""
-        stall_s = service.deadline_ms / 1000
-        if not request.body_exists:
-            return Body(b"", None, 0, stall_s)
-        length = request.content_length
-        if length is None or length > BUFFERED_BODY:
-            body = Body(None, request.content, length, stall_s)
-            body.on_start = lambda: _continue(request)
-            return body
-        await _continue(request)
-        try:
-            async with asyncio.timeout(stall_s):
-                data = await request.content.read(-1)
-        except TimeoutError:
-            raise Refusal(Code.BODY_TOO_SLOW) from None
-        except (aiohttp.ClientError, OSError) as e:
-            raise Refusal(Code.BAD_REQUEST, f"the body was cut: {e!r}") from None
-        if len(data) != length:
-            raise Refusal(Code.BAD_REQUEST, "the body was cut short")
-        return Body(data, None, length, stall_s)
+        return service
 
     async def _answer(
-        self, request: web.Request, inbound: GateRequest, forwarded: bool
+        self, request: web.Request, inbound: GateRequest
     ) -> web.StreamResponse:
         if inbound.key:
             outcome = await self._keyed.serve(inbound)
@@ -304,6 +185,31 @@
         async with finishing(served):
             return await _stream(request, inbound, served)
 
+    def _refused(self, e: Refusal, service: str, origin: Origin) -> web.Response:
+        """Log and count a refusal; one that may have run is a warning."""
+        log = logger.info if e.run is Run.NO else logger.warning
+        log(
+            "refused",
+            request_id=origin.request_id,
+            service=service,
+            code=int(e.code),
+            detail=e.detail,
+        )
+        self._metrics.refused(e.code)
+        return problem_answer(e, origin.request_id)
+
+    def _account(self, service: str, tier: Tier, arrived: float, ok: bool) -> None:
+        """Count a request of a caller for the service levels and the metrics."""
+        now = asyncio.get_running_loop().time()
+        took_ms = (now - arrived) * 1000
+        levels = [
+            v
+            for v in self._scheduler.view.levels.values()
+            if (v.service, v.tier) == (service, tier.name)
+        ]
+        self._burn.record(service, tier.name, took_ms, ok, levels, now)
+        self._metrics.served(service, tier.name, took_ms / 1000, ok)
+
     # Others.
 
     async def _burn_series(self, request: web.Request) -> web.StreamResponse:
@@ -321,14 +227,8 @@
         return problem_answer(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
 
 
-async def _no_expect(request: web.Request) -> None:
-    """Leave the answer to `Expect: 100-continue` until the request is placed."""
-
-
-async def _continue(request: web.Request) -> None:
-    if request.headers.get("Expect", "").lower() == "100-continue":
-        await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        request.writer.output_size = 0
+def _not_ready(code: Code = Code.NOT_READY) -> web.Response:
+    return problem_answer(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
 
 
 async def _stream(
--- a/leverdoor/gate/keyed.py
+++ b/leverdoor/gate/keyed.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Serves requests that run at most once, at the gate that issued their key."""
+"""Serves requests that run at most once, at the gate that issued their key.
+
+Owns the runs under way, by key: they go on when their caller leaves, and end with the
+process. Relies on `keys.py` for what a key allows and on heartbeats for the proof that
+an issuer is gone.
+"""
 
 import asyncio
 
@@ -10,21 +15,26 @@
 from leverdoor import headers as h
 from leverdoor.errors import Code, Refusal, Run
 from leverdoor.gate.keys import Key, KeyRing, KeyState, Outcome, parse_key
-from leverdoor.gate.relay import Hop, HopClient, refusal_of
+from leverdoor.gate.relay import HopClient, refusal_of
+from leverdoor.gate.requests import GateRequest, issuer_hop
 from leverdoor.gate.scheduler import Scheduler
-from leverdoor.gate.serving import GateRequest, Served, Server, finishing
+from leverdoor.gate.serving import Served, Server, finishing
 from leverdoor.membership.peers import AgentHeartbeat
 
 __all__ = ["KeyedServer"]
 
-ASK_AGAIN_MS = 500
-"""When to ask again for an outcome, in ms; chosen."""
+OUTCOME_RETRY_MS = 500
+"""Retry-After in ms while an outcome is not known yet.
+
+Chosen: some runs, and some heartbeats of an issuer that can't be reached. A smaller
+one loads the issuer for nothing; a greater one keeps a caller waiting for an outcome.
+"""
 MAX_OUTCOME_BYTES = 8 * 1024 * 1024
-"""Longest outcome taken from another gate; chosen."""
+"""Longest answer read whole, in bytes; chosen, bounds the memory of a gate."""
 
 
 class KeyedServer:
-    """Runs a key's request here, or asks the gate that issued the key."""
+    """Runs a key's request here, or passes it to the gate that issued the key."""
 
     def __init__(
         self, ring: KeyRing, server: Server, scheduler: Scheduler, client: HopClient
@@ -49,7 +59,7 @@
         """
         key = parse_key(inbound.key)
         if not self._ring.mine(key):
-            return await self._ask_issuer(inbound, key)
+            return await self._from_issuer(inbound, key)
         now = asyncio.get_running_loop().time()
         state = self._ring.begin(key, now)
         if state is KeyState.NEW:
@@ -100,27 +110,29 @@
         """Wait for a run that is under way, until this caller's deadline."""
         task = self._running.get(key.nonce)
         if task is None:
-            raise Refusal(Code.STILL_RUNNING, retry_after_ms=ASK_AGAIN_MS)
+            raise Refusal(Code.STILL_RUNNING, retry_after_ms=OUTCOME_RETRY_MS)
         now = asyncio.get_running_loop().time()
         limit = None if inbound.queued.bulk else max(inbound.queued.deadline - now, 0.0)
         done, _ = await asyncio.wait({task}, timeout=limit)
         if not done:
-            raise Refusal(Code.STILL_RUNNING, retry_after_ms=ASK_AGAIN_MS)
+            raise Refusal(Code.STILL_RUNNING, retry_after_ms=OUTCOME_RETRY_MS)
         return task.result()
 
-    async def _ask_issuer(self, inbound: GateRequest, key: Key) -> Outcome:
+    async def _from_issuer(self, inbound: GateRequest, key: Key) -> Outcome:
         """Pass the request to the gate that issued its key."""
         issuer = self._scheduler.neighbours.get(key.vm)
         if self._is_gone(key, issuer):
             raise Refusal(Code.ISSUER_GONE)
         if issuer is None:
-            raise Refusal(Code.ISSUER_UNREACHABLE, retry_after_ms=ASK_AGAIN_MS)
+            raise Refusal(Code.ISSUER_UNREACHABLE, retry_after_ms=OUTCOME_RETRY_MS)
         try:
-            answer = await self._client.send(self._hop(inbound, issuer), _now())
+            answer = await self._client.send(
+                issuer_hop(inbound, issuer.relay, _now()), _now()
+            )
         except Refusal as e:
             if e.code is Code.CONNECT_FAILED:
                 raise Refusal(
-                    Code.ISSUER_UNREACHABLE, e.detail, retry_after_ms=ASK_AGAIN_MS
+                    Code.ISSUER_UNREACHABLE, e.detail, retry_after_ms=OUTCOME_RETRY_MS
                 ) from None
             raise
         problem = await answer.problem()
@@ -138,26 +150,6 @@
             return False
         return issuer.incarnation > key.incarnation
 
-    def _hop(self, inbound: GateRequest, issuer: AgentHeartbeat) -> Hop:
-        left_ms = max(int((inbound.queued.deadline - _now()) * 1000), 1)
-        extra = [
-            (h.REQUEST_ID, inbound.request_id),
-            (h.HOME, inbound.queued.home),
-            (h.TIER, inbound.queued.tier.name),
-            (h.CALLER, inbound.caller),
-            (h.DEADLINE, str(left_ms)),
-        ]
-        return Hop(
-            method=inbound.method,
-            url=f"http://{issuer.relay}/s/{inbound.service.name}/{inbound.tail}",
-            headers=inbound.headers + extra,
-            body=inbound.body,
-            deadline=inbound.queued.deadline,
-            stall_s=inbound.service.deadline_ms / 1000,
-            once=True,
-            relay=True,
-        )
-
 
 def _now() -> float:
     return asyncio.get_running_loop().time()
--- a/leverdoor/gate/relay.py
+++ b/leverdoor/gate/relay.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""One hop of a request: to a target, or to a gate that holds its slots."""
+"""One hop of a request: to a target, or to a gate that holds its slots.
+
+Owns the HTTP connections to targets and gates: kept ones for look-ups, a new one each
+time for what must run at most once. Never retries by itself. Relies on the deadline of
+the hop and on deadlines of the sockets; no other timer ends a hop.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -17,11 +22,23 @@
 __all__ = ["Answer", "Body", "Hop", "HopClient"]
 
 CONNECT_TIMEOUT_S = 1.0
-"""Longest time to connect to a target or gate, in seconds; chosen."""
+"""Longest time to connect to a target or gate, in seconds.
+
+Chosen far above the 55 ms between regions. A longer one spends the deadline on a dead
+VM; a shorter one takes a busy target for a dead one.
+"""
 BUFFERED_ANSWER = 256 * 1024
-"""Bytes of an answer read ahead of a slow caller; chosen."""
+"""Bytes of an answer read ahead of a slow caller.
+
+Chosen: most answers are shorter, so that their slot is free at once; it bounds the
+memory of each request.
+"""
 RELAY_GRACE_S = 0.1
-"""A gate that refuses at the deadline is still heard, since it knows more."""
+"""Seconds past the deadline for which the answer of another gate is awaited.
+
+Chosen: a gate that refuses at the deadline says whether the request ran, which a
+time-out here doesn't.
+"""
 
 
 class Body:
@@ -167,24 +184,27 @@
           Refusal: CONNECT_FAILED if nothing was sent; ANSWER_LOST or
             DEADLINE_PASSED if it may have run.
         """
+        response = await self._begin(hop, now)
+        answer = Answer(response, hop.relay)
+        if not answer.delimited:
+            answer.close()
+            raise Refusal(Code.ANSWER_LOST, "the answer's end cannot be told")
+        return answer
+
+    async def _begin(self, hop: Hop, now: float) -> aiohttp.ClientResponse:
+        """Send the request and wait for the head, with faults as refusals."""
         session = self._fresh if hop.once else self._kept
         streamed = hop.body.whole is None
-        grace_s = RELAY_GRACE_S if hop.relay else 0.0
-        timeout = aiohttp.ClientTimeout(
-            total=None if streamed else max(hop.deadline - now, 0.001) + grace_s,
-            sock_connect=CONNECT_TIMEOUT_S,
-            sock_read=hop.stall_s if streamed else None,
-        )
         head = CIMultiDict(hop.headers)
         if streamed and hop.body.length is not None:
             head["Content-Length"] = str(hop.body.length)
         try:
-            response = await session.request(
+            return await session.request(
                 hop.method,
                 URL(hop.url, encoded=True),
                 headers=head,
                 data=hop.body.chunks() if streamed else (hop.body.whole or None),
-                timeout=timeout,
+                timeout=_timeout(hop, now),
                 allow_redirects=False,
                 expect100=streamed and hop.relay,
             )
@@ -194,11 +214,17 @@
             raise Refusal(Code.DEADLINE_PASSED) from None
         except (aiohttp.ClientError, OSError) as e:
             raise Refusal(Code.ANSWER_LOST, repr(e)) from None
-        answer = Answer(response, hop.relay)
-        if not answer.delimited:
-            answer.close()
-            raise Refusal(Code.ANSWER_LOST, "the answer's end cannot be told")
-        return answer
+
+
+def _timeout(hop: Hop, now: float) -> aiohttp.ClientTimeout:
+    """Return the bounds of a hop: its deadline, or the longest pause of a stream."""
+    streamed = hop.body.whole is None
+    grace_s = RELAY_GRACE_S if hop.relay else 0.0
+    return aiohttp.ClientTimeout(
+        total=None if streamed else max(hop.deadline - now, 0.001) + grace_s,
+        sock_connect=CONNECT_TIMEOUT_S,
+        sock_read=hop.stall_s if streamed else None,
+    )
 
 
 def refusal_of(problem: Problem) -> Refusal:
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -1,60 +1,29 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Serves one request: places it, sends it on, and tries again where that is safe."""
+"""Serves one request: places it, sends it on, and retries where that is safe.
+
+Owns what an answer on its way back holds (`Served`): the slot and cap unit of its
+target, given back when it ends, however it ends. Relies on the dispatcher for places
+and on `retries.py` for whether to try again.
+"""
 
 import asyncio
 import contextlib
 from collections.abc import AsyncIterator
 
-import msgspec
 from loguru import logger
 
-from leverdoor import headers as h
 from leverdoor.errors import Code, Refusal, Rejection, Run
 from leverdoor.gate.dispatch import Dispatcher
 from leverdoor.gate.placement import Dispatch, Forward
-from leverdoor.gate.queueing import QueuedRequest
-from leverdoor.gate.relay import (
-    BUFFERED_ANSWER,
-    Answer,
-    Body,
-    Hop,
-    HopClient,
-    refusal_of,
-)
-from leverdoor.model.resources import Service, WorkClass
-from leverdoor.retry_budget import RetryBudget
-
-__all__ = ["GateRequest", "Served", "Server"]
-
-MAX_ATTEMPTS = 4
-"""Attempts of a safe request at most; chosen."""
-BUDGET_RATIO = 0.1
-"""Repeats earned with each request; the common tenth."""
-BUDGET_LIMIT = 10.0
-"""Repeats saved up at most; chosen."""
-EVERY_SERVICE = ""
-"""A gate has one budget for all services."""
-
+from leverdoor.gate.relay import BUFFERED_ANSWER, Answer, HopClient, refusal_of
+from leverdoor.gate.requests import GateRequest, gate_hop, target_hop
+from leverdoor.gate.retries import RetryRule
 
-class GateRequest(msgspec.Struct):
-    """One request as a gate takes it in."""
+__all__ = ["Served", "Server", "finishing"]
 
-    request_id: str
-    service: Service
-    method: str
-    tail: str
-    headers: list[tuple[str, str]]
-    body: Body
-    queued: QueuedRequest
-    caller: str
-    key: str = ""
-    arrived: float = 0.0
-
-    @property
-    def once(self) -> bool:
-        """Return whether a repeat could do harm."""
-        return self.service.work is not WorkClass.LOOKUP or bool(self.key)
+OVERLOADED = (429, 503)
+"""HTTP statuses by which a target says that it has too much to do."""
 
 
 class Served:
@@ -139,31 +108,28 @@
         """
         self._dispatcher = dispatcher
         self._client = client
-        self._budget = RetryBudget(BUDGET_RATIO, BUDGET_LIMIT, BUDGET_LIMIT)
+        self._retries = RetryRule()
 
     async def serve(self, inbound: GateRequest) -> Served:
-        """Get the head of an answer.
+        """Get the head of an answer, after some attempts if need be.
 
         Raises:
-          Refusal: it was given up on; the code says whether it may have run.
+          Refusal: it was given up; the code says whether it may have run.
         """
-        self._budget.earn(EVERY_SERVICE)
+        self._retries.count()
         attempt = 0
         lost: Refusal | None = None
         while True:
             attempt += 1
             decision = await self._dispatcher.place(inbound.queued)
+            if isinstance(decision, Rejection):
+                raise lost or decision.refusal()
             try:
-                if isinstance(decision, Rejection):
-                    raise decision.refusal()
-                if isinstance(decision, Dispatch):
-                    return await self._to_target(inbound, decision)
-                return await self._to_gate(inbound, decision)
+                return await self._send(inbound, decision)
             except Refusal as e:
                 if e.run is not Run.NO:
                     lost = e
-                ended = isinstance(decision, Rejection) or attempt >= MAX_ATTEMPTS
-                if ended or not self._again(inbound, e):
+                if not self._retries.allows(inbound, e, attempt):
                     raise lost or e from None
                 logger.info(
                     "again",
@@ -172,20 +138,17 @@
                     attempt=attempt,
                 )
 
-    def _again(self, inbound: GateRequest, refusal: Refusal) -> bool:
-        """Return whether another attempt is safe and worth it."""
-        if inbound.queued.forwarded or not inbound.body.replayable:
-            return False
-        if refusal.run is Run.NO:
-            return True
-        lost = refusal.code is Code.ANSWER_LOST
-        return lost and not inbound.once and self._budget.spend(EVERY_SERVICE)
+    async def _send(self, inbound: GateRequest, made: Dispatch | Forward) -> Served:
+        if isinstance(made, Dispatch):
+            return await self._to_target(inbound, made)
+        return await self._to_gate(inbound, made)
 
     async def _to_target(self, inbound: GateRequest, made: Dispatch) -> Served:
+        """Send it to a target, whose health learns from what comes of it."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         health = self._dispatcher.scheduler.targets.of(made.target, began)
-        hop = self._hop(inbound, f"http://{made.target.address}/{inbound.tail}")
+        hop = target_hop(inbound, made.target.address, loop.time())
         try:
             answer = await self._client.send(hop, began)
         except Refusal as e:
@@ -205,52 +168,28 @@
             self._return(inbound, made, began, False, False)
             inbound.queued.tried.add(made.target.address)
             raise Refusal(Code.CONNECT_FAILED, "the target shed it")
-        if answer.status in (429, 503):
+        if answer.status in OVERLOADED:
             health.shed(loop.time())
         return Served(self, inbound, answer, made, began)
 
     async def _to_gate(self, inbound: GateRequest, made: Forward) -> Served:
+        """Send it to a gate with a free slot; its refusal is passed on as raised."""
         loop = asyncio.get_running_loop()
-        scheduler = self._dispatcher.scheduler
-        path = f"s/{inbound.service.name}/{inbound.tail}"
-        hop = self._hop(inbound, f"http://{made.relay}/{path}", relay=True)
+        neighbours = self._dispatcher.scheduler.neighbours
+        hop = gate_hop(inbound, made.relay, loop.time())
         try:
             answer = await self._client.send(hop, loop.time())
             problem = await answer.problem()
         except Refusal:
-            scheduler.neighbours.lost(made.vm, loop.time())
+            neighbours.lost(made.vm, loop.time())
             raise
         if problem is not None:
             answer.close()
             if problem.run is Run.NO:
-                scheduler.neighbours.refused(made.vm, inbound.service.name)
+                neighbours.refused(made.vm, inbound.service.name)
             raise refusal_of(problem)
         return Served(self, inbound, answer, None, 0.0)
 
-    def _hop(self, inbound: GateRequest, url: str, relay: bool = False) -> Hop:
-        now = asyncio.get_running_loop().time()
-        left_ms = max(int((inbound.queued.deadline - now) * 1000), 1)
-        extra = [(h.REQUEST_ID, inbound.request_id)]
-        if not inbound.queued.bulk:
-            extra.append((h.DEADLINE, str(left_ms)))
-        if relay:
-            extra += [
-                (h.HOP, "1"),
-                (h.HOME, inbound.queued.home),
-                (h.TIER, inbound.queued.tier.name),
-                (h.CALLER, inbound.caller),
-            ]
-        return Hop(
-            method=inbound.method,
-            url=url,
-            headers=inbound.headers + extra,
-            body=inbound.body,
-            deadline=inbound.queued.deadline,
-            stall_s=inbound.service.deadline_ms / 1000,
-            once=inbound.once,
-            relay=relay,
-        )
-
     def give_back(
         self, inbound: GateRequest, made: Dispatch, began: float, whole: bool
     ) -> None:
@@ -265,6 +204,7 @@
         ok: bool,
         may_run: bool,
     ) -> None:
+        """Give back units; they cool for the service's linger if it may still run."""
         now = asyncio.get_running_loop().time()
         took_ms = (now - began) * 1000
         scheduler = self._dispatcher.scheduler
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -24,8 +24,8 @@
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member
 from leverdoor.entry.membership.sightings import MemberRow
 from leverdoor.errors import Code, Problem, Run
-from leverdoor.gate.handler import LookupAnswer, LookupEntry
 from leverdoor.gate.keys import Key
+from leverdoor.gate.lookups import LookupAnswer, LookupEntry
 from leverdoor.membership import ownership
 from leverdoor.membership.peers import AgentHeartbeat, GateState, Gossip, Load
 from leverdoor.model.burn import BurnLine, Counts, Series
