--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -36,6 +36,8 @@
 from leverdoor.entry.requests.connections import Connections
 from leverdoor.entry.requests.forwarding import Forwarder
 from leverdoor.entry.requests.handler import EntryHandler
+from leverdoor.entry.requests.intake import Intake
+from leverdoor.entry.requests.outcomes import Outcomes
 from leverdoor.entry.settings import EntrySettings, reload_settings
 from leverdoor.entry.shutdown import STOP_POLL_S, finish
 from leverdoor.entry.wire import Wire
@@ -175,24 +177,30 @@
         self._budget = RetryBudget(
             s.repeat_ratio * RETRY_SHARE, RETRIES_SAVED, RETRIES_FIRST
         )
+        outcomes = Outcomes(self._wire, self._placement, self._fleet, self._events)
         forwarder = Forwarder(
             self._wire,
             self._placement,
-            self._fleet,
             self._connections,
+            outcomes,
             self._budget,
-            self._events,
             self._quotas,
+            self._events,
+        )
+        intake = Intake(
+            self._wire,
+            lambda: self._keeper.catalog,
+            self._placement.pick_service,
+            lambda now: self._keeper.confirmation.holds(s.confirm_within_s, now),
         )
         self._handler = EntryHandler(
             self._wire,
-            self._placement,
+            intake,
             forwarder,
+            self._quotas,
             self._events,
             self._metrics,
             lambda: self._keeper.catalog,
-            self._quotas,
-            lambda now: self._keeper.confirmation.holds(s.confirm_within_s, now),
         )
         self._request_server = web.Server(
             self._handler.handle, handler_cancellation=True
--- a/leverdoor/entry/requests/__init__.py
+++ b/leverdoor/entry/requests/__init__.py
@@ -1,3 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The path of a request: from a client's connection to a target and back."""
+"""One request at an entry, from the client's connection to the target's answer.
+
+In the order of a request: `client_connection` (limits on clients), `handler` (the
+steps), `intake` with `deadlines` (route, workspace, deadline), `bodies`, `forwarding`
+(place, send, retry) with `retries` (the rules), `outgoing` (what is sent),
+`connections`, `connection` and `idle_timeouts` (towards targets), `outcomes` (what
+placement learns), `responses` with `retry_after` (what the client gets).
+"""
--- a/leverdoor/entry/requests/connections.py
+++ b/leverdoor/entry/requests/connections.py
@@ -3,9 +3,7 @@
 """Connections to targets that are kept for the next request."""
 
 import asyncio
-from collections.abc import AsyncIterator, Callable
-
-import msgspec
+from collections.abc import Callable
 
 from leverdoor.entry.requests.connection import (
     AnswerLost,
@@ -14,10 +12,11 @@
     open_connection,
 )
 from leverdoor.entry.requests.idle_timeouts import IdleTimeouts
+from leverdoor.entry.requests.outgoing import Outgoing
 from leverdoor.model.resources import Target
 from leverdoor.settings import parse_address
 
-__all__ = ["Connections", "Outgoing"]
+__all__ = ["Connections"]
 
 CONNECT_TIMEOUT_S = 0.4
 """Longest time to connect within the region, in seconds.
@@ -34,15 +33,6 @@
 """Idle connections kept for each target; chosen, several times its slots."""
 
 
-class Outgoing(msgspec.Struct):
-    """One request as it goes to a target."""
-
-    request_id: str
-    method: str
-    head: bytes
-    body: bytes | AsyncIterator[bytes]
-
-
 class Connections:
     """Kept connections by target; at most one request on each."""
 
--- a/leverdoor/entry/requests/forwarding.py
+++ b/leverdoor/entry/requests/forwarding.py
@@ -1,55 +1,33 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Serves one request: place it, send it, and again where that is safe."""
+"""Forwards one request: place it, send it, and retry where that is safe.
 
-import asyncio
-from collections.abc import AsyncIterator
+The loop of attempts; its rules stand in `retries` (what may be retried), `deadlines`
+(how long a target may take) and `retry_after` (when the client may come back).
+
+Owns no state besides the requests it is serving; relies on placement for the target,
+on `connections` for the exchange, on the retry budget and on quotas.
+"""
 
-import msgspec
+import asyncio
 
 from leverdoor.entry.events import Events
-from leverdoor.entry.placement.fleet import SLOW_EJECTION_S, Fleet
-from leverdoor.entry.placement.placement_request import (
-    Placement,
-    PlacementRequest,
-)
+from leverdoor.entry.placement.placement_request import Placement
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.connection import AnswerLost, NotSent, TargetReply
-from leverdoor.entry.requests.connections import Connections, Outgoing
-from leverdoor.entry.requests.retries import may_retry
+from leverdoor.entry.requests.connections import Connections
+from leverdoor.entry.requests.deadlines import give_up_on_target_at
+from leverdoor.entry.requests.entry_request import EntryRequest
+from leverdoor.entry.requests.outcomes import Outcomes
+from leverdoor.entry.requests.outgoing import outgoing
+from leverdoor.entry.requests.retries import may_retry, says_not_run
+from leverdoor.entry.requests.retry_after import NOT_RUN_MS
 from leverdoor.entry.wire import Wire
 from leverdoor.errors import Code, Refusal, Rejection, Run
 from leverdoor.retry_budget import RetryBudget
 from leverdoor.workspaces.quota import Quotas
 
-__all__ = ["Forwarder", "EntryRequest"]
-
-ANSWER_MARGIN_S = 0.03
-"""Taken off the time left for a target, so that the refusal still arrives."""
-RETRY_MS = 250
-"""When to come back after a failed connection or a shed request, in ms; chosen."""
-LONG_BODY = 512 * 1024
-"""What a streamed body counts as, in bytes."""
-NOT_RUN_STATUSES = frozenset({503, 429, 421, 400})
-
-
-class EntryRequest(msgspec.Struct):
-    """One request as an entry takes it in."""
-
-    request: PlacementRequest
-    method: str
-    path: str
-    """Path and query, unaltered."""
-    headers: list[tuple[str, str]]
-    body: bytes | AsyncIterator[bytes]
-    chunked: bool = False
-    started: bool = False
-    """A streamed body was begun and can't be sent again."""
-
-    @property
-    def replayable(self) -> bool:
-        """Return whether it can be sent to another target."""
-        return isinstance(self.body, bytes) or not self.started
+__all__ = ["Forwarder"]
 
 
 class Forwarder:
@@ -59,192 +37,143 @@
         self,
         wire: Wire,
         policy: PlacementPolicy,
-        fleet: Fleet,
         connections: Connections,
+        outcomes: Outcomes,
         budget: RetryBudget,
-        events: Events,
         quotas: Quotas,
+        events: Events,
     ) -> None:
         """Create it from the entry's parts."""
-        self._wire = wire
+        self._headers = wire.headers
         self._policy = policy
-        self._fleet = fleet
         self._connections = connections
+        self._outcomes = outcomes
         self._budget = budget
-        self._events = events
         self._quotas = quotas
+        self._events = events
 
-    async def serve(self, incoming: EntryRequest) -> TargetReply:
+    async def serve(self, request: EntryRequest) -> TargetReply:
         """Get a whole answer of a target.
 
         Raises:
           Refusal: it was given up on; the code says whether it may have run.
         """
-        request = incoming.request
-        self._budget.earn(request.service)
+        self._budget.earn(request.placement_request.service)
         attempt = 0
-        lost: Refusal | None = None
+        maybe_ran: Refusal | None = None
         while True:
             attempt += 1
             try:
-                return await self._attempt(incoming, attempt)
-            except _Failed as e:
+                return await self._attempt(request, attempt)
+            except _AttemptFailed as e:
                 if e.refusal.run is not Run.NO:
-                    lost = e.refusal
-                if e.placed and self._again(incoming, attempt, e):
+                    maybe_ran = e.refusal
+                if e.placed and self._may_retry(request, attempt, e):
                     continue
-                raise lost or e.refusal from None
-
-    def _again(self, incoming: EntryRequest, attempt: int, failed: "_Failed") -> bool:
-        """Return whether another target may be tried."""
-        route = incoming.request.route
+                # What an earlier attempt may have run outweighs the last failure.
+                raise maybe_ran or e.refusal from None
+
+    def _may_retry(
+        self, request: EntryRequest, attempt: int, failed: "_AttemptFailed"
+    ) -> bool:
+        """Return whether another target is tried; take that from the budget."""
+        placement_request = request.placement_request
         may = may_retry(
-            route,
+            placement_request.route,
             attempt,
             failed.refusal,
             arrived=failed.arrived,
-            replayable=incoming.replayable,
+            replayable=request.replayable,
         )
-        if not may or not self._budget.spend(incoming.request.service):
+        if not may or not self._budget.spend(placement_request.service):
             return False
-        workspace = incoming.request.workspace
+        workspace = placement_request.workspace
         if workspace is not None and failed.refusal.run is not Run.NO:
             self._quotas.again(workspace, asyncio.get_running_loop().time())
         return True
 
-    async def _attempt(self, incoming: EntryRequest, attempt: int) -> TargetReply:
+    async def _attempt(self, request: EntryRequest, attempt: int) -> TargetReply:
+        """Place a request and send it once.
+
+        Raises:
+          _AttemptFailed: it was not placed, or its target gave no whole answer.
+        """
         loop = asyncio.get_running_loop()
-        request = incoming.request
-        decision = self._policy.place(request, loop.time())
-        if isinstance(decision, Rejection):
-            raise _Failed(decision.refusal(), placed=False, arrived=False)
-        request.tried.add(decision.target.name)
+        placement_request = request.placement_request
+        placement = self._policy.place(placement_request, loop.time())
+        if isinstance(placement, Rejection):
+            raise _AttemptFailed(placement.refusal(), placed=False, arrived=False)
+        placement_request.tried.add(placement.target.name)
         began = loop.time()
         outcome = "cancelled"
         try:
-            reply = await self._send(incoming, decision)
+            reply = await self._send(request, placement)
             outcome = str(reply.status)
-        except _Failed as e:
+        except _AttemptFailed as e:
             outcome = e.refusal.code.name
             raise
         finally:
             now = loop.time()
-            self._policy.ended(decision, now)
-            self._events.attempt(request, decision, attempt, outcome, now - began)
-        self._learn(incoming, decision, reply, loop.time() - began)
+            took_s = now - began
+            self._policy.ended(placement, now)
+            self._events.attempt(placement_request, placement, attempt, outcome, took_s)
+        self._outcomes.answered(request, placement, reply, loop.time() - began)
         return reply
 
-    def _learn(
-        self,
-        incoming: EntryRequest,
-        placement: Placement,
-        reply: TargetReply,
-        took_s: float,
-    ) -> None:
-        now = asyncio.get_running_loop().time()
-        state = self._fleet.of(placement.target, now)
-        load = self._wire.parse_load(reply.get(self._wire.headers.load))
-        if load is not None:
-            state.reported(load, now)
-        if reply.status >= 400:
-            return
-        body = incoming.body
-        size = len(reply.body) + (len(body) if isinstance(body, bytes) else LONG_BODY)
-        request = incoming.request
-        if self._policy.answered(request, placement, took_s * 1000, size, now):
-            self._events.target_ejected(placement.target.name, "slow", SLOW_EJECTION_S)
+    async def _send(self, request: EntryRequest, placement: Placement) -> TargetReply:
+        """Send a request to a target and wait for its whole answer.
 
-    async def _send(self, incoming: EntryRequest, placement: Placement) -> TargetReply:
+        Raises:
+          _AttemptFailed: there is no whole answer, or it says that nothing was run.
+        """
         loop = asyncio.get_running_loop()
-        request = incoming.request
         began = loop.time()
-        outgoing = self._outgoing(incoming, placement, began)
+        sent = outgoing(request, placement.target, self._headers, began)
+        give_up_at = give_up_on_target_at(request.placement_request.until)
         try:
-            async with asyncio.timeout_at(request.until - ANSWER_MARGIN_S):
-                reply = await self._connections.exchange(placement.target, outgoing)
+            async with asyncio.timeout_at(give_up_at):
+                reply = await self._connections.exchange(placement.target, sent)
         except NotSent as e:
-            self._unreached(placement, "not reached")
-            refusal = Refusal(Code.CONNECT_FAILED, str(e), retry_after_ms=RETRY_MS)
-            raise _Failed(refusal, placed=True, arrived=False) from None
+            self._outcomes.unreached(placement, "not reached")
+            refusal = Refusal(Code.CONNECT_FAILED, str(e), retry_after_ms=NOT_RUN_MS)
+            raise _AttemptFailed(refusal, arrived=False) from None
         except AnswerLost as e:
-            self._lost(placement, e.unreachable)
-            refusal = Refusal(Code.ANSWER_LOST, str(e))
-            raise _Failed(refusal, placed=True, arrived=True) from None
+            self._outcomes.lost(placement, e.unreachable)
+            raise _AttemptFailed(Refusal(Code.ANSWER_LOST, str(e))) from None
         except TimeoutError:
-            self._overran(placement, loop.time() - began)
-            refusal = Refusal(Code.DEADLINE_PASSED)
-            raise _Failed(refusal, placed=True, arrived=True) from None
-        not_run = reply.get(self._wire.headers.not_run) or reply.status == 421
-        if not_run and reply.status in NOT_RUN_STATUSES:
-            self._turned_away(placement, reply, loop.time())
+            self._outcomes.overran(placement, loop.time() - began)
+            raise _AttemptFailed(Refusal(Code.DEADLINE_PASSED)) from None
+        self._check_run(placement, reply)
         return reply
 
-    def _turned_away(
-        self, placement: Placement, reply: TargetReply, now: float
-    ) -> None:
-        """Take a target's word that it did not run the request."""
-        if reply.status == 421:
-            self._unreached(placement, "another instance")
-        else:
-            self._fleet.of(placement.target, now).refused(now)
-        refusal = Refusal(
-            Code.TARGET_REFUSED, f"status {reply.status}", retry_after_ms=RETRY_MS
-        )
-        raise _Failed(refusal, placed=True, arrived=True)
-
-    def _overran(self, placement: Placement, took_s: float) -> None:
-        """Take a request whose time was over as a sign of how slow a target is."""
-        now = asyncio.get_running_loop().time()
-        ratio = took_s * 1000 / max(placement.expected_ms, 1.0)
-        if self._fleet.of(placement.target, now).overran(ratio, now):
-            self._events.target_ejected(placement.target.name, "slow", SLOW_EJECTION_S)
-
-    def _unreached(self, placement: Placement, reason: str) -> None:
-        """Leave a target alone for a while."""
-        now = asyncio.get_running_loop().time()
-        ejected_s = self._fleet.of(placement.target, now).unreached(now)
-        self._events.target_ejected(placement.target.name, reason, ejected_s)
-
-    def _lost(self, placement: Placement, unreachable: bool) -> None:
-        """Leave a target alone that loses one answer after the other."""
-        if unreachable:
-            self._unreached(placement, "no acknowledgement")
+    def _check_run(self, placement: Placement, reply: TargetReply) -> None:
+        """Check that a target's answer does not say that nothing was run.
+
+        Raises:
+          _AttemptFailed: it does.
+        """
+        marked = bool(reply.get(self._headers.not_run))
+        if not says_not_run(reply.status, marked):
             return
-        now = asyncio.get_running_loop().time()
-        ejected_s = self._fleet.of(placement.target, now).lost(now)
-        if ejected_s:
-            self._events.target_ejected(
-                placement.target.name, "answers lost", ejected_s
-            )
-
-    def _outgoing(
-        self, incoming: EntryRequest, placement: Placement, now: float
-    ) -> Outgoing:
-        names = self._wire.headers
-        request = incoming.request
-        left_ms = max(int((request.until - now) * 1000), 1)
-        lines = [f"{incoming.method} {incoming.path} HTTP/1.1"]
-        lines += [f"{name}: {value}" for name, value in incoming.headers]
-        lines.append(f"{names.deadline_ms}: {left_ms}")
-        lines.append(f"{names.instance}: {placement.target.name}")
-        if isinstance(incoming.body, bytes):
-            if incoming.body or incoming.method not in ("GET", "HEAD", "DELETE"):
-                lines.append(f"Content-Length: {len(incoming.body)}")
-        elif incoming.chunked:
-            lines.append("Transfer-Encoding: chunked")
-        head = ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
-        return Outgoing(request.request_id, incoming.method, head, incoming.body)
-
-
-class _Failed(Exception):
+        self._outcomes.not_run(placement, reply.status)
+        detail = f"status {reply.status}"
+        raise _AttemptFailed(
+            Refusal(Code.TARGET_REFUSED, detail, retry_after_ms=NOT_RUN_MS)
+        )
+
+
+class _AttemptFailed(Exception):
     """One attempt failed.
 
     Attributes:
-      placed: a target was placement.
-      arrived: the request may have reached it.
+      refusal: what the client gets if no other attempt follows.
+      placed: there was a target for it.
+      arrived: the request may have reached the target.
     """
 
-    def __init__(self, refusal: Refusal, *, placed: bool, arrived: bool) -> None:
+    def __init__(
+        self, refusal: Refusal, *, placed: bool = True, arrived: bool = True
+    ) -> None:
         super().__init__(str(refusal))
         self.refusal = refusal
         self.placed = placed
--- a/tests/test_entry_connections.py
+++ b/tests/test_entry_connections.py
@@ -9,12 +9,13 @@
 from desk import target
 from leverdoor.entry.requests import idle_timeouts
 from leverdoor.entry.requests.connection import AnswerLost
-from leverdoor.entry.requests.connections import Connections, Outgoing
+from leverdoor.entry.requests.connections import Connections
 from leverdoor.entry.requests.idle_timeouts import (
     CAUTIOUS_FOR_S,
     CAUTIOUS_IDLE_S,
     IdleTimeouts,
 )
+from leverdoor.entry.requests.outgoing import Outgoing
 
 LONG_S = 2 * CAUTIOUS_IDLE_S
 SOON_S = 0.01
