--- /dev/null
+++ b/leverdoor/entry/context.py
@@ -0,0 +1,25 @@
+# leverdoor: global traffic steering
+# SPDX-License-Identifier: Apache-2.0
+"""What the parts of an entry are created from."""
+
+from random import Random
+
+import msgspec
+
+from leverdoor.entry.events import Events
+from leverdoor.entry.settings import EntrySettings
+from leverdoor.entry.wire import Wire
+from leverdoor.storage.store import LeasingStore
+
+__all__ = ["EntryContext"]
+
+
+class EntryContext(msgspec.Struct, frozen=True):
+    """An entry's settings at its start, and what connects it to its surroundings."""
+
+    settings: EntrySettings
+    store: LeasingStore
+    wire: Wire
+    events: Events
+    rng: Random
+    """Where all chance comes from."""
--- /dev/null
+++ b/leverdoor/entry/data_plane.py
@@ -0,0 +1,137 @@
+# leverdoor: global traffic steering
+# SPDX-License-Identifier: Apache-2.0
+"""The parts of an entry that serve requests, and how they are connected.
+
+Owns the loads and run times of targets (fleet), the regions' shares of keys
+(placement), connections to targets, the use of quotas, and the retry budget. All of it
+is lost with the process and learned again from answers and other entries. Relies on the
+catalogue in force (`configuration`) and on the entries known (`membership`).
+"""
+
+import asyncio
+
+from aiohttp import web
+
+from leverdoor.entry.bounds import (
+    MOVED_SHARE,
+    RETRIES_FIRST,
+    RETRIES_SAVED,
+    RETRY_SHARE,
+    SHIFT_WINDOW_S,
+)
+from leverdoor.entry.configuration.catalog import Catalog
+from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
+from leverdoor.entry.context import EntryContext
+from leverdoor.entry.membership.exchange_types import PeerUpdate
+from leverdoor.entry.membership.members import Membership
+from leverdoor.entry.metrics import EntryMetrics
+from leverdoor.entry.placement.fleet import OTHERS, Fleet
+from leverdoor.entry.placement.policy import PlacementPolicy
+from leverdoor.entry.requests.client_connection import ClientConnection
+from leverdoor.entry.requests.connections import Connections
+from leverdoor.entry.requests.forwarding import Forwarder
+from leverdoor.entry.requests.handler import EntryHandler
+from leverdoor.entry.requests.intake import Intake
+from leverdoor.entry.requests.outcomes import Outcomes
+from leverdoor.entry.settings import EntrySettings
+from leverdoor.entry.warm_up import count_sharers
+from leverdoor.retry_budget import RetryBudget
+from leverdoor.workspaces.quota import Quotas
+
+__all__ = ["DataPlane"]
+
+
+class DataPlane:
+    """What serves the requests of one entry."""
+
+    def __init__(
+        self,
+        context: EntryContext,
+        keeper: CatalogKeeper,
+        membership: Membership,
+        metrics: EntryMetrics,
+    ) -> None:
+        """Create all parts; nothing is opened yet."""
+        s = context.settings
+        self._context = context
+        self._keeper = keeper
+        self._membership = membership
+        self.fleet = Fleet()
+        self.placement = self._create_placement()
+        self.connections = Connections(
+            context.wire.headers.request_id,
+            s.region,
+            context.events.connections_forgotten,
+        )
+        now = asyncio.get_running_loop().time()
+        self.quotas = Quotas(s.quotas, context.rng, now, first_start=s.first_start)
+        ratio = s.repeat_ratio * RETRY_SHARE
+        self._budget = RetryBudget(ratio, RETRIES_SAVED, RETRIES_FIRST)
+        self.handler = self._create_handler(metrics)
+        self.server = web.Server(self.handler.handle, handler_cancellation=True)
+
+    def _create_placement(self) -> PlacementPolicy:
+        s = self._context.settings
+        move_per_s = s.max_shift * MOVED_SHARE / SHIFT_WINDOW_S
+        policy = PlacementPolicy(
+            s.region, s.domain, self.fleet, self._context.rng, move_per_s
+        )
+        policy.sharers = lambda target: count_sharers(self._membership, target)
+        return policy
+
+    def _create_handler(self, metrics: EntryMetrics) -> EntryHandler:
+        wire, events = self._context.wire, self._context.events
+        intake = Intake(
+            wire, self._catalog, self.placement.pick_service, self._keys_confirmed
+        )
+        outcomes = Outcomes(wire, self.placement, self.fleet, events)
+        forwarder = Forwarder(
+            wire,
+            self.placement,
+            self.connections,
+            outcomes,
+            self._budget,
+            self.quotas,
+            events,
+        )
+        return EntryHandler(
+            wire, intake, forwarder, self.quotas, events, metrics, self._catalog
+        )
+
+    def _catalog(self) -> Catalog:
+        return self._keeper.catalog
+
+    def _keys_confirmed(self, now: float) -> bool:
+        longest_s = self._context.settings.confirm_within_s
+        return self._keeper.confirmation.holds(longest_s, now)
+
+    def create_connection(self) -> ClientConnection:
+        """Create the protocol of a client's connection, with the limits in force."""
+        loop = asyncio.get_running_loop()
+        limits = self._keeper.catalog.limits
+        return ClientConnection(self.server, loop, limits, self.handler.busy)
+
+    def reload(self, settings: EntrySettings) -> None:
+        """Take settings that changed while the entry runs."""
+        self._budget.ratio = settings.repeat_ratio * RETRY_SHARE
+
+    def renew(self, before: Catalog, catalog: Catalog, now: float) -> None:
+        """Serve by a newer catalogue from now on."""
+        self.count_entries()
+        self.fleet.renew(catalog.targets, now)
+        for name in before.in_service - catalog.in_service:
+            self.connections.drop(name)
+        self.placement.renew(catalog)
+
+    def receive(self, update: PeerUpdate, now: float) -> None:
+        """Take loads, warm keys and use of quotas that other entries reported."""
+        if update.others is not None:
+            self.fleet.receive(OTHERS, update.others, now)
+        self.placement.shared_warmth.receive(update.warm, now)
+        if update.use is not None:
+            self.count_entries()
+            self.quotas.receive(update.use, now)
+
+    def count_entries(self) -> None:
+        """Count the entries that share quotas."""
+        self.quotas.entries = self._membership.count
