--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -20,6 +20,8 @@
 from leverdoor.entry.membership.exchange_types import EntryStatus
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
+from leverdoor.entry.membership.naming import Naming
+from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
@@ -119,8 +121,9 @@
             f"e{i}", region, domain, "f", f"10.0.0.{i}:7", "p", 1, 9 // (i + 1)
         )
 
-    membership = Membership(member(0), Random(1))
-    exchange = Exchange(membership)
+    membership = Membership(member(0))
+    naming = Naming(membership)
+    exchange = Exchange(membership, Roles(membership, Random(1)))
     exchange.lists.renew({r: [f"i-{r}{i:07x}" for i in range(180)] for r in REGIONS})
     counts = {f"i-a{i:07x}": 2 for i in range(20)}
     heartbeats = [
@@ -137,7 +140,7 @@
 
     report = EntryStatus(SERVING, 5, counts, {}, -1, [])
     heard = median_us(receive, 200)
-    named = median_us(lambda: membership.addresses("a", "a1", SERVING, 0.1), 20)
+    named = median_us(lambda: naming.addresses("a", "a1", SERVING, 0.1), 20)
     played = median_us(lambda: exchange.round(report, 0.1), 20)
     size = len(zlib.compress(pack(heartbeats[0]), 1))
     print(f"| {entries} | {heard:.1f} | {named:.0f} | {played:.0f} | {size} |")
--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -32,9 +32,9 @@
     Outgoing,
     measure,
 )
-from leverdoor.entry.membership.member import SERVING, Member, member_id
+from leverdoor.entry.membership.member import SERVING, Member, MemberRow, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.sightings import MemberRow, Sighting
+from leverdoor.entry.membership.peer_record import LastSeen
 
 RELAYED = 16
 """Items of others in one datagram of the relaying design: about 1,200 bytes."""
@@ -57,7 +57,7 @@
     """A model of datagrams that relay the freshest of what others said."""
 
     def __init__(self, own: Member, targets: dict[str, list[str]], rng: Random) -> None:
-        self.membership = Membership(own, rng)
+        self.membership = Membership(own)
         self._rng = rng
         self._targets = targets[own.region]
         self._seq = 0
@@ -92,7 +92,7 @@
             if before is None or item.seq > before[2].seq:
                 self._items[name] = (at, 0, item)
             row = MemberRow(member_id(name), item.member.incarnation, SERVING)
-            self.membership.sight(Sighting(row, at), now)
+            self.membership.observe(LastSeen(row, at), now)
 
 
 @click.command()
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -26,6 +26,7 @@
 from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
+from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.placement.fleet import OTHERS, Fleet
 from leverdoor.entry.placement.placement_request import (
     Placement,
@@ -95,8 +96,9 @@
             self.member, incarnation=self.member.incarnation + 1
         )
         self.fleet = self._shared_fleet or Fleet()
-        self._membership = Membership(self.member, self._rng)
-        self._exchange = Exchange(self._membership)
+        self._membership = Membership(self.member)
+        roles = Roles(self._membership, self._rng)
+        self._exchange = Exchange(self._membership, roles)
         self._budget = RetryBudget(
             site.repeat_ratio * RETRY_SHARE, RETRIES_SAVED, RETRIES_FIRST
         )
@@ -115,7 +117,7 @@
         self._policy.renew(catalog)
         self._exchange.lists.renew(catalog.names_by_region)
         written = {m.name: pack(m) for m in members}
-        self._membership.found(written, self._clock.now)
+        self._membership.add_registered(written, self._clock.now)
 
     # Heartbeats.
 
--- a/leverdoor/emulator/knowledge.py
+++ b/leverdoor/emulator/knowledge.py
@@ -21,8 +21,11 @@
 from leverdoor.entry.membership.digests import Message
 from leverdoor.entry.membership.exchange import Exchange
 from leverdoor.entry.membership.exchange_types import EntryStatus
+from leverdoor.entry.membership.liveness import HEARTBEAT_S
 from leverdoor.entry.membership.member import SERVING, Member
-from leverdoor.entry.membership.members import HEARTBEAT_S, Membership
+from leverdoor.entry.membership.members import Membership
+from leverdoor.entry.membership.naming import Naming
+from leverdoor.entry.membership.roles import Roles
 
 __all__ = ["Figures", "KnowledgeSite", "MakeNode", "Node", "Outgoing", "measure"]
 
@@ -113,8 +116,9 @@
           targets: names of targets, by region.
           rng: where its requests come from.
         """
-        self.membership = Membership(own, rng)
-        self._exchange = Exchange(self.membership)
+        self.membership = Membership(own)
+        roles = Roles(self.membership, rng)
+        self._exchange = Exchange(self.membership, roles)
         self._exchange.lists.renew(targets)
         self._rng = rng
         self._targets = targets[own.region]
@@ -276,7 +280,7 @@
     near_domains = set(membership.domains(membership.own.region))
     for domain in membership.all_domains():
         into = near if domain in near_domains else far
-        into += [now - s.at for s in membership.sightings(domain)]
+        into += [now - s.at for s in membership.last_seen(domain)]
 
 
 def _deaths(site: KnowledgeSite, figures: Figures) -> None:
@@ -284,20 +288,24 @@
     names = list(site.nodes)
     victims = [site.nodes[n].membership.own for n in (names[0], names[-1])]
     site.dead.update(v.name for v in victims)
+    namings = [Naming(node.membership) for node in site.probes()]
     began = site.now
     while site.now < began + WATCHED_S:
         site.run(site.now + STEP_S)
         for victim in victims:
-            _note_named(site, victim, site.now - began, figures)
+            _note_named(site, namings, victim, began, figures)
 
 
 def _note_named(
-    site: KnowledgeSite, victim: Member, since_s: float, figures: Figures
+    site: KnowledgeSite,
+    namings: list[Naming],
+    victim: Member,
+    began: float,
+    figures: Figures,
 ) -> None:
-    for node in site.probes():
-        named = node.membership.addresses(
-            victim.region, victim.domain, SERVING, site.now
-        )
+    since_s = site.now - began
+    for node, naming in zip(site.probes(), namings, strict=True):
+        named = naming.addresses(victim.region, victim.domain, SERVING, site.now)
         if victim.front not in named:
             continue
         if node.membership.own.region == victim.region:
--- a/leverdoor/emulator/quotas.py
+++ b/leverdoor/emulator/quotas.py
@@ -20,6 +20,7 @@
 from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
+from leverdoor.entry.membership.roles import Roles
 from leverdoor.errors import Refusal
 from leverdoor.model.resources import Workspace
 from leverdoor.workspaces.quota import Quotas
@@ -111,8 +112,9 @@
     """One entry as far as quotas go."""
 
     def __init__(self, own: Member, workspaces: list[Workspace], rng: Random) -> None:
-        self.membership = Membership(own, rng)
-        self.exchange = Exchange(self.membership)
+        self.membership = Membership(own)
+        roles = Roles(self.membership, rng)
+        self.exchange = Exchange(self.membership, roles)
         self.quotas = Quotas(QuotaBounds(), rng, 0.0, first_start=True)
         self.exchange.use.renew(self.quotas.plans(workspaces))
 
--- a/leverdoor/entry/control_plane.py
+++ b/leverdoor/entry/control_plane.py
@@ -22,6 +22,7 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_link import PeerLink
 from leverdoor.entry.membership.registration import Registration, retry_pause_s
+from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.settings import EntrySettings
 from leverdoor.storage.following import StoreFollower
 from leverdoor.storage.state import State
@@ -78,7 +79,8 @@
         self._membership = membership
         self._settings = context.settings
         self._peers_read = asyncio.Event()
-        self.exchange = Exchange(membership)
+        self._roles = Roles(membership, context.rng)
+        self.exchange = Exchange(membership, self._roles)
         self.peers = PeerLink(self.exchange, state, keeper, status, take_update)
         self.registration = self._create_registration()
         self._joining = self._create_joining()
@@ -99,6 +101,7 @@
             self._context.store,
             self._context.wire.peer_key(""),
             self._membership,
+            self._roles,
             self._state,
             self.peers.puller,
             self._context.events,
@@ -150,7 +153,7 @@
         now = asyncio.get_running_loop().time()
         if now < self._joining.settled_at:
             return False
-        return self._membership.elected(self._settings.watchers, now)
+        return self._roles.follows_store(self._settings.watchers, now)
 
     def _store_changed(self, reachable: bool, why: str) -> None:
         """Record that the store was lost, or answers again."""
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -23,8 +23,10 @@
 from leverdoor.entry.data_plane import DataPlane
 from leverdoor.entry.events import Events
 from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate
+from leverdoor.entry.membership.liveness import HEARTBEAT_S
 from leverdoor.entry.membership.member import LEAVING, SERVING, STARTING
-from leverdoor.entry.membership.members import HEARTBEAT_S, Membership
+from leverdoor.entry.membership.members import Membership
+from leverdoor.entry.membership.naming import Naming
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.settings import EntrySettings, reload_settings
 from leverdoor.entry.shutdown import STOP_POLL_S, finish
@@ -136,7 +138,8 @@
         self._keeper = CatalogKeeper(
             self._wire, self._store_copy, self._events, s.leave_s, self._take_catalog
         )
-        self._membership = Membership(create_member(s), rng)
+        self._membership = Membership(create_member(s))
+        self._naming = Naming(self._membership)
         self._metrics = EntryMetrics()
         self._data = DataPlane(context, self._keeper, self._membership, self._metrics)
         self._control = ControlPlane(
@@ -155,7 +158,7 @@
             self._store_copy,
             self._metrics,
             lambda: self._state == SERVING,
-            lambda region, domain, now: self._membership.addresses(
+            lambda region, domain, now: self._naming.addresses(
                 region, domain, self._state, now
             ),
             self._settings.lookup_ttl_s,
@@ -232,7 +235,7 @@
     ) -> None:
         """Put a newer catalogue in force in all parts."""
         now = asyncio.get_running_loop().time()
-        self._membership.found(registrations, now)
+        self._membership.add_registered(registrations, now)
         self._data.renew(before, catalog, now)
         exchange = self._control.exchange
         exchange.lists.renew(catalog.names_by_region)
--- a/leverdoor/entry/membership/digests.py
+++ b/leverdoor/entry/membership/digests.py
@@ -16,8 +16,7 @@
 import msgspec
 import xxhash
 
-from leverdoor.entry.membership.member import EntryState, Member
-from leverdoor.entry.membership.sightings import MemberRow
+from leverdoor.entry.membership.member import EntryState, Member, MemberRow
 
 __all__ = [
     "AGE_STEP_S",
--- a/leverdoor/entry/membership/exchange.py
+++ b/leverdoor/entry/membership/exchange.py
@@ -32,11 +32,12 @@
     serialize_ids,
 )
 from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate, Sending
-from leverdoor.entry.membership.member import member_id
+from leverdoor.entry.membership.member import MemberRow, member_id
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.merging import PART_TRUST_S, MeanShares, Merger, merged
 from leverdoor.entry.membership.partners import Partners, in_turn
-from leverdoor.entry.membership.sightings import MemberRow, Sighting
+from leverdoor.entry.membership.peer_record import LastSeen
+from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.membership.use import Use
 from leverdoor.entry.membership.use_exchange import UseExchange, UseSummary
 from leverdoor.entry.membership.views import Views
@@ -64,9 +65,10 @@
 class Exchange:
     """What this entry tells others, and what it learns from them."""
 
-    def __init__(self, membership: Membership) -> None:
-        """Create it around what is known of the entries."""
+    def __init__(self, membership: Membership, roles: Roles) -> None:
+        """Create it around the entries known and their roles."""
         self._membership = membership
+        self._roles = roles
         self._own = membership.own
         self.lists = TargetLists()
         self._turn = member_id(self._own.name) % 1_000
@@ -77,7 +79,7 @@
         self.use = UseExchange(membership)
         self._views = Views(membership)
         self._warm_news = WarmNews()
-        self._partners = Partners(membership)
+        self._partners = Partners(membership, roles)
         self._totals: dict[str, tuple[float, dict[str, int]]] = {}
         """By region, the requests of all others at its targets, and when a digest told
         them; digests that mean a list of targets not known here tell nothing."""
@@ -111,7 +113,7 @@
             return PeerUpdate()
         self._membership.introduce(heard.member, now)
         row = MemberRow(member_id(name), heard.member.incarnation, heard.state)
-        self._membership.sight(Sighting(row, now), now)
+        self._membership.observe(LastSeen(row, now), now)
         known = self._membership.member(name)
         if known is None or known.incarnation != heard.member.incarnation:
             return PeerUpdate()
@@ -128,7 +130,7 @@
         )
 
     def _take_digest(self, digest: Digest, revision: int, now: float) -> PeerUpdate:
-        self._membership.digest_came(digest.sender, now)
+        self._roles.note_digest(digest.sender, now)
         for view in digest.views:
             self._views.take(view, now)
         sender = self._membership.member(digest.sender)
@@ -173,7 +175,7 @@
         """Return what others have, once the digest's sums are less one's own."""
         if digest.shares:
             self._region_shares = digest.shares
-        if self._membership.is_aggregator(now):
+        if self._roles.is_aggregator(now):
             self._partners.heard_fellow(digest.turn, now)
             return None
         for loads in digest.loads:
@@ -228,7 +230,7 @@
     def news(self, revision: int, now: float) -> list[Sending]:
         """Tell of a newer state: those that pass it on, and the own domain."""
         to = self._partners.aggregators(now)
-        if self._membership.is_aggregator(now):
+        if self._roles.is_aggregator(now):
             live, silent = self._membership.in_own_domain(now)
             to = [m.gossip for m in (*live, *silent)]
             to += [m.gossip for m in self._partners.near(now)]
@@ -241,7 +243,7 @@
         """Return what to send this round, and what the sums of others are."""
         self._turn += 1
         sendings = self.announce(report, now)
-        if not self._membership.is_aggregator(now):
+        if not self._roles.is_aggregator(now):
             self.use.merge_no_more()
             return sendings, PeerUpdate()
         self._region_shares = self._merger.region_shares(report.shares).shares
--- a/leverdoor/entry/membership/joining.py
+++ b/leverdoor/entry/membership/joining.py
@@ -13,6 +13,7 @@
 
 from leverdoor.entry.events import Events
 from leverdoor.entry.membership.members import Membership
+from leverdoor.entry.membership.roles import Roles
 from leverdoor.errors import LeverdoorError
 from leverdoor.storage.following import PeerFollower
 from leverdoor.storage.state import State
@@ -50,6 +51,7 @@
         store: LeasingStore,
         prefix: str,
         membership: Membership,
+        roles: Roles,
         state: State,
         puller: PeerFollower,
         events: Events,
@@ -61,6 +63,7 @@
           store: the platform's service.
           prefix: under which the entries write themselves.
           membership: the entries known.
+          roles: places them by their links.
           state: the copy of the store, empty as yet.
           puller: fetches from peers.
           events: the entry's log.
@@ -69,6 +72,7 @@
         self._store = store
         self._prefix = prefix
         self._membership = membership
+        self._roles = roles
         self._state = state
         self._puller = puller
         self._events = events
@@ -87,7 +91,7 @@
             return {}
         found = {e.key: e for e in listing.entries}
         now = asyncio.get_running_loop().time()
-        self._membership.found({k: e.value for k, e in found.items()}, now)
+        self._membership.add_registered({k: e.value for k, e in found.items()}, now)
         return found
 
     async def fetch(self, watchers: int) -> None:
@@ -99,7 +103,7 @@
         Args:
           watchers: how many entries of a region list at once.
         """
-        rank = self._membership.rank()
+        rank = self._roles.place_by_link()
         if rank is not None and rank < watchers:
             return
         for _ in range(TRIES):
@@ -126,7 +130,7 @@
 
     def _patience_s(self, watchers: int) -> float:
         """Return how long to wait for others' news before listing the store."""
-        rank = self._membership.rank()
+        rank = self._roles.place_by_link()
         if rank is None:
             return self._rng.random() * ALONE_S
         return min(rank // watchers * STAGGER_S, MOST_STAGGER_S)
--- a/leverdoor/entry/membership/member.py
+++ b/leverdoor/entry/membership/member.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What entries are and what state they are in."""
+"""What entries are, what state they are in, and in which order they take roles.
+
+Owns no state; both orders and hashes are the same on every entry, so that each
+computes the same roles without asking another.
+"""
 
 from typing import TypeAlias
 
@@ -13,6 +17,7 @@
     "STARTING",
     "EntryState",
     "Member",
+    "MemberRow",
     "link_rank",
     "member_id",
 ]
@@ -28,7 +33,7 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """What an entry writes of itself in the store."""
+    """One entry as it describes itself, in the store and in its heartbeats."""
 
     name: str
     region: str
@@ -42,11 +47,20 @@
     incarnation: int
     """Microseconds since the epoch at the start of its process."""
     link_mbps: int = 0
-    """Bandwidth of its machine's link; 0 if it is not known."""
+    """Bandwidth of its VM's link; 0 if it is not known."""
+
+
+class MemberRow(msgspec.Struct, frozen=True, array_like=True):
+    """One incarnation of an entry and its state, as digests carry them."""
+
+    id: int
+    """See `member_id`."""
+    incarnation: int
+    state: EntryState
 
 
 def member_id(name: str) -> int:
-    """Return the 32 bits that stand for an entry in digests.
+    """Return the 32 bits that identify an entry in digests.
 
     Among 2,500 entries two share them with a chance of 0.0007; then the two count
     as one and the one with the older incarnation is not named.
@@ -55,5 +69,9 @@
 
 
 def link_rank(member: Member) -> tuple[int, int]:
-    """Order entries alike everywhere: the widest links first, then by hash."""
+    """Return the sort key for roles: the widest links first, then by hash of the name.
+
+    Those with the widest links take the roles because they send the most: with
+    narrow ones a change took 3.3 to 3.5 s on 74 VMs, with the widest 0.6 to 0.8 s.
+    """
     return -member.link_mbps, xxhash.xxh3_64_intdigest(member.name.encode())
--- a/leverdoor/entry/membership/members.py
+++ b/leverdoor/entry/membership/members.py
@@ -1,172 +1,148 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Membership among entries: who is there, who can be named to clients.
+"""The records of all other entries: who there is, in which incarnation and state.
 
-For every entry the time is kept at which its newest heartbeat was sent, as far as
-anyone told: by the heartbeat itself, or by a digest that says how old it is. The
-greatest of what is heard holds, so order and repeats of messages do not matter.
+For every entry the time is kept at which its newest heartbeat was received by anyone:
+by this entry, or by another one whose digest carries its age. The greatest time wins,
+so order and duplicates of messages do not matter.
+
+Owns the records, in memory only; a restart reads the entries' keys from the store and
+has the rest from digests within a few rounds. Relies on the callers for the time and
+on `liveness` for the rules.
 """
 
-from collections.abc import Iterable, Mapping
-from itertools import islice
-from random import Random
+from collections.abc import Iterable, Iterator, Mapping
+from typing import NamedTuple
 
 import msgspec
 
 from leverdoor.codec import unpack
+from leverdoor.entry.membership.liveness import (
+    FORGET_S,
+    FORMER_INCARNATION_S,
+    is_forgotten,
+    is_live,
+    supersedes,
+)
 from leverdoor.entry.membership.member import (
     LEAVING,
-    SERVING,
     STARTING,
-    EntryState,
     Member,
+    MemberRow,
     link_rank,
     member_id,
 )
-from leverdoor.entry.membership.sightings import NEVER, Known, MemberRow, Sighting
+from leverdoor.entry.membership.peer_record import NEVER, LastSeen, PeerRecord
 
-__all__ = ["HEARTBEAT_S", "Membership"]
+__all__ = ["Membership", "PeerChange"]
 
-HEARTBEAT_S = 0.2
-"""Time between two rounds of heartbeats and of digests, in seconds."""
-SILENCE_S = 1.6
-"""Age of the newest heartbeat from which on an entry of the region is not named.
 
-Heartbeats are up to 0.6 s old when a digest tells of them (p99, at 195 entries
-and 5% of datagrams lost, benchmarks/knowledge.py); five more may be missed.
-"""
-FAR_SILENCE_S = 3.2
-"""The same for entries of other regions, whose ages come once a second or so."""
-FORGET_S = 60.0
-"""Silence after which an entry is forgotten, in seconds; chosen."""
-OLD_LIFE_S = 1.2
-"""How much older than a later life's a heartbeat of a former life may be."""
-AGGREGATORS = 2
-"""Entries of a failure domain that merge what the others tell; one may be gone."""
-AGGREGATOR_SILENCE_S = 0.8
-"""Time without a digest from an aggregator after which the next takes its place.
-
-A digest is due every 0.4 s; a replacement that was not needed costs some bytes.
-"""
-AGGREGATOR_RETRY_S = 5.0
-"""Time after which an aggregator that never spoke is tried again; chosen."""
-MAX_NAMED = 64
-"""Entries named to a client at most; keeps the answer below 2 kB."""
-LEAST_NAMED = 2
-"""Entries of a failure domain below which its region is named; one may be gone."""
-NAMED_S = 0.1
-"""How long a choice of entries to name is used again."""
-MOST_PLACES = 256
-"""Choices kept at once; more than the failure domains of the aim."""
+class PeerChange(NamedTuple):
+    """An entry that became live or silent."""
+
+    name: str
+    change: str
+    """"heard" or "silent", as the log has it."""
+    silent_s: float
+    """Age of its newest heartbeat; 0 if it became live."""
 
 
 class Membership:
     """All entries that this one knows of, itself left out."""
 
-    def __init__(self, own: Member, rng: Random) -> None:
-        """Create it.
-
-        Args:
-          own: this entry.
-          rng: where all chance comes from.
-        """
+    def __init__(self, own: Member) -> None:
+        """Create it knowing nobody but `own`, this entry."""
         self.own = own
-        self._rng = rng
-        self._self = Known(own, link_rank(own))
-        self._known: dict[str, Known] = {}
+        self.version = 0
+        """Grows with each change of an entry's state or incarnation."""
+        self._records: dict[str, PeerRecord] = {}
         self._names: dict[int, str] = {}
-        self._domains: dict[str, dict[str, Known]] = {own.domain: {}}
+        self._domains: dict[str, dict[str, PeerRecord]] = {own.domain: {}}
         self._regions: dict[str, set[str]] = {own.region: {own.domain}}
         """The failure domains of each region."""
         self._logged: set[str] = set()
-        self._named: dict[tuple[str, str, EntryState], tuple[float, list[str]]] = {}
+        """Entries whose last logged change was that they became live."""
+
+    # Updates.
 
-    # What is heard.
+    def add_registered(self, values: Mapping[str, bytes], now: float) -> None:
+        """Add the entries that are registered in the store.
 
-    def found(self, written: Mapping[str, bytes], now: float) -> None:
-        """Take what entries wrote of themselves in the store."""
-        for data in written.values():
+        An entry that sends heartbeats is left as it is: they are newer.
+
+        Args:
+          values: of the entries' keys; those that are not readable are skipped.
+          now: monotonic time in seconds.
+        """
+        for data in values.values():
             try:
                 member = unpack(data, Member)
             except msgspec.MsgspecError:
                 continue
-            known = self._known.get(member.name)
-            if known is None or now - known.heard_at > OLD_LIFE_S:
+            record = self._records.get(member.name)
+            if record is None or now - record.heartbeat_at > FORMER_INCARNATION_S:
                 self.introduce(member, now)
 
     def introduce(self, member: Member, now: float) -> None:
-        """Take an entry's description; a later life replaces an earlier one."""
+        """Take an entry's description; a higher incarnation replaces a lower one."""
         if member.name == self.own.name:
             return
-        known = self._known.get(member.name)
-        if known is None:
-            self._add(Known(member, link_rank(member), seen_at=now))
+        record = self._records.get(member.name)
+        if record is None:
+            self._add(PeerRecord(member, link_rank(member), reported_at=now))
             return
-        known.seen_at = max(known.seen_at, now)
-        if member.incarnation > known.member.incarnation:
-            self._replace(known, member)
+        record.reported_at = max(record.reported_at, now)
+        if member.incarnation > record.member.incarnation:
+            self._replace(record, member)
 
-    def _add(self, known: Known) -> None:
-        member = known.member
-        self._known[member.name] = known
+    def _add(self, record: PeerRecord) -> None:
+        member = record.member
+        self._records[member.name] = record
         self._names[member_id(member.name)] = member.name
-        self._domains.setdefault(member.domain, {})[member.name] = known
+        self._domains.setdefault(member.domain, {})[member.name] = record
         self._regions.setdefault(member.region, set()).add(member.domain)
 
-    def _replace(self, known: Known, member: Member) -> None:
-        """Let a member's other life begin, not heard from yet."""
-        known.member = member
-        known.state = STARTING
-        known.heard_at = NEVER
-        self._named.clear()
+    def _replace(self, record: PeerRecord, member: Member) -> None:
+        """Record another incarnation, of which no heartbeat came yet."""
+        record.member = member
+        record.state = STARTING
+        record.heartbeat_at = NEVER
+        self.version += 1
 
-    def sight(self, sighting: Sighting, now: float) -> bool:
-        """Take when a life of an entry was last heard by anyone.
+    def observe(self, seen: LastSeen, now: float) -> bool:
+        """Take when an incarnation of an entry last sent a heartbeat.
 
-        Returns: whether it was news.
+        Returns: whether it was newer than what is on record.
         """
-        row = sighting.row
-        known = self._known.get(self._names.get(row.id, ""))
-        if known is None or not self._is_current(known, sighting):
+        row = seen.row
+        record = self._records.get(self._names.get(row.id, ""))
+        if record is None or not self._take_incarnation(record, seen):
             return False
-        if row.state > known.state:
-            known.state = row.state
-            self._named.clear()
-        if sighting.at <= known.heard_at:
+        if row.state > record.state:
+            record.state = row.state
+            self.version += 1
+        if seen.at <= record.heartbeat_at:
             return False
-        known.heard_at = sighting.at
-        known.seen_at = max(known.seen_at, now)
+        record.heartbeat_at = seen.at
+        record.reported_at = max(record.reported_at, now)
         return True
 
-    def _is_current(self, known: Known, sighting: Sighting) -> bool:
-        """Return whether a sighting is of the present life, or begins a newer one.
-
-        A life with a lower incarnation follows one with a higher where a clock was
-        set back; it counts once the other has been silent for long enough.
-        """
-        incarnation = sighting.row.incarnation
-        present = known.member.incarnation
-        if incarnation == present:
+    def _take_incarnation(self, record: PeerRecord, seen: LastSeen) -> bool:
+        """Return whether the incarnation seen is on record now."""
+        incarnation = seen.row.incarnation
+        if incarnation == record.member.incarnation:
             return True
-        if incarnation < present and sighting.at - known.heard_at <= OLD_LIFE_S:
-            return False
-        if incarnation > present and known.heard_at - sighting.at > OLD_LIFE_S:
+        if not supersedes(record, seen):
             return False
-        changed = msgspec.structs.replace(known.member, incarnation=incarnation)
-        self._replace(known, changed)
+        changed = msgspec.structs.replace(record.member, incarnation=incarnation)
+        self._replace(record, changed)
         return True
 
-    def digest_came(self, name: str, now: float) -> None:
-        """Note that an entry itself sent a digest."""
-        known = self._known.get(name)
-        if known is not None:
-            known.digest_at = now
-
     def forget(self, now: float) -> None:
-        """Drop entries not seen for a long time."""
-        old = [n for n, k in self._known.items() if now - k.seen_at > FORGET_S]
+        """Delete the records of entries that were silent for `FORGET_S`."""
+        old = [n for n, r in self._records.items() if is_forgotten(r, now)]
         for name in old:
-            member = self._known.pop(name).member
+            member = self._records.pop(name).member
             self._names.pop(member_id(name), None)
             domain = self._domains[member.domain]
             del domain[name]
@@ -174,239 +150,108 @@
                 del self._domains[member.domain]
                 self._regions[member.region].discard(member.domain)
 
-    def changes(self, now: float) -> list[tuple[str, str, float]]:
-        """Return who was found or lost since the last call.
-
-        Returns: name, "heard" or "silent", and seconds since it was heard.
-        """
+    def changes(self, now: float) -> list[PeerChange]:
+        """Return which entries became live or silent since the last call."""
         live = {m.name for m in self.live(now)}
-        found = [(name, "heard", 0.0) for name in sorted(live - self._logged)]
+        found = [PeerChange(name, "heard", 0.0) for name in sorted(live - self._logged)]
         for name in sorted(self._logged - live):
-            known = self._known.get(name)
-            silent_s = now - known.heard_at if known else FORGET_S
-            found.append((name, "silent", silent_s))
+            record = self._records.get(name)
+            silent_s = now - record.heartbeat_at if record else FORGET_S
+            found.append(PeerChange(name, "silent", silent_s))
         self._logged = live
         return found
 
-    # Questions.
+    # Entries.
 
     def live(self, now: float) -> list[Member]:
-        """Return the entries heard from lately."""
-        return [k.member for k in self._known.values() if self._is_live(k, now)]
+        """Return the entries that count as live."""
+        return [r.member for r in self._records.values() if self._is_live(r, now)]
 
-    def _is_live(self, known: Known, now: float) -> bool:
-        near = known.member.region == self.own.region
-        return now - known.heard_at <= (SILENCE_S if near else FAR_SILENCE_S)
+    def _is_live(self, record: PeerRecord, now: float) -> bool:
+        return is_live(record, self.own.region, now)
 
     def near(self, now: float) -> list[Member]:
-        """Return the live ones of this entry's region, but those that leave."""
+        """Return the live entries of this entry's region, without leaving ones."""
         return [
-            known.member
-            for domain in self._regions[self.own.region]
-            for known in self._domains[domain].values()
-            if known.state != LEAVING and self._is_live(known, now)
+            record.member
+            for record in self.records(self._regions[self.own.region])
+            if record.state != LEAVING and self._is_live(record, now)
         ]
 
+    def record(self, name: str) -> PeerRecord | None:
+        """Return the record of an entry, if there is one."""
+        return self._records.get(name)
+
+    def records(self, domains: Iterable[str]) -> Iterator[PeerRecord]:
+        """Return the records of some failure domains' entries."""
+        for domain in domains:
+            yield from self._domains.get(domain, {}).values()
+
     def member(self, name: str) -> Member | None:
-        """Return what is known of an entry, if anything."""
-        known = self._known.get(name)
-        return known.member if known is not None else None
+        """Return the description of an entry, if it is known."""
+        record = self._records.get(name)
+        return record.member if record is not None else None
 
     def name(self, identity: int) -> str:
-        """Return the name behind an identity of digests; empty if not known."""
+        """Return the name of a `member_id`; empty if it is not known."""
         return self._names.get(identity, "")
 
-    def all_domains(self) -> list[str]:
-        """Return all failure domains from which entries are known, by name."""
-        return sorted(self._domains)
-
-    def sightings(self, domain: str) -> list[Sighting]:
-        """Return what was heard of the entries of a failure domain, by name."""
-        known = self._domains.get(domain, {})
+    def last_seen(self, domain: str) -> list[LastSeen]:
+        """Return when a failure domain's entries were last seen, ordered by name."""
+        records = self._domains.get(domain, {})
         return [
-            Sighting(
-                MemberRow(member_id(name), k.member.incarnation, k.state), k.heard_at
+            LastSeen(
+                MemberRow(member_id(name), r.member.incarnation, r.state),
+                r.heartbeat_at,
             )
-            for name, k in sorted(known.items())
-            if k.heard_at > NEVER
+            for name, r in sorted(records.items())
+            if r.heartbeat_at > NEVER
         ]
 
-    def domains(self, region: str) -> list[str]:
-        """Return the failure domains of a region from which entries are known."""
-        return sorted(self._regions.get(region, ()))
-
-    def other_regions(self) -> list[str]:
-        """Return the regions other than this entry's, by name."""
-        return sorted(r for r in self._regions if r != self.own.region)
-
-    def in_domain(self, domain: str) -> int:
-        """Count the entries of a domain known within the last minute."""
-        return len(self._domains.get(domain, ())) + (domain == self.own.domain)
-
-    def in_region(self, region: str) -> int:
-        """Count the entries of a region known within the last minute."""
-        return sum(self.in_domain(d) for d in self.domains(region))
-
-    @property
-    def count(self) -> int:
-        """How many entries are known, this one included."""
-        return len(self._known) + 1
-
     def everyone(self) -> list[str]:
         """Return the heartbeat addresses of all entries."""
-        return [k.member.gossip for k in self._known.values()]
+        return [r.member.gossip for r in self._records.values()]
 
     def in_own_region(self) -> list[Member]:
         """Return all known entries of this entry's region, silent ones included."""
-        return [
-            known.member
-            for domain in self.domains(self.own.region)
-            for known in self._domains[domain].values()
-        ]
+        return [r.member for r in self.records(self.domains(self.own.region))]
 
     def in_own_domain(self, now: float) -> tuple[list[Member], list[Member]]:
-        """Return the known entries of the own domain: live ones, and silent ones.
+        """Return the known entries of the own failure domain: live, and silent ones.
 
-        One that was never heard, as in its first moments, counts as live.
+        One of which no heartbeat came yet, as in its first moments, counts as live.
         """
         live: list[Member] = []
         silent: list[Member] = []
-        for _, known in sorted(self._domains[self.own.domain].items()):
-            unheard = known.heard_at == NEVER
-            into = live if unheard or self._is_live(known, now) else silent
-            into.append(known.member)
+        for _, record in sorted(self._domains[self.own.domain].items()):
+            new = record.heartbeat_at == NEVER
+            into = live if new or self._is_live(record, now) else silent
+            into.append(record.member)
         return live, silent
 
-    # Roles.
-
-    def aggregators(self, domain: str, now: float) -> list[Member]:
-        """Return the entries that merge what a failure domain's entries tell.
-
-        Every entry ranks the live ones alike. Two that see different entries may
-        both take the role; that costs bytes, no more. One from which no digest
-        comes is passed over, long before it counts as silent.
-        """
-        speaking = (k for k in self._candidates(domain, now) if self._speaks(k, now))
-        return [k.member for k in islice(speaking, AGGREGATORS)]
-
-    def to_tell(self, domain: str, now: float) -> list[Member]:
-        """Return whom to send what a failure domain's aggregators should know.
-
-        Those that are passed over get it too while they count as live: two that
-        passed each other over would otherwise never hear each other again.
-        """
-        candidates = self._candidates(domain, now)
-        if not candidates:
-            return self._tried(domain)
-        first = [k.member for k in candidates[:AGGREGATORS]]
-        chosen = self.aggregators(domain, now)
-        told = first + [m for m in chosen if m not in first]
-        return [m for m in told if m.name != self.own.name]
-
-    def _candidates(self, domain: str, now: float) -> list[Known]:
-        """Return the live entries of a failure domain, the widest links first."""
-        found = [
-            k
-            for k in self._domains.get(domain, {}).values()
-            if k.state != LEAVING and self._is_live(k, now)
-        ]
-        if domain == self.own.domain:
-            found.append(self._self)
-        return sorted(found, key=lambda k: k.rank)
-
-    def _tried(self, domain: str) -> list[Member]:
-        """Return whom to try in a failure domain from which nothing is heard.
+    # Failure domains, regions and numbers.
 
-        The widest links, of those heard last before it was cut off and of all, and
-        one by chance: both sides hear each other soon after the cut is healed.
-        """
-        known = sorted(self._domains.get(domain, {}).values(), key=lambda k: k.rank)
-        newest = max((k.heard_at for k in known), default=NEVER)
-        lately = [k for k in known if k.heard_at >= newest - SILENCE_S]
-        chance = self._rng.sample(known, min(1, len(known)))
-        tried = [*known[:AGGREGATORS], *lately[:AGGREGATORS], *chance]
-        return list({k.member.name: k.member for k in tried}.values())
-
-    def _speaks(self, known: Known, now: float) -> bool:
-        """Return whether digests come from an entry, or may still come.
-
-        Those of other regions come from each aggregator in turn, too seldom to tell.
-        """
-        if known is self._self or known.member.region != self.own.region:
-            return True
-        if now - known.chosen_at > AGGREGATOR_RETRY_S:
-            known.chosen_at = now
-        return now - max(known.digest_at, known.chosen_at) <= AGGREGATOR_SILENCE_S
-
-    def is_aggregator(self, now: float) -> bool:
-        """Return whether this entry merges for its failure domain."""
-        return self.own in self.aggregators(self.own.domain, now)
-
-    def elected(self, watchers: int, now: float) -> bool:
-        """Return whether this entry is one of its region's followers of the store.
-
-        They pass all news on, so those with the widest links come first.
-        """
-        ranked = sorted([*self.near(now), self.own], key=link_rank)
-        return ranked.index(self.own) < watchers
+    def all_domains(self) -> list[str]:
+        """Return all failure domains from which entries are known, by name."""
+        return sorted(self._domains)
 
-    def rank(self) -> int | None:
-        """Return this entry's place among all known of its region by their links.
+    def domains(self, region: str) -> list[str]:
+        """Return the failure domains of a region from which entries are known."""
+        return sorted(self._regions.get(region, ()))
 
-        None if no other is known.
-        """
-        known = self.in_own_region()
-        if not known:
-            return None
-        return sorted([*known, self.own], key=link_rank).index(self.own)
+    def other_regions(self) -> list[str]:
+        """Return the regions other than this entry's, by name."""
+        return sorted(r for r in self._regions if r != self.own.region)
 
-    # Naming.
+    def in_domain(self, domain: str) -> int:
+        """Count the entries of a domain, those silent for up to `FORGET_S` too."""
+        return len(self._domains.get(domain, ())) + (domain == self.own.domain)
 
-    def addresses(
-        self, region: str, domain: str, own_state: EntryState, now: float
-    ) -> list[str]:
-        """Choose the entries to name to a client, the nearest ones.
+    def in_region(self, region: str) -> int:
+        """Count the entries of a region, those silent for up to `FORGET_S` too."""
+        return sum(self.in_domain(d) for d in self.domains(region))
 
-        Args:
-          region: the client's region.
-          domain: the client's failure domain.
-          own_state: the state of this entry.
-          now: monotonic time in seconds.
-        Returns: addresses of the client's domain; of its region as well when
-          they are few; of all regions when its own has none.
-        """
-        place = (region, domain, own_state)
-        at, named = self._named.get(place, (-1.0, []))
-        if not at <= now < at + NAMED_S:
-            named = self._choose(region, domain, own_state, now)
-            if len(self._named) >= MOST_PLACES:
-                self._named.clear()
-            self._named[place] = (now, named)
-        return named
-
-    def _choose(
-        self, region: str, domain: str, own_state: EntryState, now: float
-    ) -> list[str]:
-        same = self._usable([domain], own_state, now)
-        if len(same) < LEAST_NAMED:
-            same = self._usable(self.domains(region), own_state, now)
-        if not same:
-            same = self._usable(self._domains, own_state, now)
-        if not same and own_state != STARTING:
-            same = [self.own]
-        named = sorted(same, key=lambda m: m.name)
-        return [m.front for m in named[:MAX_NAMED]]
-
-    def _usable(
-        self, domains: Iterable[str], own_state: EntryState, now: float
-    ) -> list[Member]:
-        """Return the entries of some failure domains that may be named."""
-        found = [
-            known.member
-            for domain in domains
-            for known in self._domains.get(domain, {}).values()
-            if known.state == SERVING and self._is_live(known, now)
-        ]
-        if own_state == SERVING and self.own.domain in domains:
-            found.append(self.own)
-        return found
+    @property
+    def count(self) -> int:
+        """How many entries are known, this one included."""
+        return len(self._records) + 1
--- a/leverdoor/entry/membership/partners.py
+++ b/leverdoor/entry/membership/partners.py
@@ -4,9 +4,11 @@
 
 from typing import TypeVar
 
+from leverdoor.entry.membership.liveness import HEARTBEAT_S
 from leverdoor.entry.membership.member import Member
-from leverdoor.entry.membership.members import HEARTBEAT_S, Membership
-from leverdoor.entry.membership.sightings import NEVER
+from leverdoor.entry.membership.members import Membership
+from leverdoor.entry.membership.peer_record import NEVER
+from leverdoor.entry.membership.roles import Roles
 
 __all__ = ["Partners", "in_turn"]
 
@@ -23,9 +25,10 @@
 class Partners:
     """Chooses who gets an entry's messages."""
 
-    def __init__(self, membership: Membership) -> None:
-        """Create it around what is known of the entries."""
+    def __init__(self, membership: Membership, roles: Roles) -> None:
+        """Create it around the entries known and their roles."""
         self._membership = membership
+        self._roles = roles
         self._own = membership.own
         self._fellow_round: tuple[float, int] = (NEVER, 0)
         """When the domain's first aggregator told the domain, and its round then."""
@@ -36,7 +39,7 @@
 
     def aggregators(self, now: float) -> list[str]:
         """Return the addresses of the own failure domain's aggregators."""
-        return [m.gossip for m in self._membership.to_tell(self._own.domain, now)]
+        return [m.gossip for m in self._roles.recipients(self._own.domain, now)]
 
     def near(self, now: float) -> list[Member]:
         """Return the aggregators of the region's other failure domains."""
@@ -44,7 +47,7 @@
             member
             for domain in self._membership.domains(self._own.region)
             if domain != self._own.domain
-            for member in self._membership.to_tell(domain, now)
+            for member in self._roles.recipients(domain, now)
         ]
 
     def far(self, turn: int, now: float) -> list[Member]:
@@ -59,7 +62,7 @@
         senders = [
             member.name
             for domain in membership.domains(self._own.region)
-            for member in membership.aggregators(domain, now)
+            for member in self._roles.aggregators(domain, now)
         ]
         place = senders.index(self._own.name) if self._own.name in senders else 0
         found = []
@@ -67,7 +70,7 @@
             members = [
                 member
                 for domain in membership.domains(region)
-                for member in membership.to_tell(domain, now)
+                for member in self._roles.recipients(domain, now)
             ]
             if not members:
                 continue
@@ -85,7 +88,7 @@
         Each of two aggregators tells every other entry, so that all are told about
         once a round; the other aggregator is told always, silent entries seldom.
         """
-        merging = self._membership.aggregators(self._own.domain, now)
+        merging = self._roles.aggregators(self._own.domain, now)
         place, count = merging.index(self._own), len(merging)
         whose = turn if place == 0 else self._second_turn(turn, now)
         live, silent = self._membership.in_own_domain(now)
--- a/leverdoor/entry/membership/use_exchange.py
+++ b/leverdoor/entry/membership/use_exchange.py
@@ -137,12 +137,12 @@
         have as much again by their use, which is taken for the mean.
         """
         domain = self._own.domain
-        sightings = self._membership.sightings(domain)
-        never = self._membership.in_domain(domain) - 1 - len(sightings)
+        last_seen = self._membership.last_seen(domain)
+        never = self._membership.in_domain(domain) - 1 - len(last_seen)
         never = max(never, 0) if lived_s <= HOLD_S else 0
         unreported = [
             s
-            for s in sightings
+            for s in last_seen
             if FRESH_S < now - s.at <= HOLD_S
             and s.row.state != LEAVING
             and not self._merger.has_report(self._membership.name(s.row.id))
@@ -154,7 +154,7 @@
         return {
             domain
             for domain in self._membership.domains(self._own.region)
-            if domain != self._own.domain and self._membership.sightings(domain)
+            if domain != self._own.domain and self._membership.last_seen(domain)
         }
 
     def _far(self) -> set[str]:
@@ -163,7 +163,7 @@
             region
             for region in self._membership.other_regions()
             for domain in self._membership.domains(region)
-            if self._membership.sightings(domain)
+            if self._membership.last_seen(domain)
         }
 
     def tell(self, own: Use, lived_s: float, now: float) -> UseSummary:
--- a/leverdoor/entry/membership/views.py
+++ b/leverdoor/entry/membership/views.py
@@ -18,9 +18,9 @@
     serialize_ages,
     serialize_rows,
 )
-from leverdoor.entry.membership.member import EntryState, member_id
+from leverdoor.entry.membership.member import EntryState, MemberRow, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.sightings import MemberRow, Sighting
+from leverdoor.entry.membership.peer_record import LastSeen
 
 __all__ = ["Views"]
 
@@ -56,7 +56,7 @@
         for row, steps in zip(rows, view.ages, strict=True):
             if steps < OLDEST_STEPS:
                 at = now - steps * AGE_STEP_S
-                self._membership.sight(Sighting(row, at), now)
+                self._membership.observe(LastSeen(row, at), now)
 
     def own_seq(self, views: list[DomainView]) -> int:
         """Return which of the own heartbeats views counted, modulo 256.
@@ -88,16 +88,16 @@
           turn: the round, in which one domain's rows are sent unchanged.
           now: monotonic time in seconds.
         """
-        sightings = self._membership.sightings(domain)
+        last_seen = self._membership.last_seen(domain)
         seqs = b""
         if domain == self._own.domain:
             own = MemberRow(self._own_id, self._own.incarnation, state)
-            sightings.append(Sighting(own, now))
-            names = [self._membership.name(s.row.id) for s in sightings]
+            last_seen.append(LastSeen(own, now))
+            names = [self._membership.name(s.row.id) for s in last_seen]
             seqs = bytes(seq(name or self._own.name) % 256 for name in names)
-        rows = serialize_rows(s.row for s in sightings)
+        rows = serialize_rows(s.row for s in last_seen)
         key = rows_hash(rows)
-        ages = serialize_ages(now - s.at for s in sightings)
+        ages = serialize_ages(now - s.at for s in last_seen)
         sent_rows = rows if self._sends_rows(domain, key, turn, now) else b""
         return DomainView(domain, key, sent_rows, ages, seqs)
 
--- a/tests/test_entry_digests.py
+++ b/tests/test_entry_digests.py
@@ -25,8 +25,7 @@
     serialize_ids,
     serialize_rows,
 )
-from leverdoor.entry.membership.member import SERVING, Member
-from leverdoor.entry.membership.sightings import MemberRow
+from leverdoor.entry.membership.member import SERVING, Member, MemberRow
 
 ROWS = st.builds(
     MemberRow,
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -10,8 +10,11 @@
 from leverdoor.entry.membership.digests import Digest, DigestScope, EntryHeartbeat, News
 from leverdoor.entry.membership.exchange import Exchange
 from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate, Sending
+from leverdoor.entry.membership.liveness import HEARTBEAT_S
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member
-from leverdoor.entry.membership.members import HEARTBEAT_S, Membership
+from leverdoor.entry.membership.members import Membership
+from leverdoor.entry.membership.naming import Naming
+from leverdoor.entry.membership.roles import Roles
 
 TARGETS = {"a": ["ta1", "ta2"], "b": ["tb1"]}
 
@@ -23,17 +26,19 @@
         self.now = 100.0
         self.reports: dict[str, EntryStatus] = {}
         self.exchanges: dict[str, Exchange] = {}
+        self.naming: dict[str, Naming] = {}
         self.heard: dict[str, PeerUpdate] = {}
         self.sent: list[tuple[str, Sending]] = []
         self.silent: set[str] = set()
         members = [_member(n, wide if n.endswith(("-0", "-1")) else 20) for n in names]
         for own in members:
-            membership = Membership(own, Random(own.name))
+            membership = Membership(own)
             for other in members:
                 membership.introduce(other, self.now)
-            exchange = Exchange(membership)
+            exchange = Exchange(membership, Roles(membership, Random(own.name)))
             exchange.lists.renew(TARGETS)
             self.exchanges[own.name] = exchange
+            self.naming[own.name] = Naming(membership)
             self.reports[own.name] = EntryStatus(SERVING, 1, {}, {}, -1, [])
 
     def report(self, name: str, **fields: object) -> None:
@@ -216,11 +221,11 @@
     s.report("a1-4", state=LEAVING)
     s.send("a1-4", s.exchanges["a1-4"].say_goodbye(s.reports["a1-4"]))
     for name in ("a1-0", "a1-5", "a2-5"):
-        named = s.exchanges[name]._membership.addresses("a", "a1", SERVING, s.now)
+        named = s.naming[name].addresses("a", "a1", SERVING, s.now)
         assert "f/a1-4" not in named
     s.round(6)
     for name in ("a1-0", "a1-5", "a2-5"):
-        named = s.exchanges[name]._membership.addresses("a", "a1", SERVING, s.now)
+        named = s.naming[name].addresses("a", "a1", SERVING, s.now)
         assert "f/a1-4" not in named
 
 
@@ -279,7 +284,8 @@
     s = Entries(site(["a1"], 4))
     s.round(4)
     digest = next(x.message for _, x in reversed(s.sent) if _is_total(x))
-    alone = Exchange(Membership(_member("a1-9", 20), Random(1)))
+    known = Membership(_member("a1-9", 20))
+    alone = Exchange(known, Roles(known, Random(1)))
     assert alone.take(digest, 0, s.now).source.startswith("p/a1-")
 
 
--- a/tests/test_entry_joining.py
+++ b/tests/test_entry_joining.py
@@ -11,6 +11,7 @@
 from leverdoor.entry.membership.joining import ALONE_S, SETTLE_S, Joining
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.membership.members import Membership
+from leverdoor.entry.membership.roles import Roles
 from leverdoor.errors import StoreUnavailable
 from leverdoor.storage.following import PeerFollower
 from leverdoor.storage.state import Delta, State
@@ -84,7 +85,7 @@
     """One entry's start."""
 
     def __init__(self, own: Member, store: Store, having: set[str]) -> None:
-        self.membership = Membership(own, Random(1))
+        self.membership = Membership(own)
         self.state = State()
         self.puller = Puller(self.state, having)
         events = Events(LineWriter(os.open(os.devnull, os.O_WRONLY)), own.name)
@@ -92,6 +93,7 @@
             store,
             PREFIX,
             self.membership,
+            Roles(self.membership, Random(1)),
             self.state,
             self.puller,
             events,
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -21,8 +21,7 @@
     ShiftLine,
 )
 from leverdoor.entry.membership import digests
-from leverdoor.entry.membership.member import LEAVING, SERVING, Member
-from leverdoor.entry.membership.sightings import MemberRow
+from leverdoor.entry.membership.member import LEAVING, SERVING, Member, MemberRow
 from leverdoor.errors import Code, Problem, Run
 from leverdoor.gate.keys import Key
 from leverdoor.gate.lookups import LookupAnswer, LookupEntry
