--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -15,9 +15,9 @@
 
 from leverdoor.codec import pack
 from leverdoor.entry.configuration.catalog import Catalog
-from leverdoor.entry.membership.digests import EntryHeartbeat
-from leverdoor.entry.membership.exchange import Exchange
-from leverdoor.entry.membership.exchange_types import EntryStatus
+from leverdoor.entry.exchange.exchange import Exchange
+from leverdoor.entry.exchange.exchange_types import EntryStatus
+from leverdoor.entry.exchange.messages import EntryHeartbeat
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.naming import Naming
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -21,9 +21,9 @@
     WARM_TOLD_S,
 )
 from leverdoor.entry.configuration.catalog import Catalog
-from leverdoor.entry.membership.digests import Message
-from leverdoor.entry.membership.exchange import Exchange
-from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate
+from leverdoor.entry.exchange.exchange import Exchange
+from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate
+from leverdoor.entry.exchange.messages import Message
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
--- a/leverdoor/emulator/knowledge.py
+++ b/leverdoor/emulator/knowledge.py
@@ -18,9 +18,9 @@
 import msgspec
 
 from leverdoor.codec import pack
-from leverdoor.entry.membership.digests import Message
-from leverdoor.entry.membership.exchange import Exchange
-from leverdoor.entry.membership.exchange_types import EntryStatus
+from leverdoor.entry.exchange.exchange import Exchange
+from leverdoor.entry.exchange.exchange_types import EntryStatus
+from leverdoor.entry.exchange.messages import Message
 from leverdoor.entry.membership.liveness import HEARTBEAT_S
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
--- a/leverdoor/emulator/quotas.py
+++ b/leverdoor/emulator/quotas.py
@@ -15,9 +15,9 @@
 import msgspec
 
 from leverdoor.emulator.knowledge import KnowledgeSite, Outgoing
-from leverdoor.entry.membership.digests import Message
-from leverdoor.entry.membership.exchange import Exchange
-from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate
+from leverdoor.entry.exchange.exchange import Exchange
+from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate
+from leverdoor.entry.exchange.messages import Message
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
--- a/leverdoor/emulator/world.py
+++ b/leverdoor/emulator/world.py
@@ -14,7 +14,7 @@
 from leverdoor.emulator.targets import EmulatedTarget, Outcome, Run
 from leverdoor.emulator.troubles import PlannedTrouble
 from leverdoor.entry.configuration.catalog import Catalog
-from leverdoor.entry.membership.digests import Message
+from leverdoor.entry.exchange.messages import Message
 from leverdoor.entry.membership.liveness import HEARTBEAT_S
 from leverdoor.entry.membership.member import Member
 from leverdoor.model.resources import Region, Resource, Service, Target, WorkClass
--- a/leverdoor/entry/control_plane.py
+++ b/leverdoor/entry/control_plane.py
@@ -15,12 +15,12 @@
 
 from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
 from leverdoor.entry.context import EntryContext
-from leverdoor.entry.membership.exchange import Exchange
-from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate
+from leverdoor.entry.exchange.exchange import Exchange
+from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate
+from leverdoor.entry.exchange.peer_link import PeerLink
 from leverdoor.entry.membership.joining import Joining
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.peer_link import PeerLink
 from leverdoor.entry.membership.registration import Registration, retry_pause_s
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.settings import EntrySettings
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -22,7 +22,7 @@
 from leverdoor.entry.control_plane import ControlPlane, create_member
 from leverdoor.entry.data_plane import DataPlane
 from leverdoor.entry.events import Events
-from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate
+from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate
 from leverdoor.entry.membership.liveness import HEARTBEAT_S
 from leverdoor.entry.membership.member import LEAVING, SERVING, STARTING
 from leverdoor.entry.membership.members import Membership
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -22,7 +22,7 @@
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
 from leverdoor.entry.context import EntryContext
-from leverdoor.entry.membership.exchange_types import PeerUpdate
+from leverdoor.entry.exchange.exchange_types import PeerUpdate
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.placement.fleet import OTHERS, Fleet
--- a/leverdoor/entry/membership/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -18,7 +18,9 @@
 
 import msgspec
 
-from leverdoor.entry.membership.digests import (
+from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
+from leverdoor.entry.exchange.merging import PART_TRUST_S, MeanShares, Merger, merged
+from leverdoor.entry.exchange.messages import (
     Digest,
     DigestScope,
     DomainView,
@@ -31,17 +33,15 @@
     parse_ids,
     serialize_ids,
 )
-from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate, Sending
+from leverdoor.entry.exchange.recipients import Partners, in_turn
+from leverdoor.entry.exchange.use_exchange import UseExchange, UseSummary
+from leverdoor.entry.exchange.use_lists import Use
+from leverdoor.entry.exchange.views import Views
+from leverdoor.entry.exchange.warm_news import WarmNews
 from leverdoor.entry.membership.member import MemberRow, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.merging import PART_TRUST_S, MeanShares, Merger, merged
-from leverdoor.entry.membership.partners import Partners, in_turn
 from leverdoor.entry.membership.peer_record import LastSeen
 from leverdoor.entry.membership.roles import Roles
-from leverdoor.entry.membership.use import Use
-from leverdoor.entry.membership.use_exchange import UseExchange, UseSummary
-from leverdoor.entry.membership.views import Views
-from leverdoor.entry.membership.warm_news import WarmNews
 
 __all__ = ["Exchange"]
 
--- a/leverdoor/entry/membership/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from leverdoor.entry.membership.digests import Message, Shares
+from leverdoor.entry.exchange.messages import Message, Shares
+from leverdoor.entry.exchange.use_lists import Use
 from leverdoor.entry.membership.member import EntryState
-from leverdoor.entry.membership.use import Use
 from leverdoor.workspaces.room import OthersUse
 
 __all__ = ["PeerUpdate", "EntryStatus", "Sending"]
--- a/leverdoor/entry/membership/merging.py
+++ b/leverdoor/entry/exchange/merging.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from leverdoor.entry.membership.digests import EntryHeartbeat, Shares
+from leverdoor.entry.exchange.messages import EntryHeartbeat, Shares
 from leverdoor.entry.membership.peer_record import NEVER
 
 __all__ = ["PART_TRUST_S", "MeanShares", "Merger", "merged"]
--- a/leverdoor/entry/membership/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -7,9 +7,9 @@
 from typing import TypeAlias
 
 from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
-from leverdoor.entry.membership.digests import Message
-from leverdoor.entry.membership.exchange import Exchange
-from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate, Sending
+from leverdoor.entry.exchange.exchange import Exchange
+from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
+from leverdoor.entry.exchange.messages import Message
 from leverdoor.membership.gossip import GossipSocket
 from leverdoor.settings import Address
 from leverdoor.storage.following import PeerFollower
--- a/leverdoor/entry/membership/use_exchange.py
+++ b/leverdoor/entry/exchange/use_exchange.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from leverdoor.entry.membership.digests import Digest, DigestScope, EntryHeartbeat
+from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat
+from leverdoor.entry.exchange.use_lists import Use, UseLists
+from leverdoor.entry.exchange.use_merging import FRESH_S, UseMerger, UseReport
 from leverdoor.entry.membership.member import LEAVING, Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.use import Use, UseLists
-from leverdoor.entry.membership.use_merging import FRESH_S, UseMerger, UseReport
 from leverdoor.workspaces.quota import HOLD_S
 from leverdoor.workspaces.room import OthersUse
 
--- a/leverdoor/entry/membership/use_merging.py
+++ b/leverdoor/entry/exchange/use_merging.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from leverdoor.entry.membership.use import Use, summed
+from leverdoor.entry.exchange.use_lists import Use, summed
 from leverdoor.workspaces.quota import HOLD_S
 from leverdoor.workspaces.room import EVEN_PART, stretch
 
--- a/leverdoor/entry/membership/views.py
+++ b/leverdoor/entry/exchange/views.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from leverdoor.entry.membership.digests import (
+from leverdoor.entry.exchange.messages import (
     AGE_STEP_S,
     OLDEST_STEPS,
     DomainView,
--- a/leverdoor/entry/membership/__init__.py
+++ b/leverdoor/entry/membership/__init__.py
@@ -1,3 +1,3 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What entries tell each other: who is there, and how they fare."""
+"""Which entries there are, which roles they have, and how one joins and registers."""
--- a/tests/test_entry_digests.py
+++ b/tests/test_entry_digests.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from leverdoor.codec import pack, unpack
-from leverdoor.entry.membership.digests import (
+from leverdoor.entry.exchange.messages import (
     AGE_STEP_S,
     KEPT_LISTS,
     MOST_COUNTED,
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from leverdoor.entry.membership.digests import Digest, DigestScope, EntryHeartbeat, News
-from leverdoor.entry.membership.exchange import Exchange
-from leverdoor.entry.membership.exchange_types import EntryStatus, PeerUpdate, Sending
+from leverdoor.entry.exchange.exchange import Exchange
+from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
+from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat, News
 from leverdoor.entry.membership.liveness import HEARTBEAT_S
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member
 from leverdoor.entry.membership.members import Membership
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -29,9 +29,9 @@
 from leverdoor.client.operator import Operator
 from leverdoor.codec import pack, parse_json, serialize_json, unpack
 from leverdoor.entry.admin import AdminServer
-from leverdoor.entry.membership import digests
+from leverdoor.entry.exchange import messages
+from leverdoor.entry.exchange.use_lists import UseLists
 from leverdoor.entry.membership.member import link_rank, member_id
-from leverdoor.entry.membership.use import UseLists
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.settings import EntrySettings
 from leverdoor.errors import Code, Refusal
@@ -389,21 +389,21 @@
         b"\x04\x03\x02\x01\x01@\x1e\x18$\x0a\x06\x00\x01"
         b"\xfe\xff\xff\xff\x02@\x1e\x18$\x0a\x06\x00\x02"
     )
-    assert digests.serialize_rows(samples.ROWS) == data
-    assert digests.parse_rows(data) == samples.ROWS
-    assert digests.rows_hash(data) == 1953574800
+    assert messages.serialize_rows(samples.ROWS) == data
+    assert messages.parse_rows(data) == samples.ROWS
+    assert messages.rows_hash(data) == 1953574800
 
 
 def test_ages_of_entries() -> None:
     """In steps of 20 ms, rounded up."""
-    assert digests.serialize_ages(samples.AGES_S) == b"\x00\x022\xff"
-    assert digests.AGE_STEP_S == 0.02
+    assert messages.serialize_ages(samples.AGES_S) == b"\x00\x022\xff"
+    assert messages.AGE_STEP_S == 0.02
 
 
 def test_ids() -> None:
     data = b"\x01\x00\x00\x00\x04\x03\x02\x01\xfe\xff\xff\xff"
-    assert digests.serialize_ids(samples.IDS) == data
-    assert digests.parse_ids(data) == samples.IDS
+    assert messages.serialize_ids(samples.IDS) == data
+    assert messages.parse_ids(data) == samples.IDS
 
 
 def test_identity_and_order_of_entries() -> None:
@@ -413,9 +413,9 @@
 
 def test_counts_of_a_region() -> None:
     """One byte a target, by name; 255 is the most."""
-    lists = digests.TargetLists()
+    lists = messages.TargetLists()
     lists.renew(samples.REGION_TARGETS)
-    counts = digests.RegionCounts("siliguri", 3305339154, b"\x03\xff\x00")
+    counts = messages.RegionCounts("siliguri", 3305339154, b"\x03\xff\x00")
     assert lists.serialize("siliguri", samples.REGION_COUNTS) == counts
     assert lists.parse(counts) == {"t1": 3, "t2": 255}
 
@@ -451,7 +451,7 @@
 
 async def test_datagram_sent() -> None:
     """A zlib stream of the fastest level around the packed message."""
-    socket: GossipSocket[Any] = GossipSocket(digests.Message, lambda _: None)
+    socket: GossipSocket[Any] = GossipSocket(messages.Message, lambda _: None)
     transport = socket._transport = RecordingTransport()
     socket.send(samples.NEWS, "10.0.0.2:7946")
     [(data, to)] = transport.sent
@@ -462,7 +462,7 @@
 
 def test_datagram_received() -> None:
     taken: list[Any] = []
-    socket: GossipSocket[Any] = GossipSocket(digests.Message, taken.append)
+    socket: GossipSocket[Any] = GossipSocket(messages.Message, taken.append)
     socket.datagram_received(NEWS_DATAGRAM, ("10.0.0.2", 7946))
     assert taken == [samples.NEWS]
 
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -20,7 +20,7 @@
     Report,
     ShiftLine,
 )
-from leverdoor.entry.membership import digests
+from leverdoor.entry.exchange import messages
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member, MemberRow
 from leverdoor.errors import Code, Problem, Run
 from leverdoor.gate.keys import Key
@@ -79,7 +79,7 @@
     link_mbps=1_000,
 )
 SHARES = {"look": {"siliguri": 0.75, "kolkata": 0.25}}
-ENTRY_HEARTBEAT = digests.EntryHeartbeat(
+ENTRY_HEARTBEAT = messages.EntryHeartbeat(
     member=MEMBER,
     seq=300,
     state=SERVING,
@@ -91,15 +91,15 @@
     use=b"\x05\x06\x07\x08\x09",
     confirmed_ms=250,
 )
-DIGEST = digests.Digest(
+DIGEST = messages.Digest(
     sender="n1",
-    scope=digests.DigestScope.ALL,
+    scope=messages.DigestScope.ALL,
     turn=301,
     incarnation=1_700_000_000_000_001,
     revision=70_000,
     pull="10.0.0.1:7947",
     views=[
-        digests.DomainView(
+        messages.DomainView(
             domain="siliguri-a",
             hash=0xFEDCBA98,
             rows=b"\x01\x02",
@@ -107,7 +107,7 @@
             seqs=b"\x2c\x2d",
         )
     ],
-    loads=[digests.RegionCounts(region="siliguri", hash=0x89ABCDEF, counts=b"\x03")],
+    loads=[messages.RegionCounts(region="siliguri", hash=0x89ABCDEF, counts=b"\x03")],
     entries=7,
     shares=SHARES,
     outage_ms=1_500,
@@ -118,7 +118,7 @@
     silent=2,
     confirmed_ms=250,
 )
-NEWS = digests.News(revision=70_000, pull="10.0.0.1:7947")
+NEWS = messages.News(revision=70_000, pull="10.0.0.1:7947")
 
 DELTA = Delta(
     since=69_998,
@@ -211,9 +211,9 @@
 
 PACKED = {
     "member": Sample(MEMBER, Member),
-    "entry heartbeat": Sample(ENTRY_HEARTBEAT, digests.Message),
-    "digest": Sample(DIGEST, digests.Message),
-    "news": Sample(NEWS, digests.Message),
+    "entry heartbeat": Sample(ENTRY_HEARTBEAT, messages.Message),
+    "digest": Sample(DIGEST, messages.Message),
+    "news": Sample(NEWS, messages.Message),
     "delta": Sample(DELTA, Delta),
     "stored entry": Sample(ENTRY, KeyValue),
     "gate report": Sample(GATE_REPORT, GateReport),
