--- a/leverdoor/emulator/quotas.py
+++ b/benchmarks/emulated_quotas.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from leverdoor.emulator.knowledge import KnowledgeSite, Outgoing
+from emulated_exchange import KnowledgeSite, Outgoing
 from leverdoor.entry.exchange.exchange import Exchange
 from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate
 from leverdoor.entry.exchange.messages import Message
--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -26,7 +26,7 @@
 import click
 import msgspec
 
-from leverdoor.emulator.knowledge import (
+from emulated_exchange import (
     BUSY_TARGETS,
     KnowledgeSite,
     Outgoing,
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -11,7 +11,7 @@
 
 import click
 
-from leverdoor.emulator.quotas import QuotaPlan, play_quotas
+from emulated_quotas import QuotaPlan, play_quotas
 
 
 @click.command()
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from leverdoor.emulator.knowledge import Figures, KnowledgeSite, measure
+from emulated_exchange import Figures, KnowledgeSite, measure
 
 
 @pytest.mark.parametrize("entries", [12, 65, 130])
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -19,8 +19,8 @@
     run_state_machine_as_test,
 )
 
+from emulated_quotas import QuotaPlan, play_quotas
 from entry_bench import PLACES, targets, until_in_force
-from leverdoor.emulator.quotas import QuotaPlan, play_quotas
 from leverdoor.errors import Code, Refusal
 from leverdoor.model.resources import Workspace
 from leverdoor.standins.entry_site import SAMPLE_ROUTES, EntrySite
