--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -26,7 +26,6 @@
 MEAN_MS = 150.0
 SECONDS = 10.0
 CAP_UNITS = 40
-CAP_WINDOW_S = 1.0
 
 
 class Setting:
--- a/leverdoor/emulator/troubles.py
+++ b/leverdoor/emulator/troubles.py
@@ -49,7 +49,7 @@
                 target.slow_x = max(trouble.x, 1e-3)
             case TroubleKind.LOSE:
                 target.loses = trouble.x
-            case _:
+            case TroubleKind.CRASH:
                 target.crash()
 
     def _heal(self, target: EmulatedTarget) -> None:
@@ -60,7 +60,7 @@
                 target.slow_x = 1.0
             case TroubleKind.LOSE:
                 target.loses = 0.0
-            case _:
+            case TroubleKind.CRASH:
                 target.restart()
 
     def _end(self) -> None:
--- a/leverdoor/standins/metadata.py
+++ b/leverdoor/standins/metadata.py
@@ -24,7 +24,7 @@
 
 
 class MetadataFaults(msgspec.Struct):
-    """How the store behaves from now on; ordered at `/standin/faults`."""
+    """How the store behaves from now on."""
 
     silent: bool = False
     """Calls are taken and never answered."""
@@ -40,8 +40,7 @@
     turned_away: list[str] = []
     """Hosts whose calls get 503 while others are served."""
     page: int = 500
-    most_calls: int = 0
-    """Calls a second before 429; 0 for no bound."""
+    """Items of one answer to a range."""
 
 
 class _Item(msgspec.Struct):
@@ -102,7 +101,6 @@
         self._leases: dict[int, _Lease] = {}
         self._numbers = count(77_120)
         self._changed = asyncio.Event()
-        self._second = (0, 0)
 
     # The store itself.
 
@@ -199,20 +197,8 @@
         app.router.add_post("/api/kv-lease", self._lease)
         app.router.add_post("/api/kv-keep/{lease}", self._keep)
         app.router.add_delete("/api/kv-lease-end/{lease}", self._end)
-        app.router.add_post("/standin/faults", self._order)
-        app.router.add_post("/standin/put", self._operator_put)
         return app
 
-    async def _order(self, request: web.Request) -> web.StreamResponse:
-        self.faults = msgspec.json.decode(await request.read(), type=MetadataFaults)
-        return web.Response()
-
-    async def _operator_put(self, request: web.Request) -> web.StreamResponse:
-        key = request.query["key"]
-        data = await request.read()
-        revision = self.put(key, data) if data else self.remove(key)
-        return _json({"revision": revision})
-
     async def _meet(self, request: web.Request) -> web.StreamResponse | None:
         """Count a call and let the faults in force strike it."""
         name = request.path.split("/")[2]
@@ -232,17 +218,8 @@
             return web.Response(status=faults.busy)
         if request.remote in faults.turned_away:
             return web.Response(status=503)
-        if self._over_rate():
-            return web.Response(status=429)
         return None
 
-    def _over_rate(self) -> bool:
-        second = int(self._now())
-        at, calls = self._second
-        calls = calls + 1 if at == second else 1
-        self._second = (second, calls)
-        return 0 < self.faults.most_calls < calls
-
     async def _key(self, request: web.Request) -> web.StreamResponse:
         struck = await self._meet(request)
         if struck is not None:
--- a/leverdoor/standins/targets.py
+++ b/leverdoor/standins/targets.py
@@ -20,8 +20,6 @@
 
 CHUNK = 64 * 1024
 """Bytes sent at once."""
-CONNECTION_LIMIT = 130
-"""Connections that a stand-in target accepts, as the brief says."""
 
 
 class TargetFaults(msgspec.Struct):
@@ -30,7 +28,6 @@
     mean_ms: float = 20.0
     fixed: bool = False
     shed: bool = False
-    shed_above: int = 0
     lie_idle: bool = False
     reports: bool = True
     leaving: bool = False
@@ -114,8 +111,7 @@
         faults = self.faults
         if self._delay_s:
             await asyncio.sleep(self._delay_s)
-        above = faults.shed_above and self._in_flight >= faults.shed_above
-        if faults.shed or above:
+        if faults.shed:
             return web.Response(status=503, headers={h.NOT_RUN: "1"})
         arrival = Arrival(
             asyncio.get_running_loop().time(),
--- a/leverdoor/standins/upstreams.py
+++ b/leverdoor/standins/upstreams.py
@@ -60,9 +60,6 @@
         """Answers have no body and no type."""
         self.answer_well()
         self.runs: list[Run] = []
-        self.refused = 0
-        self.misdirected = 0
-        self.most_running = 0
         self._running = 0
         self._waiting = 0
         self._free = asyncio.Semaphore(slots)
@@ -101,13 +98,11 @@
     async def _serve(self, request: web.Request) -> web.StreamResponse:
         headers = {"X-Request-Id": request.headers.get("X-Request-Id", "")}
         if request.headers.get("X-Expect-Instance", self.name) != self.name:
-            self.misdirected += 1
             return web.Response(
                 status=421, headers={**headers, "X-Instance-Id": self.name}
             )
         body = await request.read()
         if self._waiting >= self.slots:
-            self.refused += 1
             return web.Response(status=503, headers={**headers, "X-Not-Executed": "1"})
         self._waiting += 1
         try:
@@ -134,7 +129,6 @@
         )
         self.runs.append(run)
         self._running += 1
-        self.most_running = max(self.most_running, self._running)
         try:
             await asyncio.sleep(self._work_s(request.headers.get("X-Affinity-Key", "")))
         finally:
--- a/leverdoor/storage/vmlist.py
+++ b/leverdoor/storage/vmlist.py
@@ -1,8 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's lagging list of VMs: interface, in-memory and HTTP client."""
+"""The platform's list of VMs: its HTTP client, and which absent VMs are gone.
+
+State: `Departures` keeps in memory since when each VM is absent; a restart of the
+agent forgets it, and each wait begins again. Relies on the list being at most
+`lag_s` old, as the agent's settings say.
+"""
 
-from abc import ABC, abstractmethod
 from enum import StrEnum
 
 import aiohttp
@@ -11,14 +15,18 @@
 from leverdoor.errors import Code, ConfigError, LeverdoorError
 from leverdoor.sessions import new_session
 
-__all__ = ["Departures", "HttpVmList", "MemoryVmList", "Vm", "VmList", "VmState"]
+__all__ = ["Departures", "HttpVmList", "Vm", "VmState", "parse_vms"]
 
 FETCH_TIMEOUT_S = 2.0
-"""Longest time to fetch the list, in seconds; chosen."""
+"""Longest time to fetch the list, in seconds.
+
+Chosen: longer, and a list that does not answer would hold up the next reading;
+shorter, and a slow list would read as one that is down.
+"""
 
 
 class VmState(StrEnum):
-    """What the platform says of a VM."""
+    """State of a VM by the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -31,37 +39,7 @@
     state: VmState = VmState.LIVE
 
 
-class VmList(ABC):
-    """What leverdoor needs of the platform's list."""
-
-    @abstractmethod
-    async def fetch(self) -> list[Vm]:
-        """Read the list as the platform has it now, which may lag.
-
-        Raises:
-          LeverdoorError: the list cannot be read.
-        """
-
-    async def close(self) -> None:  # noqa: B027
-        """Give back connections; there may be none."""
-
-
-class MemoryVmList(VmList):
-    """The list in memory."""
-
-    def __init__(self) -> None:
-        """Create an empty list."""
-        self.vms: dict[str, VmState] = {}
-        self.down = False
-
-    async def fetch(self) -> list[Vm]:
-        """Read the list."""
-        if self.down:
-            raise LeverdoorError(Code.STORE_UNAVAILABLE, "the VM list is down")
-        return [Vm(k, v) for k, v in sorted(self.vms.items())]
-
-
-class HttpVmList(VmList):
+class HttpVmList:
     """The list over HTTP: `GET url` answers a JSON array of VMs."""
 
     def __init__(self, url: str) -> None:
@@ -70,7 +48,11 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def fetch(self) -> list[Vm]:
-        """Read the list."""
+        """Read the list as the platform has it now, which may lag.
+
+        Raises:
+          LeverdoorError: STORE_UNAVAILABLE, the list cannot be read.
+        """
         if self._session is None:
             self._session = new_session(FETCH_TIMEOUT_S)
         try:
@@ -87,16 +69,24 @@
 
 
 def parse_vms(data: bytes) -> list[Vm]:
-    """Parse the list from JSON."""
+    """Parse the list from JSON.
+
+    Raises:
+      ConfigError: MALFORMED.
+    """
     try:
         return msgspec.json.decode(data, type=list[Vm])
     except msgspec.MsgspecError as e:
         raise ConfigError(Code.MALFORMED, str(e)) from None
 
 
-def serialize_vms(vms: list[Vm]) -> bytes:
-    """Serialize the list as JSON."""
-    return msgspec.json.encode(vms)
+class _Absence(msgspec.Struct, frozen=True):
+    """A VM that the list lacks."""
+
+    since: float
+    """Monotonic time before the reading that first lacked it, in seconds."""
+    processes: frozenset[str]
+    """Identities of its processes known then."""
 
 
 class Departures:
@@ -115,17 +105,17 @@
           lag_s: upper bound of the list's lag, in seconds.
         """
         self._lag_s = lag_s
-        self._absent: dict[str, tuple[float, frozenset[str]]] = {}
+        self._absent: dict[str, _Absence] = {}
 
     def observe(
-        self, listed: set[str], known: dict[str, set[str]], asked_at: float
+        self, listed: set[str], known: dict[str, set[str]], read_at: float
     ) -> set[str]:
         """Take one reading of the list.
 
         Args:
           listed: VMs on the list.
           known: identities of the processes known on each VM before the reading.
-          asked_at: monotonic time just before the list was asked for.
+          read_at: monotonic time just before the list was requested, in seconds.
         Returns: identities of processes proved to be gone.
         """
         gone: set[str] = set()
@@ -135,10 +125,9 @@
         for vm, processes in known.items():
             if vm in listed:
                 continue
-            first, covered = self._absent.setdefault(
-                vm, (asked_at, frozenset(processes))
-            )
-            if asked_at - first > self._lag_s:
-                gone |= covered
-                self._absent[vm] = (asked_at, frozenset(processes))
+            absence = _Absence(read_at, frozenset(processes))
+            first = self._absent.setdefault(vm, absence)
+            if read_at - first.since > self._lag_s:
+                gone |= first.processes
+                self._absent[vm] = absence
         return gone
--- a/tests/test_vmlist.py
+++ b/tests/test_vmlist.py
@@ -4,6 +4,7 @@
 
 from collections.abc import AsyncIterator
 
+import msgspec
 import pytest
 from aiohttp.test_utils import TestServer
 
@@ -12,24 +13,20 @@
 from leverdoor.storage.vmlist import (
     Departures,
     HttpVmList,
-    MemoryVmList,
     Vm,
-    VmList,
     VmState,
     parse_vms,
-    serialize_vms,
 )
 
 LISTED = [Vm("a"), Vm("b", VmState.LEAVING)]
 
 
-@pytest.fixture(params=["memory", "http"])
-async def vm_list(request: pytest.FixtureRequest) -> AsyncIterator[VmList]:
-    if request.param == "memory":
-        memory = MemoryVmList()
-        memory.vms = {v.vm: v.state for v in LISTED}
-        yield memory
-        return
+def serialize_vms(vms: list[Vm]) -> bytes:
+    return msgspec.json.encode(vms)
+
+
+@pytest.fixture
+async def vm_list() -> AsyncIterator[HttpVmList]:
     server = TestServer(VmListStandin(LISTED).app())
     await server.start_server()
     client = HttpVmList(str(server.make_url("/vms")))
@@ -38,7 +35,7 @@
     await server.close()
 
 
-async def test_the_list_is_read(vm_list: VmList) -> None:
+async def test_the_list_is_read(vm_list: HttpVmList) -> None:
     assert await vm_list.fetch() == LISTED
 
 
@@ -47,10 +44,6 @@
     with pytest.raises(LeverdoorError):
         await client.fetch()
     await client.close()
-    memory = MemoryVmList()
-    memory.down = True
-    with pytest.raises(LeverdoorError):
-        await memory.fetch()
 
 
 def test_parse_and_serialize_agree() -> None:
