--- a/leverdoor/workspaces/__init__.py
+++ b/leverdoor/workspaces/__init__.py
@@ -1,3 +1,3 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Workspaces: whose a request is, and what all requests of one may take."""
+"""Workspaces: whose a request is, and how many requests one may have."""
--- a/leverdoor/workspaces/directory.py
+++ b/leverdoor/workspaces/directory.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which workspace a request belongs to, by the key that it carries."""
+"""Which workspace a request belongs to, by the key that it carries.
+
+Owns an index of one configuration's workspaces; each configuration has its own. Relies
+on the configuration holding digests of keys, never the keys (keys.py).
+"""
 
 from collections.abc import Iterable
 
--- a/leverdoor/workspaces/quota.py
+++ b/leverdoor/workspaces/quota.py
@@ -2,16 +2,18 @@
 # SPDX-License-Identifier: Apache-2.0
 """Quotas of workspaces that hold over all entries, decided by each for itself.
 
-An entry knows its own use of a quota exactly and the others' use as digests tell it,
-some tenths of a second old. What the others took since then it cannot know; so it
-takes no more in that time than its part of the room that was left, by its part of
-the use. Where there is plenty of room, a request or two are let through whatever the
-part, since the use of hundreds of entries is sparse: one with a request in ten
-seconds has a part of next to nothing, and needs a whole request.
-
-An entry that hears nobody keeps what it had: a ceiling by its use when it was last
-heard, which the others reserve for it. Nothing is asked of anyone on a request's
-path, and nothing of the store.
+An entry knows its own use of a quota exactly and the others' use as digests carry it,
+some tenths of a second old. What the others took since then it cannot know; so it takes
+no more in that time than its part of what was left (allowance.py). An entry that
+receives no digests keeps a ceiling by its use, which the others reserve for it
+(isolation.py). Nothing is exchanged on a request's path, and the store isn't called.
+
+Owns this entry's use by workspace (usage.py), the others' use as it last arrived, and
+its own as it was last reported. All of it is lost with the process; after a restart of
+all entries the window is earned anew.
+
+Relies on `report` and `receive` being called with each round of digests, on `entries`
+being kept up to date, and on the operator's bounds (quota_bounds.py).
 """
 
 from collections.abc import Iterable
@@ -19,35 +21,51 @@
 
 from leverdoor.errors import Code, Refusal
 from leverdoor.model.resources import Workspace
-from leverdoor.workspaces.room import (
-    EVEN_PART,
-    OthersUse,
-    QuotaBounds,
-    Room,
-    stretch,
-)
+from leverdoor.workspaces.allowance import EVEN_PART, KnownUse
+from leverdoor.workspaces.isolation import HOLD_S, ISOLATED_S, IsolatedEntry
+from leverdoor.workspaces.others_use import NOTHING_KNOWN, OthersUse
+from leverdoor.workspaces.quota_bounds import QuotaBounds
 from leverdoor.workspaces.usage import UsageWindow
 
 __all__ = ["HOLD_S", "ISOLATED_S", "Quotas"]
 
 UNSEEN_S = 0.6
-"""Age of a use when digests tell it, at most: they tell it within 0.79 s (p99, 300
-entries and 5% of datagrams lost, benchmarks/knowledge.py), of which up to 0.4 s are
-the time since the last digest."""
-ISOLATED_S = 1.6
-"""Time without any digest from which on an entry takes itself for cut off: four
-digests lost in a row."""
-HOLD_S = 20.0
-"""How long the others reserve what a silent entry may take, in seconds; chosen, above
-the 12 s for which VMs were seen to be cut off."""
+"""Age of a use when digests arrive with it, at most, in seconds.
+
+They bring it within 0.79 s (p99, 300 entries and 5% of datagrams lost,
+benchmarks/knowledge.py), of which up to 0.4 s are the time since the last digest.
+Greater: entries are refused for requests that others know of. Smaller: what others took
+is overlooked.
+"""
 LEAST_EXPECTED = 0.15
-"""Part of a quota taken for its use where less is known to be used: a start."""
+"""Part of a quota that counts as its use where less is known to be used.
+
+Chosen: a start knows nothing. Greater: fewer requests are free. Smaller: an entry that
+has just started lets too many through.
+"""
 LEAST_RETRY_S = 0.2
-"""Least time after which a refused request should come back, in seconds; chosen."""
+"""Least time after which a refused request should come back, in seconds.
+
+Chosen: a round of heartbeats, before it nothing newer is known. Greater: callers wait
+while there is some of the quota left. Smaller: they are refused again.
+"""
+
 
+def retry_after_s(
+    excess: float, planned: float, window_s: float, chance: float
+) -> float:
+    """Return when a request beyond its quota should come back, in seconds.
 
-UNHEARD = OthersUse({}, 0.0, 0.0, 0.0)
-"""Stands for what others used before anything was heard of it."""
+    When the excess has left the window, if the plan is used evenly; spread, so that
+    refused requests come back one by one.
+
+    Args:
+      excess: requests beyond what may be planned with, this one included.
+      planned: requests of a window up to which all entries admit.
+      window_s: length of the window, in seconds.
+      chance: a random number of [0, 1).
+    """
+    return max(excess * window_s / planned, LEAST_RETRY_S) + UNSEEN_S * chance
 
 
 class Quotas:
@@ -68,37 +86,37 @@
         self._rng = rng
         self._usage = UsageWindow(bounds.window_s, UNSEEN_S + ISOLATED_S)
         self._began = now
-        self._covered_from = now - bounds.window_s if first_start else now
+        self._known_since = now - bounds.window_s if first_start else now
         """Since when all use is known here."""
-        self._others = UNHEARD
-        self._heard_at = now
-        self._heard = False
-        """Whether anything was heard in this life."""
+        self._others = NOTHING_KNOWN
+        self._others_at = now
+        """When the others' use was as it is known, or when this began."""
+        self._received = False
+        """Whether any of the others' use has arrived in this incarnation."""
         self.entries = 1
         """How many entries there are, this one included."""
         self._reported: dict[str, int] = {}
-        """Own use as last told to others."""
-        self._kept: dict[str, int] = {}
-        """The same at the time when the others were last heard."""
-
-    # What is known.
+        """Own use as last reported to the others."""
+        self._reported_before = self._reported
+        """The same at the time when the others' use last arrived."""
 
     def receive(self, others: OthersUse, now: float) -> None:
-        """Take what the others used, if there is any that is heard.
+        """Take what the others used, if any of them is not silent.
 
-        One that merges itself, and hears nobody, knows no more than at the last time:
-        what all others may take is so near to a whole quota that the rest is chance.
+        An entry that merges the reports itself and gets none knows no more than at the
+        last time: what all others may take is so near to a whole quota that the rest is
+        chance.
         """
         if self.entries > 1 and others.silent >= self.entries - 1:
             return
         self._others = others
-        self._heard_at = now - others.age_s
-        self._kept = self._reported
-        self._heard = True
-        self._covered_from = min(self._covered_from, now - others.covered_s)
+        self._others_at = now - others.age_s
+        self._reported_before = self._reported
+        self._received = True
+        self._known_since = min(self._known_since, now - others.covered_s)
 
     def report(self, now: float) -> dict[str, int]:
-        """Return the own use by workspace, to be told to the others."""
+        """Return the own use by workspace, to be reported to the others."""
         self._reported = self._usage.totals(now)
         return self._reported
 
@@ -106,33 +124,32 @@
         """Return for how long this entry has counted, in seconds."""
         return now - self._began
 
-    # What is decided.
+    def plans(self, workspaces: Iterable[Workspace]) -> dict[str, float]:
+        """Return what is planned with for each of the workspaces that have a quota."""
+        return {w.name: self._bounds.planned(w) for w in workspaces if w.rate_per_s}
+
+    # Requests.
 
     def admit(self, workspace: Workspace, now: float) -> None:
         """Count a request of a workspace.
 
         Raises:
-          Refusal: it is beyond the quota; the text tells by what.
+          Refusal: it is beyond the quota; the text has the figures.
         """
         if not workspace.rate_per_s:
             return
-        room = self._room(workspace, now)
-        isolated = now - self._heard_at > ISOLATED_S and self.entries > 1
+        known = self._known_use(workspace, now)
         chance = self._rng.random()
-        if isolated:
-            admitted = room.own + chance < self._ceiling(workspace, room, now)
+        if self._isolated(now):
+            admitted = known.own + chance < self._ceiling(workspace, known, now)
         else:
-            admitted = room.admits(chance)
+            admitted = known.admits(chance)
         if not admitted:
-            raise self._refusal(workspace, room, now)
+            raise self._refusal(workspace, known, now)
         self._usage.add(workspace.name, now)
 
-    def plans(self, workspaces: Iterable[Workspace]) -> dict[str, float]:
-        """Return what is planned with for each of the workspaces that have a quota."""
-        return {w.name: self._bounds.planned(w) for w in workspaces if w.rate_per_s}
-
     def again(self, workspace: Workspace, now: float) -> None:
-        """Count a request once more, which is sent to another target."""
+        """Count a retry of a request that may have run, at another target."""
         if workspace.rate_per_s:
             self._usage.add(workspace.name, now)
 
@@ -141,20 +158,21 @@
         if workspace.rate_per_s:
             self._usage.take_back(workspace.name, at)
 
-    def _room(self, workspace: Workspace, now: float) -> Room:
+    def _isolated(self, now: float) -> bool:
+        """Return whether there are other entries and no digest came lately."""
+        return now - self._others_at > ISOLATED_S and self.entries > 1
+
+    def _known_use(self, workspace: Workspace, now: float) -> KnownUse:
         bounds = self._bounds
         name = workspace.name
         planned = bounds.planned(workspace)
         own = self._usage.within(name, bounds.window_s, now)
-        others: float = self._others.use.get(name, 0)
-        if name not in self._others.use:
-            others = self._others.least_reported * planned
         silent = min(self._others.silent, self.entries - 1)
-        others += EVEN_PART * planned * silent / self.entries
+        others = self._use_of_others(name, planned, silent)
         used = max(own + others, LEAST_EXPECTED * planned)
-        unseen_s = UNSEEN_S + (now - self._heard_at if self.entries > 1 else 0.0)
-        return Room(
-            planned=self._covered(workspace, planned, now),
+        unseen_s = UNSEEN_S + (now - self._others_at if self.entries > 1 else 0.0)
+        return KnownUse(
+            planned=bounds.planned_if_known_for(workspace, now - self._known_since),
             others=others,
             own=own,
             recent=self._usage.within(name, unseen_s, now),
@@ -164,37 +182,36 @@
             expired=self._usage.expired(name, unseen_s, now),
         )
 
-    def _covered(self, workspace: Workspace, planned: float, now: float) -> float:
-        """Return what may be planned with while part of the window is unknown.
-
-        After a restart of all entries nobody knows what was used before. A quota
-        that was used up evenly stays within its bound.
-        """
-        part = (now - self._covered_from) / self._bounds.window_s
-        if part >= 1.0:
-            return planned
-        spare = self._bounds.bound(workspace) - planned
-        return min(planned * part + spare / 2, planned)
-
-    def _ceiling(self, workspace: Workspace, room: Room, now: float) -> float:
-        """Return what an entry that hears nobody may take in a window."""
-        if now - self._heard_at > HOLD_S:
-            spare = self._bounds.bound(workspace) - room.planned
-            return spare / 2 / self.entries
-        even = room.planned / self.entries
-        if not self._heard:
-            return EVEN_PART * even
-        reported = self._kept.get(workspace.name, 0)
-        by_use = reported * stretch(room.planned, room.others + reported)
-        return max(even, EVEN_PART * even + (1 - EVEN_PART) * by_use)
-
-    def _refusal(self, workspace: Workspace, room: Room, now: float) -> Refusal:
-        over = max(room.others + room.own + 1 - room.planned, 0.0)
-        wait_s = over * self._bounds.window_s / self._bounds.planned(workspace)
-        wait_s = max(wait_s, LEAST_RETRY_S) + UNSEEN_S * self._rng.random()
-        age_ms = round((now - self._heard_at) * 1000)
+    def _use_of_others(self, name: str, planned: float, silent: int) -> float:
+        """Return the others' use of a quota, with what is reserved for silent ones."""
+        others: float = self._others.use.get(name, 0)
+        if name not in self._others.use:
+            others = self._others.least_reported * planned
+        return others + EVEN_PART * planned * silent / self.entries
+
+    def _ceiling(self, workspace: Workspace, known: KnownUse, now: float) -> float:
+        """Return the own requests of a window that may not be passed in isolation."""
+        reported = self._reported_before.get(workspace.name, 0)
+        return IsolatedEntry(
+            planned=known.planned,
+            bound=self._bounds.bound(workspace),
+            entries=self.entries,
+            isolated_s=now - self._others_at,
+            reported=reported if self._received else None,
+            others=known.others,
+        ).ceiling
+
+    def _refusal(self, workspace: Workspace, known: KnownUse, now: float) -> Refusal:
+        excess = max(known.others + known.own + 1 - known.planned, 0.0)
+        wait_s = retry_after_s(
+            excess,
+            self._bounds.planned(workspace),
+            self._bounds.window_s,
+            self._rng.random(),
+        )
+        age_ms = round((now - self._others_at) * 1000)
         detail = (
-            f"{workspace.name}: {room.own} here, {room.others} elsewhere "
-            f"({age_ms} ms ago), of {room.planned:.0f}, part {room.allowance:.1f}"
+            f"{workspace.name}: {known.own} here, {known.others} elsewhere "
+            f"({age_ms} ms ago), of {known.planned:.0f}, part {known.allowance:.1f}"
         )
         return Refusal(Code.QUOTA_EXCEEDED, detail, retry_after_ms=round(wait_s * 1000))
--- a/leverdoor/workspaces/usage.py
+++ b/leverdoor/workspaces/usage.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How many requests of each workspace an entry took in the last seconds."""
+"""How many requests of each workspace an entry took in the last seconds.
+
+Owns the counts of one entry, in slices of time, for as long as a quota needs them; lost
+with the process. Exact but for the slice at the edge of a window.
+"""
 
 from collections import deque
 
@@ -9,13 +13,18 @@
 __all__ = ["UsageWindow"]
 
 SLICE_S = 0.1
-"""Resolution in seconds; a window counts up to one slice too much, never less."""
+"""Resolution in seconds; a window counts up to one slice too much, never less.
+
+Chosen: a fiftieth of a window of 5 s. Greater: more refusals at the edge of the window.
+Smaller: more memory and time for each request.
+"""
 
 
 class _Slice(msgspec.Struct):
     """The requests of one slice of time."""
 
     number: int
+    """Slices since the start of the clock."""
     count: int
 
 
@@ -27,10 +36,13 @@
 
         Args:
           window_s: how long a request counts, in seconds.
-          kept_s: for how long it is known that one has left the window.
+          kept_s: for how long requests that have left the window are kept besides,
+            in seconds (see `expired`).
         """
         self._window = int(window_s / SLICE_S) + 1
+        """Slices that count, the present one aside."""
         self._kept = self._window + int(kept_s / SLICE_S)
+        """Slices that are kept, the present one aside."""
         self._slices: dict[str, deque[_Slice]] = {}
 
     def add(self, name: str, now: float) -> None:
@@ -45,9 +57,9 @@
     def take_back(self, name: str, at: float) -> None:
         """Take back a request that was counted at a time, if that is still kept."""
         number = int(at / SLICE_S)
-        for one in reversed(self._slices.get(name, ())):
-            if one.number == number:
-                one.count -= 1
+        for one_slice in reversed(self._slices.get(name, ())):
+            if one_slice.number == number:
+                one_slice.count -= 1
                 return
 
     def within(self, name: str, span_s: float, now: float) -> int:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -24,12 +24,15 @@
 from leverdoor.errors import Code, Refusal
 from leverdoor.model.resources import Workspace
 from leverdoor.standins.entry_site import SAMPLE_ROUTES, EntrySite
-from leverdoor.workspaces.quota import HOLD_S, ISOLATED_S, Quotas
-from leverdoor.workspaces.room import EVEN_PART, OthersUse, QuotaBounds, Room, stretch
+from leverdoor.workspaces.allowance import EVEN_PART, KnownUse
+from leverdoor.workspaces.isolation import HOLD_S, ISOLATED_S, stretch
+from leverdoor.workspaces.others_use import OthersUse
+from leverdoor.workspaces.quota import Quotas
+from leverdoor.workspaces.quota_bounds import QuotaBounds
 
 BOUNDS = QuotaBounds(window_s=5.0, overshoot=0.1, slack=20.0)
 WARD = Workspace(name="ward", rate_per_s=10.0, burst=10.0)
-ROOM = Room(planned=100.0, others=0.0, own=0, recent=0, entries=10, expected=1.0)
+KNOWN = KnownUse(planned=100.0, others=0.0, own=0, recent=0, entries=10, expected=1.0)
 
 
 def test_limit_plan_and_bound() -> None:
@@ -133,17 +136,17 @@
 
 def test_sparse_use_finds_a_whole_request_free_while_there_is_room() -> None:
     """An entry of 74 has a part of 1.3 of a room of 97; it may take four in a row."""
-    room = msgspec.structs.replace(ROOM, entries=74, expected=100.0 / 7.5)
-    assert room.admits(0.99)
-    assert msgspec.structs.replace(room, own=3, recent=3).admits(0.99)
-    assert not msgspec.structs.replace(room, own=4, recent=4).admits(0.99)
+    known = msgspec.structs.replace(KNOWN, entries=74, expected=100.0 / 7.5)
+    assert known.admits(0.99)
+    assert msgspec.structs.replace(known, own=3, recent=3).admits(0.99)
+    assert not msgspec.structs.replace(known, own=4, recent=4).admits(0.99)
 
 
 def test_little_room_is_dealt_by_chance() -> None:
-    room = msgspec.structs.replace(ROOM, others=95.0, own=1, expected=20.0)
-    assert room.admits(0.0)
-    assert not room.admits(0.9)
-    assert not msgspec.structs.replace(room, others=100.0).admits(0.0)
+    known = msgspec.structs.replace(KNOWN, others=95.0, own=1, expected=20.0)
+    assert known.admits(0.0)
+    assert not known.admits(0.9)
+    assert not msgspec.structs.replace(known, others=100.0).admits(0.0)
 
 
 class QuotaMachine(RuleBasedStateMachine):
