--- a/leverdoor/entry/bounds.py
+++ b/leverdoor/entry/bounds.py
@@ -1,6 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which part of the platform's bounds an entry plans with; the rest is for chance."""
+"""Which part of the platform's bounds an entry plans with, and how often it acts.
+
+The platform bounds retries and shifts of traffic over all entries. Each entry keeps to
+a part of them by itself, since it knows what the others did only some tenths of a
+second later. The product and the emulator build an entry from these same values, so
+they stand here and not beside the rule. Owns no state.
+"""
 
 __all__ = [
     "MOVED_SHARE",
@@ -13,20 +19,44 @@
 ]
 
 RETRY_SHARE = 0.5
-"""Part of the bound on repeats that is planned with.
+"""Part of the bound on retries (the setting `repeat_ratio`) that is planned with.
 
-The rest is for entries that start with saved repeats and for calls of repeated
-requests. 0.75 made no difference to worth (0.787 beside 0.789, 12 entries).
+The rest is for entries that start with saved retries and for calls of retried requests.
+Greater: the bound is passed sooner; 0.75 made no difference to worth (0.787 beside
+0.789, 12 entries). Smaller: requests fail that a second attempt would have saved.
 """
 RETRIES_SAVED = 4.0
-"""Repeats saved up by an entry for a service at most; 48 of a slack of 64 at 12."""
+"""Retries that an entry saves up for a service at most.
+
+At 12 entries 48 of a slack of 64. Greater: all entries together may pass the bound in a
+burst. Smaller: a target that dies with several requests fails most of them.
+"""
 RETRIES_FIRST = 2.0
-"""Repeats that an entry starts with, for a service; chosen."""
+"""Retries that an entry starts with, for a service.
+
+Chosen: half of those saved at most, since many entries may start together. Greater:
+starts pass the bound. Smaller: the first failures after a start are not retried.
+"""
 SHIFT_WINDOW_S = 2.0
-"""Window of the bound on shifts, in seconds; the setting speaks of two seconds."""
+"""Window of the bound on shifts, in seconds: the setting `max_shift` is a share of a
+region's requests in two seconds."""
 MOVED_SHARE = 0.53
-"""Part of the bound on shifts that is planned with; the rest is for chance."""
+"""Part of the bound on shifts that is planned with.
+
+Chosen: agreement between entries may move half as much besides
+(spill.py:AGREEMENT_MOVE_PART), 0.8 in all; the rest is for chance, since keys have
+unequal numbers of requests. Greater: the operator's cap may be passed. Smaller: keys
+leave a full region more slowly.
+"""
 SHARE_ROUNDS = 2
-"""Rounds of heartbeats between two moves of the regions' shares: 0.4 s. Chosen."""
+"""Rounds of heartbeats between two moves of the regions' shares: 0.4 s.
+
+Chosen: no move before the effect of the last one was reported. Greater: shares move in
+larger steps. Smaller: more processor time for the same rate.
+"""
 WARM_TOLD_S = 0.5
-"""How long heartbeats tell a warm key: two or three of them, one may be lost."""
+"""How long heartbeats carry the digest of a warm key, in seconds.
+
+Two or three of them, one may be lost. Greater: longer heartbeats. Smaller: with one
+datagram lost the key counts as cold at other entries.
+"""
