--- a/leverdoor/entry/requests/connections.py
+++ b/leverdoor/entry/requests/connections.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Connections to targets that are kept for the next request."""
+"""Connections to targets that are kept for the next request.
+
+Owns the idle connections, by target, and which services' targets forget them; lost with
+the process. A connection is in use by one request at most, so an answer that comes late
+can't reach another one. Relies on `connection` for the exchange itself.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -8,11 +13,11 @@
 from leverdoor.entry.requests.connection import (
     AnswerLost,
     TargetConnection,
-    TargetReply,
     open_connection,
 )
 from leverdoor.entry.requests.idle_timeouts import IdleTimeouts
 from leverdoor.entry.requests.outgoing import Outgoing
+from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.model.resources import Target
 from leverdoor.settings import parse_address
 
@@ -26,32 +31,45 @@
 REMOTE_CONNECT_TIMEOUT_S = 0.8
 """The same for other regions, whose round trip takes up to 0.11 s."""
 IDLE_S = 4.0
-"""How long a connection is kept where the target names no time, in seconds; chosen."""
+"""How long a connection is kept where the target names no time, in seconds.
+
+Chosen: below the 5 s after which common servers close. Greater, requests are sent on
+connections that the target closes; smaller, more connections are opened.
+"""
 IDLE_MARGIN_S = 1.5
-"""Taken off the time that a target names, for requests that cross its close."""
+"""Taken off the time that a target names, in seconds.
+
+Chosen: a request must not be on its way while the target closes. Greater, more
+connections are opened; smaller, requests that must not run twice fail.
+"""
 MAX_IDLE = 16
-"""Idle connections kept for each target; chosen, several times its slots."""
+"""Idle connections kept for each target.
+
+Chosen: several times its 4 to 6 slots. Greater, idle connections use up the number that
+a target takes; smaller, a burst of requests opens new ones.
+"""
 
 
 class Connections:
     """Kept connections by target; at most one request on each."""
 
     def __init__(
-        self, id_header: str, region: str, tell_cautious: Callable[[str], None]
+        self, id_header: str, region: str, log_forgotten: Callable[[str], None]
     ) -> None:
         """Create it without any connection.
 
         Args:
           id_header: the header, in lower case, that carries a request's id.
           region: this entry's region.
-          tell_cautious: called with a service whose targets forget connections.
+          log_forgotten: called with a service whose targets forget connections.
         """
-        self._tell_cautious = tell_cautious
+        self._log_forgotten = log_forgotten
         self._idle_timeouts = IdleTimeouts()
         self._id_header = id_header
         self._region = region
         self._idle: dict[str, list[TargetConnection]] = {}
         self.opened = 0
+        """Connections that were opened so far."""
 
     async def exchange(self, target: Target, outgoing: Outgoing) -> TargetReply:
         """Send a request to a target and wait for the whole answer.
@@ -80,11 +98,13 @@
         return reply
 
     def _lost(self, service: str, idle_s: float, sent_at: float) -> None:
+        """Learn from a lost answer whether targets forget idle connections."""
         now = asyncio.get_running_loop().time()
         if self._idle_timeouts.lost(service, idle_s, now - sent_at, now):
-            self._tell_cautious(service)
+            self._log_forgotten(service)
 
     def _take(self, target: Target, now: float) -> TargetConnection | None:
+        """Return the idle connection used last, if it is young enough."""
         longest_s = self._idle_timeouts.longest_s(target.service, now)
         kept = self._idle.get(target.name, [])
         while kept:
@@ -98,6 +118,7 @@
         return None
 
     async def _open(self, target: Target) -> TargetConnection:
+        """Open a connection; one to another region is given more time."""
         address = parse_address(target.address)
         near = target.region == self._region
         timeout_s = CONNECT_TIMEOUT_S if near else REMOTE_CONNECT_TIMEOUT_S
@@ -107,6 +128,7 @@
     def _keep(
         self, target: Target, connection: TargetConnection, reply: TargetReply
     ) -> None:
+        """Keep a connection for the next request, if it can be used again."""
         if connection.closed:
             return
         kept = self._idle.setdefault(target.name, [])
@@ -118,7 +140,11 @@
         kept.append(connection)
 
     def sweep(self, now: float) -> None:
-        """Close what has been idle for too long."""
+        """Close what has been idle for too long.
+
+        Args:
+          now: loop time in seconds.
+        """
         for name, kept in list(self._idle.items()):
             fresh = []
             for connection in kept:
@@ -143,7 +169,7 @@
 
 
 def _idle_limit_s(keep_alive: str) -> float:
-    """Return how long a connection may rest, from a Keep-Alive header."""
+    """Return how long a connection may be idle, from a Keep-Alive header."""
     for part in keep_alive.split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdigit():
--- a/leverdoor/entry/requests/forwarding.py
+++ b/leverdoor/entry/requests/forwarding.py
@@ -14,12 +14,13 @@
 from leverdoor.entry.events import Events
 from leverdoor.entry.placement.placement_request import Placement
 from leverdoor.entry.placement.policy import PlacementPolicy
-from leverdoor.entry.requests.connection import AnswerLost, NotSent, TargetReply
+from leverdoor.entry.requests.connection import AnswerLost, NotSent
 from leverdoor.entry.requests.connections import Connections
 from leverdoor.entry.requests.deadlines import give_up_on_target_at
 from leverdoor.entry.requests.entry_request import EntryRequest
 from leverdoor.entry.requests.outcomes import Outcomes
 from leverdoor.entry.requests.outgoing import outgoing
+from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.entry.requests.retries import may_retry, says_not_run
 from leverdoor.entry.requests.retry_after import NOT_RUN_MS
 from leverdoor.entry.wire import Wire
--- a/leverdoor/entry/requests/idle_timeouts.py
+++ b/leverdoor/entry/requests/idle_timeouts.py
@@ -1,45 +1,67 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How long a kept connection may rest, where targets forget idle ones.
+"""How long a connection may be idle where targets, or what is before them, forget it.
 
-A target may forget an idle connection without a word, and resets what is next
-sent on it. What must not run twice then fails, since nothing says that it did
-not run. A service where this shows gets younger connections for a while.
+A target may drop an idle connection without closing it, and reset what is next sent on
+it. A request that must not run twice then fails, since nothing says that it did not
+run. Where this shows, only connections that were used a moment ago are used again, for
+all targets of the service and for a while.
+
+Owns which services these are; lost with the process. A pure rule beside that.
 """
 
 __all__ = ["IdleTimeouts"]
 
 AT_ONCE_S = 0.15
-"""A reset that comes so soon was no work of the target."""
+"""Time within which a lost answer shows a forgotten connection, in seconds.
+
+Chosen: above the round trip between regions (0.11 s), so that the reset arrives; a
+target that fails while it runs a request mostly takes longer. Greater, such failures
+cost new connections; smaller, forgotten connections to other regions go unnoticed.
+"""
 CAUTIOUS_IDLE_S = 0.15
-"""Longest rest of a connection while its service forgets them, in seconds."""
+"""Longest idle time of a connection while its service forgets them, in seconds.
+
+Chosen: requests that follow one another still share a connection. Greater, more of them
+meet a forgotten one; smaller, nearly each opens its own.
+"""
 CAUTIOUS_FOR_S = 8.0
-"""How long such caution lasts after the last sign; chosen, a usual trouble."""
+"""How long this lasts after the last lost answer, in seconds.
+
+Chosen: the usual length of such a fault. Greater, new connections are opened for
+nothing; smaller, a request is lost each time the fault is found out anew.
+"""
 
 
 class IdleTimeouts:
-    """The longest rest of kept connections, by service."""
+    """The longest idle time of kept connections, by service."""
 
     def __init__(self) -> None:
-        """Create it with every service trusted."""
+        """Create it with no service known to forget connections."""
         self._cautious_until: dict[str, float] = {}
 
     def longest_s(self, service: str, now: float) -> float:
-        """Return the longest rest after which a connection may be used."""
+        """Return the longest idle time after which a connection may be used.
+
+        Args:
+          service: of the target.
+          now: loop time in seconds.
+        Returns: seconds; infinite where nothing was forgotten lately.
+        """
         if now < self._cautious_until.get(service, 0.0):
             return CAUTIOUS_IDLE_S
         return float("inf")
 
     def lost(self, service: str, idle_s: float, took_s: float, now: float) -> bool:
-        """Record an answer that was lost on a connection that had rested.
+        """Record an answer that was lost on a connection that had been idle.
 
         Args:
           service: of the target.
-          idle_s: how long the connection had rested before.
-          took_s: how long after the sending it was lost.
-          now: monotonic time in seconds.
-        Returns: whether the service's connections are used with caution from now on,
-          and were not before.
+          idle_s: how long the connection had been idle before, in seconds.
+          took_s: how long after the sending it was lost, in seconds.
+          now: loop time in seconds.
+        Returns: whether the service's idle time is limited from now on, and was not
+          before.
         """
         if idle_s < CAUTIOUS_IDLE_S or took_s > AT_ONCE_S:
             return False
--- a/leverdoor/entry/requests/outcomes.py
+++ b/leverdoor/entry/requests/outcomes.py
@@ -13,8 +13,8 @@
 from leverdoor.entry.placement.fleet import SLOW_EJECTION_S, Fleet
 from leverdoor.entry.placement.placement_request import Placement
 from leverdoor.entry.placement.policy import PlacementPolicy
-from leverdoor.entry.requests.connection import TargetReply
 from leverdoor.entry.requests.entry_request import EntryRequest
+from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.entry.requests.retries import WRONG_INSTANCE_STATUS
 from leverdoor.entry.wire import Wire
 
--- a/leverdoor/entry/requests/responses.py
+++ b/leverdoor/entry/requests/responses.py
@@ -9,7 +9,7 @@
 from multidict import CIMultiDict
 
 from leverdoor.codec import serialize_json
-from leverdoor.entry.requests.connection import TargetReply
+from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.entry.requests.retry_after import retry_after_value
 from leverdoor.errors import Refusal, code_info
 from leverdoor.headers import passing
--- a/tests/test_entry_connection.py
+++ b/tests/test_entry_connection.py
@@ -13,9 +13,9 @@
     AnswerLost,
     NotSent,
     TargetConnection,
-    TargetReply,
     open_connection,
 )
+from leverdoor.entry.requests.replies import TargetReply
 
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 ID = "x-id"
