--- a/leverdoor/entry/admin.py
+++ b/leverdoor/entry/admin.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry answers besides requests: readiness, directory, state, metrics."""
+"""What an entry answers besides requests: readiness, directory, state, metrics.
+
+Owns the encoded answers to other entries at the state's present revision, a cache.
+"""
 
 import asyncio
 import zlib
@@ -18,15 +21,24 @@
 __all__ = ["PULL_PATH", "AdminServer"]
 
 PULL_PATH = "/v1/internal/state"
+"""Where other entries fetch what changed since a revision."""
 METRICS_PATH = "/metrics"
 LONG_DELTA = 1_400
-"""Bytes beyond which a delta does not fit one packet and is compressed."""
+"""Bytes beyond which a delta does not fit one packet and is compressed.
+
+Smaller, processor time is spent on answers that are one packet anyway; greater, more
+bytes cross narrow links.
+"""
 FAST_LEVEL = 1
-"""Level of zlib for states: the fastest; chosen, not measured."""
+"""Level of zlib for states.
+
+Chosen: the fastest, not measured. Greater levels hold up the loop, on which requests
+wait, for somewhat fewer bytes.
+"""
 
 
 class AdminServer:
-    """The handler of questions to one entry."""
+    """The handler of all that is not a client's request."""
 
     def __init__(
         self,
@@ -40,12 +52,12 @@
         """Create it.
 
         Args:
-          wire: how the surroundings speak.
+          wire: the paths and formats of the surroundings.
           state: the copy of the store that other entries may fetch.
-          metrics: the entry's figures.
+          metrics: the entry's metrics.
           is_ready: whether the entry serves.
           addresses: entries to name, by a client's region and domain and the time.
-          ttl_s: how long an answer of the directory may be kept.
+          ttl_s: how long an answer of the directory may be kept, in seconds.
         """
         self._wire = wire
         self._state = state
@@ -54,11 +66,12 @@
         self._addresses = addresses
         self._ttl_s = ttl_s
         self._packed: dict[int, tuple[bytes, str]] = {}
-        """Of the state's present revision, by the revision asked since."""
+        """Data and its coding, by the revision that the asking entry has."""
         self._packed_at = 0
+        """The state's revision at which they were encoded."""
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one question."""
+        """Answer by the path."""
         path = request.path
         if path == self._wire.resolve_path:
             return self._resolve(request)
@@ -71,9 +84,9 @@
         return web.Response(status=404)
 
     def _delta(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Tell another entry what it lacks, compressed if it is long.
+        """Send another entry what it lacks, compressed if it is long.
 
-        Many ask for the same at once, when something has just changed.
+        When something has just changed, many entries fetch the same.
         """
         since = bounded_int(request.query, "since", 0)
         revision = self._state.revision
@@ -87,11 +100,11 @@
         return web.Response(body=data, headers={"Content-Encoding": coding})
 
     def _resolve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Tell a client which entries to use."""
+        """Name the entries that a client may use; 503 if there are none."""
         self._metrics.lookups.inc()
-        _, region, domain = self._wire.parse_resolve(request.query)
+        lookup = self._wire.parse_resolve(request.query)
         now = asyncio.get_running_loop().time()
-        addresses = self._addresses(region, domain, now)
+        addresses = self._addresses(lookup.region, lookup.domain, now)
         if not addresses:
             return web.Response(status=503)
         return web.Response(
--- a/leverdoor/entry/certificates.py
+++ b/leverdoor/entry/certificates.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Spares a process that speaks no TLS the reading of the machine's certificates."""
+"""Spares a process that uses no TLS the reading of the VM's certificates."""
 
 import os
 
--- a/leverdoor/entry/events.py
+++ b/leverdoor/entry/events.py
@@ -2,8 +2,12 @@
 # SPDX-License-Identifier: Apache-2.0
 """Every event that an entry logs: named here, bounded, never blocking.
 
-A line is one JSON object. Each kind has a budget of lines a second; what is
-left out is counted in the next line of the kind.
+A line is one JSON object. Each kind has a budget of lines a second; what is left out is
+counted in the next line of the kind (`left_out`).
+
+Owns the lines that the reader of the log has not taken yet, and the budgets; both are
+lost with the process. Relies on nothing: a reader that does not read costs lines, never
+time.
 """
 
 import os
@@ -21,15 +25,23 @@
 __all__ = ["Events", "LineWriter"]
 
 LINES_PER_S = 60.0
-"""Lines of a kind in a second on average; logs of an entry stay below 100 kB/s."""
+"""Lines of a kind in a second on average.
+
+Logs of an entry stay below 100 kB/s. Greater, logging takes processor time from
+requests; smaller, fewer requests can be explained afterwards.
+"""
 BURST_LINES = 200.0
-"""Lines of a kind at once, so that the start of a trouble is logged whole."""
+"""Lines of a kind at once, so that the start of a fault is logged whole."""
 MAX_PENDING_BYTES = 256 * 1024
-"""Bytes kept for a reader that does not read; then lines are dropped. Chosen."""
+"""Bytes kept for a reader that does not read; then lines are dropped.
+
+Chosen: a few seconds of log, for a reader that pauses. Greater, a reader that is gone
+costs memory; smaller, a short pause costs lines.
+"""
 
 
 class LineWriter:
-    """Writes lines to a descriptor that may not be read by anybody."""
+    """Writes lines to a descriptor that nobody may be reading."""
 
     def __init__(self, descriptor: int) -> None:
         """Create it; the descriptor is made non-blocking.
@@ -41,6 +53,7 @@
         self._pending: deque[bytes] = deque()
         self._pending_bytes = 0
         self.dropped = 0
+        """Lines that were dropped since nobody read."""
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
@@ -53,7 +66,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
+        """Write what the descriptor takes now; the rest is tried at the next line."""
         while self._pending:
             line = self._pending[0]
             try:
@@ -67,15 +80,17 @@
             self._pending.popleft()
 
 
-class _Budget:
-    """Lines that one kind may still write."""
+class _LineBudget:
+    """Lines that one kind of event may still write."""
 
     def __init__(self, now: float) -> None:
         self.saved = BURST_LINES
         self.at = now
         self.left_out = 0
+        """Lines left out since the last that was written."""
 
     def spend(self, now: float) -> bool:
+        """Take a line if one is saved; return whether it was."""
         self.saved = min(BURST_LINES, self.saved + (now - self.at) * LINES_PER_S)
         self.at = now
         if self.saved < 1.0:
@@ -86,7 +101,14 @@
 
 
 class Events:
-    """The log of one entry; one method for each kind of event."""
+    """The log of one entry; one method for each kind of event.
+
+    Fields of `attempt` whose names do not say all: `load_age_ms` is the time since the
+    newest report or digest about the target arrived, not the age of what it counts;
+    `rank` is the target's place in its region's order for the key; `seen` says that an
+    entry had an answer for the key from there; `version` is the configuration by which
+    the request was routed.
+    """
 
     def __init__(self, writer: LineWriter, entry: str) -> None:
         """Create it.
@@ -97,14 +119,14 @@
         """
         self._writer = writer
         self._entry = entry
-        self._budgets: dict[str, _Budget] = {}
+        self._budgets: dict[str, _LineBudget] = {}
 
     def emit(self, kind: str, **fields: Any) -> None:
         """Write one line of a kind, within its budget."""
         now = time.monotonic()
         budget = self._budgets.get(kind)
         if budget is None:
-            budget = self._budgets[kind] = _Budget(now)
+            budget = self._budgets[kind] = _LineBudget(now)
         if not budget.spend(now):
             return
         line: dict[str, Any] = {"t": round(time.time(), 3), "event": kind}
@@ -127,8 +149,8 @@
     ) -> None:
         """A request was sent to a target and ended there.
 
-        Attempts that did not succeed have a budget of their own, so that what
-        will be asked about is not left out for what won't.
+        Attempts that did not succeed have a budget of their own, so that they are not
+        left out for the many that did.
         """
         self.emit(
             "attempt" if outcome.startswith("2") else "attempt_failed",
@@ -187,12 +209,12 @@
             "client_left", request_id=request_id, service=service, took_ms=took_ms
         )
 
-    # Beliefs.
+    # What the entry knows.
 
     def configuration(
         self, version: str, revision: int, routes: int, targets: int, source: str
     ) -> None:
-        """A newer configuration is in force."""
+        """A newer configuration is in force; `source` is a peer or the store."""
         self.emit(
             "configuration",
             version=version,
@@ -212,8 +234,8 @@
     ) -> None:
         """Targets came, went (by leaving or by an evacuation), or turned cold.
 
-        Those that expired have no entry since an outage of the store, and are
-        used for a moment longer.
+        Those that expired have had no registration since an outage of the store, and
+        are used for a moment longer.
         """
         self.emit(
             "targets",
@@ -238,11 +260,11 @@
         )
 
     def connections_forgotten(self, service: str) -> None:
-        """A service's targets reset idle connections; young ones are used only."""
+        """A service's targets reset idle connections; only young ones are used."""
         self.emit("connections_forgotten", service=service)
 
     def peer(self, name: str, change: str, silent_s: float) -> None:
-        """Another entry was heard from, or has been silent for too long."""
+        """Another entry was seen again, or has been silent for too long."""
         self.emit("peer", peer=name, change=change, silent_s=round(silent_s, 2))
 
     def shares(self, service: str, shares: dict[str, float]) -> None:
--- a/leverdoor/entry/metrics.py
+++ b/leverdoor/entry/metrics.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Prometheus metrics of an entry."""
+"""Prometheus metrics of an entry.
+
+Owns its counters and histograms; they start anew with the process.
+"""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 from prometheus_client.exposition import generate_latest
@@ -8,9 +11,13 @@
 __all__ = ["EntryMetrics"]
 
 BUCKETS = (0.01, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 2.0, 4.0)
-"""Bounds of the latency histogram in seconds, around the users' objectives."""
+"""Bounds of the latency histogram in seconds, around the routes' latency targets."""
 MOST_WORKSPACES = 100
-"""Workspaces with a label of their own: those that are refused first. Chosen."""
+"""Workspaces with a label of their own: those that are refused first.
+
+Chosen: the number of series stays bounded. Greater, scrapes grow with the workspaces;
+smaller, more of them are counted as "other".
+"""
 
 
 class EntryMetrics:
@@ -31,22 +38,9 @@
             "Questions of clients where to go.",
             registry=self.registry,
         )
-        self.revision = Gauge(
-            "leverdoor_entry_revision",
-            "Revision of the store in force.",
-            registry=self.registry,
-        )
-        self.in_flight = Gauge(
-            "leverdoor_entry_in_flight",
-            "Requests in flight.",
-            registry=self.registry,
-        )
-        self.peers = Gauge(
-            "leverdoor_entry_live_peers",
-            "Other entries heard from lately.",
-            registry=self.registry,
-        )
-
+        self.revision = self._gauge("revision", "Revision of the store in force.")
+        self.in_flight = self._gauge("in_flight", "Requests in flight.")
+        self.peers = self._gauge("live_peers", "Other entries heard from lately.")
         self._quota_refusals = Counter(
             "leverdoor_entry_quota_refusals",
             "Requests beyond the quota of their workspace.",
@@ -54,6 +48,10 @@
             registry=self.registry,
         )
         self._workspaces: set[str] = set()
+        """Those that have a label of their own."""
+
+    def _gauge(self, name: str, help_text: str) -> Gauge:
+        return Gauge(f"leverdoor_entry_{name}", help_text, registry=self.registry)
 
     def quota_refusal(self, workspace: str) -> None:
         """Count a request beyond a quota, under its workspace's name or "other"."""
--- a/leverdoor/entry/settings.py
+++ b/leverdoor/entry/settings.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Checked settings of an entry."""
+"""Checked settings of an entry, and which of them may change while it runs.
+
+Read from the platform's file by `leverdoor.platform.settings`. Owns no state.
+"""
 
 import msgspec
 
@@ -10,6 +13,7 @@
 __all__ = ["EntrySettings", "Reloaded", "reload_settings"]
 
 RELOADABLE = ("grace_s", "repeat_ratio", "watchers", "store_writes_per_s")
+"""Settings that take effect at a reload; the others need a restart."""
 
 
 class EntrySettings(msgspec.Struct, frozen=True):
@@ -23,37 +27,40 @@
     front: Address
     """Where clients send requests."""
     ready: Address
-    """Where the platform asks whether the entry is ready."""
+    """Where the platform checks whether the entry is ready."""
     directory: Address
-    """Where clients ask which entries to use."""
+    """Where clients look up which entries to use."""
     gossip: Address
     """UDP address for heartbeats."""
     pull: Address
     """Where other entries fetch the state."""
     metrics: Address
+    """Where metrics are scraped."""
     lookup_ttl_s: float = 2.0
+    """How long clients may keep the answer to a look-up."""
     grace_s: float = 6.0
     """How long a stop may take."""
     leave_s: float = 2.5
-    """Within which time a leaving target must get nothing new."""
+    """Within which time a leaving target must get no new requests."""
     repeat_ratio: float = 0.2
-    """Repeats that all entries together may make, as a share of requests."""
+    """Retries that all entries together may make, as a share of requests."""
     max_shift: float = 0.15
     """Largest share of a region's requests that may change region in 2 s."""
     watchers: int = 2
     """Entries of a region that follow the store."""
     link_mbps: int = 0
-    """Bandwidth of the machine's link; 0 if it is not known."""
+    """Bandwidth of the VM's link in Mbit/s; 0 if it is not known."""
     store_writes_per_s: float = 400.0
     """Writing calls that the store takes in a second, of all entries together."""
     quotas: QuotaBounds = QuotaBounds()
     """How far the use of a workspace's quota may go beyond it."""
     confirm_within_s: float = 0.0
-    """Age of the store's newest answer to anyone heard from which on keys are refused,
-    since they may have been taken away; 0 for never."""
+    """Age of the store's newest answer to any entry from which on workspace keys are
+    refused, since they may have been revoked; 0 for never."""
     first_start: bool = False
-    """No entry ran before: there is no use of quotas that is not known."""
+    """No entry ran before, so that no use of quotas is unknown."""
     seed: int = 0
+    """Of all chance; 0 for another one at each start."""
 
 
 class Reloaded(msgspec.Struct, frozen=True):
@@ -61,13 +68,13 @@
 
     settings: EntrySettings
     changed: list[str]
-    """Fields that were taken."""
+    """Fields that take effect now."""
     left: list[str]
-    """Fields that differ and only a new start takes: addresses and places."""
+    """Fields that differ and need a restart: addresses and places."""
 
 
 def reload_settings(before: EntrySettings, after: EntrySettings) -> Reloaded:
-    """Take what may change while an entry runs."""
+    """Return the settings with those of the changes that need no restart."""
     differ = [
         name
         for name in after.__struct_fields__
--- a/leverdoor/entry/shutdown.py
+++ b/leverdoor/entry/shutdown.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The end of a planned stop: what is in flight is finished, the rest closed."""
+"""The end of a planned stop: requests in flight finish, idle connections are closed.
+
+Owns no state; relies on the handler for which connections have a request in flight.
+"""
 
 import asyncio
 
@@ -11,16 +14,24 @@
 __all__ = ["STOP_POLL_S", "finish"]
 
 STOP_POLL_S = 0.02
-"""Seconds between two looks at what is in flight; chosen."""
+"""Seconds between two looks at what is in flight.
+
+Chosen: a stop ends within some of them. Greater, it ends later; smaller, it takes
+processor time from the requests in flight.
+"""
 IDLE_ROUNDS = 3
-"""Rounds without a request before the end: some may just have been accepted."""
+"""Looks without a request in flight before the end.
+
+Chosen: a request on a connection that was just accepted arrives meanwhile. Smaller, it
+is cut; greater, each stop takes longer.
+"""
 
 
-async def finish(front: EntryHandler, server: web.Server, until: float) -> None:
-    """Close idle connections until no request has been in flight for some rounds.
+async def finish(handler: EntryHandler, server: web.Server, until: float) -> None:
+    """Close idle connections until no request has been in flight for some looks.
 
     Args:
-      front: knows which connections have a request in flight.
+      handler: knows which connections have a request in flight.
       server: holds the connections; its listener is closed already.
       until: loop time at which it is given up, in seconds.
     """
@@ -28,29 +39,28 @@
     idle_rounds = 0
     idle: set[object] = set()
     while idle_rounds < IDLE_ROUNDS and loop.time() < until:
-        idle = _close_idle(front, server, idle)
+        idle = _close_idle(handler, server, idle)
         await asyncio.sleep(STOP_POLL_S)
-        idle_rounds = 0 if front.active else idle_rounds + 1
+        idle_rounds = 0 if handler.active else idle_rounds + 1
 
 
 def _close_idle(
-    front: EntryHandler, server: web.Server, before: set[object]
+    handler: EntryHandler, server: web.Server, before: set[object]
 ) -> set[object]:
     """Close the connections that were idle a moment ago and still are.
 
-    The HTTP library's own way leaves them open and deaf to what still
-    arrives until the process ends, so that a request sent meanwhile is
-    neither answered nor refused.
+    The HTTP library's own shutdown leaves them open without reading until the process
+    ends, so that a request sent meanwhile is neither answered nor refused.
 
     Args:
-      front: knows which connections have a request in flight.
+      handler: knows which connections have a request in flight.
       server: holds the connections.
       before: the connections that were idle at the last call.
     Returns: those that are idle now.
     """
     idle: set[object] = set()
     for connection in server.connections:
-        if connection in front.busy:
+        if connection in handler.busy:
             continue
         if connection in before:
             connection.force_close()
--- a/leverdoor/entry/wire.py
+++ b/leverdoor/entry/wire.py
@@ -1,40 +1,59 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry needs to know of how its surroundings speak.
+"""Names, paths and formats that an entry uses towards its surroundings.
 
-The daemon decides; a wire only names things. The platform's stands in
-`leverdoor.platform`.
+A wire translates and decides nothing. The platform's stands in `leverdoor.platform`.
+Owns no state.
 """
 
 from collections.abc import Callable, Mapping
-from typing import TypeAlias
+from typing import NamedTuple, TypeAlias
 
 import msgspec
 
 from leverdoor.model.resources import Resource
 from leverdoor.storage.store import KeyValue
 
-__all__ = ["Configured", "Wire", "HeaderNames", "TargetLoad", "Translate"]
+__all__ = [
+    "Configured",
+    "HeaderNames",
+    "Lookup",
+    "TargetLoad",
+    "Translate",
+    "Wire",
+]
 
 
 class Configured(msgspec.Struct, frozen=True):
-    """What the store's entries say, as resources of the product."""
+    """What the store holds, as resources of the product."""
 
     version: str
+    """The operator's name of the configuration; "" for none yet."""
     resources: list[Resource]
     peers: dict[str, bytes]
-    """By entry name, what other entries wrote of themselves."""
+    """Registrations of other entries, by the entry's name."""
 
 
 Translate: TypeAlias = Callable[[Mapping[str, KeyValue]], Configured]
+"""From the keys of the store to resources."""
+
+
+class Lookup(NamedTuple):
+    """A client's look-up of entries."""
+
+    host: str
+    region: str
+    domain: str
 
 
 class TargetLoad(msgspec.Struct, frozen=True):
-    """What a target tells of its own load."""
+    """What a target reports of its own load, in requests."""
 
     running: int
+    """Those that run, the one that was just answered aside."""
     waiting: int
     slots: int
+    """How many it runs at a time."""
 
 
 class HeaderNames(msgspec.Struct, frozen=True):
@@ -42,7 +61,9 @@
 
     request_id: str
     deadline_ms: str
+    """From clients and towards targets: time left, in ms."""
     affinity: str
+    """From clients: the key of requests that share a target."""
     instance: str
     """Towards targets: which instance is meant."""
     stamp: str
@@ -50,8 +71,9 @@
     not_run: str
     """From targets: the request was not run."""
     load: str
+    """From targets: their load, see `Wire.parse_load`."""
     workspace_key: str
-    """From clients: the key that tells whose request it is."""
+    """From clients: the key that shows whose request it is."""
     workspace: str
     """Towards targets: the name of the workspace that holds the key."""
 
@@ -62,11 +84,12 @@
     headers: HeaderNames
     ready_path: str
     resolve_path: str
-    parse_resolve: Callable[[Mapping[str, str]], "tuple[str, str, str]"]
-    """From a query: host, region and failure domain."""
+    parse_resolve: Callable[[Mapping[str, str]], Lookup]
+    """From the query of a client's look-up."""
     serialize_resolve: Callable[[list[str], float], bytes]
-    """From addresses and seconds to live: the body of the answer."""
+    """From addresses and the seconds for which they may be kept: the answer's body."""
     parse_load: Callable[[str], TargetLoad | None]
+    """From a header; None if it is not a load."""
     translate: Translate
     peer_key: Callable[[str], str]
-    """From an entry's name: the key under which it writes itself."""
+    """From an entry's name: the key of its registration in the store."""
--- a/leverdoor/platform/names.py
+++ b/leverdoor/platform/names.py
@@ -1,27 +1,32 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's headers, paths and bodies, as a wire of the entry."""
+"""The platform's headers, paths and bodies, as a wire of the entry.
+
+The platform's names that mislead are explained at their place. Owns no state.
+"""
 
 from collections.abc import Mapping
 
 import msgspec
 
-from leverdoor.entry.wire import HeaderNames, Wire
+from leverdoor.entry.wire import HeaderNames, Lookup, Wire
 from leverdoor.platform.formats import PEERS, Translator, parse_load
 
 __all__ = ["wire"]
 
 
 class _Resolved(msgspec.Struct, rename="kebab"):
+    """The answer to a look-up."""
+
     addresses: list[str]
     ttl_s: float
 
 
 def wire(zones: Mapping[str, str]) -> Wire:
-    """Return how the platform speaks.
+    """Return the platform's names, paths and formats.
 
     Args:
-      zones: each zone's region.
+      zones: each failure domain's region; the platform calls them zones.
     """
     return Wire(
         headers=HeaderNames(
@@ -33,7 +38,7 @@
             not_run="x-not-executed",
             load="x-server-load",
             workspace_key="x-credential",
-            workspace="x-tenant",
+            workspace="x-tenant",  # The platform calls workspaces tenants.
         ),
         ready_path="/api/readiness",
         resolve_path="/api/resolve",
@@ -45,8 +50,9 @@
     )
 
 
-def _parse_resolve(query: Mapping[str, str]) -> tuple[str, str, str]:
-    return query.get("name", ""), query.get("region", ""), query.get("zone", "")
+def _parse_resolve(query: Mapping[str, str]) -> Lookup:
+    # `name` is the host that the client is about to use.
+    return Lookup(query.get("name", ""), query.get("region", ""), query.get("zone", ""))
 
 
 def _serialize_resolve(addresses: list[str], ttl_s: float) -> bytes:
