--- a/leverdoor/entry/configuration/catalog.py
+++ b/leverdoor/entry/configuration/catalog.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The resources in force, compiled for decisions on requests."""
+"""The resources in force, indexed for decisions on requests.
+
+A catalogue never changes; a newer one replaces it whole. Owns no other state.
+"""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -22,6 +25,7 @@
 T = TypeVar("T")
 
 DEFAULT_LIMITS = ClientLimits(name="default")
+"""Limits on clients before there is a configuration, and without any in it."""
 
 
 def entry_host(header: str) -> str:
@@ -41,21 +45,22 @@
         """Index resources.
 
         Args:
-          revision: the store's revision at which they stand.
+          revision: the store's revision that they were read at.
           version: the operator's name of the configuration; "" for none yet.
           resources: all of them.
         """
         self.revision = revision
         self.version = version
-        known = list(resources)
-        self.regions = {r.name: r for r in _of(known, Region)}
-        self.services = {s.name: s for s in _of(known, Service)}
-        self.targets = {t.name: t for t in _of(known, Target)}
-        self.limits = next(iter(_of(known, ClientLimits)), DEFAULT_LIMITS)
-        self.workspaces = WorkspaceDirectory(_of(known, Workspace))
-        drains = _of(known, Drain)
-        self._routes = _by_host(_of(known, Route))
+        listed = list(resources)
+        self.regions = {r.name: r for r in _of(listed, Region)}
+        self.services = {s.name: s for s in _of(listed, Service)}
+        self.targets = {t.name: t for t in _of(listed, Target)}
+        self.limits = next(iter(_of(listed, ClientLimits)), DEFAULT_LIMITS)
+        self.workspaces = WorkspaceDirectory(_of(listed, Workspace))
+        drains = _of(listed, Drain)
+        self._routes = _by_host(_of(listed, Route))
         self.by_service: dict[str, list[Target]] = {}
+        """The targets of each service that may get requests, by name in order."""
         for target in sorted(self.targets.values(), key=lambda t: t.name):
             if target.draining or any(d.covers(target) for d in drains):
                 continue
@@ -65,21 +70,21 @@
 
     @property
     def configured(self) -> bool:
-        """Return whether a configuration is known at all."""
+        """Whether there is a configuration at all."""
         return self.version != ""
 
     @property
     def route_count(self) -> int:
-        """How many routes are in force."""
+        """How many routes there are."""
         return sum(len(routes) for routes in self._routes.values())
 
     @property
     def route_names(self) -> set[str]:
-        """The names of the routes in force."""
+        """The names of the routes."""
         return {route.name for routes in self._routes.values() for route in routes}
 
-    def homeless(self) -> list[tuple[str, str]]:
-        """Return the routes and workspaces that no region is a home of both of."""
+    def without_common_home(self) -> list[tuple[str, str]]:
+        """Return the names of each route and workspace that share no home region."""
         routes = [r for routes in self._routes.values() for r in routes if r.homes]
         workspaces = [w for w in self.workspaces.by_name.values() if w.homes]
         return [
@@ -98,7 +103,7 @@
         return found
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route of a host with the longest prefix of a path."""
+        """Return the route of a host with the longest prefix of a path, or None."""
         for route in self._routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -120,3 +125,4 @@
 
 
 EMPTY = Catalog(0, "", ())
+"""The catalogue of an entry that has no configuration yet."""
--- a/tests/test_entry_expired_registrations.py
+++ b/tests/test_entry_expired_registrations.py
@@ -3,11 +3,8 @@
 """Targets whose entries lapse while the store is away."""
 
 from desk import target
-from leverdoor.entry.configuration.expired_registrations import (
-    RECENT_S,
-    ExpiredRegistrations,
-    Outage,
-)
+from leverdoor.entry.configuration.expired_registrations import ExpiredRegistrations
+from leverdoor.entry.configuration.outage import RECENT_S, Outage
 from leverdoor.model.resources import Target
 
 
