--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -273,7 +273,7 @@
         handler = self._data.handler
         handler.leaving = True
         self._events.process("leaving", in_flight=handler.active)
-        self._control.peers.say_goodbye()
+        self._control.peers.announce_leave()
         removal = asyncio.create_task(self._control.registration.end())
         await asyncio.sleep(LISTEN_ON_S)
         front.close()
--- a/leverdoor/entry/exchange/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How entries tell each other how they fare, whatever their number.
+"""What entries report to each other, at any number of entries.
 
 Each round an entry sends a heartbeat to the aggregators of its failure domain: the
 two entries there with the widest links. Aggregators exchange digests of their
@@ -10,49 +10,55 @@
 grow with the number of entries but by a byte for each entry and target. There is
 no agreement: two that both take themselves for an aggregator only cost bytes.
 
-Decisions only: what to send is returned, the time is passed in.
+Owns what came in digests (sums of others by region, shares, the newest round of each
+sender) and the counts of the own last heartbeats, all lost with the process and
+complete again after a few rounds. Opens no socket and reads no clock: messages to send
+are returned, the time is passed in. Relies on `Roles` for who aggregates.
 """
 
 from collections import OrderedDict
-from collections.abc import Iterable, Mapping
 
 import msgspec
 
+from leverdoor.entry.exchange.encoding import parse_ids, serialize_ids
 from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
 from leverdoor.entry.exchange.merging import PART_TRUST_S, MeanShares, Merger, merged
 from leverdoor.entry.exchange.messages import (
     Digest,
     DigestScope,
-    DomainView,
     EntryHeartbeat,
     Message,
     News,
-    RegionCounts,
     Shares,
-    TargetLists,
-    parse_ids,
-    serialize_ids,
 )
-from leverdoor.entry.exchange.recipients import Partners, in_turn
-from leverdoor.entry.exchange.use_exchange import UseExchange, UseSummary
+from leverdoor.entry.exchange.recipients import Recipients
+from leverdoor.entry.exchange.round_digests import (
+    SHARES_ROUNDS,
+    DigestRound,
+    RoundDigests,
+)
+from leverdoor.entry.exchange.target_counts import TargetLists
+from leverdoor.entry.exchange.use_exchange import UseExchange
 from leverdoor.entry.exchange.use_lists import Use
 from leverdoor.entry.exchange.views import Views
 from leverdoor.entry.exchange.warm_news import WarmNews
-from leverdoor.entry.membership.member import MemberRow, member_id
+from leverdoor.entry.membership.member import Member, MemberRow, member_id
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import LastSeen
 from leverdoor.entry.membership.roles import Roles
 
 __all__ = ["Exchange"]
 
-SHARE_ROUNDS = 5
-"""Rounds between two tellings of the regions' shares, which move in seconds."""
-FAR_REGIONS = 9
-"""Other regions told of in one digest at most; 27 are all told within 0.6 s."""
-FAR_DOMAINS = 18
-"""Failure domains of other regions told of in one digest at most; two a region."""
+SEQS = 256
+"""Numbers of heartbeats that digests tell apart: one byte."""
 OWN_COUNTS_KEPT = 32
-"""Own heartbeats whose counts are kept, to subtract them from what comes back."""
+"""Own heartbeats whose counts are kept, to subtract them from what comes back.
+
+Chosen: 6.4 s of heartbeats, longer than sums are used. With fewer, own requests in a
+late digest would count as those of others.
+"""
+FIRST_TURNS = 1_000
+"""Entries count rounds from one of so many numbers, which spreads their rotations."""
 
 
 class _OwnCounts(msgspec.Struct, frozen=True):
@@ -63,7 +69,7 @@
 
 
 class Exchange:
-    """What this entry tells others, and what it learns from them."""
+    """The messages of this entry, and what it learns from those of others."""
 
     def __init__(self, membership: Membership, roles: Roles) -> None:
         """Create it around the entries known and their roles."""
@@ -71,23 +77,26 @@
         self._roles = roles
         self._own = membership.own
         self.lists = TargetLists()
-        self._turn = member_id(self._own.name) % 1_000
-        """Counts rounds; entries start at different places in their rotations."""
+        self._turn = member_id(self._own.name) % FIRST_TURNS
+        """Counts rounds."""
         self._seq = 0
         self._own_counts: OrderedDict[int, _OwnCounts] = OrderedDict()
         self._merger = Merger(self._own.domain)
         self.use = UseExchange(membership)
         self._views = Views(membership)
         self._warm_news = WarmNews()
-        self._partners = Partners(membership, roles)
+        self._recipients = Recipients(membership, roles)
+        self._round_digests = RoundDigests(
+            membership, self.lists, self._merger, self._views, self._warm_news
+        )
         self._totals: dict[str, tuple[float, dict[str, int]]] = {}
-        """By region, the requests of all others at its targets, and when a digest told
-        them; digests that mean a list of targets not known here tell nothing."""
+        """By region, when a digest brought the requests of all others at its targets,
+        and these. Counts of an unknown list of targets change nothing."""
         self._region_shares: Shares = {}
         self._last_digest: dict[tuple[str, DigestScope], tuple[int, int]] = {}
         """By sender and scope, its incarnation and round."""
 
-    # What others tell.
+    # Messages of others.
 
     def take(self, message: Message, revision: int, now: float) -> PeerUpdate:
         """Take a message.
@@ -106,27 +115,26 @@
         return self._take_digest(message, revision, now)
 
     def _take_heartbeat(
-        self, heard: EntryHeartbeat, revision: int, now: float
+        self, heartbeat: EntryHeartbeat, revision: int, now: float
     ) -> PeerUpdate:
-        name = heard.member.name
-        if name == self._own.name or self._merger.is_old(heard):
+        member = heartbeat.member
+        if member.name == self._own.name or self._merger.is_old(heartbeat):
             return PeerUpdate()
-        self._membership.introduce(heard.member, now)
-        row = MemberRow(member_id(name), heard.member.incarnation, heard.state)
+        self._membership.introduce(member, now)
+        row = MemberRow(member_id(member.name), member.incarnation, heartbeat.state)
         self._membership.observe(LastSeen(row, now), now)
-        known = self._membership.member(name)
-        if known is None or known.incarnation != heard.member.incarnation:
+        known = self._membership.member(member.name)
+        if known is None or known.incarnation != member.incarnation:
             return PeerUpdate()
-        self._merger.take_heartbeat(heard, now)
-        self.use.take_heartbeat(heard, now)
-        warm = parse_ids(heard.warm)
+        self._merger.take_heartbeat(heartbeat, now)
+        self.use.take_heartbeat(heartbeat, now)
+        warm = parse_ids(heartbeat.warm)
         self._warm_news.take_from_domain(warm, now)
-        source = heard.member.pull if heard.revision > revision else ""
         return PeerUpdate(
             warm=warm,
-            outage_ms=heard.outage_ms,
-            source=source,
-            confirmed_ms=heard.confirmed_ms,
+            outage_ms=heartbeat.outage_ms,
+            source=member.pull if heartbeat.revision > revision else "",
+            confirmed_ms=heartbeat.confirmed_ms,
         )
 
     def _take_digest(self, digest: Digest, revision: int, now: float) -> PeerUpdate:
@@ -137,25 +145,16 @@
         source = digest.pull if digest.revision > revision else ""
         if sender is None or not self._is_next(digest):
             return PeerUpdate(source=source)
-        warm = parse_ids(digest.warm)
-        others = None
-        if digest.scope == DigestScope.DOMAIN:
-            shares = MeanShares(digest.entries, digest.shares)
-            counts = self._parse_counts(digest)
-            self._merger.take_domain(sender.domain, counts, shares, now)
-            self._warm_news.take_from_region(warm, now)
-            self.use.take_part(digest, sender, now)
-        elif digest.scope == DigestScope.REGION and sender.region != self._own.region:
-            self._merger.take_region(sender.region, self._parse_counts(digest), now)
-            self.use.take_part(digest, sender, now)
-        elif digest.scope == DigestScope.ALL and sender.domain == self._own.domain:
-            others = self._take_total(digest, now)
-        use = None
-        if others is not None:
-            use = self.use.parse_total(digest, self._counted(digest).use)
-        return PeerUpdate(
-            others, warm, digest.outage_ms, source, digest.confirmed_ms, use
+        update = PeerUpdate(
+            warm=parse_ids(digest.warm),
+            outage_ms=digest.outage_ms,
+            source=source,
+            confirmed_ms=digest.confirmed_ms,
         )
+        if digest.scope == DigestScope.ALL:
+            return self._take_total(digest, sender, update, now)
+        self._take_part(digest, sender, update.warm, now)
+        return update
 
     def _is_next(self, digest: Digest) -> bool:
         """Return whether a digest is newer than the last one of its sender."""
@@ -166,228 +165,142 @@
         self._last_digest[place] = (digest.incarnation, digest.turn)
         return True
 
+    def _take_part(
+        self, digest: Digest, sender: Member, warm: list[int], now: float
+    ) -> None:
+        """Take the sums of another failure domain or region."""
+        if digest.scope == DigestScope.DOMAIN:
+            shares = MeanShares(digest.entries, digest.shares)
+            counts = self._parse_counts(digest)
+            self._merger.take_domain(sender.domain, counts, shares, now)
+            self._warm_news.take_from_region(warm, now)
+            self.use.take_part(digest, sender, now)
+        elif sender.region != self._own.region:
+            self._merger.take_region(sender.region, self._parse_counts(digest), now)
+            self.use.take_part(digest, sender, now)
+
     def _parse_counts(self, digest: Digest) -> dict[str, dict[str, int]]:
         """Return the counts of a digest by region, as far as their lists are known."""
         parsed = {loads.region: self.lists.parse(loads) for loads in digest.loads}
         return {r: counts for r, counts in parsed.items() if counts is not None}
 
-    def _take_total(self, digest: Digest, now: float) -> dict[str, int] | None:
-        """Return what others have, once the digest's sums are less one's own."""
+    def _take_total(
+        self, digest: Digest, sender: Member, update: PeerUpdate, now: float
+    ) -> PeerUpdate:
+        """Take the sums of all entries, and subtract the own counts from them.
+
+        An aggregator does not use them: it makes such sums itself.
+        """
+        if sender.domain != self._own.domain:
+            return update
         if digest.shares:
             self._region_shares = digest.shares
         if self._roles.is_aggregator(now):
-            self._partners.heard_fellow(digest.turn, now)
-            return None
+            self._recipients.note_other_aggregator(digest.turn, now)
+            return update
+        own = self._own_counts_in(digest)
         for loads in digest.loads:
             counts = self.lists.parse(loads)
             if counts is not None:
-                others = self._without_own(counts, digest)
-                self._totals[loads.region] = (now, others)
+                _subtract(own.in_flight, counts)
+                self._totals[loads.region] = (now, counts)
         fresh = [c for at, c in self._totals.values() if now - at <= PART_TRUST_S]
-        return merged(fresh)
-
-    def _without_own(self, counts: dict[str, int], digest: Digest) -> dict[str, int]:
-        own = self._counted(digest).in_flight
-        for name in own.keys() & counts.keys():
-            counts[name] = max(counts[name] - own[name], 0)
-        return counts
+        use = self.use.parse_total(digest, own.use)
+        return msgspec.structs.replace(update, others=merged(fresh), use=use)
 
-    def _counted(self, digest: Digest) -> "_OwnCounts":
-        """Return the own counts that a digest of everything holds."""
+    def _own_counts_in(self, digest: Digest) -> _OwnCounts:
+        """Return the own counts that the sums of a digest include."""
         seq = self._views.own_seq(digest.views)
         return self._own_counts.get(seq, _OwnCounts({}, {}))
 
-    # What this entry tells.
+    # Messages of this entry.
 
-    def heartbeat(self, report: EntryStatus) -> EntryHeartbeat:
-        """Return the next heartbeat."""
+    def heartbeat(self, status: EntryStatus) -> EntryHeartbeat:
+        """Return the next heartbeat, and keep its counts."""
         self._seq += 1
-        self._own_counts[self._seq % 256] = _OwnCounts(report.in_flight, report.use)
+        self._own_counts[self._seq % SEQS] = _OwnCounts(status.in_flight, status.use)
         while len(self._own_counts) > OWN_COUNTS_KEPT:
             self._own_counts.popitem(last=False)
         return EntryHeartbeat(
             self._own,
             self._seq,
-            report.state,
-            report.revision,
-            report.in_flight,
-            report.shares if self._seq % SHARE_ROUNDS == 1 else {},
-            report.outage_ms,
-            serialize_ids(report.warm),
-            self.use.serialize(report.use),
-            report.confirmed_ms,
+            status.state,
+            status.revision,
+            status.in_flight,
+            status.shares if self._seq % SHARES_ROUNDS == 1 else {},
+            status.outage_ms,
+            serialize_ids(status.warm),
+            self.use.serialize(status.use),
+            status.confirmed_ms,
         )
 
-    def announce(self, report: EntryStatus, now: float) -> list[Sending]:
-        """Tell the aggregators a changed state between two rounds."""
-        return [Sending(self.heartbeat(report), self._partners.aggregators(now))]
+    def announce(self, status: EntryStatus, now: float) -> list[Sending]:
+        """Return a heartbeat for the aggregators, also between two rounds."""
+        return [Sending(self.heartbeat(status), self._recipients.aggregators(now))]
 
-    def say_goodbye(self, report: EntryStatus) -> list[Sending]:
-        """Tell the whole region that this entry leaves: it must not be named."""
+    def announce_leave(self, status: EntryStatus) -> list[Sending]:
+        """Return a heartbeat for the whole region: this entry must not be named."""
         to = [m.gossip for m in self._membership.in_own_region()]
-        return [Sending(self.heartbeat(report), to)]
+        return [Sending(self.heartbeat(status), to)]
 
     def news(self, revision: int, now: float) -> list[Sending]:
-        """Tell of a newer state: those that pass it on, and the own domain."""
-        to = self._partners.aggregators(now)
+        """Return the news of a newer state.
+
+        They go to the aggregators of the own failure domain; from an aggregator, to
+        its whole failure domain and to the other aggregators.
+        """
+        to = self._recipients.aggregators(now)
         if self._roles.is_aggregator(now):
             live, silent = self._membership.in_own_domain(now)
             to = [m.gossip for m in (*live, *silent)]
-            to += [m.gossip for m in self._partners.near(now)]
-            to += [m.gossip for m in self._partners.far(self._turn, now)]
+            to += [m.gossip for m in self._recipients.near(now)]
+            to += [m.gossip for m in self._recipients.far(self._turn, now)]
         return [Sending(News(revision, self._own.pull), to)]
 
     def round(
-        self, report: EntryStatus, now: float
+        self, status: EntryStatus, now: float
     ) -> tuple[list[Sending], PeerUpdate]:
-        """Return what to send this round, and what the sums of others are."""
+        """Return what to send this round and, of an aggregator, the sums of others."""
         self._turn += 1
-        sendings = self.announce(report, now)
+        sendings = self.announce(status, now)
         if not self._roles.is_aggregator(now):
-            self.use.merge_no_more()
+            self.use.stop_merging()
             return sendings, PeerUpdate()
-        self._region_shares = self._merger.region_shares(report.shares).shares
-        heard = PeerUpdate(
+        self._region_shares = self._merger.region_shares(status.shares).shares
+        update = PeerUpdate(
             others=self._merger.of_others(now),
-            use=self.use.of_others(report.lived_s, now),
+            use=self.use.of_others(status.uptime_s, now),
+        )
+        return sendings + self._digests(status, now), update
+
+    def _digests(self, status: EntryStatus, now: float) -> list[Sending]:
+        """Return an aggregator's digests of a round, with their recipients."""
+        use = self.use.summary(status.use, status.uptime_s, now)
+        made = self._round_digests.make(
+            DigestRound(status, self._turn, self._seq, use, now)
         )
-        return sendings + self._digests(report, now), heard
+        recipients = {
+            DigestScope.DOMAIN: self._recipients.near(now),
+            DigestScope.REGION: self._recipients.far(self._turn, now),
+            DigestScope.ALL: self._recipients.own_domain(self._turn, now),
+        }
+        sendings = [
+            Sending(digest, [m.gossip for m in recipients[scope]])
+            for scope, digest in made.items()
+        ]
+        return [s for s in sendings if s.to]
 
     def region_shares(self) -> Shares:
         """Return the mean of the region's entries' shares, as last known."""
         return self._region_shares
 
     def forget(self, now: float) -> None:
-        """Drop what entries that are gone told."""
+        """Drop what is too old to be used."""
         self._merger.forget(now)
         self.use.forget(now)
 
-    def _digests(self, report: EntryStatus, now: float) -> list[Sending]:
-        """Return an aggregator's digests of a round."""
-        domain = self._merger.of_domain(report.in_flight, now)
-        region = self._merger.with_domains(domain, now)
-        total = self._merger.with_regions(region, now)
-        use = self.use.tell(report.use, report.lived_s, now)
-        near = self._membership.domains(self._own.region)
-        views = [self._view(name, report, now) for name in near]
-        without_seqs = [msgspec.structs.replace(v, seqs=b"") for v in views]
-        sendings = [
-            Sending(
-                self._domain_digest(report, domain, without_seqs, use, now),
-                [m.gossip for m in self._partners.near(now)],
-            ),
-            Sending(
-                self._digest(
-                    report,
-                    DigestScope.REGION,
-                    without_seqs,
-                    self._counts(region, self.lists.regions()),
-                    use,
-                ),
-                [m.gossip for m in self._partners.far(self._turn, now)],
-            ),
-            Sending(
-                self._total_digest(report, total, views, use, now),
-                [m.gossip for m in self._partners.audience(self._turn, now)],
-            ),
-        ]
-        return [s for s in sendings if s.to]
-
-    def _domain_digest(
-        self,
-        report: EntryStatus,
-        counts: dict[str, int],
-        views: list[DomainView],
-        use: UseSummary,
-        now: float,
-    ) -> Digest:
-        mean = self._merger.domain_shares(report.shares)
-        warm = self._warm_news.for_region(report.warm, now)
-        digest = self._digest(
-            report,
-            DigestScope.DOMAIN,
-            views,
-            self._counts(counts, self.lists.regions()),
-            use,
-        )
-        return self._with_shares(digest, mean, warm)
-
-    def _total_digest(
-        self,
-        report: EntryStatus,
-        counts: dict[str, int],
-        near: list[DomainView],
-        use: UseSummary,
-        now: float,
-    ) -> Digest:
-        far = [
-            domain
-            for region in self._membership.other_regions()
-            for domain in self._membership.domains(region)
-        ]
-        far_views = [
-            self._view(domain, report, now)
-            for domain in in_turn(far, FAR_DOMAINS, self._turn)
-        ]
-        others = [r for r in self.lists.regions() if r != self._own.region]
-        regions = [self._own.region, *in_turn(others, FAR_REGIONS, self._turn)]
-        digest = self._digest(
-            report,
-            DigestScope.ALL,
-            near + far_views,
-            self._counts(counts, regions),
-            use,
-        )
-        mean = self._merger.region_shares(report.shares)
-        warm = self._warm_news.for_domain(report.warm, now)
-        return self._with_shares(digest, mean, warm)
-
-    def _with_shares(self, digest: Digest, mean: MeanShares, warm: list[int]) -> Digest:
-        """Return a digest with shares, in some rounds, and with news of warm keys."""
-        tells = self._turn % SHARE_ROUNDS < 2
-        return msgspec.structs.replace(
-            digest,
-            entries=mean.entries,
-            shares=mean.shares if tells else {},
-            warm=serialize_ids(warm),
-        )
-
-    def _digest(
-        self,
-        report: EntryStatus,
-        scope: DigestScope,
-        views: list[DomainView],
-        loads: list[RegionCounts],
-        use: UseSummary,
-    ) -> Digest:
-        return Digest(
-            self._own.name,
-            scope,
-            self._turn,
-            self._own.incarnation,
-            report.revision,
-            self._own.pull,
-            views,
-            loads,
-            outage_ms=report.outage_ms,
-            use=use.by_scope[scope],
-            use_age_ms=use.age_ms,
-            silent=use.silent[scope],
-            confirmed_ms=report.confirmed_ms,
-            merged_ms=use.merged_ms,
-        )
-
-    def _view(self, domain: str, report: EntryStatus, now: float) -> DomainView:
-        return self._views.make(domain, report.state, self._newest_seq, self._turn, now)
-
-    def _newest_seq(self, name: str) -> int:
-        return self._seq if name == self._own.name else self._merger.seq(name)
 
-    def _counts(
-        self, counts: Mapping[str, int], regions: Iterable[str]
-    ) -> list[RegionCounts]:
-        return [
-            self.lists.serialize(region, counts)
-            for region in regions
-            if region in self.lists.regions()
-        ]
+def _subtract(own: dict[str, int], counts: dict[str, int]) -> None:
+    """Subtract own counts from sums, in place; a sum does not go below 0."""
+    for name in own.keys() & counts.keys():
+        counts[name] = max(counts[name] - own[name], 0)
--- a/leverdoor/entry/exchange/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What the exchange among entries is given to tell, sends, and learns."""
+"""What goes into the exchange among entries and what comes out of it.
+
+`EntryStatus` is the input of a round. `Sending` is what to send to whom, `PeerUpdate`
+what was learned for the other parts of this entry. Owns no state.
+"""
 
 import msgspec
 
@@ -13,37 +17,42 @@
 
 
 class EntryStatus(msgspec.Struct, frozen=True):
-    """How this entry fares, as its heartbeats tell it."""
+    """The status of this entry that its next heartbeat reports."""
 
     state: EntryState
     revision: int
+    """Of the store's copy that is in force."""
     in_flight: dict[str, int]
+    """Own requests at each target, by its name."""
     shares: Shares
     outage_ms: int
+    """How long ago the store was last unavailable; -1 if not lately."""
     warm: list[int]
+    """Hashes of keys that other targets than their first answered lately."""
     use: Use = {}
     """Own requests of workspaces in the window of their quotas."""
-    lived_s: float = 0.0
+    uptime_s: float = 0.0
+    """Since the start of this process."""
     confirmed_ms: int = -1
-    """How long ago the store answered anyone that is heard; -1 if it never did."""
+    """How long ago the store answered any entry; -1 if it never did."""
 
 
 class Sending(msgspec.Struct, frozen=True):
-    """A message, and the addresses that get it."""
+    """A message, and the addresses that get it, as `ip:port`."""
 
     message: Message
     to: list[str]
 
 
 class PeerUpdate(msgspec.Struct, frozen=True):
-    """What a message or a round tells the other parts of this entry."""
+    """What a message or a round has for the other parts of this entry."""
 
     others: dict[str, int] | None = None
-    """Requests that all other entries have at each target; None if not told."""
+    """Requests of all other entries at each target; None if there is no new sum."""
     warm: list[int] = []
     outage_ms: int = -1
     source: str = ""
-    """Where a newer state can be fetched; empty if there is none."""
+    """Where a newer state can be fetched, as `ip:port`; empty if there is none."""
     confirmed_ms: int = -1
     use: OthersUse | None = None
-    """Requests of workspaces by all other entries; None if not told."""
+    """Requests of workspaces by all other entries; None if there is no new sum."""
--- a/leverdoor/entry/exchange/merging.py
+++ b/leverdoor/entry/exchange/merging.py
@@ -1,9 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Sums of what entries tell of their requests, and means of their shares; pure.
+"""Sums of the requests in flight at targets, and means of the regions' shares.
 
-An aggregator has its domain's heartbeats one by one, other domains and regions as
-the sums that their aggregators made.
+An aggregator has the heartbeats of its failure domain one by one, and other failure
+domains and regions as the sums that their aggregators made. Counts of an entry that
+falls silent are dropped after a moment, so that those of a dead one free their slots.
+
+Owns the newest heartbeats and sums, lost with the process and complete again after a
+few rounds. Relies on the caller for the time, and for keeping old digests out.
 """
 
 from collections import Counter
@@ -18,17 +22,25 @@
 __all__ = ["PART_TRUST_S", "MeanShares", "Merger", "merged"]
 
 HEARTBEAT_TRUST_S = 1.0
-"""Age up to which an entry's own counts are summed; five heartbeats."""
+"""Age up to which an entry's own counts are summed, in seconds.
+
+Chosen: five heartbeats. Shorter, lost datagrams make targets look idle, and more is
+sent to them than they have slots for; longer, requests of a dead entry keep slots.
+"""
 PART_TRUST_S = 2.5
-"""Age up to which the sums of another domain or region are used, in seconds: as long
-as a count by `PEER_TRUST_S` of the fleet."""
+"""Age up to which the sums of another domain or region are used, in seconds.
+
+As long as a count of other entries counts at a target (`PEER_TRUST_S` of the fleet).
+Shorter, a region whose digests are late passes for idle; longer, requests that ended
+keep slots.
+"""
 
 
 class MeanShares(msgspec.Struct, frozen=True):
     """The mean of some entries' shares."""
 
     entries: int
-    """How many stand behind it."""
+    """How many entries it is the mean of."""
     shares: Shares
 
 
@@ -39,21 +51,21 @@
 
 
 class _Part(msgspec.Struct):
-    """What a failure domain or region told as a whole."""
+    """The sums of a failure domain or region, from its aggregators' digests."""
 
     at: float = NEVER
     counts: dict[str, tuple[float, Counts]] = {}
-    """By the targets' region, the sums and when they were told."""
+    """By the targets' region: when its sums came, and these."""
     shares: MeanShares = NO_SHARES
 
     def take(self, counts: Mapping[str, Counts], now: float) -> None:
-        """Take sums by region; those of other regions stay, and grow old."""
+        """Take sums by region; those of regions left out stay, and grow old."""
         self.at = now
         self.counts |= {region: (now, sums) for region, sums in counts.items()}
 
 
 class Merger:
-    """What was told of requests and shares, by entry, failure domain and region."""
+    """Requests in flight and shares by entry, failure domain and region."""
 
     def __init__(self, domain: str) -> None:
         """Create it knowing nothing.
@@ -64,12 +76,12 @@
         self._domain = domain
         self._heartbeats: dict[str, tuple[float, EntryHeartbeat]] = {}
         self._shares: dict[str, Shares] = {}
-        """By entry of the own domain; heartbeats tell them seldom."""
+        """By entry of the own domain; only some heartbeats carry them."""
         self._domains: dict[str, _Part] = {}
         self._regions: dict[str, _Part] = {}
 
     def is_old(self, heartbeat: EntryHeartbeat) -> bool:
-        """Return whether a heartbeat was overtaken by a later one of its life."""
+        """Return whether a later heartbeat of the same incarnation came before."""
         last = self._last(heartbeat.member.name)
         if last is None or last.member.incarnation != heartbeat.member.incarnation:
             return False
@@ -85,7 +97,7 @@
         return last
 
     def take_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
-        """Take an entry's own word."""
+        """Take the counts and shares of an entry."""
         name = heartbeat.member.name
         self._heartbeats[name] = (now, heartbeat)
         if heartbeat.shares:
@@ -102,8 +114,8 @@
 
         Args:
           domain: which one.
-          counts: its requests by the targets' region, as far as they were understood.
-          shares: the mean of its entries' shares; empty ones were left out.
+          counts: its requests by the targets' region, without those of unknown lists.
+          shares: the mean of its entries' shares; empty if the digest has none.
           now: monotonic time in seconds.
         """
         part = self._domains.setdefault(domain, _Part())
@@ -118,7 +130,7 @@
         self._regions.setdefault(region, _Part()).take(counts, now)
 
     def forget(self, now: float) -> None:
-        """Drop what those that are gone told."""
+        """Drop what is too old to be used."""
         self._heartbeats = {
             name: (at, heartbeat)
             for name, (at, heartbeat) in self._heartbeats.items()
@@ -198,7 +210,7 @@
 
 
 def _mean(parts: Iterable[MeanShares]) -> MeanShares:
-    """Return the mean of shares, each counted as often as entries stand behind it."""
+    """Return the mean of shares, each weighted by its number of entries."""
     entries = 0
     sums: dict[str, dict[str, float]] = {}
     weights: Counter[str] = Counter()
--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -82,9 +82,9 @@
         now = asyncio.get_running_loop().time()
         self._send(self._exchange.announce(self._report(), now))
 
-    def say_goodbye(self) -> None:
+    def announce_leave(self) -> None:
         """Tell the whole region that this entry leaves."""
-        self._send(self._exchange.say_goodbye(self._report()))
+        self._send(self._exchange.announce_leave(self._report()))
 
     def spread_news(self) -> None:
         """Announce a newer state soon, once for several changes.
--- a/leverdoor/entry/exchange/recipients.py
+++ b/leverdoor/entry/exchange/recipients.py
@@ -1,6 +1,14 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Whom an entry tells in a round: aggregators, and an aggregator's own domain; pure."""
+"""Who gets an entry's messages of a round.
+
+An ordinary entry sends to the aggregators of its failure domain. An aggregator sends
+also to those of the region's other failure domains (near), to one or two of each other
+region (far), and to its own failure domain.
+
+Owns the last round of the failure domain's other aggregator, lost with the process.
+Relies on `Roles` for who aggregates.
+"""
 
 from typing import TypeVar
 
@@ -10,32 +18,43 @@
 from leverdoor.entry.membership.peer_record import NEVER
 from leverdoor.entry.membership.roles import Roles
 
-__all__ = ["Partners", "in_turn"]
+__all__ = ["Recipients", "in_turn"]
 
 SILENT_ROUNDS = 5
-"""Rounds between two digests to entries that went silent, so that they come back."""
+"""Rounds between two digests to entries that are silent.
+
+Chosen: once a second. Without them, two sides of a cut would not notice that it is
+repaired; more often, digests go to VMs that are gone.
+"""
 FAR_PARTNERS = 2
-"""Aggregators of another region told in one round at most, if it has more of them."""
+"""Aggregators of another region that get a digest in one round at most.
+
+Chosen: bounds the bytes between regions where the other region has more aggregators.
+"""
 UNPAIRED_ROUNDS = 3
-"""One round in so many goes to another aggregator than the paired one."""
+"""One round in so many goes to another aggregator than the paired one.
+
+Chosen: two sides that see different aggregators reach each other within a second.
+Lower, the paired ones wait for longer than a round more often.
+"""
 
 T = TypeVar("T")
 
 
-class Partners:
-    """Chooses who gets an entry's messages."""
+class Recipients:
+    """Chooses who gets the messages of one entry."""
 
     def __init__(self, membership: Membership, roles: Roles) -> None:
         """Create it around the entries known and their roles."""
         self._membership = membership
         self._roles = roles
         self._own = membership.own
-        self._fellow_round: tuple[float, int] = (NEVER, 0)
-        """When the domain's first aggregator told the domain, and its round then."""
+        self._other_round: tuple[float, int] = (NEVER, 0)
+        """When a digest of the domain's other aggregator came, and its round then."""
 
-    def heard_fellow(self, turn: int, now: float) -> None:
-        """Note a digest of the failure domain's other aggregator, and its round."""
-        self._fellow_round = (now, turn)
+    def note_other_aggregator(self, turn: int, now: float) -> None:
+        """Record the round of a digest of the failure domain's other aggregator."""
+        self._other_round = (now, turn)
 
     def aggregators(self, now: float) -> list[str]:
         """Return the addresses of the own failure domain's aggregators."""
@@ -51,12 +70,12 @@
         ]
 
     def far(self, turn: int, now: float) -> list[Member]:
-        """Choose one aggregator of each other region to tell.
+        """Choose the aggregators of the other regions that get a digest.
 
-        The aggregators of two regions are paired by their places, so that each hears
-        from each region once a round; in turn alone, some would go without for a
+        The aggregators of two regions are paired by their places, so that each gets a
+        digest of each region once a round; in turn alone, some would wait for a
         second. Every third round goes to another in turn, since two sides that see
-        different aggregators would else keep missing each other.
+        different aggregators would otherwise keep missing each other.
         """
         membership = self._membership
         senders = [
@@ -82,11 +101,11 @@
             found += in_turn(paired, FAR_PARTNERS, turn)
         return found
 
-    def audience(self, turn: int, now: float) -> list[Member]:
-        """Choose whom of the own domain this aggregator tells in this round.
+    def own_domain(self, turn: int, now: float) -> list[Member]:
+        """Choose the entries of the own failure domain that get this round's digest.
 
-        Each of two aggregators tells every other entry, so that all are told about
-        once a round; the other aggregator is told always, silent entries seldom.
+        Each of two aggregators sends to every other entry, so that all get a digest
+        about once a round. The other aggregator gets each, silent entries few.
         """
         merging = self._roles.aggregators(self._own.domain, now)
         place, count = merging.index(self._own), len(merging)
@@ -104,11 +123,11 @@
     def _second_turn(self, own: int, now: float) -> int:
         """Return the turn of a second aggregator, so that it fills the first's gaps.
 
-        If the first has just told its half, the other half is told; if it is about
-        to tell that one, the same half. No entry then waits longer than one and a
-        half rounds; with turns of its own it would wait up to two.
+        If the first has just sent to one half, the second sends to the other half; if
+        the first is about to, to the same half. No entry then waits longer than one
+        and a half rounds; with turns of its own it would wait up to two.
         """
-        at, first = self._fellow_round
+        at, first = self._other_round
         if now - at > 2 * HEARTBEAT_S:
             return own
         rounds, since_s = divmod(now - at, HEARTBEAT_S)
--- a/leverdoor/entry/exchange/use_exchange.py
+++ b/leverdoor/entry/exchange/use_exchange.py
@@ -1,6 +1,14 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What heartbeats and digests tell of the use of workspaces, and what is learned."""
+"""The use of workspaces in heartbeats and digests, sent and received.
+
+An ordinary entry reports its own use and gets the sums of all in a digest. An
+aggregator merges reports (`UseMerger`) and adds what silent entries may take.
+
+Owns since when this entry merges all sums, lost with the process; until it has reports
+of all failure domains and regions it gives no sum. Relies on `Membership` for who is
+silent, and on `workspaces.quota` for how long a silent entry may use what it had.
+"""
 
 from collections.abc import Mapping
 
@@ -17,26 +25,39 @@
 __all__ = ["UseSummary", "UseExchange"]
 
 LEAST_PART_REPORTED = 6
-"""Percentage of a quota that all failure domains together may leave out of their
-digests, where there are many workspaces."""
+"""Percentage of a quota that all failure domains together may leave out of digests.
+
+Where there are many workspaces. Chosen: greater, more of a quota can be used unseen;
+smaller, digests are larger.
+"""
 LEAST_REPORTED = 20
-"""Percentage of a quota below which digests of all entries leave out its use, where
-there are many workspaces: there is room enough, and the use is taken for this much."""
+"""Percentage of a quota below which digests of all entries leave out its use.
+
+Where there are many workspaces. Chosen: enough of the quota is left, and receivers
+take the use to be this much. Greater, they admit less than they could; smaller,
+digests are larger.
+"""
 UNREPORTED_PARTS = 2
-"""Even parts of a quota that a silent entry may take whose use is not known."""
+"""Even parts of a quota that a silent entry may take whose use is not known.
+
+One by the number of entries, one by its use, which is taken to be the mean.
+"""
 
 
 class UseSummary(msgspec.Struct, frozen=True):
-    """What the digests of a round tell, by whose requests they count."""
+    """The use in the digests of a round, by the entries that they cover."""
 
     by_scope: dict[DigestScope, bytes]
     silent: dict[DigestScope, int]
+    """How many of the entries covered are silent."""
     age_ms: int
+    """Of the oldest report that is summed as it is."""
     merged_ms: int
+    """For how long this entry has merged all sums."""
 
 
 class UseExchange:
-    """The use of workspaces as this entry tells it, and as it hears it."""
+    """The use of workspaces that this entry reports, receives and merges."""
 
     def __init__(self, membership: Membership) -> None:
         """Create it around what is known of the entries."""
@@ -45,19 +66,19 @@
         self._lists = UseLists()
         self._merger = UseMerger()
         self._merges_since: float | None = None
-        """Since when it knows all sums, as an aggregator; None while it does not."""
+        """Since when it has all sums, as an aggregator; None while it has not."""
 
     def renew(self, planned: Mapping[str, float]) -> None:
         """Take the workspaces with quotas of a new configuration.
 
         Args:
-          planned: for each, the requests of a window that are planned with.
+          planned: for each, the planned requests of a window.
         """
         self._lists.renew(planned)
         self._merger.planned = planned
 
     def forget(self, now: float) -> None:
-        """Drop what counts no longer."""
+        """Drop what does not count any more."""
         self._merger.forget(now)
 
     def serialize(self, use: Use) -> bytes:
@@ -110,36 +131,36 @@
         least_reported = self._lists.least_reported(digest.use)
         return OthersUse(use, age_s, merged_s, least_reported, digest.silent)
 
-    def of_others(self, lived_s: float, now: float) -> OthersUse | None:
-        """Return the use of all others as an aggregator knows it.
+    def of_others(self, uptime_s: float, now: float) -> OthersUse | None:
+        """Return the use of all others as an aggregator has it.
 
-        Returns: None while it has not heard of all failure domains and regions: it
-          may just have taken the role.
+        Returns: None while reports of a failure domain or region are missing: this
+          entry may just have taken the role.
         """
         if self._merges_since is None:
             if not self._merger.knows(self._near(), self._far(), now):
                 return None
             self._merges_since = now
-        sums = self._merger.sums({}, self._unheard(lived_s, now), now)
+        sums = self._merger.sums({}, self._unreported_parts(uptime_s, now), now)
         age_s = self._merger.age_s(now)
         merged_s = now - self._merges_since
         return OthersUse(sums.total, age_s, merged_s, 0.0, sums.silent[-1])
 
-    def merge_no_more(self) -> None:
-        """Note that this entry is no aggregator now."""
+    def stop_merging(self) -> None:
+        """Record that this entry is not an aggregator now."""
         self._merges_since = None
 
-    def _unheard(self, lived_s: float, now: float) -> int:
-        """Count what silent entries of the own domain may take that told nothing here.
+    def _unreported_parts(self, uptime_s: float, now: float) -> int:
+        """Return what entries of the own domain may take that sent no report here.
 
-        In even parts of a quota. After a restart of all, some may be back behind a
-        cut, and take one. Others were last heard by an aggregator that is gone: they
-        have as much again by their use, which is taken for the mean.
+        In even parts of a quota. After a restart of all, an entry of which nothing
+        was received may serve behind a cut, and takes one. Others reported to an
+        aggregator that is gone: see `UNREPORTED_PARTS`.
         """
         domain = self._own.domain
         last_seen = self._membership.last_seen(domain)
         never = self._membership.in_domain(domain) - 1 - len(last_seen)
-        never = max(never, 0) if lived_s <= HOLD_S else 0
+        never = max(never, 0) if uptime_s <= HOLD_S else 0
         unreported = [
             s
             for s in last_seen
@@ -150,7 +171,7 @@
         return never + len(unreported) * UNREPORTED_PARTS
 
     def _near(self) -> set[str]:
-        """Return the region's other failure domains that were ever heard from."""
+        """Return the region's other failure domains of which any entry was seen."""
         return {
             domain
             for domain in self._membership.domains(self._own.region)
@@ -158,7 +179,7 @@
         }
 
     def _far(self) -> set[str]:
-        """Return the other regions that were ever heard from."""
+        """Return the other regions of which any entry was seen."""
         return {
             region
             for region in self._membership.other_regions()
@@ -166,9 +187,9 @@
             if self._membership.last_seen(domain)
         }
 
-    def tell(self, own: Use, lived_s: float, now: float) -> UseSummary:
-        """Return what an aggregator's digests of a round tell."""
-        sums = self._merger.sums(own, self._unheard(lived_s, now), now)
+    def summary(self, own: Use, uptime_s: float, now: float) -> UseSummary:
+        """Return the use for an aggregator's digests of a round."""
+        sums = self._merger.sums(own, self._unreported_parts(uptime_s, now), now)
         part = LEAST_PART_REPORTED // len(self._membership.all_domains())
         by_scope = {
             DigestScope.DOMAIN: self._lists.serialize(sums.domain, part),
--- a/leverdoor/entry/exchange/use_lists.py
+++ b/leverdoor/entry/exchange/use_lists.py
@@ -1,9 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How messages tell the use of workspaces: pairs of place and count, if it matters.
+"""Use of workspaces in messages: pairs of place and count, as far as they matter.
 
-A place refers to the sorted names of the workspaces that have a quota; both sides
-need the same list, which a hash of it shows.
+A place is the index in the sorted names of the workspaces that have a quota. Both
+sides need the same list of names, which a hash of it shows; use by a list that is not
+known is dropped.
+
+Owns the lists of the newest configurations, lost with the process and made again from
+the next one.
 """
 
 import struct
@@ -19,21 +23,28 @@
 """Requests in the window of quotas, by workspace."""
 
 HEAD = struct.Struct("<IB")
-"""Hash of the list, and the percentage of a quota below which its use is left out."""
+"""Hash of the list; percentage of a quota below which its use is left out."""
 PAIR = struct.Struct("<HH")
-"""Place of a workspace and its requests."""
+"""Place of a workspace, and its requests."""
 MOST_COUNTED = 65_535
-"""Greatest count, and greatest place, that a pair tells."""
+"""Greatest count, and greatest place, that a pair holds."""
 FEW_PAIRS = 300
-"""Pairs up to which all are told: 1.2 kB, a packet."""
+"""Pairs up to which none is left out; chosen: 1.2 kB, which fit one packet."""
 MOST_PAIRS = 2_000
-"""Pairs of a message at most, those with the greatest part of their quota: 8 kB."""
+"""Pairs of a message at most: those with the greatest part of their quota.
+
+Chosen: 8 kB. Fewer, and quotas that are nearly used up are left out; more, and large
+datagrams are lost more often.
+"""
 KEPT_LISTS = 4
-"""Lists kept for messages of entries that have not yet, or already, a change."""
+"""Lists kept for messages of entries that have not yet, or already, taken a change.
+
+Chosen: a few changes in a row. Fewer, and use is dropped while changes spread.
+"""
 
 
 class UseLists:
-    """The names of the workspaces with quotas, in the order in which use is told."""
+    """The names of the workspaces with quotas, in the order of their places."""
 
     def __init__(self) -> None:
         """Create it without any workspace."""
@@ -46,7 +57,7 @@
         """Take the workspaces with quotas of a new configuration.
 
         Args:
-          planned: for each, the requests of a window that are planned with.
+          planned: for each, the planned requests of a window.
         """
         names = tuple(sorted(planned))
         self._planned = planned
@@ -81,6 +92,7 @@
         return HEAD.pack(self._hash, least_percent) + data
 
     def _tightest(self, pairs: list[tuple[int, int]]) -> list[tuple[int, int]]:
+        """Return the pairs with the greatest parts of their quotas."""
         names = self._recent[self._hash]
         pairs.sort(key=lambda pair: -pair[1] / self._planned[names[pair[0]]])
         return pairs[:MOST_PAIRS]
--- a/leverdoor/entry/exchange/views.py
+++ b/leverdoor/entry/exchange/views.py
@@ -1,33 +1,44 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What digests tell of who is there: rows of entries by hash, and their ages.
+"""Views of failure domains in digests: which entries there are, and how old their news.
 
-Rows change seldom, ages in each round; so rows are sent when they changed and now
-and then, and ages, a byte each, refer to them by their hash.
+Rows (incarnation and state) change seldom, ages in each round. So rows are sent when
+they changed and in turn, and ages, a byte each, refer to rows by their hash.
+
+Owns the rows received lately and since when the own rows are unchanged, both lost with
+the process. Relies on `Membership` for the records, which it reads and updates.
 """
 
 from collections import OrderedDict
 from collections.abc import Callable
 
-from leverdoor.entry.exchange.messages import (
+from leverdoor.entry.exchange.encoding import (
     AGE_STEP_S,
     OLDEST_STEPS,
-    DomainView,
     parse_rows,
     rows_hash,
     serialize_ages,
     serialize_rows,
 )
+from leverdoor.entry.exchange.messages import DomainView
 from leverdoor.entry.membership.member import EntryState, MemberRow, member_id
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import LastSeen
 
 __all__ = ["Views"]
 
-ROWS_REPEAT_S = 0.7
-"""How long changed rows are repeated in digests: three rounds, some may be lost."""
+ROWS_RESENT_S = 0.7
+"""How long changed rows are sent again in digests, in seconds.
+
+Chosen: three rounds, since some may be lost. Shorter, a receiver that misses them
+cannot use the ages until the domain's turn; longer costs 13 bytes an entry a round.
+"""
 KEPT_ROWS = 512
-"""Serialized rows kept by hash; some for each of the aim's 56 failure domains."""
+"""Rows kept by hash.
+
+Chosen: some versions for each of the 56 failure domains that leverdoor is built for.
+Fewer than there are failure domains, and ages of some are dropped.
+"""
 
 
 class Views:
@@ -39,12 +50,15 @@
         self._own = membership.own
         self._own_id = member_id(self._own.name)
         self._rows: OrderedDict[int, list[MemberRow]] = OrderedDict()
-        """Rows heard of, by their hash."""
+        """Rows received, by their hash."""
         self._changes: dict[str, tuple[int, float]] = {}
         """By failure domain, the hash of its rows here and since when it holds."""
 
     def take(self, view: DomainView, now: float) -> None:
-        """Take when a failure domain's entries were last heard."""
+        """Update the records of a failure domain's entries.
+
+        Ages whose rows are not known, or that say `OLDEST_STEPS`, are left out.
+        """
         if view.rows:
             self._rows[rows_hash(view.rows)] = parse_rows(view.rows)
         rows = self._rows.get(view.hash)
@@ -59,9 +73,9 @@
                 self._membership.observe(LastSeen(row, at), now)
 
     def own_seq(self, views: list[DomainView]) -> int:
-        """Return which of the own heartbeats views counted, modulo 256.
+        """Return the number of the own heartbeat that views rest on, modulo 256.
 
-        Returns: its number; -1 if they do not tell.
+        Returns: -1 if they do not have it.
         """
         for view in views:
             if view.seqs and view.domain == self._own.domain:
@@ -106,7 +120,7 @@
         before = self._changes.get(domain)
         if before is None or before[0] != key:
             before = self._changes[domain] = (key, now)
-        if now - before[1] <= ROWS_REPEAT_S:
+        if now - before[1] <= ROWS_RESENT_S:
             return True
         domains = self._membership.all_domains()
         return domains[turn % len(domains)] == domain
--- a/leverdoor/entry/exchange/warm_news.py
+++ b/leverdoor/entry/exchange/warm_news.py
@@ -1,24 +1,39 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""News of warm keys that an aggregator passes on within its region."""
+"""News of warm keys, which an aggregator passes on within its region.
+
+News are the 32-bit hashes of `SharedWarmth`, of keys that other targets than their
+first answered lately and may have in their caches.
+
+Owns the news of the last moments, lost with the process: entries then find keys cold
+that are warm. Relies on the caller for the time.
+"""
 
 from collections import OrderedDict, deque
 from collections.abc import Iterable
 
 __all__ = ["WarmNews"]
 
-REPEAT_S = 0.5
-"""How long news of a warm key are repeated; two rounds and a half."""
+RESENT_S = 0.5
+"""How long news of a warm key are sent again, in seconds.
+
+Chosen: two rounds and a half, since a digest may be lost. Longer costs 4 bytes a key
+in each further round.
+"""
 SPACING_S = 1.0
-"""Time within which the same news are passed on once."""
+"""Time within which the same news are passed on once, in seconds.
+
+Chosen: twice `RESENT_S`. Heartbeats and digests carry the same news for several rounds;
+shorter than that, each copy would start the news again.
+"""
 MOST_SENT = 128
-"""News in one digest at most: 512 bytes."""
+"""News in one digest at most: 512 bytes; chosen, a third of a packet."""
 MOST_SEEN = 4_096
-"""News remembered as passed on; 32 digests full of them."""
+"""News remembered as passed on; chosen: 32 digests full of them bound the memory."""
 
 
 class WarmNews:
-    """News of warm keys, as digests of `SharedWarmth`, from the domain and beyond."""
+    """News of warm keys, from the failure domain and from the rest of the region."""
 
     def __init__(self) -> None:
         """Create it without any."""
@@ -27,36 +42,36 @@
         self._seen: OrderedDict[int, float] = OrderedDict()
 
     def take_from_domain(self, news: Iterable[int], now: float) -> None:
-        """Take what an entry of the own failure domain told."""
+        """Take news of an entry of the own failure domain."""
         self._take(news, self._domain, now)
 
     def take_from_region(self, news: Iterable[int], now: float) -> None:
-        """Take what another failure domain's aggregator told."""
+        """Take news of another failure domain's aggregator."""
         self._take(news, self._region, now)
 
     def _take(
         self, news: Iterable[int], into: deque[tuple[float, int]], now: float
     ) -> None:
-        for digest in news:
-            if now - self._seen.get(digest, -SPACING_S) >= SPACING_S:
-                into.append((now, digest))
-                self._seen[digest] = now
-                self._seen.move_to_end(digest)
+        for key in news:
+            if now - self._seen.get(key, -SPACING_S) >= SPACING_S:
+                into.append((now, key))
+                self._seen[key] = now
+                self._seen.move_to_end(key)
         while len(self._seen) > MOST_SEEN:
             self._seen.popitem(last=False)
 
     def for_region(self, own: Iterable[int], now: float) -> list[int]:
-        """Return what to tell the region's other aggregators; `own`: this entry's."""
+        """Return the news for the region's other aggregators; `own`: this entry's."""
         return _recent(own, self._domain, now)
 
     def for_domain(self, own: Iterable[int], now: float) -> list[int]:
-        """Return what to tell the own failure domain; `own` is this entry's."""
+        """Return the news for the own failure domain; `own` is this entry's."""
         return _recent(own, [*self._domain, *self._region], now)
 
 
 def _recent(
-    own: Iterable[int], heard: Iterable[tuple[float, int]], now: float
+    own: Iterable[int], received: Iterable[tuple[float, int]], now: float
 ) -> list[int]:
-    """Return the newest news without repeats."""
-    found = [digest for at, digest in heard if now - at <= REPEAT_S]
+    """Return the newest news, each once."""
+    found = [key for at, key in received if now - at <= RESENT_S]
     return list(dict.fromkeys([*own, *found]))[-MOST_SENT:]
--- a/tests/test_entry_digests.py
+++ b/tests/test_entry_digests.py
@@ -6,11 +6,16 @@
 from hypothesis import strategies as st
 
 from leverdoor.codec import pack, unpack
-from leverdoor.entry.exchange.messages import (
+from leverdoor.entry.exchange.encoding import (
     AGE_STEP_S,
-    KEPT_LISTS,
-    MOST_COUNTED,
     OLDEST_STEPS,
+    parse_ids,
+    parse_rows,
+    serialize_ages,
+    serialize_ids,
+    serialize_rows,
+)
+from leverdoor.entry.exchange.messages import (
     Digest,
     DigestScope,
     DomainView,
@@ -18,12 +23,11 @@
     Message,
     News,
     RegionCounts,
+)
+from leverdoor.entry.exchange.target_counts import (
+    KEPT_LISTS,
+    MOST_COUNTED,
     TargetLists,
-    parse_ids,
-    parse_rows,
-    serialize_ages,
-    serialize_ids,
-    serialize_rows,
 )
 from leverdoor.entry.membership.member import SERVING, Member, MemberRow
 
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -219,7 +219,7 @@
     s = Entries(site(["a1", "a2"], 6))
     s.round(6)
     s.report("a1-4", state=LEAVING)
-    s.send("a1-4", s.exchanges["a1-4"].say_goodbye(s.reports["a1-4"]))
+    s.send("a1-4", s.exchanges["a1-4"].announce_leave(s.reports["a1-4"]))
     for name in ("a1-0", "a1-5", "a2-5"):
         named = s.naming[name].addresses("a", "a1", SERVING, s.now)
         assert "f/a1-4" not in named
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -29,7 +29,8 @@
 from leverdoor.client.operator import Operator
 from leverdoor.codec import pack, parse_json, serialize_json, unpack
 from leverdoor.entry.admin import AdminServer
-from leverdoor.entry.exchange import messages
+from leverdoor.entry.exchange import encoding, messages
+from leverdoor.entry.exchange.target_counts import TargetLists
 from leverdoor.entry.exchange.use_lists import UseLists
 from leverdoor.entry.membership.member import link_rank, member_id
 from leverdoor.entry.metrics import EntryMetrics
@@ -389,21 +390,21 @@
         b"\x04\x03\x02\x01\x01@\x1e\x18$\x0a\x06\x00\x01"
         b"\xfe\xff\xff\xff\x02@\x1e\x18$\x0a\x06\x00\x02"
     )
-    assert messages.serialize_rows(samples.ROWS) == data
-    assert messages.parse_rows(data) == samples.ROWS
-    assert messages.rows_hash(data) == 1953574800
+    assert encoding.serialize_rows(samples.ROWS) == data
+    assert encoding.parse_rows(data) == samples.ROWS
+    assert encoding.rows_hash(data) == 1953574800
 
 
 def test_ages_of_entries() -> None:
     """In steps of 20 ms, rounded up."""
-    assert messages.serialize_ages(samples.AGES_S) == b"\x00\x022\xff"
-    assert messages.AGE_STEP_S == 0.02
+    assert encoding.serialize_ages(samples.AGES_S) == b"\x00\x022\xff"
+    assert encoding.AGE_STEP_S == 0.02
 
 
 def test_ids() -> None:
     data = b"\x01\x00\x00\x00\x04\x03\x02\x01\xfe\xff\xff\xff"
-    assert messages.serialize_ids(samples.IDS) == data
-    assert messages.parse_ids(data) == samples.IDS
+    assert encoding.serialize_ids(samples.IDS) == data
+    assert encoding.parse_ids(data) == samples.IDS
 
 
 def test_identity_and_order_of_entries() -> None:
@@ -413,7 +414,7 @@
 
 def test_counts_of_a_region() -> None:
     """One byte a target, by name; 255 is the most."""
-    lists = messages.TargetLists()
+    lists = TargetLists()
     lists.renew(samples.REGION_TARGETS)
     counts = messages.RegionCounts("siliguri", 3305339154, b"\x03\xff\x00")
     assert lists.serialize("siliguri", samples.REGION_COUNTS) == counts
