--- a/leverdoor/agent/link.py
+++ b/leverdoor/agent/link.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The link between a VM's gate and its agent: typed messages over ZeroMQ."""
+"""The link between a VM's gate and its agent: typed messages over ZeroMQ.
+
+The gate sends a `GateReport` ten times a second; the agent answers with deltas of the
+configuration and with `Hints`. Owns the socket of either end. Relies on nothing: a
+message that can't be sent is dropped, and the next report or hint replaces it.
+"""
 
 from typing import TypeAlias
 
@@ -18,11 +23,18 @@
 __all__ = ["AgentLink", "FromAgent", "GateLink", "GateReport", "Hints"]
 
 HIGH_WATER = 1_000
-"""Messages queued on the link before new ones are dropped; chosen."""
+"""Messages queued on the link before new ones are dropped.
+
+Chosen: 100 s of reports. Older ones are worthless, so a longer queue gains nothing.
+"""
 
 
 class GateReport(msgspec.Struct, frozen=True, tag=True):
-    """What a gate tells its agent, several times a second."""
+    """State of a gate, ten times a second.
+
+    `loads` is its load by service, `caps` its free units by row of a shift cap, `held`
+    its rows of slots, `draining` the requests in flight by target that is drained.
+    """
 
     gate: str
     relay: str
@@ -37,7 +49,13 @@
 
 
 class Hints(msgspec.Struct, frozen=True, tag=True):
-    """What an agent tells its gate of other gates and of targets."""
+    """What a gate uses beside the configuration; any of it may be late or missing.
+
+    `heartbeats` are those new since the last hints, with the loads of other gates;
+    `probes` the targets' own reports by address. `incarnation_floor` is the latest
+    incarnation that the ownership table has at the gate's address, if it is later than
+    the gate's own.
+    """
 
     heartbeats: list[AgentHeartbeat]
     leaving_vms: list[str]
--- a/leverdoor/agent/probing.py
+++ b/leverdoor/agent/probing.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Asks targets for their own reports."""
+"""Probes targets for their own reports.
+
+Owns its connections. A target without the report counts as reachable; one that doesn't
+answer in time as failed, and its gate ejects it.
+"""
 
 import asyncio
 from collections.abc import Iterable
@@ -13,14 +17,18 @@
 __all__ = ["Prober", "TargetReport"]
 
 PROBE_TIMEOUT_S = 1.0
-"""Longest time for a report of a target, in seconds; chosen, not measured."""
+"""Longest time for a report of a target, in seconds.
+
+Chosen as the interval of probes: a longer one lets probes pile up, a shorter one takes
+a busy target for a dead one.
+"""
 PROBE_PATH = "/.leverdoor/report"
 CONNECTIONS = 16
-"""Probes under way at once; chosen, not measured."""
+"""Probes under way at once; chosen, keeps the agent's bursts short."""
 
 
 class TargetReport(msgspec.Struct):
-    """What a target says of itself at PROBE_PATH, as JSON."""
+    """A target's own report at PROBE_PATH, as JSON; `in_flight` is all its requests."""
 
     in_flight: int = 0
     leaving: bool = False
--- a/leverdoor/gate/daemon.py
+++ b/leverdoor/gate/daemon.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The gate daemon: the data path of one entry VM."""
+"""The gate daemon: the data path of one VM of a plain site.
+
+Owns the parts of the gate and their wiring, its incarnation and its last snapshot of
+the configuration; all is lost with the process. Relies on its agent for configuration
+and hints: without it the gate serves on from the last ones. Never calls the store.
+"""
 
 import asyncio
 import secrets
@@ -31,11 +36,15 @@
 __all__ = ["Gate"]
 
 REPORT_INTERVAL_S = 0.1
-"""Seconds between two reports of a gate to its agent; chosen."""
+"""Seconds between two reports of a gate to its agent.
+
+Chosen: half the interval of heartbeats, so that each carries a report that is not
+older than that. More often costs both processes time and changes little.
+"""
 STOP_POLL_S = 0.05
-"""Seconds between two looks at what is in flight; chosen."""
+"""Seconds between two looks at the requests in flight at a stop; chosen, short."""
 CLOSE_TIMEOUT_S = 1.0
-"""Longest time that closing may take, in seconds; chosen."""
+"""Longest time that closing the servers may take, in seconds; all is drained then."""
 
 
 class Gate:
@@ -49,7 +58,7 @@
         self._runners: list[web.AppRunner] = []
 
     def stop(self) -> None:
-        """Ask the gate to leave: finish all in flight, then end."""
+        """Begin to leave: finish all in flight, then end."""
         self._stop.set()
 
     async def run(self) -> None:
@@ -131,7 +140,7 @@
     # The link to the agent.
 
     async def _report(self) -> None:
-        """Tell the agent what this gate holds and how it fares."""
+        """Report this gate's state, load and acknowledgement to the agent."""
         loop = asyncio.get_running_loop()
         s = self._settings
         while True:
@@ -167,6 +176,7 @@
             self._dispatcher.kick()
 
     def _take_delta(self, delta: Delta) -> None:
+        """Put a change of configuration or ownership into force; serve from then on."""
         if not self._state.apply(delta):
             return
         now = asyncio.get_running_loop().time()
@@ -181,6 +191,7 @@
             logger.info("gate ready", revision=self._state.revision)
 
     def _take_hints(self, hints: Hints) -> None:
+        """Take what is no part of the configuration: load, VMs that leave, probes."""
         now = asyncio.get_running_loop().time()
         self._scheduler.neighbours.receive(hints.heartbeats, now)
         self._scheduler.pool.leaving_vms = frozenset(hints.leaving_vms)
@@ -202,7 +213,7 @@
     # Leaving.
 
     async def _leave(self) -> None:
-        """Stop being named, serve cached answers for a while, finish, end.
+        """Stop being named, serve cached look-ups for a while, finish, end.
 
         The addresses stay bound to the end: that another process can bind
         them is taken as proof that this one has nothing in flight.
--- a/leverdoor/gate/holdings.py
+++ b/leverdoor/gate/holdings.py
@@ -1,6 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A gate's own units: exact counting of what the ownership table grants it."""
+"""A gate's own units: exact counting of what the ownership table grants it.
+
+Owns the units in use, ripening and cooling of this process, by row; a new process
+starts without any, under a new incarnation. With `membership/ownership.py` it is the
+safety argument of docs/DESIGN.md: this side ripens, cools and acknowledges. Relies on
+the table alone, never on heartbeats.
+"""
 
 import heapq
 from collections.abc import Mapping
@@ -67,11 +73,6 @@
         if cool_s > 0:
             heapq.heappush(self._cooling, now + cool_s)
 
-    def next_change(self) -> float | None:
-        """Earliest time at which a unit ripens or has cooled."""
-        times = [ready for ready, _ in self._ripening] + self._cooling[:1]
-        return min(times, default=None)
-
 
 class Holdings:
     """All units of one process, by row."""
@@ -81,7 +82,7 @@
 
         Args:
           gate: the process's address in the table.
-          incarnation: tells it from earlier processes at that address.
+          incarnation: distinguishes it from earlier processes there.
         """
         self.gate = gate
         self.incarnation = incarnation
@@ -140,11 +141,6 @@
         self._forget(now)
 
     def ack(self, now: float) -> Ack:
-        """Say which table is applied and on which rows too much is still used."""
+        """Return which table is applied, and the rows on which too much is in use."""
         over = sorted(n for n, u in self.rows.items() if u.used(now) > u.held)
         return Ack(self.version, over)
-
-    def next_change(self) -> float | None:
-        """Earliest time at which a unit becomes free by itself."""
-        times = [u.next_change() for u in self.rows.values()]
-        return min((t for t in times if t is not None), default=None)
--- a/leverdoor/gate/keyed.py
+++ b/leverdoor/gate/keyed.py
@@ -156,7 +156,7 @@
 
 
 def _failed(e: Refusal) -> Outcome:
-    """Keep a refusal as an outcome, so that a repeat gets the same answer."""
+    """Keep a refusal as an outcome, so that a retry gets the same answer."""
     body = msgspec.json.encode(e.problem())
     head = [("Content-Type", "application/json"), (h.RUN, e.run.value)]
     return Outcome(502, head, body, e.code)
--- a/leverdoor/gate/keys.py
+++ b/leverdoor/gate/keys.py
@@ -5,6 +5,8 @@
 A key is good only at the process that issued it, so one memory decides
 whether the request ran: no clock, store or hand-over is involved. When that
 process is gone the key can never run again, and whether it ran is not known.
+
+Owns the secret that signs keys and the outcomes; both are lost with the process.
 """
 
 import base64
@@ -20,11 +22,15 @@
 __all__ = ["Key", "KeyRing", "KeyState", "Outcome", "parse_key", "serialize_key"]
 
 KEY_TTL_S = 900.0
-"""Life of a key in seconds; docs/API.md promises 15 minutes."""
+"""How long a key can be used, in seconds; docs/API.md promises 15 minutes."""
 KEPT_BODY_BYTES = 64 * 1024
-"""Longest answer kept for a repeat, in bytes; docs/ERRORS.md says so."""
+"""Longest answer kept for a retry with its key, in bytes; docs/ERRORS.md says so."""
 KEPT_TOTAL_BYTES = 32 * 1024 * 1024
-"""Bytes of all kept answers; chosen, not measured."""
+"""Most bytes of all kept answers.
+
+Chosen: bounds the memory of a gate; when it is full a retry gets ALREADY_RAN in place
+of the answer.
+"""
 MAC_BYTES = 12
 """Bytes of a key's check; a guess succeeds once in 2**96."""
 
@@ -50,7 +56,7 @@
 
 
 class KeyState(Enum):
-    """Where a key stands."""
+    """Whether the request of a key has run."""
 
     NEW = "new"
     RUNNING = "running"
@@ -91,7 +97,7 @@
         Args:
           vm: this VM.
           relay: address at which other gates reach this process.
-          incarnation: tells it from earlier processes at that address.
+          incarnation: distinguishes it from earlier processes there.
           secret: random bytes that never leave the process.
           started: monotonic time in seconds.
         """
@@ -132,9 +138,9 @@
         return same and key.incarnation < self.incarnation
 
     def begin(self, key: Key, now: float) -> KeyState:
-        """Ask to run the request of a key.
+        """Begin the run of a key, if it may run.
 
-        Returns: NEW if it may run, now and only now; else where it stands.
+        Returns: NEW if it may run, now and only now; else its state.
         Raises:
           Refusal: KEY_INVALID or KEY_EXPIRED.
         """
--- a/leverdoor/gate/lookups.py
+++ b/leverdoor/gate/lookups.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Look-ups: which gates a caller is told to use, and its idempotency key.
+"""Look-ups: which gates a caller should use, and for how long.
 
 Owns no state. Relies on the scheduler for this gate's own load and for the heartbeats
-of the others (silent and leaving ones are left out there), and on `keys.py` for keys.
+of the others: silent and leaving ones are left out there.
 """
 
 import msgspec
--- a/leverdoor/gate/neighbours.py
+++ b/leverdoor/gate/neighbours.py
@@ -1,6 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What one gate knows of the other gates' room, from hints that may be old."""
+"""What one gate knows of the load of the other gates, and which of them it uses.
+
+Owns the last heartbeat of each gate, less what was sent there since; it starts empty
+with the process and is filled within some hints. Relies on the agent's hints: the
+heartbeats in them are 0.1 s old and more, so what they say is an estimate, and a gate
+that has no free slot after all refuses.
+"""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -8,14 +14,27 @@
 import msgspec
 
 from leverdoor.gate.target_health import ASSUMED_MS
+from leverdoor.gate.workload import queue_wait_ms
 from leverdoor.membership.peers import AgentHeartbeat, GateState, Peer
 
 __all__ = ["Neighbour", "Neighbours", "RegionLoad"]
 
 PEER_BACKOFF_S = 1.0
-"""How long a gate that failed is not forwarded to, in seconds; chosen."""
+"""How long a gate that failed is not forwarded to, in seconds.
+
+Chosen: five heartbeats. A longer time leaves its slots idle after one lost connection;
+a shorter one costs more attempts while it is dead and not yet silent.
+"""
 FORWARD_MARGIN_MS = 2.0
-"""What forwarding must save in ms to be worth its hop: two hops of 1 ms."""
+"""What forwarding to a shorter queue must save, in ms: two hops of 1 ms.
+
+A smaller margin forwards for nothing; a greater one leaves queues uneven.
+"""
+CHOICES = 2
+"""Gates drawn at random, of which the better is used.
+
+Chosen: the best of all would draw every gate to the same one until its next heartbeat.
+"""
 
 
 class RegionLoad(msgspec.Struct, frozen=True):
@@ -28,7 +47,10 @@
 
 
 class Neighbour(msgspec.Struct):
-    """Another gate's room, less what was sent there since it was told."""
+    """Another gate, and its load less what was sent there since its last heartbeat.
+
+    `free` and `sent` count slots and requests by service, `caps` free cap units by row.
+    """
 
     peer: Peer
     free: dict[str, int] = {}
@@ -53,7 +75,8 @@
         if load is None or not load.held:
             return None
         queued = load.waiting - load.free + self.sent.get(service, 0) + 1
-        return max(queued, 0) * (load.mean_ms or ASSUMED_MS) / load.held
+        mean_ms = load.mean_ms or ASSUMED_MS
+        return queue_wait_ms(max(queued, 0), mean_ms, load.held)
 
 
 class Neighbours:
@@ -64,7 +87,7 @@
 
         Args:
           vm: this VM, whose own heartbeats are left out.
-          leaving: says whether a VM leaves.
+          leaving: returns whether a VM leaves.
           rng: where all chance comes from.
         """
         self._vm = vm
@@ -73,7 +96,7 @@
         self._known: dict[str, Neighbour] = {}
 
     def receive(self, heartbeats: Iterable[AgentHeartbeat], now: float) -> None:
-        """Take hints that are newer than those known."""
+        """Take heartbeats that are newer than those known."""
         for heartbeat in heartbeats:
             if heartbeat.vm == self._vm or not heartbeat.gate:
                 continue
@@ -94,17 +117,21 @@
         return found.heartbeat if found else None
 
     def lost(self, vm: str, now: float) -> None:
-        """Leave a gate alone for a while after a failed connection."""
+        """Forward nothing to a gate for PEER_BACKOFF_S after a failed connection."""
         if vm in self._known:
             self._known[vm].out_until = now + PEER_BACKOFF_S
 
     def refused(self, vm: str, service: str) -> None:
-        """Take a gate's refusal as word that it has no room."""
+        """Assume no free slot at a gate that refused, until its next heartbeat."""
         if vm in self._known:
             self._known[vm].free[service] = 0
 
     def usable(self, now: float, region: str = "") -> list[Neighbour]:
-        """Gates that can be used now, of one region or of all."""
+        """Return the gates that can be used now, of one region or of all.
+
+        They are serving, not silent, not on a VM that leaves, and had no failed
+        connection lately.
+        """
         return [
             n
             for n in self._known.values()
@@ -116,7 +143,7 @@
         ]
 
     def load(self, service: str, region: str, now: float) -> RegionLoad:
-        """Add up what the gates of a region say."""
+        """Add up the loads of the other gates of a region."""
         loads = [
             n.heartbeat.loads[service]
             for n in self.usable(now, region)
@@ -129,13 +156,13 @@
             len(loads),
         )
 
-    def with_room(
+    def with_free_slot(
         self, service: str, region: str, cap: str, now: float
     ) -> Neighbour | None:
         """Choose a gate with a free slot: the better of two at random.
 
         Args:
-          service: the service asked for.
+          service: the service called.
           region: where to look.
           cap: the row of a shift cap of which a unit must be free, or "".
           now: monotonic time in seconds.
@@ -147,7 +174,7 @@
         ]
         if not found:
             return None
-        picked = self._rng.sample(found, min(2, len(found)))
+        picked = self._rng.sample(found, min(CHOICES, len(found)))
         best = max(picked, key=lambda n: n.free[service])
         best.free[service] -= 1
         if cap:
@@ -159,8 +186,8 @@
     ) -> Neighbour | None:
         """Choose a gate where the wait is shorter than here by more than the hop.
 
-        A slot is free for a shorter time than a hint is old, so under load the
-        lengths of queues say more than free slots do.
+        Under load a slot is free for a shorter time than a heartbeat is old, so
+        the lengths of queues say more than free slots do.
         """
         found = [
             (wait_ms, n)
@@ -169,7 +196,7 @@
         ]
         if not found:
             return None
-        picked = self._rng.sample(found, min(2, len(found)))
+        picked = self._rng.sample(found, min(CHOICES, len(found)))
         wait_ms, best = min(picked, key=lambda f: f[0])
         if wait_ms + FORWARD_MARGIN_MS >= own_ms:
             return None
--- a/leverdoor/gate/placement.py
+++ b/leverdoor/gate/placement.py
@@ -210,7 +210,7 @@
         cap = ""
         if region != request.home and (request.service, region) in self._view.caps:
             cap = cap_row(request.service, region)
-        found = self._neighbours.with_room(request.service, region, cap, now)
+        found = self._neighbours.with_free_slot(request.service, region, cap, now)
         return _forward_to(found, region)
 
     def to_shorter_queue(self, request: QueuedRequest, now: float) -> Forward | None:
--- a/leverdoor/gate/pool.py
+++ b/leverdoor/gate/pool.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The targets of which one gate holds slots, and the room at each."""
+"""The targets of which one gate holds slots: which is free, which is best.
+
+Owns the health of targets (`target_health.py`) and a list of held targets by service,
+computed again when the table or the configuration changes. Relies on the holdings for
+units (exact) and on the agent for VMs that leave.
+"""
 
 from collections.abc import Collection
 from random import Random
@@ -14,11 +19,15 @@
 __all__ = ["TargetPool"]
 
 JITTER = 0.1
-"""Random part of a target's order, so that gates do not choose alike; chosen."""
+"""Random part of a target's score.
+
+Chosen: without it gates with the same reports send to the same target; a greater one
+hides differences of latency that are real.
+"""
 
 
 class TargetPool:
-    """Targets of this gate's region, by what it holds and believes of them."""
+    """Targets of this gate's region, by units held and health."""
 
     def __init__(self, region: str, holdings: Holdings, view: View) -> None:
         """Create it.
@@ -58,8 +67,8 @@
         """Return whether a target takes new work now."""
         return self.in_service(target) and self.health.of(target, now).usable(now)
 
-    def room(self, target: Target, now: float) -> int:
-        """Slots of a target that can be taken now, fewer while it warms up."""
+    def free_at(self, target: Target, now: float) -> int:
+        """Return how many slots of a target can be taken now; fewer in slow start."""
         row = slot_row(target.address)
         free = self._holdings.free(row, now)
         if free <= 0 or not target.warmup_ms:
@@ -72,11 +81,11 @@
     def best(
         self, service: str, tried: Collection[str], rng: Random, now: float
     ) -> Target | None:
-        """Choose the target with room that promises the least latency."""
+        """Choose the target of least expected latency that has a free slot."""
         best: Target | None = None
         best_score = 0.0
         for t in self.targets(service):
-            if t.address in tried or not self.open(t, now) or self.room(t, now) <= 0:
+            if t.address in tried or not self.open(t, now) or self.free_at(t, now) <= 0:
                 continue
             score = self.health.of(t, now).score(now) * (1 + JITTER * rng.random())
             if best is None or score < best_score:
@@ -94,13 +103,13 @@
     def free(self, service: str, now: float) -> int:
         """Slots that can be taken now."""
         return sum(
-            max(self.room(t, now), 0)
+            max(self.free_at(t, now), 0)
             for t in self.targets(service)
             if self.open(t, now)
         )
 
     def slots_in_service(self, service: str) -> int:
-        """Slots held, of targets that are out for a moment too."""
+        """Slots held, also of targets that are ejected for the moment."""
         return sum(
             self._holdings.held(slot_row(t.address))
             for t in self.targets(service)
@@ -108,7 +117,7 @@
         )
 
     def pause_ms(self, service: str, now: float) -> float:
-        """Time until the first target that is out for a moment is back."""
+        """Return the time until the first ejection of a target here ends, in ms."""
         pauses = [
             self.health.of(t, now).out_until - now
             for t in self.targets(service)
--- a/leverdoor/gate/ramp.py
+++ b/leverdoor/gate/ramp.py
@@ -1,13 +1,21 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How much of a shift cap may be used, rising with use and falling without."""
+"""The ramp of a shift cap: how much of it may be used, rising with use.
+
+Owns the level of one cap and the use of the present window; both start anew with the
+process, since the caches it protects are as likely to be cold then.
+"""
 
 import math
 
 __all__ = ["Ramp"]
 
 USED_ENOUGH = 0.5
-"""Use of a ramp's step from which on it rises; chosen."""
+"""Part of what was allowed that a window must use for the level to rise.
+
+Chosen: half. A smaller part raises the level before the receiving caches are warm; a
+greater one keeps it low when requests come unevenly.
+"""
 
 
 class Ramp:
--- a/leverdoor/gate/refusals.py
+++ b/leverdoor/gate/refusals.py
@@ -23,7 +23,7 @@
 NO_TARGET_RETRY_MS = 1_000.0
 """Least wait that a NO_TARGET answer assumes, in ms, before its random part.
 
-Chosen: drains and leaving VMs end in seconds, and no slot tells when; a smaller one
+Chosen: drains and leaving VMs end in seconds, and nothing says when; a smaller one
 brings all callers back for nothing.
 """
 CAP_WINDOW_SHARE = 0.25
--- a/leverdoor/gate/relay.py
+++ b/leverdoor/gate/relay.py
@@ -125,7 +125,7 @@
 
     @property
     def delimited(self) -> bool:
-        """Return whether the end of the body can be told from a cut."""
+        """Return whether the end of the body can be distinguished from a cut."""
         head = self._response.headers
         bodyless = self.status in (204, 304) or self._response.method == "HEAD"
         return bodyless or "Content-Length" in head or "Transfer-Encoding" in head
@@ -162,7 +162,7 @@
 
 
 class HopClient:
-    """Sends hops; it never repeats one by itself."""
+    """Sends hops; it never retries one by itself."""
 
     def __init__(self) -> None:
         """Create the client; must be called on the loop."""
--- a/leverdoor/gate/shifts.py
+++ b/leverdoor/gate/shifts.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Shift caps as one gate keeps them: units for foreign work, within a ramp."""
+"""Shift caps as one gate keeps them: units for requests of other regions, in a ramp.
+
+Owns the ramps of the caps into this region. Relies on the holdings for units: a unit
+stays counted for a window after its request ended.
+"""
 
 import math
 
@@ -13,7 +17,7 @@
 
 
 class ShiftLimiter:
-    """Takes and gives back cap units of work from other regions."""
+    """Takes and gives back the cap units of requests from other regions."""
 
     def __init__(self, region: str, holdings: Holdings) -> None:
         """Create it.
@@ -27,7 +31,7 @@
         self._ramps: dict[str, Ramp] = {}
 
     def take(self, view: View, service: str, now: float) -> str | None:
-        """Take a unit for one foreign request.
+        """Take a unit for one request of another region.
 
         Returns: the row that it is of, "" if no cap binds the service here, or
           None if there is no unit.
