--- a/leverdoor/emulator/clock.py
+++ b/leverdoor/emulator/clock.py
@@ -5,22 +5,23 @@
 import heapq
 from collections.abc import Callable
 
-__all__ = ["Clock"]
+__all__ = ["EmulatedClock"]
 
 
-class Clock:
-    """Runs what is due, in order of time and then of asking."""
+class EmulatedClock:
+    """Runs what is due, in order of time and then of planning."""
 
     def __init__(self) -> None:
         """Create it at zero."""
         self.now = 0.0
         self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self._asked = 0
+        self._planned = 0
+        """How many events were planned, which orders those of one time."""
 
     def at(self, when: float, act: Callable[[], None]) -> None:
         """Let something happen at a time, in seconds."""
-        self._asked += 1
-        heapq.heappush(self._due, (max(when, self.now), self._asked, act))
+        self._planned += 1
+        heapq.heappush(self._due, (max(when, self.now), self._planned, act))
 
     def after(self, delay_s: float, act: Callable[[], None]) -> None:
         """Let something happen after a time, in seconds."""
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Emulated entries: the product's own decisions, heartbeats and budgets."""
+"""Emulated entries: the product's own decisions, heartbeats and retry budgets.
+
+State: each entry's membership, fleet, policy and budget, all lost when it restarts;
+counts of its retries and bytes, kept over restarts for the result. Relies on the
+product's own modules for every decision, and on the run's clock.
+"""
 
 from collections.abc import Callable
 from random import Random
@@ -8,9 +13,9 @@
 import msgspec
 
 from leverdoor.codec import pack
-from leverdoor.emulator.clock import Clock
+from leverdoor.emulator.clock import EmulatedClock
 from leverdoor.emulator.plan import Experiment
-from leverdoor.emulator.targets import EmulatedTarget, Outcome, Run
+from leverdoor.emulator.targets import EmulatedRun, EmulatedTarget, RunOutcome
 from leverdoor.entry.bounds import (
     MOVED_SHARE,
     RETRIES_FIRST,
@@ -63,7 +68,7 @@
         self,
         member: Member,
         experiment: Experiment,
-        clock: Clock,
+        clock: EmulatedClock,
         rng: Random,
         targets: dict[str, EmulatedTarget],
         fleet: Fleet | None = None,
@@ -86,11 +91,12 @@
         self._targets = targets
         self._rounds = 0
         self.repeats = 0
+        """Retries at another target."""
         self.heartbeat_bytes = 0
         self.start()
 
     def start(self) -> None:
-        """Forget everything, as a new process."""
+        """Begin with nothing in memory, as a new process."""
         site = self._experiment.site
         self.member = msgspec.structs.replace(
             self.member, incarnation=self.member.incarnation + 1
@@ -112,7 +118,7 @@
         )
 
     def renew(self, catalog: Catalog, members: list[Member]) -> None:
-        """Take what the store tells."""
+        """Take targets, configuration and the other entries from the store."""
         self.fleet.renew(catalog.targets, self._clock.now)
         self._policy.renew(catalog)
         self._exchange.lists.renew(catalog.names_by_region)
@@ -125,22 +131,22 @@
         """Send heartbeats and digests, move the regions' shares, as the daemon does."""
         now = self._clock.now
         self._rounds += 1
-        sendings, heard = self._exchange.round(self._report(now), now)
+        sendings, update = self._exchange.round(self._report(now), now)
         for sending in sendings:
             size = len(pack(sending.message))
             self.heartbeat_bytes += size * len(sending.to)
             send(sending.message, sending.to)
-        self._take_update(heard)
+        self._take_update(update)
         if self._rounds % SHARE_ROUNDS == 0:
             self._policy.shares.update([self._exchange.region_shares()], now)
 
     def _report(self, now: float) -> EntryStatus:
-        tells = self._experiment.shares_load and self._shared_fleet is None
+        counts = self._experiment.shares_load and self._shared_fleet is None
         warm = self._policy.shared_warmth.recent(WARM_TOLD_S, now)
         return EntryStatus(
             SERVING,
             1,
-            self.fleet.in_flight() if tells else {},
+            self.fleet.in_flight() if counts else {},
             self._policy.shares.reported(),
             -1,
             warm if self._experiment.shares_warmth else [],
@@ -150,11 +156,11 @@
         """Take another entry's message."""
         self._take_update(self._exchange.take(message, 1, self._clock.now))
 
-    def _take_update(self, heard: PeerUpdate) -> None:
+    def _take_update(self, update: PeerUpdate) -> None:
         now = self._clock.now
-        if heard.others is not None and self._shared_fleet is None:
-            self.fleet.receive(OTHERS, heard.others, now)
-        self._policy.shared_warmth.receive(heard.warm, now)
+        if update.others is not None and self._shared_fleet is None:
+            self.fleet.receive(OTHERS, update.others, now)
+        self._policy.shared_warmth.receive(update.warm, now)
 
     # Requests.
 
@@ -180,7 +186,7 @@
         sending = _Sending(self, work, attempt, lost, decision, reply)
         sending.start()
 
-    def again(
+    def retry(
         self,
         work: EmulatedRequest,
         attempt: int,
@@ -211,7 +217,7 @@
         return self._targets[placement.target.name]
 
     @property
-    def clock(self) -> Clock:
+    def clock(self) -> EmulatedClock:
         """The clock of the run."""
         return self._clock
 
@@ -221,8 +227,8 @@
         return self._policy
 
     @property
-    def hears_load(self) -> bool:
-        """Whether targets report their load."""
+    def uses_reported_load(self) -> bool:
+        """Whether it uses the load that targets report with answers."""
         return self._experiment.reports_load and self._shared_fleet is None
 
 
@@ -252,25 +258,25 @@
     def start(self) -> None:
         """Send it, and give it up at its time."""
         clock = self._entry.clock
-        run = Run(self._work.request.key, self._work.work_s, self._done)
+        run = EmulatedRun(self._work.request.key, self._work.work_s, self._done)
         delay_s = self._entry.delay_s(self._placement)
         target = self._entry.emulated(self._placement)
         clock.after(delay_s, lambda: target.take(run))
         clock.at(self._work.request.until, self._give_up)
 
-    def _done(self, outcome: Outcome, load: TargetLoad | None) -> None:
+    def _done(self, outcome: RunOutcome, load: TargetLoad | None) -> None:
         delay_s = self._entry.delay_s(self._placement)
         self._entry.clock.after(delay_s, lambda: self._ended(outcome, load))
 
-    def _ended(self, outcome: Outcome, load: TargetLoad | None) -> None:
+    def _ended(self, outcome: RunOutcome, load: TargetLoad | None) -> None:
         if self._over:
             return
         self._over = True
         now = self._entry.clock.now
         state = self._fleet.of(self._placement.target, now)
         self._policy.ended(self._placement, now)
-        if outcome is Outcome.ANSWERED:
-            if load is not None and self._entry.hears_load:
+        if outcome is RunOutcome.ANSWERED:
+            if load is not None and self._entry.uses_reported_load:
                 state.reported(load, now)
             took_ms = (now - self._began) * 1000
             self._policy.answered(self._work.request, self._placement, took_ms, 0, now)
@@ -278,20 +284,20 @@
             return
         self._failed(outcome, now)
 
-    def _failed(self, outcome: Outcome, now: float) -> None:
+    def _failed(self, outcome: RunOutcome, now: float) -> None:
         state = self._fleet.of(self._placement.target, now)
         lost = self._lost
-        if outcome is Outcome.SHED:
+        if outcome is RunOutcome.SHED:
             state.refused(now)
             refusal = Refusal(Code.TARGET_REFUSED)
-        elif outcome is Outcome.UNREACHED:
+        elif outcome is RunOutcome.UNREACHED:
             state.unreached(now)
             refusal = Refusal(Code.CONNECT_FAILED)
         else:
             state.lost(now)
             refusal = lost = Refusal(Code.ANSWER_LOST)
-        arrived = outcome is not Outcome.UNREACHED
-        self._entry.again(
+        arrived = outcome is not RunOutcome.UNREACHED
+        self._entry.retry(
             self._work, self._attempt, refusal, lost, arrived, self._reply
         )
 
--- a/leverdoor/emulator/exact.py
+++ b/leverdoor/emulator/exact.py
@@ -3,8 +3,8 @@
 """Exact knowledge of loads and caches: a bound on what better knowledge could give.
 
 All entries share one fleet, so that each sees at once what every other has sent, and
-whether a target keeps a key is asked of the target itself. Decisions stay the
-product's own.
+whether a target keeps a key is read from the target itself. Decisions stay the
+product's own. State: the shared fleet of one run.
 """
 
 from collections.abc import Mapping
--- a/leverdoor/emulator/plan.py
+++ b/leverdoor/emulator/plan.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Experiments: a site, its load, its troubles and what is weighed, from TOML."""
+"""Experiments: a site, its load, its troubles and what is compared, from TOML.
+
+Relies on the placement's `Tuning`, whose fields an experiment may set. Owns no state:
+all values are read once and never change.
+"""
 
 from enum import StrEnum
 from pathlib import Path
@@ -15,10 +19,10 @@
 
 __all__ = [
     "Experiment",
-    "Load",
-    "Service",
-    "Site",
-    "Trouble",
+    "LoadSpec",
+    "ServiceSpec",
+    "SiteSpec",
+    "TroubleSpec",
     "TroubleKind",
     "parse_experiment",
     "read_experiment",
@@ -34,7 +38,7 @@
     """What all parts share: unknown fields are refused."""
 
 
-class Site(_Part, frozen=True):
+class SiteSpec(_Part, frozen=True):
     """Regions, entries and how far apart they are."""
 
     entries: dict[str, Count]
@@ -50,10 +54,10 @@
     max_shift: Share = 0.15
     """Largest share of a region's requests that may change region in 2 s."""
     repeat_ratio: Share = 0.2
-    """Repeats that all entries together may make, as a share of requests."""
+    """Retries that all entries together may make, as a share of requests."""
 
 
-class Service(_Part, frozen=True):
+class ServiceSpec(_Part, frozen=True):
     """One service and its targets."""
 
     name: str
@@ -69,7 +73,7 @@
     """Requests a second that a target bears in its warm-up."""
 
 
-class Load(_Part, frozen=True):
+class LoadSpec(_Part, frozen=True):
     """Requests of one route."""
 
     name: str
@@ -92,7 +96,7 @@
     late_worth: Share = 0.2
     """Part of the worth that a late answer earns."""
     client_retries: Annotated[int, Meta(ge=0, le=10)] = 1
-    """How often a client comes back after a refusal."""
+    """How often a client tries again after a refusal."""
     swing: Share = 0.5
     """Height of the wave of the rate; regions peak one after the other."""
     period_s: Rate = 36.0
@@ -114,19 +118,19 @@
     BURST = "burst"
     """Clients send x times as much."""
     RESTART = "restart"
-    """Entries end and start again, knowing nothing."""
+    """Entries end and start again with nothing in memory."""
 
 
-class Trouble(_Part, frozen=True):
+class TroubleSpec(_Part, frozen=True):
     """One trouble."""
 
     kind: TroubleKind
     at: Seconds
     for_s: Seconds = 5.0
     service: str = ""
-    """Whose targets are struck; all if empty."""
+    """Whose targets it happens to; all if empty."""
     share: Share = 0.2
-    """Part of the targets or entries that is struck."""
+    """Part of the targets or entries that it happens to."""
     x: Annotated[float, Meta(ge=0.0)] = 0.5
     """How strong: a share of requests, or a factor, by kind."""
 
@@ -135,11 +139,11 @@
     """One experiment."""
 
     name: str
-    site: Site
-    service: list[Service]
-    load: list[Load]
+    site: SiteSpec
+    service: list[ServiceSpec]
+    load: list[LoadSpec]
     seconds: Annotated[float, Meta(gt=0.0, le=3_600.0)] = 40.0
-    trouble: list[Trouble] = []
+    trouble: list[TroubleSpec] = []
     tuning: Tuning = PRODUCTION
     shares_warmth: bool = True
     """Whether heartbeats say which keys are warm."""
--- a/leverdoor/emulator/results.py
+++ b/leverdoor/emulator/results.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What an emulated run gave, and how two of them compare."""
+"""What an emulated run gave, and how two of them compare.
+
+State: the counts of one run, filled while it is played and read afterwards; they
+pass from a playing process to the one that prints.
+"""
 
 import math
 import statistics
@@ -33,8 +37,9 @@
         self.outcomes: Counter[str] = Counter()
         """Requests of clients: in_time, late, refused, failed."""
         self.refusals = 0
-        """Refusals by entries, of which a client may come back."""
+        """Refusals by entries that carry a Retry-After."""
         self.repeats = 0
+        """Retries by entries at another target."""
         self.cold_runs = 0
         self.runs = 0
         self.heartbeat_bytes = 0
@@ -52,13 +57,13 @@
         self._latency = HdrHistogram.decode(state["_latency"])
 
     def record(
-        self, asked_at: float, outcome: str, worth: float, earned: float, took_ms: float
+        self, sent_at: float, outcome: str, worth: float, earned: float, took_ms: float
     ) -> None:
         """Count a request that ended for its client."""
         self.owed += worth
         self.earned += earned
         self.outcomes[outcome] += 1
-        second = min(int(asked_at), len(self.by_second) - 1)
+        second = min(int(sent_at), len(self.by_second) - 1)
         self.by_second[second][0] += worth
         self.by_second[second][1] += earned
         if outcome in ("in_time", "late"):
--- a/leverdoor/emulator/series.py
+++ b/leverdoor/emulator/series.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Several runs of an experiment: over seeds, policies and sizes."""
+"""Several runs of an experiment: over seeds, policies and sizes.
+
+Relies on `play` for each run, in this process or in several. Owns no state.
+"""
 
 from collections.abc import Callable, Iterator, Sequence
 from enum import StrEnum
@@ -9,8 +12,8 @@
 import msgspec
 
 from leverdoor.emulator.plan import Experiment
+from leverdoor.emulator.play import play
 from leverdoor.emulator.results import Result
-from leverdoor.emulator.world import play
 from leverdoor.entry.placement.tuning import Tuning
 
 __all__ = ["ABLATIONS", "Vary", "ablations", "play_all", "scaled"]
@@ -33,7 +36,7 @@
     processes: int,
     done: Callable[[], None] = lambda: None,
 ) -> list[Result]:
-    """Play experiments with their seeds, in as many processes as asked for.
+    """Play experiments with their seeds, in some number of processes.
 
     Args:
       jobs: experiments, each with its seed.
--- a/leverdoor/emulator/targets.py
+++ b/leverdoor/emulator/targets.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Emulated targets: slots, a queue, a cache of keys, and what can befall them."""
+"""Emulated targets: slots, a queue, a cache of keys, and the faults of each.
+
+State: what runs and waits at each target, and its warm keys; a crash forgets all of
+it. Relies on the run's clock, and on a generator of the target's own for what it
+sheds and loses.
+"""
 
 from collections import OrderedDict, deque
 from collections.abc import Callable
@@ -9,15 +14,15 @@
 
 import msgspec
 
-from leverdoor.emulator.clock import Clock
-from leverdoor.emulator.plan import Service
+from leverdoor.emulator.clock import EmulatedClock
+from leverdoor.emulator.plan import ServiceSpec
 from leverdoor.entry.wire import TargetLoad
 from leverdoor.model.resources import Target
 
-__all__ = ["EmulatedTarget", "Outcome", "Run"]
+__all__ = ["EmulatedTarget", "RunOutcome", "EmulatedRun"]
 
 
-class Outcome(Enum):
+class RunOutcome(Enum):
     """How a run at a target ended."""
 
     ANSWERED = auto()
@@ -29,34 +34,35 @@
     """The target is down."""
 
 
-class Run(msgspec.Struct):
+class EmulatedRun(msgspec.Struct):
     """One request as a target sees it."""
 
     key: str
     work_s: float
     """Time of a cold run."""
-    done: Callable[[Outcome, TargetLoad | None], None]
+    done: Callable[[RunOutcome, TargetLoad | None], None]
 
 
 class EmulatedTarget:
     """One target."""
 
     def __init__(
-        self, target: Target, service: Service, clock: Clock, rng: Random
+        self, target: Target, service: ServiceSpec, clock: EmulatedClock, rng: Random
     ) -> None:
         """Create it, empty and cold-cached."""
         self.target = target
         self._service = service
         self._clock = clock
         self._rng = rng
-        self._running: list[Run] = []
-        self._queue: deque[Run] = deque()
+        self._running: list[EmulatedRun] = []
+        self._queue: deque[EmulatedRun] = deque()
         self._warm: OrderedDict[str, None] = OrderedDict()
         self.sheds = 0.0
         """Share of the requests that it turns away whatever its load."""
         self.loses = 0.0
         """Share of the answers that it loses."""
         self.slow_x = 1.0
+        """Factor on the time of its runs."""
         self.cold_runs = 0
         self.runs = 0
         self._down = False
@@ -70,16 +76,16 @@
         """Return whether a key is warm."""
         return key in self._warm
 
-    def take(self, run: Run) -> None:
+    def take(self, run: EmulatedRun) -> None:
         """Run a request, queue it, or turn it away."""
         if self._down:
-            run.done(Outcome.UNREACHED, None)
+            run.done(RunOutcome.UNREACHED, None)
             return
         full = len(self._running) >= self.target.slots
         if self._rng.random() < self.sheds or (
             full and len(self._queue) >= self._service.queue
         ):
-            run.done(Outcome.SHED, self.load)
+            run.done(RunOutcome.SHED, self.load)
             return
         if full:
             self._queue.append(run)
@@ -94,13 +100,13 @@
         self._running.clear()
         self._queue.clear()
         for run in ended:
-            run.done(Outcome.LOST, None)
+            run.done(RunOutcome.LOST, None)
 
     def restart(self) -> None:
         """Come back with an empty cache."""
         self._down = False
 
-    def _start(self, run: Run) -> None:
+    def _start(self, run: EmulatedRun) -> None:
         self._running.append(run)
         self.runs += 1
         takes_s = run.work_s * self.slow_x
@@ -114,7 +120,7 @@
                 self._warm.popitem(last=False)
         self._clock.after(takes_s, lambda: self._end(run))
 
-    def _end(self, run: Run) -> None:
+    def _end(self, run: EmulatedRun) -> None:
         if run not in self._running:
             return
         self._running.remove(run)
@@ -122,4 +128,7 @@
         load = self.load
         if self._queue:
             self._start(self._queue.popleft())
-        run.done(Outcome.LOST if lost else Outcome.ANSWERED, None if lost else load)
+        if lost:
+            run.done(RunOutcome.LOST, None)
+        else:
+            run.done(RunOutcome.ANSWERED, load)
--- a/leverdoor/emulator/troubles.py
+++ b/leverdoor/emulator/troubles.py
@@ -1,59 +1,72 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Lets the troubles of an experiment strike, and takes them back."""
+"""Begins the troubles of an experiment at their time, and ends them."""
 
+from functools import partial
 from random import Random
-from typing import TYPE_CHECKING
 
-from leverdoor.emulator.plan import Trouble, TroubleKind
+from leverdoor.emulator.plan import TroubleKind, TroubleSpec
+from leverdoor.emulator.site import EmulatedSite
 from leverdoor.emulator.targets import EmulatedTarget
 
-if TYPE_CHECKING:
-    from leverdoor.emulator.world import World
+__all__ = ["EmulatedTrouble"]
 
-__all__ = ["PlannedTrouble"]
+LEAST_X = 1e-3
+"""Smallest factor on rates and times; 0 has no meaning for either."""
 
 
-class PlannedTrouble:
+class EmulatedTrouble:
     """One trouble, from its beginning to its end."""
 
-    def __init__(self, world: "World", trouble: Trouble, rng: Random) -> None:
-        self._world = world
-        self._trouble = trouble
+    def __init__(self, site: EmulatedSite, spec: TroubleSpec, rng: Random) -> None:
+        """Create it.
+
+        Args:
+          site: what it happens to.
+          spec: what happens and when.
+          rng: chooses the targets or entries.
+        """
+        self._site = site
+        self._spec = spec
         self._rng = rng
 
     def plan(self) -> None:
         """Let it happen at its time."""
-        self._world.clock.at(self._trouble.at, self._begin)
+        self._site.clock.at(self._spec.at, self._begin)
 
     def _begin(self) -> None:
-        trouble = self._trouble
-        if trouble.kind is TroubleKind.BURST:
-            self._world.burst_x = max(trouble.x, 1e-3)
-        elif trouble.kind is TroubleKind.RESTART:
-            self._world.restart_entries(trouble, self._rng)
-        else:
-            for target in self._world.struck_targets(trouble, self._rng):
-                self._harm(target)
-                after = trouble.for_s
-                self._world.clock.after(after, lambda t=target: self._heal(t))  # type: ignore[misc]
-            return
-        self._world.clock.after(trouble.for_s, self._end)
+        match self._spec.kind:
+            case TroubleKind.BURST:
+                self._site.burst_x = max(self._spec.x, LEAST_X)
+                self._site.clock.after(self._spec.for_s, self._end_burst)
+            case TroubleKind.RESTART:
+                self._site.restart_entries(self._spec.share, self._rng)
+            case _:
+                self._harm_targets()
+
+    def _end_burst(self) -> None:
+        self._site.burst_x = 1.0
+
+    def _harm_targets(self) -> None:
+        spec = self._spec
+        for target in self._site.choose_targets(spec.service, spec.share, self._rng):
+            self._harm(target)
+            self._site.clock.after(spec.for_s, partial(self._heal, target))
 
     def _harm(self, target: EmulatedTarget) -> None:
-        trouble = self._trouble
-        match trouble.kind:
+        x = self._spec.x
+        match self._spec.kind:
             case TroubleKind.SHED:
-                target.sheds = trouble.x
+                target.sheds = x
             case TroubleKind.SLOW:
-                target.slow_x = max(trouble.x, 1e-3)
+                target.slow_x = max(x, LEAST_X)
             case TroubleKind.LOSE:
-                target.loses = trouble.x
+                target.loses = x
             case TroubleKind.CRASH:
                 target.crash()
 
     def _heal(self, target: EmulatedTarget) -> None:
-        match self._trouble.kind:
+        match self._spec.kind:
             case TroubleKind.SHED:
                 target.sheds = 0.0
             case TroubleKind.SLOW:
@@ -62,7 +75,3 @@
                 target.loses = 0.0
             case TroubleKind.CRASH:
                 target.restart()
-
-    def _end(self) -> None:
-        if self._trouble.kind is TroubleKind.BURST:
-            self._world.burst_x = 1.0
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -16,20 +16,20 @@
 from hypothesis import strategies as st
 
 from leverdoor.cli import main
-from leverdoor.emulator.clock import Clock
+from leverdoor.emulator.clock import EmulatedClock
 from leverdoor.emulator.plan import (
     Experiment,
-    Load,
-    Service,
-    Site,
-    Trouble,
+    LoadSpec,
+    ServiceSpec,
+    SiteSpec,
     TroubleKind,
+    TroubleSpec,
     parse_experiment,
 )
+from leverdoor.emulator.play import play
 from leverdoor.emulator.results import compare
 from leverdoor.emulator.series import ABLATIONS, Vary, ablations, play_all, scaled
-from leverdoor.emulator.targets import EmulatedTarget, Outcome, Run
-from leverdoor.emulator.world import play
+from leverdoor.emulator.targets import EmulatedRun, EmulatedTarget, RunOutcome
 from leverdoor.entry.placement.tuning import PRODUCTION
 from leverdoor.entry.wire import TargetLoad
 from leverdoor.errors import Code, ConfigError
@@ -39,10 +39,12 @@
 
 SMALL = Experiment(
     name="small",
-    site=Site(entries={"a": 2, "b": 2}),
-    service=[Service(name="s", targets={"a": 3, "b": 3}, slots=3, queue=6, keeps=20)],
+    site=SiteSpec(entries={"a": 2, "b": 2}),
+    service=[
+        ServiceSpec(name="s", targets={"a": 3, "b": 3}, slots=3, queue=6, keeps=20)
+    ],
     load=[
-        Load(
+        LoadSpec(
             name="r",
             service="s",
             rate=40.0,
@@ -76,8 +78,10 @@
     target = Target(
         name="t", service="s", region="a", domain="a1", address="h:1", slots=slots
     )
-    service = Service(name="s", targets={"a": 1}, slots=slots, queue=queue, keeps=keeps)
-    return EmulatedTarget(target, service, Clock(), Random(1))
+    service = ServiceSpec(
+        name="s", targets={"a": 1}, slots=slots, queue=queue, keeps=keeps
+    )
+    return EmulatedTarget(target, service, EmulatedClock(), Random(1))
 
 
 class Ends:
@@ -85,15 +89,15 @@
 
     def __init__(self, target: EmulatedTarget) -> None:
         self.target = target
-        self.outcomes: list[Outcome] = []
+        self.outcomes: list[RunOutcome] = []
         self.times: list[float] = []
 
     def run(self, key: str, work_s: float = 1.0) -> None:
-        def done(outcome: Outcome, _: TargetLoad | None) -> None:
+        def done(outcome: RunOutcome, _: TargetLoad | None) -> None:
             self.outcomes.append(outcome)
             self.times.append(self.target._clock.now)
 
-        self.target.take(Run(key, work_s, done))
+        self.target.take(EmulatedRun(key, work_s, done))
 
 
 def test_a_key_that_was_seen_lately_runs_warm() -> None:
@@ -109,9 +113,9 @@
     ends = Ends(emulated(slots=1, queue=1))
     for key in "abc":
         ends.run(key)
-    assert ends.outcomes == [Outcome.SHED]
+    assert ends.outcomes == [RunOutcome.SHED]
     ends.target._clock.run(5.0)
-    assert ends.outcomes == [Outcome.SHED, Outcome.ANSWERED, Outcome.ANSWERED]
+    assert ends.outcomes == [RunOutcome.SHED, RunOutcome.ANSWERED, RunOutcome.ANSWERED]
 
 
 def test_a_crash_loses_what_is_there_and_empties_the_cache() -> None:
@@ -121,7 +125,7 @@
     ends.run("k")
     target.crash()
     ends.run("k")
-    assert ends.outcomes == [Outcome.LOST, Outcome.LOST, Outcome.UNREACHED]
+    assert ends.outcomes == [RunOutcome.LOST, RunOutcome.LOST, RunOutcome.UNREACHED]
     target.restart()
     ends.run("k")
     target._clock.run(1.5)
@@ -233,7 +237,7 @@
 
 TROUBLES = st.lists(
     st.builds(
-        Trouble,
+        TroubleSpec,
         kind=st.sampled_from(TroubleKind),
         at=st.floats(0.0, 3.0),
         for_s=st.floats(0.1, 3.0),
@@ -247,7 +251,7 @@
 @settings(derandomize=True, deadline=None, max_examples=25)
 @given(troubles=TROUBLES, seed=st.integers(0, 1_000), once=st.booleans())
 def test_promises_hold_whatever_befalls_a_site(
-    troubles: list[Trouble], seed: int, once: bool
+    troubles: list[TroubleSpec], seed: int, once: bool
 ) -> None:
     """Requests end, nothing runs twice that may not, repeats stay in their budget."""
     work = "once" if once else "lookup"
@@ -256,12 +260,12 @@
     runs: Counter[int] = Counter()
     original = EmulatedTarget._start
 
-    def start(self: EmulatedTarget, run: Run) -> None:
+    def start(self: EmulatedTarget, run: EmulatedRun) -> None:
         runs[id(run.done.__self__._work)] += 1  # type: ignore[attr-defined]
         kept.append(run)
         original(self, run)
 
-    kept: list[Run] = []
+    kept: list[EmulatedRun] = []
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(EmulatedTarget, "_start", start)
         result = play(one, seed)
