--- a/leverdoor/entry/placement/choice.py
+++ b/leverdoor/entry/placement/choice.py
@@ -134,7 +134,11 @@
     def _option(
         self, request: PlacementRequest, state: TargetState, rank: int, now: float
     ) -> Option:
-        """Weigh one target."""
+        """Weigh one target.
+
+        Its queue is the load beyond its slots, this request included, served at the
+        mean time of its runs; the price adds what a cold run and distance cost.
+        """
         target = state.target
         times = self._times_of(request)
         seen = not request.route.affinity or self._seen(request.key, state, now)
@@ -149,7 +153,15 @@
             price_ms = wait_ms + times.warm_run_ms
         if target.domain != self._domain:
             price_ms += OTHER_DOMAIN_MS
-        return Option(state, rank, seen, cold_share, wait_ms, takes_ms, price_ms)
+        return Option(
+            state=state,
+            rank=rank,
+            seen=seen,
+            cold_share=cold_share,
+            wait_ms=wait_ms,
+            takes_ms=takes_ms,
+            price_ms=price_ms,
+        )
 
     def _seen(self, key: str, state: TargetState, now: float) -> bool:
         """Return whether any entry had an answer for a key from a target."""
@@ -185,7 +197,15 @@
     def warm_up_option(self, request: PlacementRequest, state: TargetState) -> Option:
         """Return the option of a target in its warm-up, where all runs are cold."""
         cold_run_ms = self._times_of(request).cold_run_ms
-        return Option(state, RANKS, False, 1.0, 0.0, cold_run_ms, cold_run_ms)
+        return Option(
+            state=state,
+            rank=RANKS,
+            seen=False,
+            cold_share=1.0,
+            wait_ms=0.0,
+            takes_ms=cold_run_ms,
+            price_ms=cold_run_ms,
+        )
 
     def learn(
         self,
--- a/leverdoor/entry/placement/health.py
+++ b/leverdoor/entry/placement/health.py
@@ -9,7 +9,7 @@
 it shows as "ejected" in the detail of `refused`.
 
 Owns the counts of failures and the ends of ejections of one target. They are lost with
-the process; each entry judges for itself and no other is asked.
+the process; each entry judges for itself.
 """
 
 __all__ = ["SILENT_REQUESTS", "SILENT_RUNS", "SLOW_EJECTION_S", "Health"]
--- a/leverdoor/entry/placement/load.py
+++ b/leverdoor/entry/placement/load.py
@@ -123,8 +123,8 @@
     def age_ms(self, now: float) -> int:
         """Return the time since the last report, or count of a peer, arrived, in ms.
 
-        The counts themselves may be older: with 300 entries digests tell of
-        them within 0.79 s (p99). -1 if nothing has arrived.
+        The counts themselves may be older: with 300 entries they
+        arrive within 0.79 s (p99). -1 if nothing has arrived.
         """
         arrivals = [count.at for count in self._peers.values()]
         if self._report is not None:
--- a/leverdoor/entry/placement/placement_request.py
+++ b/leverdoor/entry/placement/placement_request.py
@@ -14,8 +14,8 @@
 __all__ = ["Placement", "PlacementReason", "PlacementRequest"]
 
 PlacementReason = Literal["share", "overflow", "cold"]
-"""Why a target was chosen, as logged: in the region of its key; in another region, for
-want of room; in its warm-up, for want of any other."""
+"""Why a target was chosen, as logged: in the region of its key; in another region, as
+those are full; in its warm-up, as all others are full."""
 
 
 class PlacementRequest(msgspec.Struct):
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -40,8 +40,10 @@
 __all__ = ["PlacementPolicy"]
 
 LOGGED_TARGETS = 3
-"""Targets that the log names when there was no room; chosen: a line that can be read,
-with the two that may serve the key and the next."""
+"""Targets that the log names when none could take a request.
+
+Chosen: a line that can be read, with the two that may serve the key and the next.
+"""
 
 
 class PlacementPolicy:
@@ -221,7 +223,7 @@
     def _refuse_as_full(
         self, request: PlacementRequest, first: str, now: float
     ) -> Rejection:
-        """Refuse what found no room, with the loads in the key's region."""
+        """Refuse what no target can take, with the loads in the key's region."""
         targets = self._candidates.order(request, first)[:LOGGED_TARGETS]
         loads = describe_loads(targets, self._fleet, now)
         return self._refuse(Code.QUEUE_FULL, f"{request.service} in {first}: {loads}")
@@ -242,14 +244,14 @@
         age_ms = state.load_age_ms(now)
         state.sent(now, self._chooser.run_times(request))
         return Placement(
-            state.target,
-            option.rank,
-            option.seen,
-            option.cold_share,
-            option.takes_ms,
-            load,
-            age_ms,
-            reason,
+            target=state.target,
+            rank=option.rank,
+            seen=option.seen,
+            cold_share=option.cold_share,
+            expected_ms=option.takes_ms,
+            load=load,
+            load_age_ms=age_ms,
+            reason=reason,
         )
 
     # What came of it.
--- a/leverdoor/entry/placement/refusals.py
+++ b/leverdoor/entry/placement/refusals.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What a caller and the log learn when no target has room for a request.
+"""What a caller and the log learn when no target can take a request.
 
 Owns no state; relies on the states of the targets (fleet.py).
 """
@@ -16,7 +16,7 @@
 """Least time after which a refused request should come back, in ms.
 
 About one warm run: before that the same requests still run. Greater: a caller waits
-while there is room. Smaller: it meets the same load. 400 in place of 150 was better by
+while slots are free. Smaller: it meets the same load. 400 in place of 150 was better by
 less than noise.
 """
 RETRY_AFTER_SPREAD_MS = 350
@@ -40,7 +40,7 @@
 
 
 def describe_loads(targets: Iterable[Target], fleet: Fleet, now: float) -> str:
-    """Return, for the log, the loads that left no room.
+    """Return, for the log, the loads of targets that could not take a request.
 
     For each target: name, estimated load over slots, time since the last report of it
     arrived, "cold" in its warm-up, "ejected" if it is ejected or silent.
--- a/leverdoor/entry/placement/sharing.py
+++ b/leverdoor/entry/placement/sharing.py
@@ -20,6 +20,8 @@
 
 __all__ = ["ShareBook"]
 
+REPORTED_DIGITS = 4
+"""Decimal digits of a share in heartbeats; chosen: far below any move of a round."""
 LOGGED_MOVE = 0.05
 """Change of a share that is worth a line in the log; chosen: some lines a minute while
 keys move at the bounded rate."""
@@ -63,7 +65,7 @@
         self._targets = targets
 
     def region(self, service: str, key: str, allowed: list[str], now: float) -> str:
-        """Return the region that a key of a service belongs to."""
+        """Return the region that a key of a service belongs to, among those allowed."""
         return self._of(service, [], now).region(key, allowed)
 
     def utilization(self, service: str, region: str, now: float) -> float:
@@ -83,12 +85,14 @@
             state = self._of(service, reported, now)
             utilizations = {r: self.utilization(service, r, now) for r in state.shares}
             if not state.begun and not reported:
+                # Targets may have come or gone since it was created.
                 state.begin_from(first_shares(self._region, self._slots(service)))
             state.update(utilizations, reported, now)
 
     def _of(
         self, service: str, reported: list[dict[str, float]], now: float
     ) -> RegionShares:
+        """Return the shares of a service; new ones start from a reported one."""
         found = self._shares.get(service)
         if found is None:
             first = first_shares(self._region, self._slots(service))
@@ -109,7 +113,7 @@
     def reported(self) -> dict[str, dict[str, float]]:
         """Return the shares as heartbeats carry them."""
         return {
-            service: {r: round(v, 4) for r, v in state.shares.items()}
+            service: {r: round(v, REPORTED_DIGITS) for r, v in state.shares.items()}
             for service, state in self._shares.items()
             if state.begun
         }
--- a/leverdoor/entry/placement/slow_start.py
+++ b/leverdoor/entry/placement/slow_start.py
@@ -3,11 +3,11 @@
 """Slow start: what a target gets while it is in its warm-up.
 
 A target that says that it starts cold (`cold_ms`) is in its warm-up for that time. It
-gets a request only when no other target has room, and all entries together send it at
-most what its service allows a second (`warmup_per_s`); `share_per_s` is the part of one
-entry. Which entries share is decided where the members are known
-(entry/daemon.py:Entry._sharers): those of the target's failure domain; if there are
-none, those of its region; if there are none, all.
+gets a request only when no other target can take it, and all entries together send it
+at most what its service allows a second (`warmup_per_s`); `share_per_s` is the part of
+one entry. Which entries share is decided where the members are known
+(entry/daemon.py:Entry._sharers, passed as `PlacementPolicy.sharers`): those of the
+target's failure domain; if there are none, those of its region; else all.
 
 Owns the end of a target's warm-up and what this entry may still spend of its share,
 both lost with the process: a restarted entry has the whole warm-up before it again.
--- a/leverdoor/entry/placement/spill.py
+++ b/leverdoor/entry/placement/spill.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """In which region the keys of a service are served.
 
-Each region has a share of the keys that this region's clients ask for. Keys are dealt
+Each region has a share of the keys that this region's clients use. Keys are dealt out
 by weighted rendezvous hashing, alike at every entry: when a share changes, only keys of
 that region move. The shares follow the load of each region's targets and move at a
 bounded rate, so that no great part of a region's requests changes region from one
--- a/leverdoor/entry/placement/warmth.py
+++ b/leverdoor/entry/placement/warmth.py
@@ -4,7 +4,7 @@
 
 A target answers about three times sooner when it has lately seen a request's key. No
 target says so, and one entry sees only a part of what a target gets. Run times fall
-into two clusters, though (times.py), so each answer tells afterwards whether the run
+into two clusters, though (times.py), so each answer shows afterwards whether the run
 was cold. From that an entry learns how often a target forgets keys that it was sent
 before, and how often the first, second, ... target of a key is cold for an entry that
 has not sent the key there itself.
--- a/tests/test_entry_fleet.py
+++ b/tests/test_entry_fleet.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What is believed of targets: load, health, ejection, warm-up, allowance."""
+"""The state of targets at an entry: load, health, ejection, warm-up, allowance."""
 
 from random import Random
 
--- a/tests/test_entry_warmth.py
+++ b/tests/test_entry_warmth.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What run times tell of caches: warm and cold runs, targets that forget."""
+"""What run times show of caches: warm and cold runs, targets that forget."""
 
 from desk import target
 from leverdoor.entry.placement.shared_warmth import KEPT_S, MOST_SENT, SharedWarmth
