--- a/leverdoor/entry/metrics.py
+++ b/leverdoor/entry/metrics.py
@@ -64,7 +64,7 @@
         """Count a request that ended.
 
         Args:
-          service: the service asked for, "" if it could not be routed.
+          service: the service it was routed to, "" if it could not be routed.
           outcome: status of the target, or name of the code.
           took_s: how long it took, in seconds.
         """
--- a/leverdoor/entry/requests/connection.py
+++ b/leverdoor/entry/requests/connection.py
@@ -85,7 +85,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse what came; bytes that belong to no request end the connection."""
         if self._pending is None:
-            self._fail("bytes that nobody asked for")
+            self._fail("bytes that belong to no request")
             return
         try:
             self._parser.feed(data)
--- a/leverdoor/platform/program.py
+++ b/leverdoor/platform/program.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Reads the settings file and runs an entry."""
+"""Reads the settings file, connects an entry to the platform, and runs it.
+
+Owns the log's writer; flushes it at the end of the process.
+"""
 
 import os
 import sys
@@ -19,6 +22,7 @@
 __all__ = ["run_entry"]
 
 SETTINGS = "LEVERDOOR_SETTINGS"
+"""The environment variable that has the path of the settings file."""
 
 
 def settings_path() -> Path:
@@ -43,7 +47,7 @@
     """Run until stopped.
 
     Args:
-      early: knows whether to read the settings again once the loop runs.
+      early: whether a reload came before the loop runs, and is still due.
     Returns: the exit status.
     """
     try:
--- a/leverdoor/platform/store.py
+++ b/leverdoor/platform/store.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's metadata store, behind the product's `LeasingStore`."""
+"""The platform's metadata store over HTTP, behind the product's `LeasingStore`.
+
+Tells calls that were not taken (`StoreUnavailable`) from calls whose outcome is unknown
+(`StoreUnknown`); retries are up to the callers. Owns the connections to the store.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator, Sequence
@@ -27,45 +31,69 @@
 CALL_TIMEOUT_S = 2.0
 """Longest time of a call, in seconds; a slow store takes 60 times its 4 ms."""
 WATCH_WAIT_MS = 2_500
-"""How long a watch may wait, in ms; a silent store is noticed by then."""
+"""How long a watch may wait, in ms.
+
+Greater, a silent store is noticed later; smaller, each follower makes more calls.
+"""
 FIRST_WAIT_MS = 150
-"""Wait of a watch's first call, so that a lost store is heard again soon."""
+"""Wait of a watch's first call in ms: the return of a lost store shows soon."""
 WATCH_SLACK_S = 0.9
-"""Time beyond that wait after which the store passes for silent, in seconds."""
+"""Time beyond that wait after which the store counts as silent, in seconds."""
 GATHER_S = 0.1
-"""Pause after a watch's events, so that those that follow come together."""
+"""Pause after a watch's events, in seconds, so that those that follow come together.
+
+Greater, changes are later; smaller, each of several changes costs a call and a
+compilation at all entries.
+"""
 
 
 class _Item(msgspec.Struct, rename={"key": "private-key"}):
+    """A key with its value, or a change of one."""
+
     key: str
+    """The platform calls it "private-key"; nothing about it is secret."""
     revision: int
     value: bytes = b""
     gone: bool = False
+    """The key was removed, or its lease is over."""
     lease: int = 0
+    """0 for none."""
 
-    def entry(self) -> KeyValue:
+    def key_value(self) -> KeyValue:
+        """Return it as a key that is there."""
         return KeyValue(self.key, self.value, self.revision, self.lease)
 
     def event(self) -> Event:
+        """Return it as a change."""
         return Event(self.revision, self.key, None if self.gone else self.value)
 
 
 class _Range(msgspec.Struct):
+    """One page of keys."""
+
     items: list[_Item]
     more: bool
     at: int
+    """The store's revision."""
 
 
 class _Events(msgspec.Struct):
+    """What a watch returned."""
+
     events: list[_Item]
     at: int
+    """The store's revision, after which the next watch begins."""
 
 
 class _Done(msgspec.Struct):
+    """A transaction that was done."""
+
     revision: int
 
 
 class _Lease(msgspec.Struct):
+    """A lease that was given."""
+
     lease: int
 
 
@@ -88,11 +116,11 @@
             self._session = None
 
     async def read(self, prefix: str) -> Listing:
-        """Read all entries under a prefix; the revision is the first page's."""
+        """Read all keys under a prefix; the revision is the first page's."""
         return await self._list({"path-prefix": prefix})
 
     async def read_stale(self, prefix: str) -> Listing:
-        """Read all entries under a prefix, for a tenth of the price."""
+        """Read all keys under a prefix from a lagging copy, at a tenth of the price."""
         return await self._list({"path-prefix": prefix, "stale": "1"})
 
     async def _list(self, query: dict[str, str]) -> Listing:
@@ -104,7 +132,7 @@
             data = await self._read("kv-range", page_query, CALL_TIMEOUT_S)
             page = _parse(data, _Range)
             revision = revision or page.at
-            found.update((i.key, i.entry()) for i in page.items)
+            found.update((i.key, i.key_value()) for i in page.items)
             if not page.more or not page.items:
                 return Listing(revision, list(found.values()))
             after = page.items[-1].key
@@ -131,7 +159,7 @@
         return await self._transact(writes, 0)
 
     async def hold(self, key: str, value: bytes, ttl_s: float) -> int:
-        """Write a key that goes when its lease is not kept."""
+        """Write a key that is removed when its lease is not kept."""
         body = {"ttl_ms": round(ttl_s * 1000)}
         lease = _parse(await self._write("POST", "kv-lease", body), _Lease).lease
         await self._transact([Write(key, value)], lease)
@@ -176,7 +204,7 @@
         return Commit(True, _parse(data, _Done).revision)
 
     async def _read(self, call: str, query: dict[str, str], timeout_s: float) -> bytes:
-        """Make a call that changes nothing, so that a lost answer is no more."""
+        """Make a call that changes nothing: a lost answer is as good as no call."""
         try:
             status, data = await self._call("GET", call, query, None, timeout_s)
         except StoreUnknown as e:
@@ -199,7 +227,12 @@
         body: object,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> tuple[int, bytes]:
-        """Make one call, telling lost answers from calls never taken."""
+        """Make one call; lost answers differ from calls that were never taken.
+
+        Raises:
+          StoreUnavailable: no connection was opened.
+          StoreUnknown: the answer was lost.
+        """
         if self._session is None:
             self._session = new_session()
         self.calls += 1
