--- a/leverdoor/entry/requests/idle_timeouts.py
+++ b/leverdoor/entry/requests/idle_timeouts.py
@@ -12,20 +12,20 @@
 
 __all__ = ["IdleTimeouts"]
 
-AT_ONCE_S = 0.15
+RESET_WITHIN_S = 0.15
 """Time within which a lost answer shows a forgotten connection, in seconds.
 
 Chosen: above the round trip between regions (0.11 s), so that the reset arrives; a
 target that fails while it runs a request mostly takes longer. Greater, such failures
 cost new connections; smaller, forgotten connections to other regions go unnoticed.
 """
-CAUTIOUS_IDLE_S = 0.15
+LIMITED_IDLE_S = 0.15
 """Longest idle time of a connection while its service forgets them, in seconds.
 
 Chosen: requests that follow one another still share a connection. Greater, more of them
 meet a forgotten one; smaller, nearly each opens its own.
 """
-CAUTIOUS_FOR_S = 8.0
+LIMITED_FOR_S = 8.0
 """How long this lasts after the last lost answer, in seconds.
 
 Chosen: the usual length of such a fault. Greater, new connections are opened for
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         """Create it with no service known to forget connections."""
-        self._cautious_until: dict[str, float] = {}
+        self._limited_until: dict[str, float] = {}
 
     def longest_s(self, service: str, now: float) -> float:
         """Return the longest idle time after which a connection may be used.
@@ -48,8 +48,8 @@
           now: loop time in seconds.
         Returns: seconds; infinite where nothing was forgotten lately.
         """
-        if now < self._cautious_until.get(service, 0.0):
-            return CAUTIOUS_IDLE_S
+        if now < self._limited_until.get(service, 0.0):
+            return LIMITED_IDLE_S
         return float("inf")
 
     def lost(self, service: str, idle_s: float, took_s: float, now: float) -> bool:
@@ -63,8 +63,8 @@
         Returns: whether the service's idle time is limited from now on, and was not
           before.
         """
-        if idle_s < CAUTIOUS_IDLE_S or took_s > AT_ONCE_S:
+        if idle_s < LIMITED_IDLE_S or took_s > RESET_WITHIN_S:
             return False
-        before = now < self._cautious_until.get(service, 0.0)
-        self._cautious_until[service] = now + CAUTIOUS_FOR_S
+        before = now < self._limited_until.get(service, 0.0)
+        self._limited_until[service] = now + LIMITED_FOR_S
         return not before
--- a/tests/test_entry_connections.py
+++ b/tests/test_entry_connections.py
@@ -11,13 +11,13 @@
 from leverdoor.entry.requests.connection import AnswerLost
 from leverdoor.entry.requests.connections import Connections
 from leverdoor.entry.requests.idle_timeouts import (
-    CAUTIOUS_FOR_S,
-    CAUTIOUS_IDLE_S,
+    LIMITED_FOR_S,
+    LIMITED_IDLE_S,
     IdleTimeouts,
 )
 from leverdoor.entry.requests.outgoing import Outgoing
 
-LONG_S = 2 * CAUTIOUS_IDLE_S
+LONG_S = 2 * LIMITED_IDLE_S
 SOON_S = 0.01
 
 
@@ -26,9 +26,9 @@
     assert limits.longest_s("s", 0.0) > 1e9
     assert limits.lost("s", LONG_S, SOON_S, 0.0)
     assert not limits.lost("s", LONG_S, SOON_S, 1.0)
-    assert limits.longest_s("s", 2.0) == CAUTIOUS_IDLE_S
+    assert limits.longest_s("s", 2.0) == LIMITED_IDLE_S
     assert limits.longest_s("other", 2.0) > 1e9
-    assert limits.longest_s("s", 1.0 + CAUTIOUS_FOR_S) > 1e9
+    assert limits.longest_s("s", 1.0 + LIMITED_FOR_S) > 1e9
 
 
 def test_other_lost_answers_do_not() -> None:
@@ -47,7 +47,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Each connection answers once and is reset by what comes next."""
-    monkeypatch.setattr(idle_timeouts, "AT_ONCE_S", 30.0)
+    monkeypatch.setattr(idle_timeouts, "RESET_WITHIN_S", 30.0)
 
     async def serve(r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
         head = await r.readuntil(b"\r\n\r\n")
--- /dev/null
+++ b/tests/test_entry_request_rules.py
@@ -0,0 +1,108 @@
+# leverdoor: global traffic steering
+# SPDX-License-Identifier: Apache-2.0
+"""Rules of the request path: deadlines, what was not run, Retry-After, sharers."""
+
+from random import Random
+
+import pytest
+
+from desk import target
+from leverdoor.codec import pack
+from leverdoor.entry.membership.member import Member
+from leverdoor.entry.membership.members import Membership
+from leverdoor.entry.requests.deadlines import (
+    give_up_at,
+    give_up_on_target_at,
+    ms_left,
+)
+from leverdoor.entry.requests.retries import says_not_run
+from leverdoor.entry.requests.retry_after import retry_after_value
+from leverdoor.entry.warm_up import count_sharers
+from leverdoor.model.resources import Route, WorkClass
+
+
+def route(timeout_ms: int) -> Route:
+    return Route(
+        name="r",
+        host="h",
+        prefix="/",
+        work=WorkClass.LOOKUP,
+        services={"s": 1.0},
+        timeout_ms=timeout_ms,
+    )
+
+
+@pytest.mark.parametrize(
+    ("deadline_ms", "timeout_ms", "expected_s"),
+    [
+        (1_000, 0, 0.98),
+        (1_000, 400, 0.38),
+        (400, 1_000, 0.38),
+        (20, 0, 0.001),
+        (0, 0, 0.001),
+    ],
+)
+def test_the_lesser_of_deadline_and_time_out_counts(
+    deadline_ms: int, timeout_ms: int, expected_s: float
+) -> None:
+    until = give_up_at(5.0, deadline_ms, route(timeout_ms))
+    assert until == pytest.approx(5.0 + expected_s)
+
+
+def test_a_target_is_given_up_on_before_the_request() -> None:
+    assert give_up_on_target_at(5.0) == pytest.approx(4.97)
+
+
+def test_a_target_is_given_whole_milliseconds_and_one_at_least() -> None:
+    assert ms_left(5.0, 4.5) == 500
+    assert ms_left(5.0, 4.9985) == 1
+    assert ms_left(5.0, 6.0) == 1
+
+
+@pytest.mark.parametrize(
+    ("status", "marked", "expected"),
+    [
+        (503, True, True),
+        (503, False, False),
+        (429, True, True),
+        (400, True, True),
+        (421, False, True),
+        (421, True, True),
+        (200, True, False),
+        (500, True, False),
+    ],
+)
+def test_which_answers_mean_not_run(status: int, marked: bool, expected: bool) -> None:
+    assert says_not_run(status, marked) is expected
+
+
+@pytest.mark.parametrize(
+    ("status", "retry_after_ms", "expected"),
+    [(503, 250, "0.250"), (429, 1_500, "1.500"), (503, 0, None), (408, 100, None)],
+)
+def test_which_refusals_have_a_retry_after(
+    status: int, retry_after_ms: int, expected: str | None
+) -> None:
+    assert retry_after_value(status, retry_after_ms) == expected
+
+
+def member(name: str, region: str, domain: str) -> Member:
+    return Member(name, region, domain, "", name, "", 1)
+
+
+def test_the_nearest_entries_share_a_cold_target() -> None:
+    membership = Membership(member("n1", "a", "a1"), Random(1))
+    assert count_sharers(membership, target("t", domain="a1")) == 1
+    assert count_sharers(membership, target("t", domain="a2")) == 1
+    assert count_sharers(membership, target("t", domain="b1")) == 1
+
+
+def test_an_entry_far_from_a_cold_target_has_no_share() -> None:
+    membership = Membership(member("n1", "a", "a1"), Random(1))
+    others = [member("n2", "a", "a2"), member("n3", "b", "b1")]
+    membership.found({m.name: pack(m) for m in others}, 0.0)
+    assert count_sharers(membership, target("t", domain="a1")) == 1
+    assert count_sharers(membership, target("t", domain="a2")) == 0
+    assert count_sharers(membership, target("t", domain="a3")) == 2
+    assert count_sharers(membership, target("t", domain="b2")) == 0
+    assert count_sharers(membership, target("t", domain="c1")) == 3
