--- a/leverdoor/entry/requests/client_connection.py
+++ b/leverdoor/entry/requests/client_connection.py
@@ -74,7 +74,7 @@
             self._expire_after(self._limits.header_timeout_ms, HEAD_TOO_SLOW)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Forget the timer."""
+        """Stop the timer."""
         self._stop_timer()
         super().connection_lost(exc)
 
@@ -85,12 +85,14 @@
         )
 
     def _stop_timer(self) -> None:
+        """Stop waiting for a first byte, or for the rest of a head."""
         self._in_head = False
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def _expire(self, response: bytes) -> None:
+        """Close the connection; a response, if there is one, goes first."""
         self._timer = None
         if self.transport is not None and response:
             self.transport.write(response)
--- a/leverdoor/entry/requests/connection.py
+++ b/leverdoor/entry/requests/connection.py
@@ -67,7 +67,7 @@
     # The transport's side.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport and set how soon a dead machine is noticed."""
+        """Take the transport and set how soon a dead VM is noticed."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         sock = transport.get_extra_info("socket")
--- a/leverdoor/entry/requests/connections.py
+++ b/leverdoor/entry/requests/connections.py
@@ -29,7 +29,11 @@
 Chosen: one lost packet (0.2 s) is borne, a dead target is left before 0.5 s.
 """
 REMOTE_CONNECT_TIMEOUT_S = 0.8
-"""The same for other regions, whose round trip takes up to 0.11 s."""
+"""The same for other regions, whose round trip takes up to 0.11 s.
+
+Greater, a request waits longer for a dead target before it is retried; smaller, a lost
+packet on the way between regions counts as a dead target.
+"""
 IDLE_S = 4.0
 """How long a connection is kept where the target names no time, in seconds.
 
--- a/leverdoor/entry/requests/dead_peers.py
+++ b/leverdoor/entry/requests/dead_peers.py
@@ -1,8 +1,8 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Socket options by which the kernel notices that a target's machine is gone.
+"""Socket options by which the kernel notices that a target's VM is gone.
 
-A process that ends closes its connections; a machine that loses power does not. Owns no
+A process that ends closes its connections; a VM that loses power does not. Owns no
 state; the kernel then ends the connection with a time-out error.
 """
 
