--- a/leverdoor/entry/exchange/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -251,7 +251,7 @@
         """
         to = self._recipients.aggregators(now)
         if self._roles.is_aggregator(now):
-            live, silent = self._membership.in_own_domain(now)
+            live, silent = self._membership.own_domain_by_liveness(now)
             to = [m.gossip for m in (*live, *silent)]
             to += [m.gossip for m in self._recipients.near(now)]
             to += [m.gossip for m in self._recipients.far(self._turn, now)]
--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -1,6 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Speaks with the other entries: datagrams in and out, and fetches of newer states."""
+"""Messages to and from the other entries, and fetches of newer states.
+
+Owns the datagram socket, the client that fetches from peers, and when news of a newer
+state were sent last; nothing of it outlives the process. Relies on `Exchange` for what
+to send and on the loop's clock. A datagram that is lost is not sent again: the next
+round's replaces it.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -15,47 +21,51 @@
 from leverdoor.storage.following import PeerFollower
 from leverdoor.storage.state import State
 
-__all__ = ["PeerLink", "TakeHeard"]
+__all__ = ["PeerLink", "TakeUpdate"]
 
 NEWS_S = 0.03
-"""Pause before news are sent, so that changes in a row are sent once."""
+"""Pause before news are sent, in seconds.
+
+Chosen: changes in a row are then sent once. Greater, each change is later everywhere by
+as much, at each of three steps.
+"""
 BUSY_NEWS_S = 0.15
 """Least time between two news, in seconds.
 
-Taking a change costs an entry 1.9 ms with 541 targets and 195 entries, and a fetch
-from a peer about as much; followers that hear of the same changes at different
-moments would have all entries do that up to thirty times a second. Over the three
+A change takes an entry 1.9 ms with 541 targets and 195 entries, and a fetch from a peer
+about as much. Followers that get the same changes at different moments would have all
+entries do that up to thirty times a second. Greater, changes are later: over the three
 steps to the last entry it adds 0.45 s at most, of a bound of 2.5 s.
 """
 
-TakeHeard: TypeAlias = Callable[[PeerUpdate, float], None]
-"""Called with what others told, and the monotonic time in seconds."""
+TakeUpdate: TypeAlias = Callable[[PeerUpdate, float], None]
+"""Called with what was learned, and the monotonic time in seconds."""
 
 
 class PeerLink:
-    """The datagram socket, and the client that fetches states from peers."""
+    """The connection of this entry to the others."""
 
     def __init__(
         self,
         exchange: Exchange,
         state: State,
         keeper: CatalogKeeper,
-        report: Callable[[], EntryStatus],
-        take: TakeHeard,
+        status: Callable[[], EntryStatus],
+        take: TakeUpdate,
     ) -> None:
         """Create it; nothing is opened yet.
 
         Args:
-          exchange: decides what to tell whom, and what is learned.
+          exchange: decides what to send to whom, and what is learned.
           state: the copy of the store in force here.
-          keeper: is told where a newer state came from.
-          report: returns how this entry fares.
-          take: lets the other parts know what was heard.
+          keeper: gets the source of a newer state.
+          status: returns the status of this entry.
+          take: passes what was learned on to the other parts.
         """
         self._exchange = exchange
         self._state = state
         self._keeper = keeper
-        self._report = report
+        self._status = status
         self._take = take
         self._socket = GossipSocket(Message, self._take_message)
         self.puller = PeerFollower(state)
@@ -73,24 +83,24 @@
 
     def round(self, now: float) -> None:
         """Send the heartbeats and digests of a round."""
-        sendings, heard = self._exchange.round(self._report(), now)
+        sendings, update = self._exchange.round(self._status(), now)
         self._send(sendings)
-        self._take_update(heard, now)
+        self._take_update(update, now)
 
     def announce(self) -> None:
-        """Tell a state that changed without waiting for the next round."""
+        """Send a heartbeat at once, since this entry's state changed."""
         now = asyncio.get_running_loop().time()
-        self._send(self._exchange.announce(self._report(), now))
+        self._send(self._exchange.announce(self._status(), now))
 
     def announce_leave(self) -> None:
-        """Tell the whole region that this entry leaves."""
-        self._send(self._exchange.announce_leave(self._report()))
+        """Send a heartbeat to the whole region: this entry leaves."""
+        self._send(self._exchange.announce_leave(self._status()))
 
     def spread_news(self) -> None:
         """Announce a newer state soon, once for several changes.
 
-        Aggregators pass it on at once; with the next digests alone the last entries
-        would have it after three rounds.
+        Aggregators pass it on at once; with digests alone the last entries would
+        have it after three rounds.
         """
         if not self._news_due:
             self._news_due = True
@@ -112,13 +122,13 @@
         now = asyncio.get_running_loop().time()
         self._take_update(self._exchange.take(message, self._state.revision, now), now)
 
-    def _take_update(self, heard: PeerUpdate, now: float) -> None:
-        self._take(heard, now)
-        if heard.source:
-            asyncio.ensure_future(self._pull(heard.source))
+    def _take_update(self, update: PeerUpdate, now: float) -> None:
+        self._take(update, now)
+        if update.source:
+            asyncio.ensure_future(self._pull(update.source))
 
     async def _pull(self, address: str) -> None:
-        """Fetch what another entry has and this one lacks, one at a time."""
+        """Fetch what another entry has and this one lacks; no two at the same time."""
         if self.puller.busy:
             return
         self._keeper.source = address
--- a/leverdoor/entry/exchange/recipients.py
+++ b/leverdoor/entry/exchange/recipients.py
@@ -110,7 +110,7 @@
         merging = self._roles.aggregators(self._own.domain, now)
         place, count = merging.index(self._own), len(merging)
         whose = turn if place == 0 else self._second_turn(turn, now)
-        live, silent = self._membership.in_own_domain(now)
+        live, silent = self._membership.own_domain_by_liveness(now)
         ordered = sorted([*live, self._own], key=lambda m: m.name)
         chosen = [
             member
--- a/leverdoor/entry/membership/joining.py
+++ b/leverdoor/entry/membership/joining.py
@@ -2,9 +2,14 @@
 # SPDX-License-Identifier: Apache-2.0
 """How an entry that starts finds the others, and gets the state from one of them.
 
-Listing everything from the store and watching it costs each start some five priced
-calls. One cheap listing of the entries alone names peers that have the state; the
-store is listed whole only by entries that find none.
+Listing everything from the store and watching it costs each start some five calls,
+which are counted and limited. One listing of the entries alone finds peers that have
+the state. The store is listed whole only by those with the widest links of a region,
+and by entries that find no peer with the state.
+
+Owns from when this entry may follow the store (`settled_at`), for one process. Relies
+on `Roles` for the place of this entry, on `PeerFollower` for fetches and on the store
+for the listing; an unavailable store is logged and taken for an empty list.
 """
 
 import asyncio
@@ -22,29 +27,42 @@
 __all__ = ["Joining"]
 
 TRIES = 3
-"""Groups of peers asked for the state, one after the other."""
+"""Groups of peers tried for the state, one after the other.
+
+Chosen: with `TRY_S`, a start without any live peer waits for 0.75 s at most.
+"""
 PEERS_AT_ONCE = 2
-"""Peers asked at once; one may be dead."""
+"""Peers tried at once; chosen: one may be dead. More fetch the state for nothing."""
 TRY_S = 0.25
-"""Longest wait for one group, in seconds; an answer takes some 10 ms within a region.
+"""Longest wait for one group, in seconds.
 
-The groups together keep a start without any living peer waiting for 0.75 s at most.
+An answer takes some 10 ms within a region. Shorter, a busy peer is given up; longer, a
+start among dead peers takes longer.
 """
 STAGGER_S = 0.1
-"""Wait of each next entry by rank before it lists the store, in seconds: news of a
-state that the first ones listed arrive within that time."""
+"""Wait of each next group of entries by link before it lists the store, in seconds.
+
+Chosen: news of a state that the first ones listed arrive within that time. Shorter, all
+list the store at a start of all; longer, the last ones start later.
+"""
 MOST_STAGGER_S = 0.8
-"""Longest such wait, in seconds; chosen."""
+"""Longest such wait, in seconds; chosen: bounds a start when no entry has a state."""
 ALONE_S = 1.0
-"""Longest wait of an entry that finds no others, in seconds: when all start for the
-first time, the first that lists tells the others."""
+"""Longest wait of an entry that finds no others, in seconds; the wait is random.
+
+Chosen: when all start for the first time, the first that lists sends news to the
+others. Shorter, more of them list; longer, a lone entry starts later.
+"""
 SETTLE_S = 1.0
-"""Time after a start in which an entry that got the state from a peer does not follow
-the store itself: by then it has heard who does."""
+"""Time after a start in which an entry with a peer's state does not follow the store.
+
+In seconds. Chosen: five rounds, by then it knows those that do. Shorter, it lists and
+watches for nothing; longer, changes wait if no other entry follows.
+"""
 
 
 class Joining:
-    """The start of one entry, from knowing nobody to having the state."""
+    """The start of one entry, from no peers known to having the state."""
 
     def __init__(
         self,
@@ -61,7 +79,7 @@
 
         Args:
           store: the platform's service.
-          prefix: under which the entries write themselves.
+          prefix: of the entries' keys.
           membership: the entries known.
           roles: places them by their links.
           state: the copy of the store, empty as yet.
@@ -83,7 +101,7 @@
         state.changes.subscribe(lambda _: self._has_state.set())
 
     async def find(self) -> Mapping[str, KeyValue]:
-        """Read who is written in the store; nobody if it does not answer."""
+        """Return the entries' keys in the store; none if it does not answer."""
         try:
             listing = await self._store.read_stale(self._prefix)
         except LeverdoorError as e:
@@ -94,17 +112,17 @@
         self._membership.add_registered({k: e.value for k, e in found.items()}, now)
         return found
 
-    async def fetch(self, watchers: int) -> None:
-        """Get the state from a peer, or wait until it is this entry's turn to list.
+    async def fetch(self, followers: int) -> None:
+        """Get the state from a peer, or return when this entry is to list the store.
 
         Those with the widest links list at once: when all entries were killed, the
         others have the state from them a moment later.
 
         Args:
-          watchers: how many entries of a region list at once.
+          followers: how many entries of a region list at once.
         """
-        rank = self._roles.place_by_link()
-        if rank is not None and rank < watchers:
+        place = self._roles.place_by_link()
+        if place is not None and place < followers:
             return
         for _ in range(TRIES):
             peers = self._choose()
@@ -113,27 +131,26 @@
             if await self._puller.pull_any(peers, TRY_S):
                 break
         if not self._has_state.is_set():
-            await self._wait(self._patience_s(watchers))
+            await self._wait(self._patience_s(followers))
         if self._has_state.is_set():
             loop = asyncio.get_running_loop()
             self.settled_at = loop.time() + SETTLE_S
             self._events.process("joined", revision=self._state.revision)
 
     def _choose(self) -> list[str]:
-        """Choose peers to ask: of the own domain while there are some, by chance."""
-        live, silent = self._membership.in_own_domain(0.0)
-        near = [*live, *silent]
+        """Choose peers at random: of the own failure domain, if it has enough."""
+        near = self._membership.in_own_domain()
         if len(near) < PEERS_AT_ONCE:
             near = self._membership.in_own_region()
         chosen = self._rng.sample(near, min(PEERS_AT_ONCE, len(near)))
         return [member.pull for member in chosen]
 
-    def _patience_s(self, watchers: int) -> float:
-        """Return how long to wait for others' news before listing the store."""
-        rank = self._roles.place_by_link()
-        if rank is None:
+    def _patience_s(self, followers: int) -> float:
+        """Return how long to wait for a peer's state before listing the store, in s."""
+        place = self._roles.place_by_link()
+        if place is None:
             return self._rng.random() * ALONE_S
-        return min(rank // watchers * STAGGER_S, MOST_STAGGER_S)
+        return min(place // followers * STAGGER_S, MOST_STAGGER_S)
 
     async def _wait(self, patience_s: float) -> None:
         try:
--- a/leverdoor/entry/membership/members.py
+++ b/leverdoor/entry/membership/members.py
@@ -216,7 +216,12 @@
         """Return all known entries of this entry's region, silent ones included."""
         return [r.member for r in self.records(self.domains(self.own.region))]
 
-    def in_own_domain(self, now: float) -> tuple[list[Member], list[Member]]:
+    def in_own_domain(self) -> list[Member]:
+        """Return all known entries of the own failure domain, ordered by name."""
+        records = sorted(self._domains[self.own.domain].items())
+        return [record.member for _, record in records]
+
+    def own_domain_by_liveness(self, now: float) -> tuple[list[Member], list[Member]]:
         """Return the known entries of the own failure domain: live, and silent ones.
 
         One of which no heartbeat came yet, as in its first moments, counts as live.
--- a/leverdoor/entry/membership/registration.py
+++ b/leverdoor/entry/membership/registration.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Keeps this entry written in the store, so that others find it."""
+"""Keeps this entry registered in the store, so that entries that start find it.
+
+Owns the lease of this entry's key. After a crash the key stays for `TTL_S` at most, and
+the next process of the same entry takes it over (`adopt`). Relies on the store; while
+it is away, entries know each other by heartbeats, and only starts are affected.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -17,19 +22,39 @@
 __all__ = ["Registration", "retry_pause_s"]
 
 TTL_S = 15.0
-"""Life of an entry's lease in seconds: longer than usual outages of the store."""
+"""Duration of an entry's lease, in seconds.
+
+Chosen: longer than usual outages of the store, after which all would register again.
+Longer, keys of VMs that are gone are read by entries that start.
+"""
 KEEP_S = 5.0
-"""Seconds between two renewals: a third of the lease."""
+"""Seconds between two renewals; chosen: a third of the lease, so two may fail."""
 RETRY_S = 0.5
-"""Pause after a failed write, in seconds; grows with the number of entries."""
+"""Least mean pause after a failed call, in seconds; see `retry_pause_s`.
+
+Chosen: bounds the calls of a few entries to an unavailable store. Longer, they are
+found later after an outage.
+"""
 CALLS = 2
-"""Writing calls of one registration: its lease and its key."""
+"""Writing calls of one registration: one for its lease, one for its key."""
 RATE_SHARE = 0.25
-"""Part of the store's rate of writes that registrations may take together."""
+"""Part of the store's rate of writes that registrations may take together.
+
+Chosen: the rest is for operators and targets. Greater, their writes wait after an
+outage; smaller, entries are found later.
+"""
+LEAST_OF_MEAN = 0.5
+"""Shortest pause as a part of the mean; the longest is as much above it.
+
+Chosen: pauses spread over the length of the mean, so that entries that lost the store
+together do not call together.
+"""
 
 
 def retry_pause_s(entries: int, writes_per_s: float) -> float:
-    """Return the mean pause after a failure, so that all keep the store's rate.
+    """Return the mean pause after a failed call, in seconds.
+
+    All entries together then keep to `RATE_SHARE` of the store's writes.
 
     Args:
       entries: how many may register again at the same time.
@@ -70,10 +95,10 @@
         self._lease = 0
 
     def adopt(self, written: KeyValue | None) -> None:
-        """Go on with the key and lease of a former life, if they still fit.
+        """Take over the key and lease of a former incarnation, if they still fit.
 
-        That saves the two writing calls of each start; whether the lease is over
-        shows when it is renewed.
+        That saves the two writing calls of each start; whether the lease
+        has expired shows when it is renewed.
         """
         if written is None or not written.lease:
             return
@@ -88,7 +113,7 @@
             self._events.process("registration adopted", lease=self._lease)
 
     async def run(self) -> None:
-        """Write the key, and again whenever its lease is over, until cancelled."""
+        """Write the key, and again whenever its lease expired, until cancelled."""
         while True:
             try:
                 if self._lease == 0:
@@ -100,12 +125,14 @@
                     continue
             except LeverdoorError as e:
                 self._events.process("registration failed", error=str(e))
-                await asyncio.sleep(self._pause_s() * (0.5 + self._rng.random()))
+                await asyncio.sleep(
+                    self._pause_s() * (LEAST_OF_MEAN + self._rng.random())
+                )
                 continue
             await asyncio.sleep(KEEP_S)
 
     async def end(self) -> None:
-        """Remove the key."""
+        """Give the lease up, which deletes the key."""
         lease, self._lease = self._lease, 0
         if lease:
             await self._store.let_go(lease)
--- a/tests/test_entry_joining.py
+++ b/tests/test_entry_joining.py
@@ -107,7 +107,7 @@
     start = Start(member("a1-9"), store, {f"p/a1-{i}" for i in range(4)})
     found = await start.joining.find()
     assert found.keys() == {PREFIX + m.name for m in others}
-    await start.joining.fetch(watchers=2)
+    await start.joining.fetch(followers=2)
     assert start.state.revision == 5
     assert all(api.startswith("p/a1-") for apis in start.puller.asked for api in apis)
     loop = asyncio.get_running_loop()
@@ -119,7 +119,7 @@
     store = Store(written(*[member(f"a1-{i}") for i in range(4)]))
     start = Start(member("a1-9", 200), store, set())
     await start.joining.find()
-    await start.joining.fetch(watchers=2)
+    await start.joining.fetch(followers=2)
     assert start.puller.asked == []
     assert start.joining.settled_at == 0.0, "it may follow the store at once"
 
@@ -132,7 +132,7 @@
     loop.call_later(
         0.01, lambda: start.state.apply(Delta(0, 3, True, [Event(3, "k", b"v")]))
     )
-    await start.joining.fetch(watchers=2)
+    await start.joining.fetch(followers=2)
     assert start.state.revision == 3
     assert start.joining.settled_at > 0.0
 
@@ -141,7 +141,7 @@
     others = [member(f"a1-{i}", 200) for i in range(4)]
     start = Start(member("a1-9"), Store(written(*others)), set())
     await start.joining.find()
-    await start.joining.fetch(watchers=2)
+    await start.joining.fetch(followers=2)
     assert start.state.revision == 0
     assert start.joining.settled_at == 0.0
 
