--- a/leverdoor/agent/api.py
+++ b/leverdoor/agent/api.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The resource API, served by every agent over HTTP."""
+"""The resource API, served by every agent over HTTP.
+
+Owns no state but the queues of its watchers. Queries read the agent's copy of the
+store, which may lag; commands go through `storage/configuration.py` to the store.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -29,18 +33,26 @@
 __all__ = ["Api", "Change", "Item", "ItemList", "Status"]
 
 MAX_BODY = 1_000_000
-"""Longest document accepted, in bytes; chosen, not measured."""
+"""Longest document accepted, in bytes; the longest value of the store."""
 BOOKMARK_S = 5.0
-"""Seconds between bookmarks to an idle watch; chosen, below common idle time-outs."""
+"""Seconds between bookmarks to an idle watch; chosen, below usual idle time-outs."""
 REPORT_WATCH_S = 1.0
-"""Seconds between two reports to a watcher; chosen, a person reads them."""
+"""Seconds between two reports to a watcher; chosen, people read them."""
 WATCH_QUEUE = 1_000
-"""Events kept for a slow watcher before it is told to list again; chosen."""
+"""Changes kept for a slow watcher before its watch ends and it has to list again.
+
+Chosen: holds a large apply; a greater one costs memory for each slow watcher.
+"""
+NO_CONFIGURATION_RETRY_MS = 500
+"""Retry-After in ms while the agent has no copy of the store yet.
+
+Chosen: about the time in which a new agent gets it from a peer.
+"""
 ABSENT = msgspec.Raw(b"null")
 
 
 class Item(msgspec.Struct):
-    """A resource as it stands, and how many entries have it in force."""
+    """A resource, and how many of all gates have it in force."""
 
     revision: int
     resource: msgspec.Raw
@@ -56,7 +68,7 @@
 
 
 class Change(msgspec.Struct, omit_defaults=True):
-    """One line of a watch: put, delete, or a bookmark that only tells the time."""
+    """One line of a watch: put, delete, or a bookmark that has only the revision."""
 
     revision: int
     type: str
@@ -65,7 +77,7 @@
 
 
 class Status(msgspec.Struct):
-    """How far a revision is in force."""
+    """How many of all gates have a revision in force."""
 
     revision: int
     in_force: int
@@ -186,6 +198,7 @@
         return await _stream_lines(request, self._changes(prefix, since))
 
     async def _changes(self, prefix: str, since: int) -> AsyncIterator[bytes]:
+        """Yield changes as lines; ends when the watcher is too slow to follow."""
         queue: asyncio.Queue[Delta | None] = asyncio.Queue(WATCH_QUEUE)
 
         def put(delta: Delta) -> None:
@@ -223,7 +236,9 @@
 
     def _need_configuration(self) -> None:
         if self._state.revision == 0:
-            raise LeverdoorError(Code.NO_CONFIGURATION, retry_after_ms=500)
+            raise LeverdoorError(
+                Code.NO_CONFIGURATION, retry_after_ms=NO_CONFIGURATION_RETRY_MS
+            )
 
     # Commands.
 
--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -1,6 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The agent daemon: the control path of one entry VM."""
+"""The agent daemon: the control path of one VM of a plain site.
+
+Owns the parts of the agent and their wiring: the copy of the store, the peers, what the
+VM list shows (`vm_watch.py`) and the gate's last report (`gate_sessions.py`). All of it
+is lost with the process and comes back from the store, the peers and the gate. Relies
+on the store only to change things; while it is down the last snapshot stays in force.
+"""
 
 import asyncio
 import contextlib
@@ -12,36 +18,32 @@
 from loguru import logger
 
 from leverdoor.agent.api import Api
-from leverdoor.agent.link import AgentLink, GateReport, Hints
+from leverdoor.agent.gate_sessions import GateSessions
+from leverdoor.agent.link import AgentLink, GateReport
 from leverdoor.agent.planning import Planner
 from leverdoor.agent.probing import Prober
 from leverdoor.agent.reports import Reporter
+from leverdoor.agent.vm_watch import VmWatch
 from leverdoor.errors import LeverdoorError
 from leverdoor.lifecycle import keep_running
 from leverdoor.membership.gossip import GossipSocket
 from leverdoor.membership.peers import AgentHeartbeat, Gossip, Peers
 from leverdoor.metrics import AgentMetrics
-from leverdoor.model.probe import Probe
 from leverdoor.settings import AgentSettings
 from leverdoor.storage.configuration import Configuration
 from leverdoor.storage.etcd import EtcdStore
 from leverdoor.storage.following import PeerFollower, StoreFollower, elected
 from leverdoor.storage.state import Delta, State
 from leverdoor.storage.view import ViewCache
-from leverdoor.storage.vmlist import Departures, HttpVmList, VmState
 
 __all__ = ["Agent"]
 
-GATE_SILENCE_S = 1.0
-"""Silence on the link after which the gate passes for dead; ten of its reports."""
-DEPARTED_KEPT_S = 120.0
-"""How long a departed VM is remembered, so that late heartbeats do not revive it."""
 STOP_TIMEOUT_S = 1.0
-"""Longest time that closing may take, in seconds; chosen, not measured."""
-MEASURE_BEATS = 10
-"""Heartbeats between two measurements of the process; chosen, not measured."""
+"""Longest time that closing may take, in seconds; chosen, a gate goes on meanwhile."""
+METRICS_BEATS = 10
+"""Heartbeats between two updates of metrics and of peers to forget; chosen, 2 s."""
 PROBES_PER_S = 8
-"""Targets asked for their report in a second; keeps an agent below 1% of a core."""
+"""Targets probed in a second; keeps an agent below 1% of a core."""
 
 
 class Agent:
@@ -53,16 +55,9 @@
         self._started = time.time_ns() // 1_000
         self._stop = asyncio.Event()
         self._seq = 0
-        self._leaving_vms: frozenset[str] = frozenset()
-        self._departed: dict[str, float] = {}
-        self._probes: dict[str, Probe] = {}
-        self._gates: dict[bytes, float] = {}
-        self._report: GateReport | None = None
-        self._report_at = 0.0
-        self._news: dict[str, AgentHeartbeat] = {}
 
     def stop(self) -> None:
-        """Ask the agent to end; its gate goes on serving."""
+        """Begin to end; the gate goes on serving."""
         self._stop.set()
 
     async def run(self) -> None:
@@ -106,12 +101,11 @@
         self._cache = ViewCache(self._state, with_blocks=False)
         self._peers = Peers(s.vm, s.region)
         self._store = EtcdStore(s.store)
-        self._vm_list = HttpVmList(s.vm_list)
-        self._departures = Departures(s.vm_list_lag_ms / 1000)
+        self._vm_watch = VmWatch(s)
         self._prober = Prober()
         self._pull = PeerFollower(self._state)
         self._follower = StoreFollower(
-            self._store, self._state, lambda: self._rank() >= 0, self._rng
+            self._store, self._state, lambda: self._follower_place() >= 0, self._rng
         )
         self._planner = Planner(
             s.region,
@@ -119,7 +113,7 @@
             self._state,
             self._cache,
             self._peers,
-            self._rank,
+            self._follower_place,
             self.leaving_vms,
             self.departed,
         )
@@ -127,10 +121,11 @@
         self._reporter = Reporter(self._cache, self._peers)
         self._api = Api(self._configuration, self._state, self._reporter, self._metrics)
         self._link = AgentLink(s.link)
+        self._gates = GateSessions(self._link)
         self._socket = GossipSocket(Gossip, self._take_gossip)
         await self._socket.open(s.gossip)
         self._state.changes.subscribe(self._push_delta)
-        self._heartbeat()
+        self._renew_heartbeat()
 
     async def _close(self) -> None:
         self._socket.close()
@@ -138,18 +133,19 @@
         await self._prober.close()
         await self._pull.close()
         await self._reporter.close()
-        await self._vm_list.close()
+        await self._vm_watch.close()
         await self._store.close()
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def _rank(self) -> int:
+    def _follower_place(self) -> int:
+        """Return this agent's place among those that follow the store, -1 if none."""
         return elected(self._peers, self._settings.vm, self._now())
 
     # Membership.
 
-    def _heartbeat(self) -> AgentHeartbeat:
+    def _renew_heartbeat(self) -> None:
         """Renew this VM's own heartbeat."""
         s = self._settings
         now = self._now()
@@ -163,11 +159,11 @@
             agent=self._started,
             seq=self._seq,
             revision=self._state.revision,
-            departed=sorted(self._departed),
-            leaving_vms=sorted(self._leaving_vms),
+            departed=sorted(self._vm_watch.departed),
+            leaving_vms=sorted(self._vm_watch.leaving),
         )
-        r = self._report
-        if r is not None and now - self._report_at <= GATE_SILENCE_S:
+        r = self._gates.fresh_report(now)
+        if r is not None:
             heartbeat = msgspec.structs.replace(
                 heartbeat,
                 gate=r.gate,
@@ -181,25 +177,24 @@
                 draining=r.draining,
             )
         self._peers.merge([heartbeat], now)
-        return heartbeat
 
     async def _gossip_loop(self) -> None:
         interval = self._settings.gossip_interval_ms / 1000
         seeds = [str(a) for a in self._settings.seeds if a != self._settings.gossip]
         while True:
             now = self._now()
-            self._heartbeat()
-            if self._seq % MEASURE_BEATS == 0:
+            self._renew_heartbeat()
+            if self._seq % METRICS_BEATS == 0:
                 self._peers.forget(now)
             message = self._peers.message(self._rng, now)
             for to in self._peers.partners(self._rng, seeds):
                 self._socket.send(message, to)
             await self._send_hints()
-            if self._seq % MEASURE_BEATS == 0:
-                self._measure(now)
+            if self._seq % METRICS_BEATS == 0:
+                self._update_metrics(now)
             await asyncio.sleep(interval * (0.9 + 0.2 * self._rng.random()))
 
-    def _measure(self, now: float) -> None:
+    def _update_metrics(self, now: float) -> None:
         m = self._metrics
         m.revision.set(self._state.revision)
         m.peers.set(len(self._peers.live(now)))
@@ -209,8 +204,7 @@
 
     def _take_gossip(self, gossip: Gossip) -> None:
         news = self._peers.merge(gossip.heartbeats, self._now())
-        for heartbeat in news:
-            self._news[heartbeat.vm] = heartbeat
+        self._gates.add_heartbeats(news)
         ahead = [b for b in news if b.revision > self._state.revision]
         if ahead:
             best = max(ahead, key=lambda b: b.revision)
@@ -220,15 +214,15 @@
     # The VM list.
 
     def leaving_vms(self) -> frozenset[str]:
-        """VMs that leave, by this agent's readings and its region's watchers'."""
-        found = set(self._leaving_vms)
+        """Return the VMs that leave by any reading of the VM list in the region."""
+        found = set(self._vm_watch.leaving)
         for heartbeat in self._peers.live_near(self._now()):
             found |= set(heartbeat.leaving_vms)
         return frozenset(found)
 
     def departed(self) -> frozenset[str]:
-        """Identities of processes that are proved to be gone."""
-        found = set(self._departed)
+        """Return the identities of processes proved to be gone by any such reading."""
+        found = self._vm_watch.departed
         for heartbeat in self._peers.live_near(self._now()):
             found |= set(heartbeat.departed)
         return frozenset(found)
@@ -236,83 +230,56 @@
     async def _list_loop(self) -> None:
         interval = self._settings.vm_list_interval_ms / 1000
         while True:
-            if self._rank() >= 0:
+            if self._follower_place() >= 0:
                 with contextlib.suppress(LeverdoorError):
                     await self._read_list()
             else:
-                self._leaving_vms = frozenset()
+                self._vm_watch.pause()
             await asyncio.sleep(interval * (0.9 + 0.2 * self._rng.random()))
 
     async def _read_list(self) -> None:
-        asked_at = self._now()
-        known: dict[str, set[str]] = {}
-        for m in self._cache.table(self._settings.region).members.values():
-            known.setdefault(m.vm, set()).add(m.identity)
-        vms = await self._vm_list.fetch()
-        self._leaving_vms = frozenset(v.vm for v in vms if v.state is VmState.LEAVING)
-        gone = self._departures.observe({v.vm for v in vms}, known, asked_at)
-        heard = {b.identity for b in self._peers.live_near(self._now())}
-        for identity in gone - heard:
+        table = self._cache.table(self._settings.region)
+        for identity in await self._vm_watch.read(table, self._peers):
             logger.warning("process gone with its VM", identity=identity)
-            self._departed[identity] = asked_at
-        for identity, at in list(self._departed.items()):
-            if asked_at - at > DEPARTED_KEPT_S:
-                del self._departed[identity]
 
     # Targets.
 
     async def _probe_loop(self) -> None:
-        """Probe the targets that the gate holds, fewer times if they are many."""
+        """Probe the targets of which the gate holds slots, pacing the probes."""
         least_s = self._settings.probe_interval_ms / 1000
         while True:
-            held = (
-                [r.removeprefix("t:") for r in self._report.held]
-                if self._report
-                else []
-            )
+            report = self._gates.report
+            held = [r.removeprefix("t:") for r in report.held] if report else []
             interval = max(least_s, len(held) / PROBES_PER_S)
             await asyncio.sleep(interval * (0.9 + 0.2 * self._rng.random()))
-            self._probes = await self._prober.probe(held)
+            self._gates.set_probes(await self._prober.probe(held))
 
     # The gate.
 
     async def _receive_reports(self) -> None:
+        """Take reports; a gate that is behind gets what it lacks."""
         while True:
             peer, report = await self._link.receive()
-            self._report = report
-            self._report_at = self._now()
-            if report.revision > self._state.revision or peer not in self._gates:
+            is_new = self._gates.receive(peer, report, self._now())
+            if report.revision > self._state.revision or is_new:
                 logger.info("gate joined", gate=report.gate)
-            self._gates[peer] = self._report_at
             if report.revision < self._state.revision:
                 await self._link.send(peer, self._state.delta(report.revision))
 
     def _push_delta(self, delta: Delta) -> None:
-        for peer in self._gates:
+        """Send a change of the configuration or the table to the gates at once."""
+        for peer in self._gates.connections():
             task = asyncio.create_task(self._link.send(peer, delta))
             task.add_done_callback(lambda t: t.exception())
 
     async def _send_hints(self) -> None:
-        """Tell the gate what is new since the last time."""
-        if self._report is None:
-            return
-        now = self._now()
-        hints = Hints(
-            heartbeats=list(self._news.values()),
-            leaving_vms=sorted(self.leaving_vms()),
-            probes=self._probes,
-            incarnation_floor=self._floor(self._report),
-        )
-        self._news = {}
-        self._probes = {}
-        for peer, heard_at in list(self._gates.items()):
-            if now - heard_at > GATE_SILENCE_S * 10:
-                del self._gates[peer]
-            else:
-                await self._link.send(peer, hints)
+        report = self._gates.report
+        if report is not None:
+            floor = self._floor(report)
+            await self._gates.send_hints(self.leaving_vms(), floor, self._now())
 
     def _floor(self, report: GateReport) -> int:
-        """Latest incarnation that the table has at this gate's address before it."""
+        """Return a later incarnation in the table at the gate's address, else 0."""
         members = self._cache.table(self._settings.region).members.values()
         same = [
             m.incarnation
