--- a/leverdoor/standins/entry_site.py
+++ b/leverdoor/standins/entry_site.py
@@ -112,6 +112,8 @@
         self.ports = ports
         self.log = settings.with_suffix(".log")
         self.program = "leverdoor.platform"
+        self.python = [sys.executable]
+        """Command that runs it; another checkout's Python runs that version."""
         self.environment: dict[str, str] = {}
         self.lives = 0
         """How often it was started."""
@@ -124,7 +126,7 @@
         self._log_before = self.log.stat().st_size if self.log.exists() else 0
         with self.log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
-                sys.executable,
+                *self.python,
                 "-m",
                 self.program,
                 env=os.environ
--- a/leverdoor/standins/site.py
+++ b/leverdoor/standins/site.py
@@ -61,6 +61,8 @@
         """
         self.deployment = deployment
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
+        self.pythons: dict[str, list[str]] = {}
+        """By process, the command that runs it where it is not this Python."""
         self._logs = logs
         self._mean_ms = mean_ms
         self._agent_flags = list(agent_flags)
@@ -149,9 +151,10 @@
     def spawn(self, name: str, module: str, *args: str) -> None:
         """Start one process and log what it says."""
         self._logs.mkdir(parents=True, exist_ok=True)
+        python = self.pythons.get(name, [sys.executable])
         with open(self._logs / f"{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(
-                [sys.executable, "-m", f"leverdoor.{module}", *args],
+                [*python, "-m", f"leverdoor.{module}", *args],
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
--- a/leverdoor/standins/soak/run.py
+++ b/leverdoor/standins/soak/run.py
@@ -61,17 +61,24 @@
 class Soak:
     """Runs one soak."""
 
-    def __init__(self, seed: int, seconds: float, troubles: int) -> None:
+    def __init__(
+        self,
+        seed: int,
+        seconds: float,
+        troubles: int,
+        site: SoakSite | None = None,
+    ) -> None:
         """Create it.
 
         Args:
           seed: draws the troubles and what callers do.
           seconds: within which all troubles begin.
           troubles: how many.
+          site: what they happen to; one of this version if left out.
         """
         self._seed = seed
         self._plan = draw_plan(seed, seconds, troubles)
-        self._site = SoakSite()
+        self._site = site or SoakSite()
         self._record = Record()
         self._late: list[str] = []
 
