--- a/tests/test_entry_request_rules.py
+++ b/tests/test_entry_request_rules.py
@@ -2,8 +2,6 @@
 # SPDX-License-Identifier: Apache-2.0
 """Rules of the request path: deadlines, what was not run, Retry-After, sharers."""
 
-from random import Random
-
 import pytest
 
 from desk import target
@@ -91,16 +89,16 @@
 
 
 def test_the_nearest_entries_share_a_cold_target() -> None:
-    membership = Membership(member("n1", "a", "a1"), Random(1))
+    membership = Membership(member("n1", "a", "a1"))
     assert count_sharers(membership, target("t", domain="a1")) == 1
     assert count_sharers(membership, target("t", domain="a2")) == 1
     assert count_sharers(membership, target("t", domain="b1")) == 1
 
 
 def test_an_entry_far_from_a_cold_target_has_no_share() -> None:
-    membership = Membership(member("n1", "a", "a1"), Random(1))
+    membership = Membership(member("n1", "a", "a1"))
     others = [member("n2", "a", "a2"), member("n3", "b", "b1")]
-    membership.found({m.name: pack(m) for m in others}, 0.0)
+    membership.add_registered({m.name: pack(m) for m in others}, 0.0)
     assert count_sharers(membership, target("t", domain="a1")) == 1
     assert count_sharers(membership, target("t", domain="a2")) == 0
     assert count_sharers(membership, target("t", domain="a3")) == 2
