--- a/leverdoor/entry/placement/affinity.py
+++ b/leverdoor/entry/placement/affinity.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """The order of targets for a key: weighted rendezvous hashing, alike at every entry.
 
-Owns a cache of orders, which a new configuration drops. Relies on all entries having
+Owns a cache of orders, dropped when the targets change. Relies on all entries having
 the same names and slots of targets; where these differ, so does the order for a part of
 the keys.
 """
--- a/leverdoor/entry/placement/shared_warmth.py
+++ b/leverdoor/entry/placement/shared_warmth.py
@@ -19,7 +19,7 @@
 
 from leverdoor.model.resources import Target
 
-__all__ = ["KEPT_S", "MOST_SENT", "SharedWarmth"]
+__all__ = ["KEPT_S", "MOST_SENT_DIGESTS", "SharedWarmth"]
 
 KEPT_S = 20.0
 """How long an answer counts as a sign that its key is warm, in seconds.
@@ -32,12 +32,12 @@
 
 Chosen: three more chances before the first one is void. Smaller: longer heartbeats.
 """
-MOST_SENT = 64
+MOST_SENT_DIGESTS = 64
 """Digests in one heartbeat at most: 320 bytes.
 
 Chosen. Greater: longer heartbeats. Smaller: a busy entry's oldest ones are not sent.
 """
-MOST_KNOWN = 8_192
+MOST_KNOWN_DIGESTS = 8_192
 """Digests kept; chosen: beyond what 65 entries send in `KEPT_S`. The one that was
 renewed longest ago goes first."""
 
@@ -55,7 +55,7 @@
 
     def __init__(self) -> None:
         """Create it knowing nothing."""
-        self._recent: deque[_Sending] = deque(maxlen=MOST_SENT)
+        self._recent: deque[_Sending] = deque(maxlen=MOST_SENT_DIGESTS)
         self._known: OrderedDict[int, float] = OrderedDict()
         """When each digest was last renewed, monotonic time in seconds."""
 
@@ -93,7 +93,7 @@
     def _remember(self, digest: int, now: float) -> None:
         self._known[digest] = now
         self._known.move_to_end(digest)
-        if len(self._known) > MOST_KNOWN:
+        if len(self._known) > MOST_KNOWN_DIGESTS:
             self._known.popitem(last=False)
 
 
--- a/leverdoor/entry/placement/slow_start.py
+++ b/leverdoor/entry/placement/slow_start.py
@@ -15,7 +15,7 @@
 
 __all__ = ["Allowance", "SlowStart", "share_per_s"]
 
-USED_PART = 0.8
+ALLOWANCE_PART = 0.8
 """Part of a cold target's allowance that the entries use together.
 
 Chosen: the rest is for entries that count each other late, and for the request that
@@ -36,7 +36,7 @@
       allowed_per_s: what the target's service allows all entries together.
       entries: how many entries share it, 1 or more.
     """
-    return USED_PART * allowed_per_s / entries
+    return ALLOWANCE_PART * allowed_per_s / entries
 
 
 class Allowance:
--- a/leverdoor/entry/placement/times.py
+++ b/leverdoor/entry/placement/times.py
@@ -22,15 +22,17 @@
     "first_times",
 ]
 
-WARM_SHARE = 0.4
-"""First guess of a warm run, as a share of the latency target: 0.38 to 0.43 was seen.
+FIRST_WARM_RUN_X = 0.4
+"""First guess of a warm run over the latency target: 0.38 to 0.43 was seen.
 
 Greater: the first requests are refused where they would be in time. Smaller: they wait
 too long.
 """
-COLD_SHARE = 1.3
-"""First guess of a cold run, as a share of the latency target: 3.3 warm runs, the ratio
-that was seen. Greater: the first cold runs count as warm until the mean has moved.
+FIRST_COLD_RUN_X = 1.3
+"""First guess of a cold run over the latency target: 3.3 warm runs, as was seen.
+
+Greater: the first cold runs count as warm until the mean has moved. Smaller: long warm
+runs count as cold.
 """
 CLUSTER_WEIGHT = 0.05
 """Weight of one run in the mean of its cluster: about the last twenty.
@@ -92,7 +94,7 @@
       target_latency_ms: the route's, or 0 if it has none.
     """
     aim_ms = target_latency_ms or DEFAULT_LATENCY_MS
-    return ServiceTimes(WARM_SHARE * aim_ms, COLD_SHARE * aim_ms)
+    return ServiceTimes(FIRST_WARM_RUN_X * aim_ms, FIRST_COLD_RUN_X * aim_ms)
 
 
 class TimeBook:
--- a/leverdoor/workspaces/quota.py
+++ b/leverdoor/workspaces/quota.py
@@ -43,7 +43,7 @@
 Chosen: a start knows nothing. Greater: fewer requests are free. Smaller: an entry that
 has just started lets too many through.
 """
-LEAST_RETRY_S = 0.2
+LEAST_RETRY_AFTER_S = 0.2
 """Least time after which a refused request should come back, in seconds.
 
 Chosen: a round of heartbeats, before it nothing newer is known. Greater: callers wait
@@ -65,7 +65,7 @@
       window_s: length of the window, in seconds.
       chance: a random number of [0, 1).
     """
-    return max(excess * window_s / planned, LEAST_RETRY_S) + UNSEEN_S * chance
+    return max(excess * window_s / planned, LEAST_RETRY_AFTER_S) + UNSEEN_S * chance
 
 
 class Quotas:
--- a/tests/test_entry_warmth.py
+++ b/tests/test_entry_warmth.py
@@ -3,7 +3,11 @@
 """What run times show of caches: warm and cold runs, targets that forget."""
 
 from desk import target
-from leverdoor.entry.placement.shared_warmth import KEPT_S, MOST_SENT, SharedWarmth
+from leverdoor.entry.placement.shared_warmth import (
+    KEPT_S,
+    MOST_SENT_DIGESTS,
+    SharedWarmth,
+)
 from leverdoor.entry.placement.times import ServiceTimes
 from leverdoor.entry.placement.warmth import RANKS, WarmthBook
 
@@ -83,4 +87,4 @@
     mine = SharedWarmth()
     for i in range(500):
         mine.note(target("t"), f"k{i}", 10.0)
-    assert len(mine.recent(1.0, 10.0)) == MOST_SENT
+    assert len(mine.recent(1.0, 10.0)) == MOST_SENT_DIGESTS
