--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -78,7 +78,8 @@
 
     def _partners(self) -> list[str]:
         near = [m.gossip for m in self.membership.in_own_region()]
-        far = sorted(set(self.membership.everyone()) - set(near))
+        records = self.membership.records(self.membership.all_domains())
+        far = sorted({r.member.gossip for r in records} - set(near))
         to = self._rng.sample(near, min(RELAY_NEAR, len(near)))
         return to + self._rng.sample(far, min(RELAY_FAR, len(far)))
 
--- a/leverdoor/entry/exchange/recipients.py
+++ b/leverdoor/entry/exchange/recipients.py
@@ -77,30 +77,26 @@
         second. Every third round goes to another in turn, since two sides that see
         different aggregators would otherwise keep missing each other.
         """
-        membership = self._membership
         senders = [
             member.name
-            for domain in membership.domains(self._own.region)
+            for domain in self._membership.domains(self._own.region)
             for member in self._roles.aggregators(domain, now)
         ]
         place = senders.index(self._own.name) if self._own.name in senders else 0
-        found = []
-        for region in membership.other_regions():
-            members = [
-                member
-                for domain in membership.domains(region)
-                for member in self._roles.recipients(domain, now)
-            ]
-            if not members:
-                continue
-            if turn % UNPAIRED_ROUNDS == 0:
-                found.append(members[turn // UNPAIRED_ROUNDS % len(members)])
-                continue
-            paired = members[place :: max(len(senders), 1)]
-            paired = paired or [members[place % len(members)]]
-            found += in_turn(paired, FAR_PARTNERS, turn)
+        found: list[Member] = []
+        for region in self._membership.other_regions():
+            members = self._region_recipients(region, now)
+            if members:
+                found += _paired(members, place, len(senders), turn)
         return found
 
+    def _region_recipients(self, region: str, now: float) -> list[Member]:
+        return [
+            member
+            for domain in self._membership.domains(region)
+            for member in self._roles.recipients(domain, now)
+        ]
+
     def own_domain(self, turn: int, now: float) -> list[Member]:
         """Choose the entries of the own failure domain that get this round's digest.
 
@@ -134,6 +130,22 @@
         return first + int(rounds) + (since_s < HEARTBEAT_S / 2)
 
 
+def _paired(members: list[Member], place: int, senders: int, turn: int) -> list[Member]:
+    """Choose the recipients of a region that are paired with a sender.
+
+    Args:
+      members: of the region; not empty.
+      place: of the sender among its own region's aggregators.
+      senders: how many these are.
+      turn: number of the round.
+    """
+    if turn % UNPAIRED_ROUNDS == 0:
+        return [members[turn // UNPAIRED_ROUNDS % len(members)]]
+    paired = members[place :: max(senders, 1)]
+    paired = paired or [members[place % len(members)]]
+    return in_turn(paired, FAR_PARTNERS, turn)
+
+
 def in_turn(things: list[T], most: int, turn: int) -> list[T]:
     """Choose some of many, others in each round, all after a few."""
     if len(things) <= most:
--- a/leverdoor/entry/exchange/use_exchange.py
+++ b/leverdoor/entry/exchange/use_exchange.py
@@ -106,11 +106,11 @@
             return
         merged_s = digest.merged_ms / 1000
         if digest.scope == DigestScope.DOMAIN:
-            entries = self._membership.in_domain(sender.domain)
+            entries = self._membership.count_in_domain(sender.domain)
             report = UseReport(now, use, merged_s, entries, digest.silent)
             self._merger.take_domain(sender.domain, report)
         else:
-            entries = self._membership.in_region(sender.region)
+            entries = self._membership.count_in_region(sender.region)
             report = UseReport(now, use, merged_s, entries, digest.silent)
             self._merger.take_region(sender.region, report)
 
@@ -159,7 +159,7 @@
         """
         domain = self._own.domain
         last_seen = self._membership.last_seen(domain)
-        never = self._membership.in_domain(domain) - 1 - len(last_seen)
+        never = self._membership.count_in_domain(domain) - 1 - len(last_seen)
         never = max(never, 0) if uptime_s <= HOLD_S else 0
         unreported = [
             s
--- a/leverdoor/entry/membership/members.py
+++ b/leverdoor/entry/membership/members.py
@@ -112,6 +112,9 @@
     def observe(self, seen: LastSeen, now: float) -> bool:
         """Take when an incarnation of an entry last sent a heartbeat.
 
+        Within an incarnation the state only grows, from STARTING to LEAVING, so an
+        older row does not undo a newer one.
+
         Returns: whether it was newer than what is on record.
         """
         row = seen.row
@@ -170,7 +173,7 @@
     def _is_live(self, record: PeerRecord, now: float) -> bool:
         return is_live(record, self.own.region, now)
 
-    def near(self, now: float) -> list[Member]:
+    def live_in_own_region(self, now: float) -> list[Member]:
         """Return the live entries of this entry's region, without leaving ones."""
         return [
             record.member
@@ -208,10 +211,6 @@
             if r.heartbeat_at > NEVER
         ]
 
-    def everyone(self) -> list[str]:
-        """Return the heartbeat addresses of all entries."""
-        return [r.member.gossip for r in self._records.values()]
-
     def in_own_region(self) -> list[Member]:
         """Return all known entries of this entry's region, silent ones included."""
         return [r.member for r in self.records(self.domains(self.own.region))]
@@ -248,13 +247,13 @@
         """Return the regions other than this entry's, by name."""
         return sorted(r for r in self._regions if r != self.own.region)
 
-    def in_domain(self, domain: str) -> int:
+    def count_in_domain(self, domain: str) -> int:
         """Count the entries of a domain, those silent for up to `FORGET_S` too."""
         return len(self._domains.get(domain, ())) + (domain == self.own.domain)
 
-    def in_region(self, region: str) -> int:
+    def count_in_region(self, region: str) -> int:
         """Count the entries of a region, those silent for up to `FORGET_S` too."""
-        return sum(self.in_domain(d) for d in self.domains(region))
+        return sum(self.count_in_domain(d) for d in self.domains(region))
 
     @property
     def count(self) -> int:
--- a/leverdoor/entry/membership/roles.py
+++ b/leverdoor/entry/membership/roles.py
@@ -138,7 +138,9 @@
           followers: how many a region has.
           now: monotonic time in seconds.
         """
-        ranked = sorted([*self._membership.near(now), self._own], key=link_rank)
+        ranked = sorted(
+            [*self._membership.live_in_own_region(now), self._own], key=link_rank
+        )
         return ranked.index(self._own) < followers
 
     def place_by_link(self) -> int | None:
--- a/leverdoor/entry/warm_up.py
+++ b/leverdoor/entry/warm_up.py
@@ -21,10 +21,10 @@
     Returns: their number, this entry included; 0 if this entry is not among them.
     """
     own = membership.own
-    in_domain = membership.in_domain(target.domain)
+    in_domain = membership.count_in_domain(target.domain)
     if in_domain:
         return in_domain if own.domain == target.domain else 0
-    in_region = membership.in_region(target.region)
+    in_region = membership.count_in_region(target.region)
     if in_region:
         return in_region if own.region == target.region else 0
     return membership.count
--- a/tests/test_entry_membership.py
+++ b/tests/test_entry_membership.py
@@ -41,6 +41,10 @@
         self.roles = Roles(self, rng)
         self.naming = Naming(self)
 
+    def everyone(self) -> list[str]:
+        """Return the heartbeat addresses of all entries."""
+        return [r.member.gossip for r in self.records(self.all_domains())]
+
 
 def member(name: str, incarnation: int = 1) -> Member:
     """`a1-0` is an entry of domain a1 in region a."""
