--- a/leverdoor/client/caller.py
+++ b/leverdoor/client/caller.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A caller's client: caches look-ups, fails over, and repeats only what is safe."""
+"""A caller's client of a plain site: look-ups, failover, and retries where safe.
+
+Owns its connections and the cached answers of look-ups. Relies on the codes of refusals
+for whether a request may have run (docs/ERRORS.md) and on the gates' Retry-After.
+"""
 
 import asyncio
 import secrets
@@ -20,17 +24,26 @@
 __all__ = ["Caller", "Reply"]
 
 MAX_ATTEMPTS = 8
-"""Attempts of one call at most; chosen, more than any site has entries named."""
+"""Most attempts of one call; chosen, each of the four named gates twice."""
 LOOKUP_TIMEOUT_S = 2.0
-"""Longest time of a look-up, in seconds; chosen, not measured."""
+"""Longest time of a look-up at one entry, in seconds.
+
+Chosen far above a round trip between regions; a longer one waits for a dead entry.
+"""
 DEFAULT_WAIT_MS = 100
-"""Pause before a repeat where the answer names none, in ms; chosen."""
+"""Pause before a retry where the answer names no Retry-After, in ms.
+
+Chosen: some runs; a lost answer may mean that a gate has just died.
+"""
 ANSWER_GRACE_S = 0.25
-"""A refusal at the deadline is still heard, since it says whether it ran."""
+"""Seconds past the deadline for which an answer is awaited.
+
+Chosen: a refusal at the deadline says whether the request ran, a time-out doesn't.
+"""
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """A whole answer; `entry` served it at the attempt numbered `attempts`."""
 
     status: int
     body: bytes
@@ -54,7 +67,7 @@
         """Create a caller; must be called on the loop.
 
         Args:
-          entries: addresses of some entry VMs, to ask first.
+          entries: addresses of some gates, for the first look-up.
           name: the caller's name, which decides its tier.
           rng: where chance comes from.
         """
@@ -69,7 +82,7 @@
         await self._session.close()
 
     async def lookup(self, service: str, fresh: bool = False) -> LookupAnswer:
-        """Ask which entry VMs to use; answers are cached for their time to live.
+        """Return which gates to use; answers are cached for their time to live.
 
         Raises:
           Refusal: no entry answered.
@@ -83,7 +96,7 @@
         last = Refusal(Code.NOT_READY, "no entry answered the look-up")
         for entry in dict.fromkeys(known + seeds):
             try:
-                answer = await self._ask(entry, service)
+                answer = await self._lookup_at(entry, service)
             except Refusal as e:
                 last = e
                 continue
@@ -92,7 +105,7 @@
             return answer
         raise last
 
-    async def _ask(self, entry: str, service: str) -> LookupAnswer:
+    async def _lookup_at(self, entry: str, service: str) -> LookupAnswer:
         timeout = aiohttp.ClientTimeout(total=LOOKUP_TIMEOUT_S)
         url = f"http://{entry}/v1/lookup/{service}"
         try:
@@ -116,8 +129,8 @@
     ) -> Reply:
         """Make a request and get its whole answer.
 
-        A look-up is repeated while time is left. A request that runs at most
-        once is repeated only with the same key.
+        A look-up is retried while time is left. A request that runs at most
+        once is retried only with the same key.
 
         Raises:
           Refusal: there is no answer; its code says whether it may have run.
@@ -125,37 +138,29 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + deadline_ms / 1000
         request_id = request_id or secrets.token_hex(8)
-        answer = await self.lookup(service)
-        key = ""
-        if answer.key:
-            answer = await self.lookup(service, fresh=True)
-            key = answer.key
-        last = Refusal(Code.NOT_READY)
-        ran = Run.NO
+        answer = await self._lookup_with_key(service)
+        refusals = _Refusals()
         tried: list[str] = []
         for attempt in range(1, attempts + 1):
-            entry = self._choose(answer.entries, tried, keyed=bool(key))
+            entry = self._choose(answer.entries, tried)
             tried.append(entry)
             left_ms = int((deadline - loop.time()) * 1000)
             if left_ms <= 0:
                 break
-            head = self._headers(request_id, left_ms, key)
+            head = self._headers(request_id, left_ms, answer.key)
             url = f"http://{entry}/s/{service}/{path}"
             try:
                 return await self._send(method, url, head, body, left_ms, attempt)
             except Refusal as e:
-                last = e
-                if e.run is not Run.NO:
-                    ran = Run.MAYBE
-                if e.code in _FINAL:
-                    break
-            wait_s = self._pause_s(last, attempt, deadline - loop.time())
-            if loop.time() + wait_s >= deadline:
+                refusals.add(e)
+            if refusals.is_final() or not await self._pause(refusals, deadline):
                 break
-            await asyncio.sleep(wait_s)
-        if ran is Run.MAYBE and last.run is Run.NO:
-            raise Refusal(Code.ANSWER_LOST, f"an earlier attempt may have run: {last}")
-        raise last
+        raise refusals.verdict()
+
+    async def _lookup_with_key(self, service: str) -> LookupAnswer:
+        """Look up a service; each request that needs a key gets one of its own."""
+        answer = await self.lookup(service)
+        return await self.lookup(service, fresh=True) if answer.key else answer
 
     def _headers(self, request_id: str, left_ms: int, key: str) -> dict[str, str]:
         """Return the headers of an attempt; a key only if there is one."""
@@ -168,25 +173,18 @@
             head[h.KEY] = key
         return head
 
-    def _pause_s(self, last: Refusal, attempt: int, left_s: float) -> float:
-        """Return how long to wait before the next attempt, in seconds.
-
-        At least the time that the refusal names; longer at random, the later the
-        attempt, but not past half of the time left.
-        """
-        if last.code is Code.CONNECT_FAILED:
-            return 0.0
-        wait_s = (last.retry_after_ms or DEFAULT_WAIT_MS) / 1000
-        longer_s = wait_s * 2.0 ** (attempt - 1) * self._rng.random()
-        return max(wait_s, min(longer_s, left_s / 2))
-
-    def _choose(
-        self, entries: Sequence[LookupEntry], tried: list[str], keyed: bool
-    ) -> str:
-        """Choose an entry by weight, the nearest region first, untried ones first.
-
-        The entry that issued a key comes first for it.
-        """
+    async def _pause(self, refusals: "_Refusals", deadline: float) -> bool:
+        """Wait before the next attempt; return False if that passes the deadline."""
+        loop = asyncio.get_running_loop()
+        left_s = deadline - loop.time()
+        wait_s = _pause_s(refusals.last, refusals.count, left_s, self._rng)
+        if loop.time() + wait_s >= deadline:
+            return False
+        await asyncio.sleep(wait_s)
+        return True
+
+    def _choose(self, entries: Sequence[LookupEntry], tried: list[str]) -> str:
+        """Choose an entry by weight, the nearest region first, untried ones first."""
         untried = [e for e in entries if e.address not in tried] or list(entries)
         if not untried:
             return self._rng.choice(self._seeds)
@@ -203,19 +201,9 @@
         attempt: int,
     ) -> Reply:
         timeout = aiohttp.ClientTimeout(total=left_ms / 1000 + ANSWER_GRACE_S)
-        try:
-            async with self._session.request(
-                method, url, headers=head, data=body, timeout=timeout
-            ) as answer:
-                data = await answer.read()
-        except aiohttp.ClientConnectorError as e:
-            raise Refusal(Code.CONNECT_FAILED, str(e)) from None
-        except TimeoutError:
-            raise Refusal(Code.DEADLINE_PASSED) from None
-        except (aiohttp.ClientError, OSError) as e:
-            raise Refusal(Code.ANSWER_LOST, repr(e)) from None
-        if answer.headers.get(h.CODE, "0") != "0":
-            raise _refusal(data)
+        answer, data = await self._exchange(
+            method, url, headers=head, data=body, timeout=timeout
+        )
         return Reply(
             answer.status,
             data,
@@ -228,34 +216,60 @@
     async def upload(
         self, service: str, path: str, chunks: AsyncIterator[bytes], length: int
     ) -> Reply:
-        """Stream a body once; it is the caller's to begin again.
+        """Stream a body of `length` bytes once; the caller may begin again.
 
         Raises:
           Refusal: there is no answer; its code says whether it may have run.
         """
         answer = await self.lookup(service)
-        entry = self._choose(answer.entries, [], keyed=False)
+        entry = self._choose(answer.entries, [])
         request_id = secrets.token_hex(8)
         head = {
             h.CALLER: self._name,
             h.REQUEST_ID: request_id,
             "Content-Length": str(length),
         }
-        url = f"http://{entry}/s/{service}/{path}"
-        timeout = aiohttp.ClientTimeout(total=None)
+        response, data = await self._exchange(
+            "POST",
+            f"http://{entry}/s/{service}/{path}",
+            headers=head,
+            data=chunks,
+            timeout=aiohttp.ClientTimeout(total=None),
+            expect100=True,
+        )
+        served_by = response.headers.get(h.SERVED_BY, "")
+        return Reply(response.status, data, request_id, served_by, entry, 1)
+
+    async def _exchange(
+        self,
+        method: str,
+        url: str,
+        *,
+        headers: dict[str, str],
+        data: bytes | AsyncIterator[bytes] | None,
+        timeout: aiohttp.ClientTimeout,
+        expect100: bool = False,
+    ) -> tuple[aiohttp.ClientResponse, bytes]:
+        """Send one request and read its answer whole, with faults as refusals."""
         try:
-            async with self._session.post(
-                url, headers=head, data=chunks, timeout=timeout, expect100=True
-            ) as response:
-                data = await response.read()
+            async with self._session.request(
+                method,
+                url,
+                headers=headers,
+                data=data,
+                timeout=timeout,
+                expect100=expect100,
+            ) as answer:
+                read = await answer.read()
         except aiohttp.ClientConnectorError as e:
             raise Refusal(Code.CONNECT_FAILED, str(e)) from None
         except (aiohttp.ClientError, OSError) as e:
+            if isinstance(e, TimeoutError) and timeout.total is not None:
+                raise Refusal(Code.DEADLINE_PASSED) from None
             raise Refusal(Code.ANSWER_LOST, repr(e)) from None
-        if response.headers.get(h.CODE, "0") != "0":
-            raise _refusal(data)
-        served_by = response.headers.get(h.SERVED_BY, "")
-        return Reply(response.status, data, request_id, served_by, entry, 1)
+        if answer.headers.get(h.CODE, "0") != "0":
+            raise _refusal(read)
+        return answer, read
 
 
 _FINAL = frozenset(
@@ -275,3 +289,43 @@
         return refusal_of(parse_json(data, Problem))
     except ConfigError:
         return Refusal(Code.ANSWER_LOST, "an answer that is not leverdoor's")
+
+
+class _Refusals:
+    """The refused attempts of one request."""
+
+    def __init__(self) -> None:
+        self.last = Refusal(Code.NOT_READY)
+        self.count = 0
+        self._may_have_run = False
+
+    def add(self, refusal: Refusal) -> None:
+        self.last = refusal
+        self.count += 1
+        if refusal.run is not Run.NO:
+            self._may_have_run = True
+
+    def is_final(self) -> bool:
+        """Return whether no other attempt can do better."""
+        return self.last.code in _FINAL
+
+    def verdict(self) -> Refusal:
+        """Return the last refusal, unless an earlier attempt may have run."""
+        if self._may_have_run and self.last.run is Run.NO:
+            detail = f"an earlier attempt may have run: {self.last}"
+            return Refusal(Code.ANSWER_LOST, detail)
+        return self.last
+
+
+def _pause_s(last: Refusal, attempt: int, left_s: float, rng: Random) -> float:
+    """Return how long to wait before the next attempt, in seconds.
+
+    Nothing after a failed connection: another entry is tried. Else at least the
+    Retry-After of the refusal, and longer at random, the later the attempt, but not
+    past half of the time left, so that retries spread and one is left.
+    """
+    if last.code is Code.CONNECT_FAILED:
+        return 0.0
+    wait_s = (last.retry_after_ms or DEFAULT_WAIT_MS) / 1000
+    longer_s = wait_s * 2.0 ** (attempt - 1) * rng.random()
+    return max(wait_s, min(longer_s, left_s / 2))
--- a/leverdoor/client/load.py
+++ b/leverdoor/client/load.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""An open-loop load generator that checks every answer."""
+"""An open-loop load generator that checks every answer.
+
+Owns the requests under way and the counts of each stream, for one run.
+"""
 
 import asyncio
 import json
@@ -20,11 +23,11 @@
 DIGITS = 3
 """Significant digits of the histogram; errors stay below 0.1%."""
 DRAIN_S = 10.0
-"""How long answers are awaited after the last request, in seconds; chosen."""
+"""How long answers are awaited after the last request, in s; chosen, five deadlines."""
 MAX_SECONDS = 600.0
-"""Longest run, in seconds, so that a mistyped option ends; chosen."""
+"""Longest run, in seconds; chosen, so that a mistyped option ends."""
 MAX_REQUESTS = 1_000_000
-"""Most requests of a run, for the same reason; chosen."""
+"""Most requests of a run; chosen, bounds memory: each is kept in `told`."""
 
 
 class Stream(msgspec.Struct, frozen=True):
@@ -71,7 +74,7 @@
     seconds: float
     streams: list[StreamResult]
     told: dict[str, str] = {}
-    """For each request id, whether it was told to have run."""
+    """For each request id, whether its caller learned that it ran (`errors.Run`)."""
 
 
 class _Running:
@@ -96,7 +99,7 @@
         """Create a load; must be called on the loop.
 
         Args:
-          entries: entry VMs to ask first.
+          entries: addresses of some gates, for the first look-up.
           plan: what to send.
         """
         expected = plan.seconds * sum(s.rate for s in plan.streams)
--- a/leverdoor/client/operator.py
+++ b/leverdoor/client/operator.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""An operator's client of the resource API."""
+"""An operator's client of the resource API.
+
+Owns its connections. Commands are never sent twice, since a lost answer may hide a
+write that took effect; queries go on to the next agent.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator, Sequence
@@ -19,9 +23,9 @@
 __all__ = ["Operator"]
 
 CALL_TIMEOUT_S = 10.0
-"""Longest time of a call, in seconds; chosen, five store time-outs."""
+"""Longest time of a call, in seconds; chosen, five time-outs of the store."""
 WAIT_POLL_S = 0.1
-"""Seconds between two looks whether a change is in force; chosen."""
+"""Seconds between two looks whether a change is in force; chosen, half a heartbeat."""
 WATCH_SILENCE_S = 15.0
 """Silence of a watch after which it is opened anew; three bookmarks."""
 
