--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -97,7 +97,7 @@
     async def _lookup(self, request: web.Request) -> web.StreamResponse:
         """Name the gates to use, with a key where the service needs one."""
         if self.state is GateState.STARTING:
-            return _not_ready()
+            return _not_ready(Code.NOT_READY)
         view = self._scheduler.view
         service = view.services.get(request.match_info["service"])
         if service is None:
@@ -227,7 +227,7 @@
         return problem_answer(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
 
 
-def _not_ready(code: Code = Code.NOT_READY) -> web.Response:
+def _not_ready(code: Code) -> web.Response:
     return problem_answer(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
 
 
