--- a/benchmarks/emulated_quotas.py
+++ b/benchmarks/emulated_quotas.py
@@ -24,7 +24,7 @@
 from leverdoor.errors import Refusal
 from leverdoor.model.resources import Workspace
 from leverdoor.workspaces.quota import Quotas
-from leverdoor.workspaces.room import QuotaBounds
+from leverdoor.workspaces.quota_bounds import QuotaBounds
 
 __all__ = ["QuotaFigures", "QuotaPlan", "play_quotas"]
 
--- a/leverdoor/entry/exchange/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -11,7 +11,7 @@
 from leverdoor.entry.exchange.messages import Message, Shares
 from leverdoor.entry.exchange.use_lists import Use
 from leverdoor.entry.membership.member import EntryState
-from leverdoor.workspaces.room import OthersUse
+from leverdoor.workspaces.others_use import OthersUse
 
 __all__ = ["PeerUpdate", "EntryStatus", "Sending"]
 
--- a/leverdoor/entry/exchange/use_exchange.py
+++ b/leverdoor/entry/exchange/use_exchange.py
@@ -19,8 +19,8 @@
 from leverdoor.entry.exchange.use_merging import FRESH_S, UseMerger, UseReport
 from leverdoor.entry.membership.member import LEAVING, Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.workspaces.quota import HOLD_S
-from leverdoor.workspaces.room import OthersUse
+from leverdoor.workspaces.isolation import HOLD_S
+from leverdoor.workspaces.others_use import OthersUse
 
 __all__ = ["UseSummary", "UseExchange"]
 
--- a/leverdoor/entry/exchange/use_merging.py
+++ b/leverdoor/entry/exchange/use_merging.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from leverdoor.entry.exchange.use_lists import Use, summed
-from leverdoor.workspaces.quota import HOLD_S
-from leverdoor.workspaces.room import EVEN_PART, stretch
+from leverdoor.workspaces.allowance import EVEN_PART
+from leverdoor.workspaces.isolation import HOLD_S, stretch
 
 __all__ = ["FRESH_S", "UseReport", "UseMerger", "UseSums"]
 
--- a/leverdoor/entry/placement/fleet.py
+++ b/leverdoor/entry/placement/fleet.py
@@ -13,7 +13,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from leverdoor.entry.placement.health import SLOW_EJECTION_S, Health
+from leverdoor.entry.placement.health import Health
 from leverdoor.entry.placement.known_keys import KnownKeys
 from leverdoor.entry.placement.load import LoadEstimate
 from leverdoor.entry.placement.slow_start import SlowStart
@@ -21,7 +21,7 @@
 from leverdoor.entry.wire import TargetLoad
 from leverdoor.model.resources import Target
 
-__all__ = ["OTHERS", "SLOW_EJECTION_S", "Fleet", "TargetState"]
+__all__ = ["OTHERS", "Fleet", "TargetState"]
 
 OTHERS = "others"
 """Name of the peer under which the sums of all other entries' requests are kept."""
--- a/leverdoor/entry/requests/outcomes.py
+++ b/leverdoor/entry/requests/outcomes.py
@@ -10,7 +10,8 @@
 import asyncio
 
 from leverdoor.entry.events import Events
-from leverdoor.entry.placement.fleet import SLOW_EJECTION_S, Fleet
+from leverdoor.entry.placement.fleet import Fleet
+from leverdoor.entry.placement.health import SLOW_EJECTION_S
 from leverdoor.entry.placement.placement_request import Placement
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.entry_request import EntryRequest
--- a/leverdoor/entry/settings.py
+++ b/leverdoor/entry/settings.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from leverdoor.settings import Address
-from leverdoor.workspaces.room import QuotaBounds
+from leverdoor.workspaces.quota_bounds import QuotaBounds
 
 __all__ = ["EntrySettings", "Reloaded", "reload_settings"]
 
--- a/leverdoor/platform/settings.py
+++ b/leverdoor/platform/settings.py
@@ -10,7 +10,7 @@
 from leverdoor.entry.settings import EntrySettings
 from leverdoor.errors import SettingsError
 from leverdoor.settings import Address, parse_address
-from leverdoor.workspaces.room import QuotaBounds
+from leverdoor.workspaces.quota_bounds import QuotaBounds
 
 __all__ = ["METRICS_PORT", "PlatformSettings", "parse_settings"]
 
--- a/leverdoor/standins/soak/promises.py
+++ b/leverdoor/standins/soak/promises.py
@@ -7,7 +7,7 @@
 
 from leverdoor.standins.soak.record import Attempt, Record, Seen
 from leverdoor.standins.soak.workspaces import WORKSPACES, workspace_named
-from leverdoor.workspaces.room import QuotaBounds
+from leverdoor.workspaces.quota_bounds import QuotaBounds
 
 __all__ = ["breaches"]
 
--- a/leverdoor/standins/soak/workspaces.py
+++ b/leverdoor/standins/soak/workspaces.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from leverdoor.model.resources import Workspace
-from leverdoor.workspaces.room import QuotaBounds
+from leverdoor.workspaces.quota_bounds import QuotaBounds
 
 __all__ = ["FREE", "WORKSPACES", "SoakWorkspace", "workspace_named"]
 
--- a/leverdoor/workspaces/quota.py
+++ b/leverdoor/workspaces/quota.py
@@ -22,12 +22,12 @@
 from leverdoor.errors import Code, Refusal
 from leverdoor.model.resources import Workspace
 from leverdoor.workspaces.allowance import EVEN_PART, KnownUse
-from leverdoor.workspaces.isolation import HOLD_S, ISOLATED_S, IsolatedEntry
+from leverdoor.workspaces.isolation import ISOLATED_S, IsolatedEntry
 from leverdoor.workspaces.others_use import NOTHING_KNOWN, OthersUse
 from leverdoor.workspaces.quota_bounds import QuotaBounds
 from leverdoor.workspaces.usage import UsageWindow
 
-__all__ = ["HOLD_S", "ISOLATED_S", "Quotas"]
+__all__ = ["Quotas"]
 
 UNSEEN_S = 0.6
 """Age of a use when digests arrive with it, at most, in seconds.
--- a/tests/test_entry_use.py
+++ b/tests/test_entry_use.py
@@ -7,7 +7,7 @@
 
 from leverdoor.entry.exchange.use_lists import FEW_PAIRS, UseLists, summed
 from leverdoor.entry.exchange.use_merging import UseMerger, UseReport
-from leverdoor.workspaces.quota import HOLD_S
+from leverdoor.workspaces.isolation import HOLD_S
 
 NAMES = [f"w{i}" for i in range(FEW_PAIRS + 50)]
 
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -72,7 +72,7 @@
     Store,
     Write,
 )
-from leverdoor.workspaces.room import QuotaBounds
+from leverdoor.workspaces.quota_bounds import QuotaBounds
 
 PACKED_BYTES: dict[str, bytes] = {
     "member": (
