--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -21,9 +21,9 @@
     RETRIES_FIRST,
     RETRIES_SAVED,
     RETRY_SHARE,
-    SHARE_ROUNDS,
+    SHARE_UPDATE_ROUNDS,
     SHIFT_WINDOW_S,
-    WARM_TOLD_S,
+    WARM_SENT_S,
 )
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.exchange.exchange import Exchange
@@ -137,12 +137,12 @@
             self.heartbeat_bytes += size * len(sending.to)
             send(sending.message, sending.to)
         self._take_update(update)
-        if self._rounds % SHARE_ROUNDS == 0:
+        if self._rounds % SHARE_UPDATE_ROUNDS == 0:
             self._policy.shares.update([self._exchange.region_shares()], now)
 
     def _report(self, now: float) -> EntryStatus:
         counts = self._experiment.shares_load and self._shared_fleet is None
-        warm = self._policy.shared_warmth.recent(WARM_TOLD_S, now)
+        warm = self._policy.shared_warmth.recent(WARM_SENT_S, now)
         return EntryStatus(
             SERVING,
             1,
--- a/leverdoor/entry/bounds.py
+++ b/leverdoor/entry/bounds.py
@@ -13,9 +13,9 @@
     "RETRIES_FIRST",
     "RETRIES_SAVED",
     "RETRY_SHARE",
-    "SHARE_ROUNDS",
+    "SHARE_UPDATE_ROUNDS",
     "SHIFT_WINDOW_S",
-    "WARM_TOLD_S",
+    "WARM_SENT_S",
 ]
 
 RETRY_SHARE = 0.5
@@ -48,13 +48,13 @@
 unequal numbers of requests. Greater: the operator's cap may be passed. Smaller: keys
 leave a full region more slowly.
 """
-SHARE_ROUNDS = 2
+SHARE_UPDATE_ROUNDS = 2
 """Rounds of heartbeats between two moves of the regions' shares: 0.4 s.
 
 Chosen: no move before the effect of the last one was reported. Greater: shares move in
 larger steps. Smaller: more processor time for the same rate.
 """
-WARM_TOLD_S = 0.5
+WARM_SENT_S = 0.5
 """How long heartbeats carry the digest of a warm key, in seconds.
 
 Two or three of them, one may be lost. Greater: longer heartbeats. Smaller: with one
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -15,7 +15,7 @@
 from aiohttp import web
 
 from leverdoor.entry.admin import AdminServer
-from leverdoor.entry.bounds import SHARE_ROUNDS, WARM_TOLD_S
+from leverdoor.entry.bounds import SHARE_UPDATE_ROUNDS, WARM_SENT_S
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
 from leverdoor.entry.context import EntryContext
@@ -200,7 +200,7 @@
             now = loop.time()
             self._data.count_entries()
             self._control.peers.round(now)
-            if turn % SHARE_ROUNDS == 0:
+            if turn % SHARE_UPDATE_ROUNDS == 0:
                 shares = self._control.exchange.region_shares()
                 self._data.placement.shares.update([shares], now)
             if turn % SWEEP_HEARTBEATS == 0:
@@ -257,7 +257,7 @@
             self._data.fleet.in_flight(),
             self._data.placement.shares.reported(),
             self._keeper.outage.age_ms(now),
-            self._data.placement.shared_warmth.recent(WARM_TOLD_S, now),
+            self._data.placement.shared_warmth.recent(WARM_SENT_S, now),
             self._data.quotas.report(now),
             self._data.quotas.lived_s(now),
             self._keeper.confirmation.age_ms(now),
--- a/leverdoor/entry/requests/forwarding.py
+++ b/leverdoor/entry/requests/forwarding.py
@@ -90,7 +90,7 @@
             return False
         workspace = placement_request.workspace
         if workspace is not None and failed.refusal.run is not Run.NO:
-            self._quotas.again(workspace, asyncio.get_running_loop().time())
+            self._quotas.count_retry(workspace, asyncio.get_running_loop().time())
         return True
 
     async def _attempt(self, request: EntryRequest, attempt: int) -> TargetReply:
--- a/leverdoor/workspaces/quota.py
+++ b/leverdoor/workspaces/quota.py
@@ -148,7 +148,7 @@
             raise self._refusal(workspace, known, now)
         self._usage.add(workspace.name, now)
 
-    def again(self, workspace: Workspace, now: float) -> None:
+    def count_retry(self, workspace: Workspace, now: float) -> None:
         """Count a retry of a request that may have run, at another target."""
         if workspace.rate_per_s:
             self._usage.add(workspace.name, now)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -88,7 +88,7 @@
 def test_a_repeat_counts_as_another_request() -> None:
     quotas = Quotas(BOUNDS, Random(1), 100.0, first_start=True)
     quotas.admit(WARD, 100.0)
-    quotas.again(WARD, 100.1)
+    quotas.count_retry(WARD, 100.1)
     assert quotas.report(100.2) == {"ward": 2}
 
 
