--- a/leverdoor/standins/entry_site.py
+++ b/leverdoor/standins/entry_site.py
@@ -115,14 +115,14 @@
         self.python = [sys.executable]
         """Command that runs it; another checkout's Python runs that version."""
         self.environment: dict[str, str] = {}
-        self.lives = 0
+        self.incarnation = 0
         """How often it was started."""
         self._log_before = 0
         self._process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
         """Start the process."""
-        self.lives += 1
+        self.incarnation += 1
         self._log_before = self.log.stat().st_size if self.log.exists() else 0
         with self.log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
@@ -152,8 +152,8 @@
         async with asyncio.timeout(STOP_S):
             return await self._process.wait()
 
-    def told_anything(self) -> bool:
-        """Return whether the process has logged a line in this life."""
+    def has_logged(self) -> bool:
+        """Return whether the process has logged a line since its last start."""
         return self.log.stat().st_size > self._log_before
 
     def events(self) -> list[dict[str, object]]:
--- a/leverdoor/standins/kv.py
+++ b/leverdoor/standins/kv.py
@@ -13,13 +13,13 @@
 from leverdoor.storage.etcd import from_base64, key_text, to_base64
 from leverdoor.storage.store import Event, MemoryStore, Write
 
-__all__ = ["KvStandin", "StoreFaults"]
+__all__ = ["KvStandin", "KvFaults"]
 
 MAX_REQUEST = 4_000_000
 """Longest request in bytes; more than a whole sample site."""
 
 
-class StoreFaults(msgspec.Struct):
+class KvFaults(msgspec.Struct):
     """Faults to order over HTTP at `/standin/faults`."""
 
     down: bool = False
@@ -137,7 +137,7 @@
         return response
 
     async def _faults(self, request: web.Request) -> web.StreamResponse:
-        faults = msgspec.json.decode(await request.read(), type=StoreFaults)
+        faults = msgspec.json.decode(await request.read(), type=KvFaults)
         self.store.down = faults.down
         self.store.hang = faults.hang
         self.store.delay_s = faults.delay_s
--- a/leverdoor/standins/soak/callers.py
+++ b/leverdoor/standins/soak/callers.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Callers of a soak: they keep connections, leave early, and note what they get."""
+"""Callers of a soak: they keep connections, leave early, and note what they get.
+
+State: each caller's generator and count of requests; all that is seen goes to the
+record. Relies on the site for the addresses of entries.
+"""
 
 import asyncio
 import hashlib
@@ -12,11 +16,11 @@
 
 from leverdoor.sessions import new_session
 from leverdoor.standins.entry_site import EntryProcess
-from leverdoor.standins.soak.record import Attempt, Probe, Record
+from leverdoor.standins.soak.record import Attempt, Probe, Record, now_s
 from leverdoor.standins.soak.site import SoakSite, mark_path
 from leverdoor.standins.soak.workspaces import FREE, WORKSPACES, SoakWorkspace
 
-__all__ = ["Caller", "Prober"]
+__all__ = ["SoakCaller", "SoakProber"]
 
 DEADLINE_MS = 5_000
 """Deadline of a request in ms."""
@@ -35,10 +39,13 @@
 PAUSE_S = 0.02
 """Mean pause between two requests of a caller, in seconds."""
 PROBE_PAUSE_S = 0.15
-"""Pause between two questions of the prober, in seconds."""
+"""Pause between two rounds of the prober, in seconds."""
+
+NO_BODY_DIGEST = hashlib.sha256(b"").hexdigest()
+"""Digest of a request without a body."""
 
 
-class Caller:
+class SoakCaller:
     """Sends one request after the other, to any entry, on kept connections."""
 
     def __init__(self, site: SoakSite, record: Record, number: int, seed: int) -> None:
@@ -65,6 +72,17 @@
                 await asyncio.sleep(self._rng.random() * PAUSE_S)
 
     async def _call(self, session: aiohttp.ClientSession, entry: EntryProcess) -> None:
+        request = self._draw(entry)
+        leaves = self._rng.random() < LEAVE_SHARE
+        leave_s = self._rng.random() * 0.1 if leaves else None
+        try:
+            self._record.attempts.append(await request.send(session, leave_s))
+        except asyncio.CancelledError:
+            self._record.attempts.append(request.given_up())
+            raise
+
+    def _draw(self, entry: EntryProcess) -> "_SoakRequest":
+        """Draw the next request; the order of draws belongs to a seed."""
         self._count += 1
         request_id = f"{self._number:08x}{self._count:08x}"
         once = self._rng.random() < ONCE_SHARE
@@ -73,7 +91,7 @@
         workspace = self._rng.choices(WORKSPACES, parts)[0]
         size = LARGE_BODY if large else self._rng.randrange(2_000)
         body = self._rng.randbytes(size) if once else b""
-        call = _Call(
+        return _SoakRequest(
             entry=entry,
             url=f"http://{self._site.front(entry)}",
             method="POST" if once else "GET",
@@ -89,16 +107,9 @@
                 "X-Affinity-Key": str(self._rng.randrange(KEYS)),
             },
         )
-        leaves = self._rng.random() < LEAVE_SHARE
-        leave_s = self._rng.random() * 0.1 if leaves else None
-        try:
-            self._record.attempts.append(await call.send(session, leave_s))
-        except asyncio.CancelledError:
-            self._record.attempts.append(call.given_up())
-            raise
 
 
-class _Call:
+class _SoakRequest:
     """One request of a caller."""
 
     def __init__(
@@ -119,7 +130,7 @@
         self._workspace = workspace.name
         self._headers = headers
         self._digest = hashlib.sha256(body).hexdigest()
-        self._began = asyncio.get_running_loop().time()
+        self._began = now_s()
 
     def _attempt(self, status: int, **more: bool) -> Attempt:
         return Attempt(
@@ -130,7 +141,7 @@
             digest=self._digest,
             deadline_ms=DEADLINE_MS,
             sent_at=self._began,
-            ended_at=asyncio.get_running_loop().time(),
+            ended_at=now_s(),
             status=status,
             workspace=self._workspace,
             **more,
@@ -175,18 +186,18 @@
         )
 
 
-class Prober:
-    """Asks one entry again and again which configuration is in force."""
+class SoakProber:
+    """Requests from one entry the routes that only the newest versions have."""
 
     def __init__(self, site: SoakSite, record: Record, entry: EntryProcess) -> None:
-        """Create it; `run` asks until cancelled."""
+        """Create it; `run` requests until cancelled."""
         self._site = site
         self._record = record
         self._entry = entry
         self._count = 0
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Request until cancelled."""
         async with new_session(PATIENCE_S, keep_connections=False) as session:
             while True:
                 newest = self._site.routed
@@ -195,10 +206,22 @@
                 await asyncio.sleep(PROBE_PAUSE_S)
 
     async def shows(self, session: aiohttp.ClientSession, version: int) -> bool:
-        """Ask for the route of one version; returns whether it was served."""
-        loop = asyncio.get_running_loop()
+        """Request the route of one version; returns whether it was served."""
+        incarnation = self._entry.incarnation
+        attempt = await self._request(session, version)
+        if attempt.status != 200 or incarnation != self._entry.incarnation:
+            return False
+        probe = Probe(
+            self._entry.name, incarnation, version, attempt.sent_at, attempt.ended_at
+        )
+        self._record.probes.append(probe)
+        return True
+
+    async def _request(self, session: aiohttp.ClientSession, version: int) -> Attempt:
+        """Send one request and record it, also when it is cancelled."""
         self._count += 1
-        request_id = f"probe-{self._entry.name}-{self._count}-{loop.time()}"
+        began = now_s()
+        request_id = f"probe-{self._entry.name}-{self._count}-{began}"
         headers = {
             "Host": "records.example",
             "X-Credential": FREE.key,
@@ -206,7 +229,7 @@
             "X-Deadline-Ms": str(DEADLINE_MS),
         }
         url = URL(f"http://{self._site.front(self._entry)}{mark_path(version)}")
-        life, began, status = self._entry.lives, loop.time(), 0
+        status = 0
         try:
             async with session.get(url, headers=headers) as answer:
                 await answer.read()
@@ -214,25 +237,25 @@
         except (aiohttp.ClientError, OSError, TimeoutError):
             status = 0
         finally:
-            self._record.attempts.append(
-                Attempt(
-                    request_id=request_id,
-                    entry=self._entry.name,
-                    path=mark_path(version),
-                    once=False,
-                    digest=hashlib.sha256(b"").hexdigest(),
-                    deadline_ms=DEADLINE_MS,
-                    sent_at=began,
-                    ended_at=loop.time(),
-                    status=status,
-                    own=True,
-                    stamped=status == 200,
-                    left=True,
-                    workspace=FREE.name,
-                )
-            )
-        if status != 200 or life != self._entry.lives:
-            return False
-        probe = Probe(self._entry.name, life, version, began, loop.time())
-        self._record.probes.append(probe)
-        return True
+            attempt = self._attempt(request_id, version, began, status)
+            self._record.attempts.append(attempt)
+        return attempt
+
+    def _attempt(
+        self, request_id: str, version: int, began: float, status: int
+    ) -> Attempt:
+        return Attempt(
+            request_id=request_id,
+            entry=self._entry.name,
+            path=mark_path(version),
+            once=False,
+            digest=NO_BODY_DIGEST,
+            deadline_ms=DEADLINE_MS,
+            sent_at=began,
+            ended_at=now_s(),
+            status=status,
+            own=True,
+            stamped=status == 200,
+            left=True,
+            workspace=FREE.name,
+        )
--- a/leverdoor/standins/soak/plan.py
+++ b/leverdoor/standins/soak/plan.py
@@ -1,17 +1,23 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What strikes when in a soak: drawn from a seed alone."""
+"""Which faults a soak plays and when: drawn from a seed alone.
 
+Owns no state. A kept seed must go on giving the same plan: order and number of the
+draws, the bounds of times and the order of the kinds are part of it.
+"""
+
+from collections.abc import Awaitable, Callable
 from enum import StrEnum
 from random import Random
+from typing import TypeAlias
 
 import msgspec
 
-__all__ = ["Trouble", "TroubleKind", "draw_plan"]
+__all__ = ["FaultAction", "FaultKind", "PlannedFault", "draw_plan"]
 
 
-class TroubleKind(StrEnum):
-    """Every kind of trouble that a soak knows."""
+class FaultKind(StrEnum):
+    """Every kind of fault that a soak plays."""
 
     KILL = "kill"
     STOP = "stop"
@@ -28,7 +34,7 @@
     STORE_LOSES_WRITES = "store-loses-writes"
     STORE_FORGETS = "store-forgets"
     STORE_LAPSE = "store-lapse"
-    """The store is away, and all targets' entries go meanwhile."""
+    """The store is away, and all targets' registrations expire meanwhile."""
     LINK_STORE = "link-store"
     LINK_TARGET = "link-target"
     LINK_CLIENTS = "link-clients"
@@ -44,45 +50,49 @@
 
 
 SHORTEST_S = 0.2
-"""Shortest trouble, in seconds."""
+"""Shortest fault, in seconds."""
 LONGEST_S = 3.0
-"""Longest trouble, in seconds."""
+"""Longest fault, in seconds."""
 REPEAT_CHANCE = 0.25
-"""Chance that a trouble of the kind just drawn comes again, soon after it."""
+"""Chance that a fault of the kind just drawn comes again, soon after it."""
 SOON_S = 0.7
-"""Longest pause between two troubles, in seconds, so that they overlap."""
+"""Longest pause between two faults, in seconds, so that they overlap."""
 
 
-class Trouble(msgspec.Struct, frozen=True):
-    """One trouble."""
+class PlannedFault(msgspec.Struct, frozen=True):
+    """One fault."""
 
     at_s: float
     """Seconds from the start of the soak."""
-    kind: TroubleKind
+    kind: FaultKind
     for_s: float
     pick: float
-    """From 0 to 1: which of the things that it can strike."""
+    """From 0 to 1: which of the things that it can happen to."""
     variant: float
     """From 0 to 1: which variant of the kind."""
 
 
-def draw_plan(seed: int, seconds: float, count: int) -> list[Trouble]:
-    """Draw the troubles of a soak; they come in series and overlap.
+FaultAction: TypeAlias = Callable[[PlannedFault], Awaitable[None]]
+"""Plays a fault from its beginning to its end."""
+
+
+def draw_plan(seed: int, seconds: float, count: int) -> list[PlannedFault]:
+    """Draw the faults of a soak; they come in series and overlap.
 
     Args:
       seed: the same seed gives the same plan.
       seconds: within which all of them begin.
       count: how many.
-    Returns: the troubles, the first one first.
+    Returns: the faults, the first one first.
     """
     rng = Random(seed)
-    found: list[Trouble] = []
+    found: list[PlannedFault] = []
     while len(found) < count:
         repeats = bool(found) and rng.random() < REPEAT_CHANCE
-        kind = found[-1].kind if repeats else rng.choice(list(TroubleKind))
+        kind = found[-1].kind if repeats else rng.choice(list(FaultKind))
         soon_s = found[-1].at_s + rng.random() * SOON_S if repeats else 0.0
         found.append(
-            Trouble(
+            PlannedFault(
                 at_s=min(soon_s, seconds) if repeats else rng.random() * seconds,
                 kind=kind,
                 for_s=rng.uniform(SHORTEST_S, LONGEST_S),
--- a/leverdoor/standins/soak/promises.py
+++ b/leverdoor/standins/soak/promises.py
@@ -1,11 +1,15 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which promises a record breaks: pure checks of what was seen."""
+"""Which promises a record breaks: pure checks of what was seen.
+
+Each check yields a line that begins with the promise's name. Owns no state; relies on
+the sample routes and on the workspaces of the soak.
+"""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterator
 
-from leverdoor.standins.soak.record import Attempt, Record, Seen
+from leverdoor.standins.soak.record import Attempt, Probe, Record, RecordedRun
 from leverdoor.standins.soak.workspaces import WORKSPACES, workspace_named
 from leverdoor.workspaces.quota_bounds import QuotaBounds
 
@@ -16,13 +20,13 @@
 MOST_ATTEMPTS = 2
 """`max-attempts` of the sample routes."""
 QUIET_S = 4.0
-"""How long before a planned stop nothing else may have struck, for it to count."""
+"""Seconds before a planned stop without another disturbance, for it to count."""
 
 
 def breaches(record: Record) -> list[str]:
     """Return one line for each promise that is broken, none if all hold."""
     sent = {a.request_id: a for a in record.attempts}
-    ran: defaultdict[str, list[Seen]] = defaultdict(list)
+    ran: defaultdict[str, list[RecordedRun]] = defaultdict(list)
     for run in record.runs:
         ran[run.request_id].append(run)
     found = list(_answers(record, ran))
@@ -36,7 +40,7 @@
     return found
 
 
-def _answers(record: Record, ran: dict[str, list[Seen]]) -> Iterator[str]:
+def _answers(record: Record, ran: dict[str, list[RecordedRun]]) -> Iterator[str]:
     """Callers get the whole answer to their own request, or a failure of ours."""
     for a in record.attempts:
         if 200 <= a.status < 300:
@@ -66,7 +70,9 @@
             yield f"ROUTE {run.request_id}: run by {run.service}"
 
 
-def _counts(sent: dict[str, Attempt], ran: dict[str, list[Seen]]) -> Iterator[str]:
+def _counts(
+    sent: dict[str, Attempt], ran: dict[str, list[RecordedRun]]
+) -> Iterator[str]:
     """What must run once runs once; the rest as often as its route allows."""
     for request_id, runs in ran.items():
         a = sent.get(request_id)
@@ -118,32 +124,30 @@
 
 
 def _reverts(record: Record) -> Iterator[str]:
-    """No entry goes back to an older configuration within one life."""
-    lives: defaultdict[tuple[str, int], list[tuple[float, float, int]]]
-    lives = defaultdict(list)
+    """No entry goes back to an older configuration within one incarnation."""
+    probes: defaultdict[tuple[str, int], list[Probe]] = defaultdict(list)
     for probe in record.probes:
-        times = (probe.sent_at, probe.ended_at, probe.version)
-        lives[probe.entry, probe.life].append(times)
-    for (entry, _), seen in lives.items():
+        probes[probe.entry, probe.incarnation].append(probe)
+    for (entry, _), found in probes.items():
         newest = 0
-        by_end = sorted(seen, key=lambda t: t[1])
-        told = 0
-        for sent_at, _, version in sorted(seen):
-            while told < len(by_end) and by_end[told][1] < sent_at:
-                newest = max(newest, by_end[told][2])
-                told += 1
-            if version < newest:
-                yield f"CONFIG {entry}: {version} after {newest}"
+        by_end = sorted(found, key=lambda p: p.ended_at)
+        ended = 0
+        for probe in sorted(found, key=lambda p: (p.sent_at, p.ended_at, p.version)):
+            while ended < len(by_end) and by_end[ended].ended_at < probe.sent_at:
+                newest = max(newest, by_end[ended].version)
+                ended += 1
+            if probe.version < newest:
+                yield f"CONFIG {entry}: {probe.version} after {newest}"
 
 
-def _stops(record: Record, ran: dict[str, list[Seen]]) -> Iterator[str]:
+def _stops(record: Record, ran: dict[str, list[RecordedRun]]) -> Iterator[str]:
     """A planned stop cuts nothing that was passed on."""
     for entry, began, ended in record.stops:
-        struck = any(
+        disturbed = any(
             name == entry and start < ended and until > began - QUIET_S
             for name, start, until in record.unplanned
         )
-        if struck:
+        if disturbed:
             continue
         for a in record.attempts:
             cut = a.entry == entry and a.status == 0 and a.connected and not a.left
--- a/leverdoor/standins/soak/record.py
+++ b/leverdoor/standins/soak/record.py
@@ -1,10 +1,16 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What callers and targets saw in a soak."""
+"""What callers and targets saw in a soak: plain values, judged afterwards.
+
+State: a `Record` is filled while a soak runs and read once it has ended. All times
+are seconds of the loop's clock.
+"""
+
+import asyncio
 
 import msgspec
 
-__all__ = ["Attempt", "Leave", "Probe", "Record", "Seen"]
+__all__ = ["Attempt", "Leave", "Probe", "Record", "RecordedRun", "now_s"]
 
 
 class Attempt(msgspec.Struct, frozen=True):
@@ -33,7 +39,7 @@
     """Whose key the caller sent."""
 
 
-class Seen(msgspec.Struct, frozen=True):
+class RecordedRun(msgspec.Struct, frozen=True):
     """One run of a request as a target saw it."""
 
     request_id: str
@@ -62,7 +68,7 @@
     """An entry showed which configuration was in force."""
 
     entry: str
-    life: int
+    incarnation: int
     """How often the entry had been started by then."""
     version: int
     sent_at: float
@@ -73,10 +79,19 @@
     """All that was seen."""
 
     attempts: list[Attempt] = []
-    runs: list[Seen] = []
+    runs: list[RecordedRun] = []
     leaves: list[Leave] = []
     probes: list[Probe] = []
     stops: list[tuple[str, float, float]] = []
-    """Planned stops: entry, when it was told, when it had ended."""
+    """Planned stops: entry, when it was signalled, when it had ended."""
     unplanned: list[tuple[str, float, float]] = []
-    """What else struck an entry or its callers' links: entry, from, until."""
+    """What else disturbed an entry or its callers' links: entry, from, until."""
+
+    def note_disturbance(self, entry: str, began: float, ended: float) -> None:
+        """Note what disturbed an entry besides planned stops."""
+        self.unplanned.append((entry, began, ended))
+
+
+def now_s() -> float:
+    """Return the loop's time in seconds."""
+    return asyncio.get_running_loop().time()
--- a/leverdoor/standins/soak/run.py
+++ b/leverdoor/standins/soak/run.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""One soak: real entries under callers and troubles, then judged."""
+"""One soak: real entries under callers and faults, then judged.
+
+State: the plan, the site and the record of one soak. Relies on `promises` for the
+verdict; what did not become well again is added here.
+"""
 
 import asyncio
 from collections import Counter
@@ -11,11 +15,11 @@
 import msgspec
 
 from leverdoor.standins.entry_site import SAMPLE_ROUTES, EntryProcess
-from leverdoor.standins.soak.callers import Caller, Prober
-from leverdoor.standins.soak.faults import Faults
-from leverdoor.standins.soak.plan import Trouble, draw_plan
+from leverdoor.standins.soak.callers import SoakCaller, SoakProber
+from leverdoor.standins.soak.faults import SoakFaults
+from leverdoor.standins.soak.plan import PlannedFault, draw_plan
 from leverdoor.standins.soak.promises import breaches
-from leverdoor.standins.soak.record import Leave, Record, Seen
+from leverdoor.standins.soak.record import Leave, Record, RecordedRun
 from leverdoor.standins.soak.site import SoakSite
 
 __all__ = ["Soak", "Verdict", "note_leaves"]
@@ -23,9 +27,13 @@
 CALLERS = 8
 """Callers of a soak; they load six entries and leave cores to them."""
 SETTLED_S = 45.0
-"""Within which time all must be well after the last trouble; generous."""
+"""Seconds within which all must be well after the last fault.
+
+Chosen: several times what a start, a lease and a watch need on a busy machine, so that
+only what never recovers is reported.
+"""
 REST_S = 3.0
-"""How long callers go on once all is well."""
+"""Seconds that callers go on once all is well."""
 LEAVE_S = 2.5
 """Bound on leaving in the soak's settings, in seconds."""
 POLL_S = 0.2
@@ -71,8 +79,8 @@
         """Create it.
 
         Args:
-          seed: draws the troubles and what callers do.
-          seconds: within which all troubles begin.
+          seed: draws the faults and what callers do.
+          seconds: within which all faults begin.
           troubles: how many.
           site: what they happen to; one of this version if left out.
         """
@@ -101,17 +109,16 @@
 
     async def _play(self) -> None:
         entries = list(self._site.entries.values())
-        probers = [Prober(self._site, self._record, e) for e in entries]
+        probers = [SoakProber(self._site, self._record, e) for e in entries]
         callers = [
-            Caller(self._site, self._record, n, self._seed) for n in range(CALLERS)
+            SoakCaller(self._site, self._record, n, self._seed) for n in range(CALLERS)
         ]
         tasks = [asyncio.create_task(p.run()) for p in probers]
         tasks += [asyncio.create_task(c.run()) for c in callers]
         try:
-            strikes = Faults(self._site, self._record)
-            troubles = [self._strike(strikes, t) for t in self._plan]
-            await asyncio.gather(*troubles)
-            strikes.end_all()
+            faults = SoakFaults(self._site, self._record)
+            await asyncio.gather(*(self._play_at(faults, f) for f in self._plan))
+            faults.end_all()
             await self._settle()
             await asyncio.sleep(REST_S)
         finally:
@@ -120,9 +127,9 @@
             done = await asyncio.gather(*tasks, return_exceptions=True)
         self._late += [repr(e) for e in done if isinstance(e, Exception)]
 
-    async def _strike(self, strikes: Faults, trouble: Trouble) -> None:
-        await asyncio.sleep(trouble.at_s)
-        await strikes.strike(trouble)
+    async def _play_at(self, faults: SoakFaults, fault: PlannedFault) -> None:
+        await asyncio.sleep(fault.at_s)
+        await faults.play(fault)
 
     async def _settle(self) -> None:
         """Wait until all is well: ready, named to callers, the newest in force."""
@@ -176,7 +183,7 @@
     def _judge(self) -> Verdict:
         for target in self._site.targets.values():
             self._record.runs += [
-                Seen(
+                RecordedRun(
                     request_id=r.request_id,
                     target=target.name,
                     service=target.service,
--- a/leverdoor/standins/soak/site.py
+++ b/leverdoor/standins/soak/site.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The deployment of a soak: every link goes through a proxy, clocks can be set."""
+"""The deployment of a soak: every link goes through a proxy, clocks can be set.
+
+State: its proxies, the targets that have left, and the newest version of the
+configuration; all of it lasts one soak. Relies on `EntrySite` for the processes.
+"""
 
 import tempfile
 from collections.abc import Mapping
@@ -116,8 +120,8 @@
         self.routed = version
         return revision
 
-    def strike_links(self, kind: str, fault: LinkFault) -> None:
-        """Let a fault strike one link, or all of a kind (a name's beginning)."""
+    def set_link_fault(self, kind: str, fault: LinkFault) -> None:
+        """Set the fault of one link, or of all of a kind (a name's beginning)."""
         for name, proxy in self.proxies.items():
             if name.startswith(kind):
                 proxy.strike(fault)
--- a/leverdoor/standins/upstreams.py
+++ b/leverdoor/standins/upstreams.py
@@ -11,13 +11,13 @@
 
 from leverdoor.codec import serialize_json
 
-__all__ = ["Run", "UpstreamStandin"]
+__all__ = ["UpstreamRun", "UpstreamStandin"]
 
 SECOND_ANSWER_S = 0.005
 """How much later a surplus answer follows, in seconds."""
 
 
-class Run(msgspec.Struct):
+class UpstreamRun(msgspec.Struct):
     """One request that a target began to work on."""
 
     request_id: str
@@ -59,7 +59,7 @@
         self.empty = False
         """Answers have no body and no type."""
         self.answer_well()
-        self.runs: list[Run] = []
+        self.runs: list[UpstreamRun] = []
         self._running = 0
         self._waiting = 0
         self._free = asyncio.Semaphore(slots)
@@ -117,7 +117,7 @@
     async def _run(
         self, request: web.Request, body: bytes, headers: dict[str, str]
     ) -> web.StreamResponse:
-        run = Run(
+        run = UpstreamRun(
             request.headers["X-Request-Id"],
             request.method,
             request.raw_path,
--- a/tests/test_soak_promises.py
+++ b/tests/test_soak_promises.py
@@ -5,7 +5,7 @@
 import pytest
 
 from leverdoor.standins.soak.promises import breaches
-from leverdoor.standins.soak.record import Attempt, Leave, Probe, Record, Seen
+from leverdoor.standins.soak.record import Attempt, Leave, Probe, Record, RecordedRun
 from leverdoor.standins.soak.run import LEAVE_S, note_leaves
 
 
@@ -26,7 +26,7 @@
     return Attempt(request_id=request_id, **(fields | more))  # type: ignore[arg-type]
 
 
-def run(request_id: str = "r", **more: object) -> Seen:
+def run(request_id: str = "r", **more: object) -> RecordedRun:
     fields: dict[str, object] = {
         "target": "t",
         "service": "file",
@@ -37,7 +37,7 @@
         "region": "b",
         "workspace": "free",
     }
-    return Seen(request_id=request_id, **(fields | more))  # type: ignore[arg-type]
+    return RecordedRun(request_id=request_id, **(fields | more))  # type: ignore[arg-type]
 
 
 def test_what_went_well_breaks_nothing() -> None:
