--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -12,7 +12,11 @@
 import json
 import statistics
 from collections.abc import Callable
+from functools import partial
 from random import Random
+from typing import TypeAlias
+
+import msgspec
 
 from baselines import (
     WARM_S,
@@ -48,89 +52,135 @@
 QUEUE = 10_000
 
 
+Answer: TypeAlias = Callable[[bool], None]
+"""Takes whether a request was served."""
+
+
+class _Work(msgspec.Struct, frozen=True):
+    """A request at a gate, how long its run takes, and who gets the answer."""
+
+    request: QueuedRequest
+    service_s: float
+    answer: Answer
+
+
 class _Gate:
-    def __init__(self, scheduler: Scheduler) -> None:
+    """A gate's own decisions, and the requests that wait for one."""
+
+    def __init__(self, number: int, scheduler: Scheduler) -> None:
+        self.number = number
         self.scheduler = scheduler
         self.seq = 0
-        self.waiting: dict[int, tuple[QueuedRequest, Callable[..., None]]] = {}
+        self.waiting: dict[int, _Work] = {}
+        """By identity of the queued request."""
+
+
+class _GateSite:
+    """Gates that decide by the product's code, and forward on each other's hints."""
+
+    def __init__(self, setup: Setup, deadline_s: float) -> None:
+        self._setup = setup
+        self._deadline_s = deadline_s
+        self._clock, self._out = Clock(), Outcome()
+        view = _view(setup)
+        members = [
+            GateProcess(f"vm{i}", f"g{i}", 1, f"d{i % 2}") for i in range(setup.gates)
+        ]
+        table = _settled_table(view, members)
+        self._gates = []
+        for i, m in enumerate(members):
+            holdings = Holdings(m.gate, 1)
+            holdings.apply(table, {}, -1.0)
+            rng = Random(setup.rng.random())
+            scheduler = Scheduler(f"vm{i}", "r", holdings, view, rng)
+            self._gates.append(_Gate(i, scheduler))
+
+    def run(self) -> Outcome:
+        setup, clock = self._setup, self._clock
+        for i, gate in enumerate(self._gates):
+            clock.at(i * setup.hint_s / setup.gates, partial(self._hint, gate))
+            clock.at(0.0, partial(self._tick, gate))
+        for a in setup.arrivals:
+            clock.at(a[0], partial(self._arrive, *a))
+        clock.run(setup.seconds * 1.5)
+        return self._out
+
+    # Requests.
+
+    def _arrive(self, at: float, gate: int, service_s: float) -> None:
+        def answer(served: bool) -> None:
+            if served:
+                self._out.done(at, self._clock.now)
+            elif at >= WARM_S:
+                self._out.refused += 1
 
+        request = QueuedRequest("s", DEFAULT_TIER, "r", at, at + self._deadline_s)
+        self._decide(self._gates[gate], _Work(request, service_s, answer))
 
-def run_leverdoor(setup: Setup, deadline_s: float = 1e9) -> Outcome:
-    """Run the product's own decisions, gates forwarding on hints."""
-    clock, out = Clock(), Outcome()
-    view = _view(setup)
-    members = [
-        GateProcess(f"vm{i}", f"g{i}", 1, f"d{i % 2}") for i in range(setup.gates)
-    ]
-    table: Table = Table("r")
-    acks = {m.identity: Ack(10**9) for m in members}
-    while (after := plan(table, view.specs("r"), members, acks=acks)) is not None:
-        table = after
-    gates = []
-    for i, m in enumerate(members):
-        holdings = Holdings(m.gate, 1)
-        holdings.apply(table, {}, -1.0)
-        rng = Random(setup.rng.random())
-        gates.append(_Gate(Scheduler(f"vm{i}", "r", holdings, view, rng)))
-
-    def decide(
-        i: int, job: QueuedRequest, service_s: float, answer: Callable[[bool], None]
-    ) -> None:
-        def act(decision: object) -> None:
-            follow(i, job, service_s, decision, answer)
-
-        decision = gates[i].scheduler.offer(job, clock.now)
+    def _decide(self, gate: _Gate, work: _Work) -> None:
+        decision = gate.scheduler.offer(work.request, self._clock.now)
         if decision is None:
-            gates[i].waiting[id(job)] = (job, act)
+            gate.waiting[id(work.request)] = work
         else:
-            act(decision)
-
-    def follow(
-        i: int,
-        job: QueuedRequest,
-        service_s: float,
-        decision: object,
-        answer: Callable[[bool], None],
-    ) -> None:
+            self._follow(gate, work, decision)
+
+    def _follow(self, gate: _Gate, work: _Work, decision: object) -> None:
         if isinstance(decision, Rejection):
-            answer(False)
+            work.answer(False)
         elif isinstance(decision, Dispatch):
-            made = decision
+            end = partial(self._end, gate, work, decision)
+            self._clock.at(self._clock.now + work.service_s, end)
+        elif isinstance(decision, Forward):
+            self._forward(gate, work, self._gates[int(decision.vm[2:])])
 
-            def end() -> None:
-                gates[i].scheduler.done(
-                    job, made, clock.now, service_s * 1000, True, 0.0
-                )
-                poll(i)
-                answer(True)
+    def _end(self, gate: _Gate, work: _Work, made: Dispatch) -> None:
+        took_ms = work.service_s * 1000
+        gate.scheduler.done(work.request, made, self._clock.now, took_ms, True, 0.0)
+        self._poll(gate)
+        work.answer(True)
 
-            clock.at(clock.now + service_s, end)
-        elif isinstance(decision, Forward):
-            other = int(decision.vm[2:])
-            sent = QueuedRequest(
-                job.service, job.tier, job.home, clock.now, job.deadline, forwarded=True
-            )
+    def _forward(self, gate: _Gate, work: _Work, other: _Gate) -> None:
+        """Send a request to another gate; if that refuses, decide again here."""
 
-            def back(served: bool) -> None:
-                def arrive_back() -> None:
-                    if served:
-                        answer(True)
-                    else:
-                        gates[i].scheduler.neighbours.refused(f"vm{other}", "s")
-                        decide(i, job, service_s, answer)
+        def arrive_back(served: bool) -> None:
+            if served:
+                work.answer(True)
+                return
+            gate.scheduler.neighbours.refused(f"vm{other.number}", "s")
+            self._decide(gate, work)
 
-                clock.at(clock.now + HOP_S, arrive_back)
+        def answer(served: bool) -> None:
+            back = partial(arrive_back, served)
+            self._clock.at(self._clock.now + HOP_S, back)
+
+        request = work.request
+        sent = QueuedRequest(
+            request.service,
+            request.tier,
+            request.home,
+            self._clock.now,
+            request.deadline,
+            forwarded=True,
+        )
+        forwarded = _Work(sent, work.service_s, answer)
+        decide = partial(self._decide, other, forwarded)
+        self._clock.at(self._clock.now + HOP_S, decide)
+
+    # Time.
 
-            clock.at(clock.now + HOP_S, lambda: decide(other, sent, service_s, back))
+    def _poll(self, gate: _Gate) -> None:
+        for request, decision in gate.scheduler.poll(self._clock.now):
+            work = gate.waiting.pop(id(request))
+            self._follow(gate, work, decision)
 
-    def poll(i: int) -> None:
-        for job, decision in gates[i].scheduler.poll(clock.now):
-            _, act = gates[i].waiting.pop(id(job))
-            act(decision)
+    def _tick(self, gate: _Gate) -> None:
+        self._poll(gate)
+        self._clock.at(self._clock.now + TICK_S, partial(self._tick, gate))
 
-    def hint(i: int) -> None:
-        gate = gates[i]
+    def _hint(self, gate: _Gate) -> None:
+        """Send a heartbeat to all other gates."""
         gate.seq += 1
+        i = gate.number
         heartbeat = AgentHeartbeat(
             f"vm{i}",
             "r",
@@ -143,38 +193,31 @@
             relay=f"g{i}",
             incarnation=1,
             state=GateState.SERVING,
-            loads=gate.scheduler.loads(clock.now),
+            loads=gate.scheduler.loads(self._clock.now),
         )
-        for j in range(setup.gates):
-            if j != i:
-                clock.at(clock.now + HOP_S, lambda j=j: receive_heartbeat(j, heartbeat))
-        clock.at(clock.now + setup.hint_s, lambda: hint(i))
+        for other in self._gates:
+            if other is not gate:
+                receive = partial(self._receive, other, heartbeat)
+                self._clock.at(self._clock.now + HOP_S, receive)
+        self._clock.at(self._clock.now + self._setup.hint_s, partial(self._hint, gate))
 
-    def receive_heartbeat(j: int, heartbeat: AgentHeartbeat) -> None:
-        gates[j].scheduler.neighbours.receive([heartbeat], clock.now)
-        poll(j)
+    def _receive(self, gate: _Gate, heartbeat: AgentHeartbeat) -> None:
+        gate.scheduler.neighbours.receive([heartbeat], self._clock.now)
+        self._poll(gate)
 
-    def tick(i: int) -> None:
-        poll(i)
-        clock.at(clock.now + TICK_S, lambda: tick(i))
 
-    def arrive(at: float, gate: int, service_s: float) -> None:
-        def answer(served: bool) -> None:
-            if served:
-                out.done(at, clock.now)
-            elif at >= WARM_S:
-                out.refused += 1
-
-        job = QueuedRequest("s", DEFAULT_TIER, "r", at, at + deadline_s)
-        decide(gate, job, service_s, answer)
-
-    for i in range(setup.gates):
-        clock.at(i * setup.hint_s / setup.gates, lambda i=i: hint(i))
-        clock.at(0.0, lambda i=i: tick(i))
-    for a in setup.arrivals:
-        clock.at(a[0], lambda a=a: arrive(*a))
-    clock.run(setup.seconds * 1.5)
-    return out
+def _settled_table(view: View, members: list[GateProcess]) -> Table:
+    """Return the ownership table that is reached once nothing is left to move."""
+    table: Table = Table("r")
+    acks = {m.identity: Ack(10**9) for m in members}
+    while (after := plan(table, view.specs("r"), members, acks=acks)) is not None:
+        table = after
+    return table
+
+
+def run_leverdoor(setup: Setup, deadline_s: float = 1e9) -> Outcome:
+    """Run the product's own decisions, gates forwarding on hints."""
+    return _GateSite(setup, deadline_s).run()
 
 
 def _view(setup: Setup) -> View:
--- a/leverdoor/analysis/explaining.py
+++ b/leverdoor/analysis/explaining.py
@@ -1,6 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Explains afterwards what became of a request, from log lines alone."""
+"""Explains afterwards what became of a request, from log lines alone.
+
+Owns no state. Relies on the names of log events and of their fields, and on the names
+of the numbered codes.
+"""
+
+from typing import Any
 
 import msgspec
 
@@ -8,8 +14,11 @@
 
 __all__ = ["Explanation", "explain"]
 
-BELIEF_AGE_S = 30.0
-"""How far back beliefs are looked for before a request's own lines."""
+CONTEXT_S = 30.0
+"""Seconds before a request's own lines in which other events can bear on it.
+
+Chosen: longer than an ejection of a target lasts; more would list what is over.
+"""
 
 _REQUEST_EVENTS = frozenset({"attempt", "attempt_failed", "refused", "client_left"})
 
@@ -21,7 +30,7 @@
     way: list[str]
     """What happened to it, in order."""
     beliefs: list[str]
-    """What the entry believed then that bears on it."""
+    """Events of its entry shortly before that bear on it."""
     cause: str
     """One sentence."""
 
@@ -43,11 +52,11 @@
         e
         for e in log
         if e.entry == entry
-        and began - BELIEF_AGE_S <= e.at <= own[-1].at
+        and began - CONTEXT_S <= e.at <= own[-1].at
         and e.event not in _REQUEST_EVENTS
     ]
     targets = {str(e.fields["target"]) for e in own if "target" in e.fields}
-    beliefs = [b for e in before if (b := _belief(e, began, targets))]
+    beliefs = [b for e in before if (b := _context(e, began, targets))]
     way = [_step(e, began) for e in own]
     return Explanation(request_id, way, beliefs, _cause(own, before))
 
@@ -71,8 +80,8 @@
     return f"{when}: the client left after {f['took_ms']} ms"
 
 
-def _belief(e: LogLine, began: float, targets: set[str]) -> str:
-    """Return what an event made the entry believe, if it can bear on a request."""
+def _context(e: LogLine, began: float, targets: set[str]) -> str:
+    """Return what another event of the entry says, if it can bear on a request."""
     f = e.fields
     when = f"{began - e.at:.1f} s before" if e.at < began else "meanwhile"
     if e.event == "configuration":
@@ -130,12 +139,16 @@
             more = f"; {tried} failed {others} requests then" if others > 1 else ""
             return f"{tried} took it and its answer was lost ({f['detail']}){more}."
         case "DEADLINE_PASSED":
-            last = attempts[-1] if attempts else {}
-            load = f"{last.get('load', '?')}/{last.get('slots', '?')}"
-            return (
-                f"{tried or 'A target'} was still at work when the time was over"
-                f" (load {load} when it was sent, expected"
-                f" {last.get('expected_ms', '?')} ms)."
-            )
+            return _deadline_cause(attempts[-1] if attempts else {})
         case _:
             return f"{f['name']}: {f['detail']}."
+
+
+def _deadline_cause(last: dict[str, Any]) -> str:
+    """Return the sentence for a deadline that passed, from the last failed attempt."""
+    load = f"{last.get('load', '?')}/{last.get('slots', '?')}"
+    return (
+        f"{last.get('target') or 'A target'} was still at work when the time was over"
+        f" (load {load} when it was sent, expected"
+        f" {last.get('expected_ms', '?')} ms)."
+    )
