--- a/leverdoor/analysis/log_lines.py
+++ b/leverdoor/analysis/log_lines.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Reads the structured logs of entries."""
+"""Reads the structured logs of entries.
+
+Owns no state; relies on lines of JSON with the fields `t`, `event` and `entry`.
+"""
 
 from collections.abc import Iterable
 from typing import Any
--- a/leverdoor/analysis/plots.py
+++ b/leverdoor/analysis/plots.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Draws reports; needs matplotlib, which only this optional part uses."""
+"""Draws reports of lost requests.
+
+Owns no state; needs matplotlib, which only this optional part uses.
+"""
 
 from collections import Counter
 from pathlib import Path
--- a/leverdoor/emulator/troubles.py
+++ b/leverdoor/emulator/troubles.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Begins the troubles of an experiment at their time, and ends them."""
+"""Begins the troubles of an experiment at their time, and ends them.
+
+Owns no state: what a trouble changes stands in the site and its targets. Overlapping
+troubles of one kind at one target end with the first.
+"""
 
 from functools import partial
 from random import Random
--- a/leverdoor/standins/cli.py
+++ b/leverdoor/standins/cli.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The command `leverdoor-standin`, which runs stand-ins as processes."""
+"""The command `leverdoor-standin`, which runs stand-ins as processes.
+
+Owns no state; each stand-in keeps its own in memory, lost when the process ends.
+"""
 
 from random import Random
 
--- a/leverdoor/standins/deployments.py
+++ b/leverdoor/standins/deployments.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The two deployments of today's users, at their sizes or scaled down."""
+"""The two deployments of today's users, at their sizes or scaled down.
+
+Owns no state; sizes, slots and delays are the brief's.
+"""
 
 import msgspec
 
--- a/leverdoor/standins/entry_site.py
+++ b/leverdoor/standins/entry_site.py
@@ -1,6 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Entries as real processes on loopback, beside stand-ins of store and targets."""
+"""Entries as real processes on loopback, beside stand-ins of store and targets.
+
+State: the entries' processes, their settings files and logs in a folder of their own,
+and the servers of the stand-ins; `stop` ends and removes them. Relies on the entry's
+settings file and on the platform's keys of the store.
+"""
 
 import asyncio
 import json
--- a/leverdoor/standins/kv.py
+++ b/leverdoor/standins/kv.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The key-value service as a process: MemoryStore behind the etcd v3 JSON API."""
+"""The key-value service as a process: MemoryStore behind the etcd v3 JSON API.
+
+State: one MemoryStore, lost when the process ends. Serves plain sites; the platform's
+own store is `standins.metadata`.
+"""
 
 import asyncio
 
@@ -84,9 +88,9 @@
         return app
 
     async def _range(self, request: web.Request) -> web.StreamResponse:
-        asked = msgspec.json.decode(await request.read(), type=_Key)
+        wanted = msgspec.json.decode(await request.read(), type=_Key)
         try:
-            listing = await self.store.read(key_text(asked.key))
+            listing = await self.store.read(key_text(wanted.key))
         except StoreUnavailable:
             return web.Response(status=503)
         kvs = [
@@ -101,9 +105,9 @@
 
     async def _txn(self, request: web.Request) -> web.StreamResponse:
         data = await request.read()
-        asked = msgspec.json.decode(data, type=_Txn, strict=False)
+        txn = msgspec.json.decode(data, type=_Txn, strict=False)
         try:
-            done = await self.store.commit(_writes(asked))
+            done = await self.store.commit(_writes(txn))
         except StoreUnavailable:
             return web.Response(status=503)
         except StoreUnknown:
@@ -114,12 +118,12 @@
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
         data = await request.read()
-        asked = msgspec.json.decode(data, type=_Watch, strict=False).create_request
+        create = msgspec.json.decode(data, type=_Watch, strict=False).create_request
         response = web.StreamResponse()
         await response.prepare(request)
         await _line(response, {"created": True, "header": _header(self.store.revision)})
         try:
-            watch = self.store.watch(key_text(asked.key), asked.start_revision - 1)
+            watch = self.store.watch(key_text(create.key), create.start_revision - 1)
             async for events in watch:
                 result = {
                     "header": _header(self.store.revision),
@@ -150,10 +154,10 @@
         return json_answer(StoreCounts(s.reads, s.writes, s.waiting, s.revision))
 
 
-def _writes(asked: _Txn) -> list[Write]:
-    expected = {key_text(c.key): c.mod_revision for c in asked.compare}
+def _writes(txn: _Txn) -> list[Write]:
+    expected = {key_text(c.key): c.mod_revision for c in txn.compare}
     writes = []
-    for op in asked.success:
+    for op in txn.success:
         if op.request_put is not None:
             key = key_text(op.request_put.key)
             value: bytes | None = from_base64(op.request_put.value)
--- a/leverdoor/standins/metadata.py
+++ b/leverdoor/standins/metadata.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A stand-in of the platform's metadata store, by its published protocol."""
+"""A stand-in of the platform's metadata store, by its published protocol.
+
+State: items, leases and the history that watches continue from, in memory; the faults
+set last. Runs in the process that sets them; it relies on a monotonic clock only.
+"""
 
 import asyncio
 import base64
@@ -199,8 +203,8 @@
         app.router.add_delete("/api/kv-lease-end/{lease}", self._end)
         return app
 
-    async def _meet(self, request: web.Request) -> web.StreamResponse | None:
-        """Count a call and let the faults in force strike it."""
+    async def _fail(self, request: web.Request) -> web.StreamResponse | None:
+        """Count a call; return the answer of the faults set now, if they answer it."""
         name = request.path.split("/")[2]
         if request.query.get("stale") == "1":
             name += " stale"
@@ -221,18 +225,18 @@
         return None
 
     async def _key(self, request: web.Request) -> web.StreamResponse:
-        struck = await self._meet(request)
-        if struck is not None:
-            return struck
+        failed = await self._fail(request)
+        if failed is not None:
+            return failed
         item = self.items.get(request.query["private-key"])
         if item is None:
             return web.Response(status=404)
         return _json({**item.shown(), "at": self.revision})
 
     async def _range(self, request: web.Request) -> web.StreamResponse:
-        struck = await self._meet(request)
-        if struck is not None:
-            return struck
+        failed = await self._fail(request)
+        if failed is not None:
+            return failed
         prefix = request.query.get("path-prefix", "")
         after = request.query.get("after", "")
         keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
@@ -246,9 +250,9 @@
         )
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
-        struck = await self._meet(request)
-        if struck is not None:
-            return struck
+        failed = await self._fail(request)
+        if failed is not None:
+            return failed
         prefix = request.query.get("path-prefix", "")
         after = int(request.query["after"])
         wait_ms = min(int(request.query["wait-ms"]), MOST_WAIT_MS)
@@ -272,9 +276,9 @@
                 continue
 
     async def _txn(self, request: web.Request) -> web.StreamResponse:
-        struck = await self._meet(request)
-        if struck is not None:
-            return struck
+        failed = await self._fail(request)
+        if failed is not None:
+            return failed
         txn = msgspec.json.decode(await request.read(), type=_Txn)
         if self.faults.lose_writes > 0:
             self.faults.lose_writes -= 1
@@ -294,18 +298,18 @@
         raise asyncio.CancelledError
 
     async def _lease(self, request: web.Request) -> web.StreamResponse:
-        struck = await self._meet(request)
-        if struck is not None:
-            return struck
+        failed = await self._fail(request)
+        if failed is not None:
+            return failed
         ttl_ms = msgspec.json.decode(await request.read())["ttl_ms"]
         number = next(self._numbers)
         self._leases[number] = _Lease(ttl_ms / 1000, self._now() + ttl_ms / 1000)
         return _json({"lease": number, "ttl_ms": ttl_ms})
 
     async def _keep(self, request: web.Request) -> web.StreamResponse:
-        struck = await self._meet(request)
-        if struck is not None:
-            return struck
+        failed = await self._fail(request)
+        if failed is not None:
+            return failed
         lease = self._leases.get(int(request.match_info["lease"]))
         if lease is None:
             return web.Response(status=404)
@@ -313,9 +317,9 @@
         return _json({"ttl_ms": round(lease.ttl_s * 1000)})
 
     async def _end(self, request: web.Request) -> web.StreamResponse:
-        struck = await self._meet(request)
-        if struck is not None:
-            return struck
+        failed = await self._fail(request)
+        if failed is not None:
+            return failed
         self.end_lease(int(request.match_info["lease"]))
         return _json({})
 
--- a/leverdoor/standins/proxy.py
+++ b/leverdoor/standins/proxy.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A loopback proxy that harms the connections which go through it."""
+"""A loopback proxy that harms the connections which go through it.
+
+State: the fault set now, the open connections and the tasks that carry them; `close`
+ends them all. Relies on the loop only.
+"""
 
 import asyncio
 from collections.abc import Callable
--- a/leverdoor/standins/site.py
+++ b/leverdoor/standins/site.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Starts a whole site on loopback, each part a process, for trials and tests."""
+"""Starts a whole plain site on loopback, each part a process, for trials and tests.
+
+State: the processes started here and their addresses; `stop` ends them. Relies on the
+commands of agents and gates, and on `leverdoor-standin` for store, VM list and targets.
+"""
 
 import asyncio
 import json
--- a/leverdoor/standins/soak/workspaces.py
+++ b/leverdoor/standins/soak/workspaces.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The workspaces of a soak, and what holds of their requests."""
+"""The workspaces of a soak, and what holds of their requests.
+
+Owns no state; relies on the product's own bound of a window for each quota.
+"""
 
 import msgspec
 
--- a/leverdoor/standins/targets.py
+++ b/leverdoor/standins/targets.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Targets as a process: slots, service times, faults, and a log of what came."""
+"""Targets of a plain site as a process: slots, service times, faults, and a log.
+
+State: the faults ordered last, requests in flight and the log of arrivals, in memory.
+A target of the platform is `standins.upstreams`.
+"""
 
 import asyncio
 import hashlib
--- a/leverdoor/standins/upstreams.py
+++ b/leverdoor/standins/upstreams.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Stand-ins of the platform's targets: slots, warm keys, refusals, a log."""
+"""Stand-ins of the platform's targets: slots, warm keys, refusals, a log.
+
+State: what runs and waits, the keys seen and all runs, in memory. A target of a plain
+site, with other headers and probes, is `standins.targets`.
+"""
 
 import asyncio
 import hashlib
--- a/leverdoor/standins/vms.py
+++ b/leverdoor/standins/vms.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's VM list as a process, with a lag to order."""
+"""The platform's VM list as a process, with a lag to order.
+
+State: the list shown now and those that readers see later, lost when the process ends.
+"""
 
 import asyncio
 
