--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -45,7 +45,6 @@
         """
         self.vm = vm
         self.region = region
-        self.holdings = holdings
         self.pool = TargetPool(region, holdings, view)
         self.neighbours = Neighbours(vm, self.vm_leaving, rng)
         self._workloads = Workloads()
