--- a/benchmarks/emulated_exchange.py
+++ b/benchmarks/emulated_exchange.py
@@ -4,7 +4,10 @@
 
 Only the entries' exchange of heartbeats and digests is played, without requests:
 a steady stretch, then the deaths of an aggregator and of an ordinary entry, then
-a region that is cut off and heard again.
+a region that is cut off and comes back.
+
+State: the nodes, their datagrams under way and the bytes sent, of one run. Relies on
+the product's own `Exchange` and `Membership`.
 """
 
 import heapq
@@ -32,11 +35,14 @@
 HEADERS = 28
 """Bytes of IP and UDP around a datagram."""
 NEAR_S = 0.0007
-"""Delay of a datagram within a region, in seconds, as on the users' sites."""
+"""Delay of a datagram within a region, in seconds."""
 FAR_S = 0.036
-"""Delay of a datagram between regions, in seconds, as on the users' sites."""
+"""Delay of a datagram between regions, in seconds; the brief has 35 ms."""
 JITTER_S = 0.004
-"""Most by which a round comes late, in seconds; chosen."""
+"""Most by which a round comes late, in seconds.
+
+Chosen: a busy loop; without it all entries would send in step for ever.
+"""
 WARM_UP_S = 4.0
 """Time before anything is measured, in seconds."""
 STEADY_S = 12.0
@@ -46,21 +52,21 @@
 CUT_S = 5.0
 """How long a region is cut off, in seconds."""
 HEAL_S = 10.0
-"""Longest wait for all to be heard again, in seconds."""
+"""Longest wait until all are live to all again, in seconds."""
 STEP_S = 0.05
 """Time between two looks at what is known, in seconds."""
 PROBES = 15
 """Entries whose knowledge is measured."""
 TARGETS_PER_ENTRY = 2.8
-"""As on the users' site of 195 entries and 541 targets."""
+"""Targets for each entry: 541 for 195."""
 BUSY_TARGETS = 8
 """Targets at which an entry has requests: there some 1,000 a second run for 1.5 s."""
 WIDE_PER_REGION = 9
-"""Entries of a region with wide links, as on the users' site of 195 entries."""
+"""Entries of a region with wide links, of 65."""
 
 
 class Figures(msgspec.Struct):
-    """What one run shows; ages as the entries themselves reckon them."""
+    """What one run shows; ages as the entries themselves compute them."""
 
     near_p99_s: float = 0.0
     """Age of what is known of an entry of the own region."""
@@ -71,9 +77,9 @@
     dead_named_far_s: float = 0.0
     """How long a dead entry is named elsewhere, at most."""
     false_silences_per_entry_hour: float = 0.0
-    """Living entries taken for silent while nothing failed but datagrams."""
+    """Running entries taken for silent while nothing failed but datagrams."""
     heard_again_s: float = 0.0
-    """Time from the end of a cut until all living entries are live to all."""
+    """Time from the end of a cut until all running entries are live to all."""
     kb_per_s: float = 0.0
     """Bytes sent by an entry, on average, with the headers of IP and UDP."""
     busiest_kb_per_s: float = 0.0
@@ -169,9 +175,7 @@
         self._order = count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         members = [_member(i, regions) for i in range(entries)]
-        targets: dict[str, list[str]] = {m.region: [] for m in members}
-        for i in range(round(entries * TARGETS_PER_ENTRY)):
-            targets[f"r{i % regions}"].append(f"i-{i:08x}")
+        targets = _targets(members, regions)
         self.nodes = {m.name: make(m, targets, Random(m.name)) for m in members}
         self._by_address = {m.gossip: m for m in members}
         for node in self.nodes.values():
@@ -191,7 +195,7 @@
         self.now = until
 
     def restart(self, name: str, node: Node) -> None:
-        """Let an entry's next life begin, in place of the one that was killed."""
+        """Start an entry's next incarnation, in place of the one that was killed."""
         self.nodes[name] = node
         first = self._rng.random() * HEARTBEAT_S
         self._at(self.now + first, lambda: self._round(node))
@@ -225,9 +229,9 @@
             self.nodes[to.name].take(message, self.now)
 
     def probes(self) -> list[Node]:
-        """Return some of the living nodes, the same ones each time."""
-        living = [n for name, n in self.nodes.items() if name not in self.dead]
-        return Random(2).sample(living, min(PROBES, len(living)))
+        """Return some of the running nodes, the same ones each time."""
+        running = [n for name, n in self.nodes.items() if name not in self.dead]
+        return Random(2).sample(running, min(PROBES, len(running)))
 
 
 def measure(site: KnowledgeSite) -> Figures:
@@ -247,6 +251,14 @@
     return Member(f"e{number}", region, domain, address, address, address, 1, link_mbps)
 
 
+def _targets(members: list[Member], regions: int) -> dict[str, list[str]]:
+    """Return names of targets, by region."""
+    targets: dict[str, list[str]] = {m.region: [] for m in members}
+    for i in range(round(len(members) * TARGETS_PER_ENTRY)):
+        targets[f"r{i % regions}"].append(f"i-{i:08x}")
+    return targets
+
+
 def _percentile(values: list[float], part: float) -> float:
     return sorted(values)[int(part * (len(values) - 1))] if values else 0.0
 
@@ -315,7 +327,7 @@
 
 
 def _cut(site: KnowledgeSite, figures: Figures) -> None:
-    """Cut a region off, and wait until all living entries hear each other again."""
+    """Cut a region off, and wait until all entries that run are live to all again."""
     site.cut = "r1"
     site.run(site.now + CUT_S)
     site.cut = ""
--- a/benchmarks/emulated_quotas.py
+++ b/benchmarks/emulated_quotas.py
@@ -3,8 +3,8 @@
 """Whether quotas hold over all entries, on a fake clock: their own code, no network.
 
 Requests of workspaces arrive at entries by chance. Entries decide by their own
-`Quotas` and tell each other through their own `Exchange`; datagrams are lost, entries
-are cut off, killed and started again with nothing in memory.
+`Quotas` and report their use through their own `Exchange`; datagrams are lost, entries
+are cut off, killed and started again with nothing in memory. State: of one run.
 """
 
 import math
@@ -37,9 +37,12 @@
 DOWN_S = 0.9
 """How long killed entries are away, in seconds."""
 USED_PART = 0.5
-"""Part of its rate that a workspace asks for on average, as on the users' site."""
+"""Part of its rate that a workspace uses on average.
+
+Chosen: nearer to 1, and chance alone would pass limits that are to hold.
+"""
 SKEW = 0.8
-"""Exponent of the workspaces' sizes by rank, so that a few are large."""
+"""Exponent of the workspaces' sizes in their order, so that a few are large."""
 
 
 class QuotaPlan(msgspec.Struct, frozen=True):
@@ -59,7 +62,7 @@
     killed: float = 0.0
     """Share of the entries that are killed in the middle of trouble."""
     per_entry: float = 14.0
-    """Requests a second at an entry; on the users' busiest days 8 to 16."""
+    """Requests a second at an entry; on busy days 8 to 16."""
     seed: int = 1
 
 
@@ -91,7 +94,7 @@
 
 
 class _Limiter:
-    """A token bucket that knows everything at once: what is within a limit."""
+    """A token bucket that sees all requests at once: what is within a limit."""
 
     def __init__(self, workspace: Workspace) -> None:
         self._workspace = workspace
@@ -124,18 +127,18 @@
         use = self.quotas.report(now)
         lived_s = self.quotas.lived_s(now)
         report = EntryStatus(SERVING, 1, {}, {}, -1, [], use, lived_s)
-        sendings, heard = self.exchange.round(report, now)
-        self._hear(heard, now)
+        sendings, update = self.exchange.round(report, now)
+        self._receive(update, now)
         self.exchange.forget(now)
         return [(s.message, s.to) for s in sendings]
 
     def take(self, message: Message, now: float) -> None:
         """Take a message."""
-        self._hear(self.exchange.take(message, 1, now), now)
+        self._receive(self.exchange.take(message, 1, now), now)
 
-    def _hear(self, heard: PeerUpdate, now: float) -> None:
-        if heard.use is not None:
-            self.quotas.receive(heard.use, now)
+    def _receive(self, update: PeerUpdate, now: float) -> None:
+        if update.use is not None:
+            self.quotas.receive(update.use, now)
 
 
 class _Play:
