--- a/leverdoor/analysis/__init__.py
+++ b/leverdoor/analysis/__init__.py
@@ -1,3 +1,3 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What logs tell afterwards."""
+"""What logs say afterwards: where requests were lost, and why."""
--- a/leverdoor/analysis/losses.py
+++ b/leverdoor/analysis/losses.py
@@ -8,7 +8,7 @@
 client retries, that is another request with an id of its own.
 
 Owns no state. Relies on `request_log` for the events of each request, and on the
-placement's own way to tell the times of warm runs from those of cold ones.
+placement's own way to separate the times of warm runs from those of cold ones.
 """
 
 from collections import Counter, defaultdict
--- a/leverdoor/standins/deployments.py
+++ b/leverdoor/standins/deployments.py
@@ -50,7 +50,7 @@
 
 
 class Shape(msgspec.Struct, frozen=True):
-    """What tells one deployment from the other."""
+    """What differs between the deployments."""
 
     regions: tuple[str, ...]
     between_regions_ms: int
--- a/leverdoor/standins/soak/workspaces.py
+++ b/leverdoor/standins/soak/workspaces.py
@@ -50,7 +50,7 @@
     SoakWorkspace("small", "key-of-small", 0.2, rate_per_s=10.0),
     SoakWorkspace("homed", "key-of-homed", 0.1, homes=["a"]),
 ]
-"""Callers ask for some three times the quota of the second."""
+"""Callers send the second some three times its quota."""
 
 
 def workspace_named(name: str) -> SoakWorkspace | None:
