--- a/leverdoor/entry/placement/health.py
+++ b/leverdoor/entry/placement/health.py
@@ -33,8 +33,8 @@
 LOST_IN_A_ROW = 3
 """Lost answers in a row that eject a target.
 
-One ejected targets that were well 90 times a second (incident f170); 2 made no
-difference to worth at 12 entries.
+One ejected targets that were well 90 times a second; 2 made no difference to worth at
+12 entries.
 """
 SLOW_RATIO = 3.0
 """Mean of measured over expected time from which on a target is ejected as slow.
