--- a/leverdoor/agent/planning.py
+++ b/leverdoor/agent/planning.py
@@ -1,6 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Writes the ownership table of the agent's region when it has to change."""
+"""Writes the ownership table of the agent's region when it has to change.
+
+The first of the region's followers of the store plans, the second stands by; what a
+plan may do is `membership.ownership.plan`. Owns how long a change has been waiting;
+the table itself is the store's. Relies on the compare-and-swap of the store: two
+planners at once cost a refused write.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -24,12 +30,19 @@
 __all__ = ["Planner"]
 
 PLAN_INTERVAL_S = 0.25
-"""Seconds between two looks at the table; a plan of 1,000 targets takes 0.15 s."""
+"""Seconds between two checks of the table; a plan of 1,000 targets takes 0.15 s.
+
+Greater, units of a dead VM idle for longer; smaller, an agent does little else.
+"""
 WRITE_PAUSE_S = 0.25
 """With the interval, at most two writes a second and region: 28 regions that
 all have to change, as after an outage, stay under the store's 100 a second."""
 STANDBY_ROUNDS = 6
-"""Rounds that the standby planner waits before it acts; chosen, 1.5 s."""
+"""Rounds that the standby planner waits before it acts, 1.5 s.
+
+Chosen: above the time in which the first one writes. Greater, a dead planner is missed
+for longer; smaller, both write and one is refused.
+"""
 
 
 _Basis: TypeAlias = tuple[
@@ -47,7 +60,7 @@
         state: State,
         cache: ViewCache,
         peers: Peers,
-        rank: Callable[[], int],
+        follower_place: Callable[[], int],
         leaving: Callable[[], frozenset[str]],
         gone: Callable[[], frozenset[str]],
     ) -> None:
@@ -58,8 +71,9 @@
           store: the platform's service.
           state: the copy of the store.
           cache: the compiled configuration.
-          peers: who has been heard from.
-          rank: 0 to write at once, higher to stand by, -1 not to write.
+          peers: the VMs known, with their newest heartbeats.
+          follower_place: this agent's place among the followers of the store: 0 to
+            write at once, higher to stand by, -1 not to write.
           leaving: VMs that should hold nothing any more.
           gone: identities of processes proved to be gone.
         """
@@ -68,7 +82,7 @@
         self._state = state
         self._cache = cache
         self._peers = peers
-        self._rank = rank
+        self._follower_place = follower_place
         self._leaving = leaving
         self._gone = gone
         self._pending = 0
@@ -78,7 +92,7 @@
         """Plan until cancelled."""
         while True:
             await asyncio.sleep(PLAN_INTERVAL_S)
-            if self._rank() < 0 or self._state.revision == 0:
+            if self._follower_place() < 0 or self._state.revision == 0:
                 self._pending = 0
                 continue
             try:
@@ -134,7 +148,7 @@
             self._pending = 0
             return
         self._pending += 1
-        if self._pending <= self._rank() * STANDBY_ROUNDS:
+        if self._pending <= self._follower_place() * STANDBY_ROUNDS:
             return
         write = Write(key, serialize_table(table), entry.revision if entry else 0)
         done = await self._store.commit([write])
--- a/leverdoor/entry/placement/waiting.py
+++ b/leverdoor/entry/placement/waiting.py
@@ -24,6 +24,7 @@
 Chosen. Greater: nearly all may wait to the last. Smaller: only one priority is urgent.
 """
 MS_PER_S = 1000
+"""Milliseconds in a second: times of requests are in s, run times in ms."""
 
 
 def longest_wait_ms(
--- a/leverdoor/standins/proxy.py
+++ b/leverdoor/standins/proxy.py
@@ -76,7 +76,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._abort_all()
 
-    def strike(self, fault: LinkFault) -> None:
+    def set_fault(self, fault: LinkFault) -> None:
         """Let a fault begin, or all end."""
         self._fault = fault
         self._changed.set()
--- a/leverdoor/standins/soak/site.py
+++ b/leverdoor/standins/soak/site.py
@@ -124,7 +124,7 @@
         """Set the fault of one link, or of all of a kind (a name's beginning)."""
         for name, proxy in self.proxies.items():
             if name.startswith(kind):
-                proxy.strike(fault)
+                proxy.set_fault(fault)
 
     def stayers(self, service: str = "") -> list[str]:
         """Return the targets that neither left nor are the last of their service."""
--- a/leverdoor/storage/configuration.py
+++ b/leverdoor/storage/configuration.py
@@ -39,6 +39,11 @@
 Chosen: an operator that is overtaken that often gets CONFLICT and can look at what the
 others wrote; each attempt costs the store a read and a write.
 """
+CONFLICT_RETRY_MS = 500
+"""When an operator whom others overtook may write again, in ms.
+
+Chosen: the others' writes are done by then, and a person does not notice it.
+"""
 MAX_RESOURCES = 100
 """Resources of one document at most; chosen: with the guard it stays below etcd's
 usual 128 operations of a transaction."""
@@ -167,7 +172,7 @@
             ConfigError(
                 Code.CONFLICT,
                 "other operators kept writing in between; nothing was written",
-                retry_after_ms=500,
+                retry_after_ms=CONFLICT_RETRY_MS,
             )
         )
 
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -142,7 +142,7 @@
 
 
 async def _cut(bench: Bench, direction: LinkFault) -> None:
-    bench.links["vm01"].strike(direction)
+    bench.links["vm01"].set_fault(direction)
     told: dict[str, Run] = {}
 
     async def one(i: int, service: str) -> Reply | None:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("fault", [LinkFault.NONE, LinkFault.DELAY])
 async def test_bytes_come_whole(echo: Echo, fault: LinkFault) -> None:
-    echo.proxy.strike(fault)
+    echo.proxy.set_fault(fault)
     reader, writer = await echo.open()
     writer.write(b"hello")
     assert await reader.readexactly(5) == b"hello"
@@ -55,7 +55,7 @@
     reader, writer = await echo.open()
     writer.write(b"hello")
     await reader.readexactly(5)
-    echo.proxy.strike(LinkFault.RESET)
+    echo.proxy.set_fault(LinkFault.RESET)
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
     reader, writer = await echo.open()
@@ -68,15 +68,15 @@
     reader, writer = await echo.open()
     writer.write(b"a")
     await reader.readexactly(1)
-    echo.proxy.strike(LinkFault.HOLD_ANSWERS)
+    echo.proxy.set_fault(LinkFault.HOLD_ANSWERS)
     writer.write(b"b")
     while echo.received < 2:
         await asyncio.sleep(0.01)
-    echo.proxy.strike(LinkFault.HOLD_REQUESTS)
+    echo.proxy.set_fault(LinkFault.HOLD_REQUESTS)
     assert await reader.readexactly(1) == b"b"
     writer.write(b"c")
-    echo.proxy.strike(LinkFault.SILENT)
-    echo.proxy.strike(LinkFault.NONE)
+    echo.proxy.set_fault(LinkFault.SILENT)
+    echo.proxy.set_fault(LinkFault.NONE)
     assert await reader.readexactly(1) == b"c"
     writer.close()
 
