--- a/leverdoor/cli.py
+++ b/leverdoor/cli.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The command `leverdoor`."""
+"""The command `leverdoor`: gathers the commands, which change, and the queries.
+
+Each stands in a module of its own in `commands` or `queries`. Owns no state.
+"""
 
 import click
 
--- a/leverdoor/commands/load.py
+++ b/leverdoor/commands/load.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""`leverdoor load`: send a load to gates and check every answer (`client.load`)."""
+"""`leverdoor load`: send a load to gates and check every answer.
+
+Thin: `client.load` plays the plan and counts; this reads and prints. Owns no state.
+"""
 
 import asyncio
 import sys
--- a/leverdoor/gate/refusals.py
+++ b/leverdoor/gate/refusals.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""When a refused caller should return: every Retry-After that a gate chooses."""
+"""When a refused caller should return: every Retry-After that a gate chooses.
+
+Pure, with chance passed in; owns no state. The expected wait comes from
+`scheduler.expected_wait_ms`, the code's own least time from `errors.SOON_MS`.
+"""
 
 from random import Random
 
--- a/leverdoor/logs.py
+++ b/leverdoor/logs.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Logs as JSON lines on standard error, or where a daemon writes its events."""
+"""Logs as JSON lines on standard error, or where a daemon writes its events.
+
+Lines of agents, gates, the command line and libraries; an entry's events are written
+by `entry.events`. Owns the process's log handlers, set up once.
+"""
 
 import logging
 import sys
--- a/leverdoor/queries/get.py
+++ b/leverdoor/queries/get.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""`leverdoor get`: read resources, of a kind or one by name."""
+"""`leverdoor get`: read resources, of a kind or one by name.
+
+Thin: `client.operator` reads them from an agent; this prints. Owns no state.
+"""
 
 from collections.abc import Sequence
 
