--- a/leverdoor/entry/metrics.py
+++ b/leverdoor/entry/metrics.py
@@ -38,9 +38,19 @@
             "Questions of clients where to go.",
             registry=self.registry,
         )
-        self.revision = self._gauge("revision", "Revision of the store in force.")
-        self.in_flight = self._gauge("in_flight", "Requests in flight.")
-        self.peers = self._gauge("live_peers", "Other entries heard from lately.")
+        self.revision = Gauge(
+            "leverdoor_entry_revision",
+            "Revision of the store in force.",
+            registry=self.registry,
+        )
+        self.in_flight = Gauge(
+            "leverdoor_entry_in_flight", "Requests in flight.", registry=self.registry
+        )
+        self.peers = Gauge(
+            "leverdoor_entry_live_peers",
+            "Other entries heard from lately.",
+            registry=self.registry,
+        )
         self._quota_refusals = Counter(
             "leverdoor_entry_quota_refusals",
             "Requests beyond the quota of their workspace.",
@@ -50,9 +60,6 @@
         self._workspaces: set[str] = set()
         """Those that have a label of their own."""
 
-    def _gauge(self, name: str, help_text: str) -> Gauge:
-        return Gauge(f"leverdoor_entry_{name}", help_text, registry=self.registry)
-
     def quota_refusal(self, workspace: str) -> None:
         """Count a request beyond a quota, under its workspace's name or "other"."""
         if len(self._workspaces) < MOST_WORKSPACES:
