--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -4,12 +4,15 @@
 
     python benchmarks/mixed_versions.py entries --older OTHER/.venv/bin/python
     python benchmarks/mixed_versions.py plain --older OTHER/.venv/bin/python
+    python benchmarks/mixed_versions.py takeover --older OTHER/.venv/bin/python
 
 OTHER is a checkout of another version with a venv of its own. `entries` is the soak
 (`leverdoor soak`) in which every second entry is started by that Python. `plain` is a
 plain site under load: of each four VMs one runs both agent and gate of this version,
 one both of the other, and two one of each; a gate of each version is killed and
-started again. Each prints a line of JSON a run and ends with 1 if a promise was broken.
+started again. `takeover` lets entries of this version take the place of the other's on
+the same store and settings files (benchmarks/takeover.py). Each prints a line of JSON
+a run and ends with 1 if a promise was broken.
 
 State: none beyond a run. Relies on the soak, on the stand-in of a plain site, and on
 both versions having the same command lines.
@@ -35,6 +38,7 @@
 from leverdoor.standins.soak.run import Soak
 from leverdoor.standins.soak.site import SoakSite
 from leverdoor.standins.targets import TargetLog
+from takeover import Mode, Takeover, TakeoverPlan, check_builds, older_build
 
 BROKEN = 1
 """Exit status when a promise was broken."""
@@ -210,5 +214,34 @@
     sys.exit(BROKEN if breaches else 0)
 
 
+@main.command()
+@OLDER
+@click.option("--seed", default=1, help="First seed.")
+@click.option("--count", default=1, help="Seeds.")
+@click.option("--at-once", "mode", flag_value=Mode.AT_ONCE, help="Only all at once.")
+@click.option(
+    "--one-by-one", "mode", flag_value=Mode.ONE_BY_ONE, help="Only one after the other."
+)
+@click.option("--control", is_flag=True, help="The older takes over from itself.")
+@click.option("--back", is_flag=True, help="One entry goes back to the older.")
+def takeover(
+    older: Path, seed: int, count: int, mode: str | None, control: bool, back: bool
+) -> None:
+    """Let entries of this version take over from the other's."""
+    build = older_build(older)
+    try:
+        check_builds(build)
+    except ValueError as e:
+        raise click.UsageError(str(e)) from None
+    broken = False
+    for number in range(seed, seed + count):
+        for played in [Mode(mode)] if mode else list(Mode):
+            plan = TakeoverPlan(number, played, control, back)
+            result = asyncio.run(Takeover(plan, build).run())
+            broken |= bool(result.breaches)
+            print(msgspec.json.encode(result).decode(), flush=True)
+    sys.exit(BROKEN if broken else 0)
+
+
 if __name__ == "__main__":
     main()
