--- a/benchmarks/emulated_limits.py
+++ b/benchmarks/emulated_limits.py
@@ -18,9 +18,14 @@
 
 from emulated_exchange import FAR_S, NEAR_S, KnowledgeSite
 from leverdoor.entry.exchange.messages import RoomRequest
-from leverdoor.entry.limits.asking import FAR_TRY_S, NEAR_TRY_S, TRIES, UNANSWERED
+from leverdoor.entry.limits.limiter_client import (
+    MAX_ATTEMPTS,
+    OTHER_REGION_TIMEOUT_S,
+    SAME_REGION_TIMEOUT_S,
+    UNANSWERED_DECISION,
+)
 from leverdoor.entry.membership.member import Member
-from leverdoor.limits.room import RoomDecision
+from leverdoor.limits.token_bucket import GrantDecision
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
 from leverdoor.workspaces.quota_bounds import QuotaBounds
@@ -181,7 +186,7 @@
         limiter = node.role.limiter(target, now)
         missed = node.notes[target.name].take_missed(0)
         if limiter is None:
-            self._decided(name, target, UNANSWERED)
+            self._decided(name, target, UNANSWERED_DECISION)
         elif limiter.name == name:
             decision = node.limiter.decide(target, per_s, 0, missed, now)
             self._decided(name, target, decision)
@@ -189,7 +194,7 @@
             number = next(self._numbers)
             key = target_id(target.name)
             request = RoomRequest(name, number, key, per_s, 0, missed)
-            self._try(request, limiter, target, TRIES)
+            self._try(request, limiter, target, MAX_ATTEMPTS)
 
     def _try(
         self, request: RoomRequest, limiter: Member, target: Target, left: int
@@ -199,12 +204,14 @@
         if name in self.site.dead:
             return
         if not left:
-            self._decided(name, target, UNANSWERED)
+            self._decided(name, target, UNANSWERED_DECISION)
             return
         self._asks += 1
         own = self._node(name).membership.own
         near = own.region == limiter.region
-        way_s, try_s = (NEAR_S, NEAR_TRY_S) if near else (FAR_S, FAR_TRY_S)
+        way_s, try_s = (
+            (NEAR_S, SAME_REGION_TIMEOUT_S) if near else (FAR_S, OTHER_REGION_TIMEOUT_S)
+        )
         delivered = self._delivered(own, limiter) and self._delivered(limiter, own)
         if delivered:
             self._after(way_s, lambda: self._question(request, limiter, target, way_s))
@@ -226,12 +233,12 @@
         if limiter.name in self.site.dead:
             return
         answer = self._node(limiter.name).limiter.answer(request, self.site.now)
-        decision = RoomDecision(
+        decision = GrantDecision(
             answer.granted, answer.wait_ms / 1000, answer.room_ms / 1000
         )
         self._after(way_s, lambda: self._decided(request.sender, target, decision))
 
-    def _decided(self, name: str, target: Target, decision: RoomDecision) -> None:
+    def _decided(self, name: str, target: Target, decision: GrantDecision) -> None:
         if name in self.site.dead:
             return
         if decision.granted:
@@ -239,7 +246,7 @@
             return
         wait_s = decision.wait_s * self._rng.uniform(0.5, 1.5)
         notes = self._node(name).notes[target.name]
-        notes.refused(0, wait_s, decision.room_s, self.site.now)
+        notes.refused(0, wait_s, decision.retry_after_s, self.site.now)
 
     # Troubles.
 
--- a/benchmarks/emulated_quarantine.py
+++ b/benchmarks/emulated_quarantine.py
@@ -158,7 +158,7 @@
             return
         self._lost[run.fingerprint] += 1
         lost = LostRun(run.fingerprint, run.began, ended)
-        self._node(run.entry).quarantine.crashed(target_id(name), lost, self.now)
+        self._node(run.entry).quarantine.record_crash(target_id(name), lost, self.now)
 
     def _lose(self, run: _Run, name: str) -> None:
         """Send a lost run on, or have its caller try again."""
--- a/benchmarks/quarantine_node.py
+++ b/benchmarks/quarantine_node.py
@@ -16,8 +16,8 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.quarantine.quarantine import Quarantine
-from leverdoor.quarantine.records import Record, hold_of, record_of
-from leverdoor.quarantine.trying import tries_for_all
+from leverdoor.quarantine.records import Record, hold_from_record, record_from_hold
+from leverdoor.quarantine.trial_owner import is_trial_owner
 
 __all__ = ["EmulatedRecords", "QuarantineNode"]
 
@@ -53,9 +53,9 @@
         """Return whether it runs a request that is held back once more."""
         hold = self.quarantine.hold(fingerprint, now)
         own, others = self.membership.own.name, self.membership.names()
-        if hold is None or not tries_for_all(own, others, fingerprint):
+        if hold is None or not is_trial_owner(own, others, fingerprint):
             return False
-        return self.quarantine.try_once_more(hold, now)
+        return self.quarantine.start_trial(hold, now)
 
 
 class EmulatedRecords:
@@ -71,13 +71,13 @@
         Returns: the requests that have a new record.
         """
         for fingerprint, record in list(self._records.items()):
-            hold = hold_of(record, fingerprint, now, WALL_S + now)
-            if node.quarantine.is_void(hold):
+            hold = hold_from_record(record, fingerprint, now, WALL_S + now)
+            if node.quarantine.is_exonerated(hold):
                 del self._records[fingerprint]
         added = []
         for fingerprint, hold in node.quarantine.holds.items():
             if fingerprint not in self._records:
-                record = record_of(hold, "", now, WALL_S + now)
+                record = record_from_hold(hold, "", now, WALL_S + now)
                 self._records[fingerprint] = record
                 added.append(fingerprint)
         return added
@@ -86,8 +86,8 @@
         """Let an entry read a record, if it is still there."""
         record = self._records.get(fingerprint)
         if record is not None:
-            hold = hold_of(record, fingerprint, now, WALL_S + now)
-            node.quarantine.take_stored(hold, now)
+            hold = hold_from_record(record, fingerprint, now, WALL_S + now)
+            node.quarantine.add_stored(hold, now)
 
     def read_all(self, node: QuarantineNode, now: float) -> None:
         """Let an entry that starts read all records."""
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -44,10 +44,10 @@
 from leverdoor.entry.warm_up import may_warm_up
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
+from leverdoor.quarantine.crash_checker import CrashChecker, TargetCheckResult
 from leverdoor.quarantine.crashes import LostRun
-from leverdoor.quarantine.ended_targets import EndedTargets, TargetCheck
 from leverdoor.quarantine.quarantine import Quarantine
-from leverdoor.quarantine.trying import tries_for_all
+from leverdoor.quarantine.trial_owner import is_trial_owner
 from leverdoor.retry_budget import RetryBudget
 from leverdoor.workspaces.quota import Quotas
 
@@ -115,7 +115,7 @@
         return TargetReports(
             context.wire,
             self.placement,
-            self.limits.named,
+            self.limits.collector,
             context.events,
             metrics,
         )
@@ -131,11 +131,11 @@
             self.placement,
             self.connections,
             outcomes,
-            self.limits.asking,
+            self.limits.grant_client,
             self._budget,
             self.quotas,
             self.quarantine,
-            EndedTargets(self.connections.check, self._take_checked),
+            CrashChecker(self.connections.check, self._take_checked),
             events,
         )
         return EntryHandler(
@@ -160,10 +160,14 @@
     def _tries(self, fingerprint: int) -> bool:
         """Return whether this entry tries a request that is held back, for all."""
         own = self._membership.own.name
-        return tries_for_all(own, self._membership.names(), fingerprint)
+        return is_trial_owner(own, self._membership.names(), fingerprint)
 
     def _take_checked(
-        self, target: Target, found: TargetCheck, runs: list[LostRun], took_s: float
+        self,
+        target: Target,
+        found: TargetCheckResult,
+        runs: list[LostRun],
+        took_s: float,
     ) -> None:
         """Take what was found of a target that lost the answers of some runs.
 
@@ -175,7 +179,7 @@
         events.target_checked(
             target.name, target.service, found.value, len(runs), took_s
         )
-        if found is not TargetCheck.ENDED:
+        if found is not TargetCheckResult.ENDED:
             return
         now = asyncio.get_running_loop().time()
         self._metrics.targets_ended.labels(target.service).inc()
@@ -186,7 +190,7 @@
         if left_service or state.availability.leaving:
             return
         for run in runs:
-            self.quarantine.crashed(target_id(target.name), run, now)
+            self.quarantine.record_crash(target_id(target.name), run, now)
 
     def judge_requests(self, now: float) -> None:
         """Hold back the requests that count as causes of ended targets by now."""
@@ -220,7 +224,7 @@
     def receive(self, update: PeerUpdate, now: float) -> None:
         """Take what other entries reported of targets, keys, quotas and requests."""
         self.quarantine.receive(update.notices, now)
-        self.limits.told(update.limits)
+        self.limits.receive_from_peers(update.limits)
         if update.others is not None:
             self.fleet.receive(OTHERS, update.others, now)
         self.placement.shared_warmth.receive(update.warm, now)
--- a/leverdoor/entry/events.py
+++ b/leverdoor/entry/events.py
@@ -20,7 +20,7 @@
 
 if TYPE_CHECKING:
     from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
-    from leverdoor.quarantine.quarantine import Change, Hold
+    from leverdoor.quarantine.quarantine import Hold, QuarantineChange
 
 __all__ = ["Events"]
 
@@ -273,7 +273,7 @@
             took_ms=round(took_s * 1000),
         )
 
-    def quarantine(self, change: "Change") -> None:
+    def quarantine(self, change: "QuarantineChange") -> None:
         """A request is held back, or released; `ends` are those known here.
 
         `tries` is how often it is still run, since it may be harmless.
--- a/leverdoor/entry/exchange/limit_exchange.py
+++ b/leverdoor/entry/exchange/limit_exchange.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from leverdoor.entry.exchange.messages import OWN_SCOPE, DigestScope, LimitNews
-from leverdoor.limits.named import KEPT_S, LimitWord
-from leverdoor.limits.rows import parse_words, serialize_words
+from leverdoor.limits.advertised import RETENTION_S, AdvertisedLimit
+from leverdoor.limits.encoding import parse_limits, serialize_limits
 
 __all__ = ["LimitExchange"]
 
@@ -35,7 +35,7 @@
 class _Told(msgspec.Struct):
     """A word, and since when it is news."""
 
-    word: LimitWord
+    word: AdvertisedLimit
     new_at: float
 
 
@@ -50,18 +50,18 @@
         }
         """By scope and target."""
 
-    def take(self, news: LimitNews, now: float) -> list[LimitWord]:
+    def take(self, news: LimitNews, now: float) -> list[AdvertisedLimit]:
         """Take what another entry tells; return it for the other parts."""
-        words = parse_words(news.words, now)
+        words = parse_limits(news.words, now)
         if news.scope != DigestScope.ALL:
             self._note(news.scope, words, now)
         return words
 
-    def note_own(self, words: Iterable[LimitWord], now: float) -> None:
+    def note_own(self, words: Iterable[AdvertisedLimit], now: float) -> None:
         """Take the newest words that this entry received itself."""
         self._note(OWN_SCOPE, words, now)
 
-    def _note(self, scope: int, words: Iterable[LimitWord], now: float) -> None:
+    def _note(self, scope: int, words: Iterable[AdvertisedLimit], now: float) -> None:
         known = self._words.setdefault(scope, {})
         for word in words:
             before = known.get(word.target)
@@ -76,7 +76,9 @@
         """Drop words that nothing renewed."""
         for scope, known in self._words.items():
             self._words[scope] = {
-                t: told for t, told in known.items() if now - told.word.at <= KEPT_S
+                t: told
+                for t, told in known.items()
+                if now - told.word.at <= RETENTION_S
             }
 
     def news(self, scope: int, turn: int, now: float) -> LimitNews | None:
@@ -102,7 +104,7 @@
             told.sort(key=lambda t: t.new_at, reverse=True)
             start = turn // TURN_ROUNDS * MOST_TOLD % len(told)
             told = [*told[start:], *told[:start]][:MOST_TOLD]
-        data = serialize_words((t.word for t in told), now)
+        data = serialize_limits((t.word for t in told), now)
         return LimitNews(self._own, scope, data)
 
 
--- a/leverdoor/entry/limits/named_limits.py
+++ b/leverdoor/entry/limits/limit_collector.py
@@ -4,7 +4,7 @@
 
 Owns what this entry received itself, which it tells the others, and which unreadable
 texts were logged; both are lost with the process. Relies
-on the wire for the header, and on `limits.named` for what counts.
+on the wire for the header, and on `limits.collector` for what counts.
 """
 
 from collections.abc import Collection, Iterable
@@ -14,24 +14,24 @@
 from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.entry.unreadable import UnreadableTexts
 from leverdoor.entry.wire import Wire
-from leverdoor.limits.named import (
-    KEPT_S,
-    LimitBook,
+from leverdoor.limits.advertised import (
+    RETENTION_S,
+    AdvertisedLimit,
     LimitChange,
-    LimitWord,
+    LimitTable,
     UnreadableLimit,
 )
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
 
-__all__ = ["NamedLimits"]
+__all__ = ["LimitCollector"]
 
 
-class NamedLimits:
+class LimitCollector:
     """Takes the limits that targets name in their answers."""
 
     def __init__(
-        self, wire: Wire, book: LimitBook, events: Events, metrics: EntryMetrics
+        self, wire: Wire, book: LimitTable, events: Events, metrics: EntryMetrics
     ) -> None:
         """Create it around the book of limits."""
         self._wire = wire
@@ -40,7 +40,7 @@
         self._metrics = metrics
         self._names: dict[int, str] = {}
         """Names of targets by their `target_id`."""
-        self._own: dict[int, LimitWord] = {}
+        self._own: dict[int, AdvertisedLimit] = {}
         """By target, the newest word that came here and counts."""
         self._unreadable = UnreadableTexts()
 
@@ -49,7 +49,7 @@
         self._names = {target_id(name): name for name in targets}
         self._unreadable.keep_only(targets)
 
-    def answered(self, target: Target, reply: TargetReply, now: float) -> None:
+    def record_response(self, target: Target, reply: TargetReply, now: float) -> None:
         """Take what a whole answer says, or its silence, of a target's limit.
 
         What can't be read says neither that there is a limit nor that there is none:
@@ -60,16 +60,16 @@
         except UnreadableLimit as e:
             self._note_unreadable(target, str(e))
             return
-        word = LimitWord(target_id(target.name), per_s, now)
+        word = AdvertisedLimit(target_id(target.name), per_s, now)
         self._log(self._book.take(word), "answer")
-        if self._book.word(word.target) is word:
+        if self._book.latest(word.target) is word:
             self._own[word.target] = word
 
-    def own_words(self) -> list[LimitWord]:
+    def own_words(self) -> list[AdvertisedLimit]:
         """Return what came here, for the other entries."""
         return list(self._own.values())
 
-    def told(self, words: Iterable[LimitWord]) -> None:
+    def receive_from_peers(self, words: Iterable[AdvertisedLimit]) -> None:
         """Take what other entries received."""
         for word in words:
             self._log(self._book.take(word), "peer")
@@ -77,7 +77,7 @@
     def forget(self, now: float) -> None:
         """Drop what has grown old, and show how many targets are limited."""
         self._book.forget(now)
-        self._own = {t: w for t, w in self._own.items() if now - w.at <= KEPT_S}
+        self._own = {t: w for t, w in self._own.items() if now - w.at <= RETENTION_S}
         self._metrics.limited_targets.set(len(self._book.limited()))
 
     def _note_unreadable(self, target: Target, text: str) -> None:
@@ -88,6 +88,6 @@
     def _log(self, change: LimitChange | None, source: str) -> None:
         if change is None:
             return
-        word = change.word
+        word = change.latest
         name = self._names.get(word.target, f"{word.target:08x}")
         self._events.target_limit(name, change.change, word.per_s, source)
--- a/leverdoor/entry/limits/limiter.py
+++ b/leverdoor/entry/limits/limiter.py
@@ -6,7 +6,7 @@
 second, so that a message that came twice is not granted twice. Both are lost with the
 process; a room begins empty where another limiter may just have granted some.
 
-Relies on the fleet for what bounds targets, on `LimiterRole` for its part of it.
+Relies on the fleet for what bounds targets, on `LimiterSelection` for its part of it.
 """
 
 import math
@@ -14,16 +14,16 @@
 from collections.abc import Callable
 
 from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
-from leverdoor.entry.limits.role import LimiterRole
+from leverdoor.entry.limits.limiter_selection import LimiterSelection
 from leverdoor.entry.pauses import Pauses
 from leverdoor.entry.placement.fleet import Fleet
-from leverdoor.limits.room import Room, RoomDecision, burst
+from leverdoor.limits.token_bucket import GrantDecision, Room, burst
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
 
 __all__ = ["Limiter"]
 
-NOT_LIMITER = RoomDecision(granted=False, wait_s=0.1, room_s=0.5)
+NOT_LIMITER = GrantDecision(granted=False, wait_s=0.1, retry_after_s=0.5)
 """What an entry answers that does not limit the target: who asked may know better in a
 moment."""
 MOST_ANSWERS = 4_096
@@ -36,7 +36,7 @@
     def __init__(
         self,
         fleet: Fleet,
-        role: LimiterRole,
+        role: LimiterSelection,
         pauses: Pauses,
         target: Callable[[int], Target | None],
     ) -> None:
@@ -72,14 +72,14 @@
             request.number,
             decision.granted,
             round(decision.wait_s * 1000),
-            round(decision.room_s * 1000),
+            round(decision.retry_after_s * 1000),
         )
         self._answers[key] = answer
         if len(self._answers) > MOST_ANSWERS:
             self._answers.popitem(last=False)
         return answer
 
-    def _decide(self, request: RoomRequest, now: float) -> RoomDecision:
+    def _decide(self, request: RoomRequest, now: float) -> GrantDecision:
         target = self._target(request.target)
         if target is None or not 0.0 <= request.per_s < math.inf:
             return NOT_LIMITER
@@ -87,7 +87,7 @@
 
     def decide(
         self, target: Target, per_s: float, priority: int, missed: int, now: float
-    ) -> RoomDecision:
+    ) -> GrantDecision:
         """Decide on one request to a target.
 
         Args:
@@ -98,7 +98,7 @@
           missed: requests of that priority kept from asking before it.
           now: monotonic time in seconds.
         """
-        part = self._role.part(target, now)
+        part = self._role.own_share(target, now)
         if not part:
             return NOT_LIMITER
         key = target_id(target.name)
--- a/leverdoor/entry/limits/asking.py
+++ b/leverdoor/entry/limits/limiter_client.py
@@ -6,7 +6,7 @@
 longer than a fraction of a look-up's time; no answer counts as no room, so that what is
 cut off sends nothing. Answers that come too late grant nothing.
 
-Owns the questions that are open, lost with the process. Relies on `LimiterRole` for
+Owns the questions that are open, lost with the process. Relies on `LimiterSelection` for
 whom to ask, on `Limiter` where that is this entry, and on the fleet's notes of targets
 without room, which keep others from asking at once.
 """
@@ -18,37 +18,37 @@
 
 from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
 from leverdoor.entry.limits.limiter import Limiter
-from leverdoor.entry.limits.role import LimiterRole
+from leverdoor.entry.limits.limiter_selection import LimiterSelection
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.placement_request import PlacementRequest
-from leverdoor.limits.room import RoomDecision
+from leverdoor.limits.token_bucket import GrantDecision
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
 
-__all__ = ["RoomAsking"]
+__all__ = ["LimiterClient"]
 
-NEAR_TRY_S = 0.03
+SAME_REGION_TIMEOUT_S = 0.03
 """How long an answer is awaited from within the region, each of two times."""
-FAR_TRY_S = 0.15
+OTHER_REGION_TIMEOUT_S = 0.15
 """The same from another region: two ways of up to 0.055 s, and a busy loop."""
-TRIES = 2
+MAX_ATTEMPTS = 2
 """Datagrams that are sent for one question, since one in some may be lost."""
-UNANSWERED = RoomDecision(granted=False, wait_s=0.25, room_s=0.5)
+UNANSWERED_DECISION = GrantDecision(granted=False, wait_s=0.25, retry_after_s=0.5)
 """What no answer counts as; after a quarter of a second another entry may limit it."""
 SPREAD = 0.5
 """Part by which the time until the next question is spread, so that entries that were
 refused together don't ask together."""
 
 
-class RoomAsking:
+class LimiterClient:
     """Asks the limiters of targets for room."""
 
     def __init__(
         self,
         fleet: Fleet,
-        role: LimiterRole,
+        role: LimiterSelection,
         limiter: Limiter,
         ask_room: Callable[[RoomRequest, str], None],
         rng: Random,
@@ -72,7 +72,7 @@
         self._metrics = metrics
         self._numbers = count(rng.getrandbits(62))
         """Numbers of questions; they don't begin again with a restart."""
-        self._open: dict[int, asyncio.Future[RoomDecision]] = {}
+        self._open: dict[int, asyncio.Future[GrantDecision]] = {}
 
     async def acquire(self, request: PlacementRequest, target: Target) -> bool:
         """Return whether a request may be sent to a target that it was placed at.
@@ -91,15 +91,15 @@
             now = asyncio.get_running_loop().time()
             spread = self._rng.uniform(1.0 - SPREAD, 1.0 + SPREAD)
             wait_s = decision.wait_s * spread
-            state.room.refused(request.priority, wait_s, decision.room_s, now)
+            state.room.refused(request.priority, wait_s, decision.retry_after_s, now)
         return decision.granted
 
     async def _ask(
         self, target: Target, per_s: float, priority: int, missed: int, now: float
-    ) -> RoomDecision:
+    ) -> GrantDecision:
         limiter = self._role.limiter(target, now)
         if limiter is None:
-            return self._counted(UNANSWERED, "unanswered")
+            return self._counted(UNANSWERED_DECISION, "unanswered")
         if limiter.name == self._role.own.name:
             decision = self._limiter.decide(target, per_s, priority, missed, now)
             return self._counted(decision)
@@ -113,18 +113,18 @@
         )
         return await self._ask_other(limiter, request)
 
-    async def _ask_other(self, limiter: Member, request: RoomRequest) -> RoomDecision:
+    async def _ask_other(self, limiter: Member, request: RoomRequest) -> GrantDecision:
         near = limiter.region == self._role.own.region
-        try_s = NEAR_TRY_S if near else FAR_TRY_S
+        try_s = SAME_REGION_TIMEOUT_S if near else OTHER_REGION_TIMEOUT_S
         answer = asyncio.get_running_loop().create_future()
         self._open[request.number] = answer
         try:
-            for _ in range(TRIES):
+            for _ in range(MAX_ATTEMPTS):
                 self._ask_room(request, limiter.gossip)
                 await asyncio.wait([answer], timeout=try_s)
                 if answer.done():
                     return self._counted(answer.result())
-            return self._counted(UNANSWERED, "unanswered")
+            return self._counted(UNANSWERED_DECISION, "unanswered")
         finally:
             del self._open[request.number]
 
@@ -132,12 +132,12 @@
         """Take another entry's answer; one that is late, or came before, is dropped."""
         question = self._open.get(answer.number)
         if question is not None and not question.done():
-            decision = RoomDecision(
+            decision = GrantDecision(
                 answer.granted, answer.wait_ms / 1000, answer.room_ms / 1000
             )
             question.set_result(decision)
 
-    def _counted(self, decision: RoomDecision, outcome: str = "") -> RoomDecision:
+    def _counted(self, decision: GrantDecision, outcome: str = "") -> GrantDecision:
         outcome = outcome or ("granted" if decision.granted else "refused")
         self._metrics.room_requests.labels(outcome).inc()
         return decision
--- a/leverdoor/entry/limits/role.py
+++ b/leverdoor/entry/limits/limiter_selection.py
@@ -26,7 +26,7 @@
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
 
-__all__ = ["LimiterRole"]
+__all__ = ["LimiterSelection"]
 
 HANDOVER_S = 4.0
 """Age of an entry's last heartbeat up to which another may still ask it, in seconds:
@@ -39,7 +39,7 @@
 SPLIT_SPARE = 1.2
 """Factor on the part of the region's entries that are live here: each side of a cut
 hands out so much of the limit, and together at most this much."""
-REMEMBERED_S = 0.1
+SELECTION_CACHE_S = 0.1
 """How long it is remembered who limits a target, in seconds, to save processor time
 where a region has hundreds of entries."""
 MOST_RANKINGS = 256
@@ -51,7 +51,7 @@
 
     at: float
     member: Member | None
-    part: float
+    own_share: float
     """Of the limit that this entry may hand out, once it has run for long enough."""
 
 
@@ -63,7 +63,7 @@
     names: list[str]
 
 
-class LimiterRole:
+class LimiterSelection:
     """Who limits which target, as this entry sees it."""
 
     def __init__(
@@ -97,12 +97,12 @@
         """
         return self._find(target, now).member
 
-    def part(self, target: Target, now: float) -> float:
+    def own_share(self, target: Target, now: float) -> float:
         """Return the part of a target's limit that this entry may hand out.
 
         0 if another entry limits it.
         """
-        part = self._find(target, now).part
+        part = self._find(target, now).own_share
         if part and self._pauses.running_s(now) < NEWCOMER_S:
             return min(part, HANDOVER_PART)
         return part
@@ -110,7 +110,7 @@
     def _find(self, target: Target, now: float) -> _Limiter:
         key = target_id(target.name)
         found = self._found.get(key)
-        if found is None or now - found.at > REMEMBERED_S:
+        if found is None or now - found.at > SELECTION_CACHE_S:
             names = self._ranked(key, target.region)
             member = self._first_serving(names, now)
             own = member is not None and member.name == self.own.name
@@ -173,7 +173,7 @@
     def _live_share(self, region: str, now: float) -> float:
         """Return the part of a region's entries that are live, this one included."""
         at, share = self._shares.get(region, (float("-inf"), 1.0))
-        if now - at > REMEMBERED_S:
+        if now - at > SELECTION_CACHE_S:
             known = [r for r in self._records(region) if r.state != LEAVING]
             live = sum(self._serves(r, now) for r in known)
             own = int(self._belongs(region))
--- a/leverdoor/entry/limits/target_limits.py
+++ b/leverdoor/entry/limits/target_limits.py
@@ -12,16 +12,16 @@
 
 from leverdoor.entry.context import EntryContext
 from leverdoor.entry.exchange.messages import RoomAnswer, RoomMessage, RoomRequest
-from leverdoor.entry.limits.asking import RoomAsking
+from leverdoor.entry.limits.limit_collector import LimitCollector
 from leverdoor.entry.limits.limiter import Limiter
-from leverdoor.entry.limits.named_limits import NamedLimits
-from leverdoor.entry.limits.role import LimiterRole
+from leverdoor.entry.limits.limiter_client import LimiterClient
+from leverdoor.entry.limits.limiter_selection import LimiterSelection
 from leverdoor.entry.membership.member import EntryState
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.pauses import Pauses
 from leverdoor.entry.placement.fleet import Fleet
-from leverdoor.limits.named import LimitWord
+from leverdoor.limits.advertised import AdvertisedLimit
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
 
@@ -51,11 +51,13 @@
           metrics: counts questions and what is unreadable.
         """
         self._targets: dict[int, Target] = {}
-        self.named = NamedLimits(context.wire, fleet.limits, context.events, metrics)
+        self.collector = LimitCollector(
+            context.wire, fleet.limits, context.events, metrics
+        )
         self._pauses = Pauses(asyncio.get_running_loop().time())
-        role = LimiterRole(membership, state, self._pauses)
+        role = LimiterSelection(membership, state, self._pauses)
         self._limiter = Limiter(fleet, role, self._pauses, self._targets.get)
-        self.asking = RoomAsking(
+        self.grant_client = LimiterClient(
             fleet, role, self._limiter, ask_room, context.rng, metrics
         )
 
@@ -63,16 +65,16 @@
         """Take the targets of a new configuration."""
         self._targets.clear()
         self._targets.update((target_id(t.name), t) for t in targets.values())
-        self.named.renew(targets)
+        self.collector.renew(targets)
 
-    def round(self, now: float) -> list[LimitWord]:
+    def round(self, now: float) -> list[AdvertisedLimit]:
         """Note that the entry runs; return what it is to tell of limits."""
         self._pauses.running_s(now)
-        return self.named.own_words()
+        return self.collector.own_words()
 
-    def told(self, words: Iterable[LimitWord]) -> None:
+    def receive_from_peers(self, words: Iterable[AdvertisedLimit]) -> None:
         """Take what other entries received."""
-        self.named.told(words)
+        self.collector.receive_from_peers(words)
 
     def take(self, message: RoomMessage, now: float) -> RoomAnswer | None:
         """Take a question of another entry, or the answer to an own one.
@@ -81,10 +83,10 @@
         """
         if isinstance(message, RoomRequest):
             return self._limiter.answer(message, now)
-        self.asking.answered(message)
+        self.grant_client.answered(message)
         return None
 
     def forget(self, now: float) -> None:
         """Drop what has grown old."""
-        self.named.forget(now)
+        self.collector.forget(now)
         self._limiter.forget(now)
--- a/leverdoor/entry/placement/fleet.py
+++ b/leverdoor/entry/placement/fleet.py
@@ -23,7 +23,7 @@
 from leverdoor.entry.placement.slow_start import SlowStart, warm_up_limit_per_s
 from leverdoor.entry.placement.times import RunTimes
 from leverdoor.entry.wire import TargetLoad, TargetReport
-from leverdoor.limits.named import LimitBook
+from leverdoor.limits.advertised import LimitTable
 from leverdoor.model.resources import Service, Target
 from leverdoor.model.target_id import target_id
 
@@ -236,14 +236,14 @@
 class Fleet:
     """The states of all targets, by target name."""
 
-    def __init__(self, limits: LimitBook | None = None) -> None:
+    def __init__(self, limits: LimitTable | None = None) -> None:
         """Create an empty one.
 
         Args:
           limits: what targets take from all entries together; none are known if left
             out.
         """
-        self.limits = limits or LimitBook()
+        self.limits = limits or LimitTable()
         self.warm_up_per_s: Mapping[str, float] = {}
         """By service, requests a second that all entries may send to a cold target; 0
         for any number. Set with each configuration."""
--- a/leverdoor/entry/quarantine_records.py
+++ b/leverdoor/entry/quarantine_records.py
@@ -23,9 +23,9 @@
 from leverdoor.quarantine.fingerprint import FINGERPRINT_BYTES, fingerprint_text
 from leverdoor.quarantine.quarantine import HOLD_S, Hold, Quarantine
 from leverdoor.quarantine.records import (
-    hold_of,
+    hold_from_record,
     parse_record,
-    record_of,
+    record_from_hold,
     serialize_record,
 )
 from leverdoor.storage.store import KeyValue, LeasingStore, Write
@@ -105,7 +105,7 @@
         self._read = found
         for fingerprint in gone:
             del self._seen[fingerprint]
-            self._quarantine.take_removed(fingerprint, now)
+            self._quarantine.release_removed(fingerprint, now)
 
     def _take(self, fingerprint: int, entry: KeyValue, now: float) -> bool:
         """Take one record; return whether it can be read."""
@@ -117,8 +117,8 @@
         if not fingerprint:
             self._events.process("record not readable", key=entry.key, error="key")
             return False
-        hold = hold_of(record, fingerprint, now, time.time())
-        self._quarantine.take_stored(hold, now)
+        hold = hold_from_record(record, fingerprint, now, time.time())
+        self._quarantine.add_stored(hold, now)
         return True
 
     async def run(self) -> None:
@@ -165,7 +165,9 @@
             return hold.tries < record.tries or seen_s > HOLD_S
         if seen_s > HOLD_S + REMOVED_AFTER_S:
             return True
-        return self._quarantine.is_void(hold_of(record, fingerprint, now, wall_s))
+        return self._quarantine.is_exonerated(
+            hold_from_record(record, fingerprint, now, wall_s)
+        )
 
     def _changed(
         self, fingerprint: int, entry: KeyValue, now: float, wall_s: float
@@ -181,7 +183,7 @@
         return self._written(hold, entry.revision, now, wall_s)
 
     def _written(self, hold: Hold, expect: int, now: float, wall_s: float) -> Write:
-        record = record_of(hold, self._entry, now, wall_s)
+        record = record_from_hold(hold, self._entry, now, wall_s)
         return Write(self._key(hold.fingerprint), serialize_record(record), expect)
 
     def _key(self, fingerprint: int) -> str:
--- a/leverdoor/entry/requests/connections.py
+++ b/leverdoor/entry/requests/connections.py
@@ -21,7 +21,7 @@
 from leverdoor.entry.requests.outgoing import Outgoing
 from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.model.resources import Target
-from leverdoor.quarantine.ended_targets import TargetCheck
+from leverdoor.quarantine.crash_checker import TargetCheckResult
 from leverdoor.settings import parse_address
 
 __all__ = ["Connections"]
@@ -130,14 +130,14 @@
         self._keep(target, connection, reply.get("keep-alive"))
         return reply
 
-    async def check(self, target: Target) -> TargetCheck:
+    async def check(self, target: Target) -> TargetCheckResult:
         """Find out by a new connection whether a target still serves; keep that."""
         try:
             connection = await self._open(target)
         except NotSent as e:
-            return TargetCheck.ENDED if e.refused else TargetCheck.SILENT
+            return TargetCheckResult.ENDED if e.refused else TargetCheckResult.SILENT
         self._keep(target, connection, "")
-        return TargetCheck.SERVES
+        return TargetCheckResult.SERVES
 
     def _lost(self, service: str, idle_s: float, sent_at: float) -> None:
         """Learn from a lost answer whether targets forget idle connections."""
--- a/leverdoor/entry/requests/forwarding.py
+++ b/leverdoor/entry/requests/forwarding.py
@@ -12,7 +12,7 @@
 import asyncio
 
 from leverdoor.entry.events import Events
-from leverdoor.entry.limits.asking import RoomAsking
+from leverdoor.entry.limits.limiter_client import LimiterClient
 from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.connection import AnswerLost, NotSent, Withdrawn
@@ -26,8 +26,8 @@
 from leverdoor.entry.requests.retry_after import NOT_RUN_MS
 from leverdoor.entry.wire import Wire
 from leverdoor.errors import Code, Refusal, Rejection, Run
+from leverdoor.quarantine.crash_checker import CrashChecker
 from leverdoor.quarantine.crashes import LostRun
-from leverdoor.quarantine.ended_targets import EndedTargets
 from leverdoor.quarantine.quarantine import Quarantine
 from leverdoor.retry_budget import RetryBudget
 from leverdoor.workspaces.quota import Quotas
@@ -44,11 +44,11 @@
         policy: PlacementPolicy,
         connections: Connections,
         outcomes: Outcomes,
-        rooms: RoomAsking,
+        rooms: LimiterClient,
         budget: RetryBudget,
         quotas: Quotas,
         quarantine: Quarantine,
-        ended_targets: EndedTargets,
+        ended_targets: CrashChecker,
         events: Events,
     ) -> None:
         """Create it from the entry's parts."""
--- a/leverdoor/entry/requests/handler.py
+++ b/leverdoor/entry/requests/handler.py
@@ -30,7 +30,7 @@
 from leverdoor.model.resources import Workspace
 from leverdoor.quarantine.fingerprint import request_fingerprint
 from leverdoor.quarantine.quarantine import Quarantine
-from leverdoor.quarantine.refusal import held_refusal
+from leverdoor.quarantine.refusal import quarantine_refusal
 from leverdoor.workspaces.quota import Quotas
 
 __all__ = ["EntryHandler"]
@@ -173,10 +173,10 @@
         hold = self._quarantine.hold(progress.fingerprint, now)
         if hold is None:
             return
-        if self._tries(hold.fingerprint) and self._quarantine.try_once_more(hold, now):
+        if self._tries(hold.fingerprint) and self._quarantine.start_trial(hold, now):
             self._events.tried(hold)
             return
-        raise held_refusal(hold, now)
+        raise quarantine_refusal(hold, now)
 
     def _admit(self, progress: _Progress) -> None:
         """Count a request in the quota of its workspace, if it has one.
--- a/leverdoor/entry/requests/target_reports.py
+++ b/leverdoor/entry/requests/target_reports.py
@@ -13,7 +13,7 @@
 from collections.abc import Container
 
 from leverdoor.entry.events import Events
-from leverdoor.entry.limits.named_limits import NamedLimits
+from leverdoor.entry.limits.limit_collector import LimitCollector
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.replies import TargetReply
@@ -32,7 +32,7 @@
         self,
         wire: Wire,
         policy: PlacementPolicy,
-        named_limits: NamedLimits,
+        named_limits: LimitCollector,
         events: Events,
         metrics: EntryMetrics,
     ) -> None:
@@ -52,7 +52,7 @@
         if reply.status == WRONG_INSTANCE_STATUS:
             return
         now = asyncio.get_running_loop().time()
-        self._named_limits.answered(target, reply, now)
+        self._named_limits.record_response(target, reply, now)
         report = self._parse(target, reply)
         if report.leaving and not self._policy.leaves(target, now):
             self._events.target_leaving(target.name)
--- a/leverdoor/gate/quarantining.py
+++ b/leverdoor/gate/quarantining.py
@@ -22,13 +22,13 @@
 from leverdoor.metrics import GateMetrics
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
+from leverdoor.quarantine.crash_checker import CrashChecker, TargetCheckResult
 from leverdoor.quarantine.crashes import LostRun
-from leverdoor.quarantine.ended_targets import EndedTargets, TargetCheck
 from leverdoor.quarantine.fingerprint import fingerprint_text
 from leverdoor.quarantine.notices import parse_notices, serialize_notices
 from leverdoor.quarantine.quarantine import Quarantine
-from leverdoor.quarantine.refusal import held_refusal
-from leverdoor.quarantine.trying import tries_for_all
+from leverdoor.quarantine.refusal import quarantine_refusal
+from leverdoor.quarantine.trial_owner import is_trial_owner
 from leverdoor.sessions import new_session
 from leverdoor.settings import parse_address
 
@@ -64,7 +64,7 @@
         self._metrics = metrics
         self._rng = rng
         self._quarantine = Quarantine()
-        self._ended = EndedTargets(_check_target, self._take_checked)
+        self._ended = CrashChecker(_check_target, self._take_checked)
         self._session = new_session(TELL_TIMEOUT_S)
 
     async def close(self) -> None:
@@ -83,9 +83,9 @@
         hold = self._quarantine.hold(fingerprint, now)
         if hold is None:
             return
-        mine = tries_for_all(self._vm, self._neighbours.vms(), fingerprint)
-        if not mine or not self._quarantine.try_once_more(hold, now):
-            raise held_refusal(hold, now)
+        mine = is_trial_owner(self._vm, self._neighbours.vms(), fingerprint)
+        if not mine or not self._quarantine.start_trial(hold, now):
+            raise quarantine_refusal(hold, now)
         logger.info("quarantine try", fingerprint=fingerprint_text(fingerprint))
 
     def may_retry(self, fingerprint: int) -> bool:
@@ -106,15 +106,19 @@
             self._quarantine.answered(fingerprint, now)
 
     def _take_checked(
-        self, target: Target, found: TargetCheck, runs: list[LostRun], took_s: float
+        self,
+        target: Target,
+        found: TargetCheckResult,
+        runs: list[LostRun],
+        took_s: float,
     ) -> None:
         """Note the runs that ended with a target; a drained one ended as planned."""
         logger.info("target checked", target=target.name, found=found.value)
-        if found is not TargetCheck.ENDED or target.draining:
+        if found is not TargetCheckResult.ENDED or target.draining:
             return
         now = asyncio.get_running_loop().time()
         for run in runs:
-            self._quarantine.crashed(target_id(target.name), run, now)
+            self._quarantine.record_crash(target_id(target.name), run, now)
 
     # Other gates.
 
@@ -157,15 +161,15 @@
             logger.info("gate not told", relay=relay, error=repr(e))
 
 
-async def _check_target(target: Target) -> TargetCheck:
+async def _check_target(target: Target) -> TargetCheckResult:
     """Find out by a new connection whether a target still serves."""
     address = parse_address(target.address)
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(address.host, address.port)
     except ConnectionRefusedError:
-        return TargetCheck.ENDED
+        return TargetCheckResult.ENDED
     except (OSError, TimeoutError):
-        return TargetCheck.SILENT
+        return TargetCheckResult.SILENT
     writer.close()
-    return TargetCheck.SERVES
+    return TargetCheckResult.SERVES
--- a/leverdoor/limits/named.py
+++ b/leverdoor/limits/advertised.py
@@ -15,12 +15,12 @@
 
 import msgspec
 
-__all__ = ["LimitBook", "LimitChange", "LimitWord", "UnreadableLimit"]
+__all__ = ["LimitTable", "LimitChange", "AdvertisedLimit", "UnreadableLimit"]
 
 REORDERED_S = 0.15
 """Age of a limit from which on an answer without one ends it, in seconds: answers sent
 before it was named arrive up to a link's delay after the first that names it."""
-KEPT_S = 60.0
+RETENTION_S = 60.0
 """How long a word counts that nothing renews, in seconds: as long as a silent entry is
 remembered, which may be the only one that had answers from the target."""
 
@@ -29,7 +29,7 @@
     """A target named something as its limit that is no number of requests a second."""
 
 
-class LimitWord(msgspec.Struct, frozen=True):
+class AdvertisedLimit(msgspec.Struct, frozen=True):
     """What a target said."""
 
     target: int
@@ -43,17 +43,17 @@
 class LimitChange(msgspec.Struct, frozen=True):
     """A limit that became known, has another figure, or ended."""
 
-    word: LimitWord
+    latest: AdvertisedLimit
     change: str
     """"named", "changed" or "ended", as the log has it."""
 
 
-class LimitBook:
+class LimitTable:
     """The limits of targets as this entry knows them."""
 
     def __init__(self) -> None:
         """Create it knowing of none."""
-        self._words: dict[int, LimitWord] = {}
+        self._words: dict[int, AdvertisedLimit] = {}
         self._since: dict[int, float] = {}
         """When a limit was last named after none, or became another."""
 
@@ -71,7 +71,7 @@
         word = self._words.get(target)
         return word.per_s if word is not None else None
 
-    def word(self, target: int) -> LimitWord | None:
+    def latest(self, target: int) -> AdvertisedLimit | None:
         """Return the newest word of a target; None if it never named a limit."""
         return self._words.get(target)
 
@@ -79,7 +79,7 @@
         """Return the targets that have a limit."""
         return [t for t, word in self._words.items() if word.per_s is not None]
 
-    def take(self, word: LimitWord) -> LimitChange | None:
+    def take(self, word: AdvertisedLimit) -> LimitChange | None:
         """Take a word, in any order; return what it changes.
 
         A target that never named a limit has no entry, so that what most answers say
@@ -103,16 +103,18 @@
         return LimitChange(word, "named" if known.per_s is None else "changed")
 
     def forget(self, now: float) -> None:
-        """Drop the words that nothing has renewed for `KEPT_S`."""
-        self._words = {t: w for t, w in self._words.items() if now - w.at <= KEPT_S}
+        """Drop the words that nothing has renewed for `RETENTION_S`."""
+        self._words = {
+            t: w for t, w in self._words.items() if now - w.at <= RETENTION_S
+        }
         self._since = {t: at for t, at in self._since.items() if t in self._words}
 
-    def newest(self) -> Iterable[LimitWord]:
+    def newest(self) -> Iterable[AdvertisedLimit]:
         """Return the newest word of each target that ever named a limit."""
         return self._words.values()
 
 
-def _may_be_reordered(known: LimitWord, word: LimitWord) -> bool:
+def _may_be_reordered(known: AdvertisedLimit, word: AdvertisedLimit) -> bool:
     """Return whether an answer without a limit may be older than one with it."""
     if word.per_s is not None or known.per_s is None:
         return False
--- a/leverdoor/limits/rows.py
+++ b/leverdoor/limits/encoding.py
@@ -9,9 +9,9 @@
 import struct
 from collections.abc import Iterable
 
-from leverdoor.limits.named import LimitWord
+from leverdoor.limits.advertised import AdvertisedLimit
 
-__all__ = ["parse_words", "serialize_words"]
+__all__ = ["parse_limits", "serialize_limits"]
 
 ROW = struct.Struct("<IfI")
 """Target, requests a second, and age of a word in ms."""
@@ -21,7 +21,7 @@
 """Greatest age that a row holds."""
 
 
-def serialize_words(words: Iterable[LimitWord], now: float) -> bytes:
+def serialize_limits(words: Iterable[AdvertisedLimit], now: float) -> bytes:
     """Serialize words one after the other.
 
     Args:
@@ -38,7 +38,7 @@
     )
 
 
-def parse_words(data: bytes, now: float) -> list[LimitWord]:
+def parse_limits(data: bytes, now: float) -> list[AdvertisedLimit]:
     """Parse words; one cut short, or whose limit is no number, is left out.
 
     Args:
@@ -47,7 +47,7 @@
     """
     whole = len(data) - len(data) % ROW.size
     return [
-        LimitWord(target, None if per_s < 0.0 else per_s, now - age_ms / 1000)
+        AdvertisedLimit(target, None if per_s < 0.0 else per_s, now - age_ms / 1000)
         for target, per_s, age_ms in ROW.iter_unpack(data[:whole])
         if math.isfinite(per_s)
     ]
--- a/leverdoor/limits/room.py
+++ b/leverdoor/limits/token_bucket.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-__all__ = ["RENEWAL_S", "Room", "RoomDecision", "burst"]
+__all__ = ["RENEWAL_S", "Room", "GrantDecision", "burst"]
 
 BURST_REQUESTS = 4.0
 """Tokens that any limit saves up. Requests come unevenly: with one token, half of those
@@ -43,13 +43,13 @@
 """Longest time after which room is expected for a caller, in seconds."""
 
 
-class RoomDecision(msgspec.Struct, frozen=True):
+class GrantDecision(msgspec.Struct, frozen=True):
     """Whether a request may be sent to a target."""
 
     granted: bool
     wait_s: float = 0.0
     """If not: how long its entry need not ask again for such a request, in seconds."""
-    room_s: float = 0.0
+    retry_after_s: float = 0.0
     """If not: when there should be room for it, all that ask considered, in seconds."""
 
 
@@ -97,7 +97,7 @@
 
     def ask(
         self, per_s: float, part: float, priority: int, missed: int, now: float
-    ) -> RoomDecision:
+    ) -> GrantDecision:
         """Decide on one request.
 
         Args:
@@ -118,10 +118,10 @@
         if self._tokens >= 1.0 + kept:
             self._tokens -= 1.0
             self._granted_at = now
-            return RoomDecision(granted=True)
+            return GrantDecision(granted=True)
         if part > 0.0 and now - self._granted_at >= RENEWAL_S / part:
             self._granted_at = now
-            return RoomDecision(granted=True)
+            return GrantDecision(granted=True)
         return self._refusal(rate, 1.0 + kept - self._tokens, priority, now)
 
     def _kept_for_more_urgent(
@@ -140,7 +140,7 @@
 
     def _refusal(
         self, rate: float, lacking: float, priority: int, now: float
-    ) -> RoomDecision:
+    ) -> GrantDecision:
         asked = sum(d.per_s(now) for d in self._demand.values())
         ahead = sum(d.per_s(now) for p, d in self._demand.items() if p <= priority)
         next_s = lacking / rate if rate else LONGEST_ROOM_S
@@ -148,4 +148,4 @@
         turns = max(ahead / rate, 1.0) if rate else 1.0
         wait_s = min(max(next_s * crowd, SHORTEST_WAIT_S), LONGEST_WAIT_S)
         room_s = min(next_s * turns, LONGEST_ROOM_S)
-        return RoomDecision(granted=False, wait_s=wait_s, room_s=room_s)
+        return GrantDecision(granted=False, wait_s=wait_s, retry_after_s=room_s)
--- a/leverdoor/platform/formats.py
+++ b/leverdoor/platform/formats.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from leverdoor.entry.wire import Configured, LeftOut, TargetLoad, UnreadableReport
-from leverdoor.limits.named import UnreadableLimit
+from leverdoor.limits.advertised import UnreadableLimit
 from leverdoor.model.resources import Drain, Region, Resource, Target
 from leverdoor.platform.documents import Config
 from leverdoor.platform.registrations import (
--- a/leverdoor/quarantine/ended_targets.py
+++ b/leverdoor/quarantine/crash_checker.py
@@ -17,10 +17,10 @@
 from leverdoor.model.resources import Target
 from leverdoor.quarantine.crashes import LostRun
 
-__all__ = ["CheckTarget", "EndedTargets", "TakeChecked", "TargetCheck"]
+__all__ = ["CheckTarget", "CrashChecker", "TakeChecked", "TargetCheckResult"]
 
 
-class TargetCheck(StrEnum):
+class TargetCheckResult(StrEnum):
     """What a new connection to a target showed."""
 
     ENDED = "ended"
@@ -31,14 +31,16 @@
     """There was no answer."""
 
 
-CheckTarget: TypeAlias = Callable[[Target], Awaitable[TargetCheck]]
+CheckTarget: TypeAlias = Callable[[Target], Awaitable[TargetCheckResult]]
 """Opens a new connection to a target."""
-TakeChecked: TypeAlias = Callable[[Target, TargetCheck, list[LostRun], float], None]
+TakeChecked: TypeAlias = Callable[
+    [Target, TargetCheckResult, list[LostRun], float], None
+]
 """Called with a target, what the check found, the runs of this process whose answers it
 lost, and how long the check took, in seconds."""
 
 
-class EndedTargets:
+class CrashChecker:
     """Looks at targets that closed connections without an answer."""
 
     def __init__(self, check: CheckTarget, take: TakeChecked) -> None:
--- a/leverdoor/quarantine/quarantine.py
+++ b/leverdoor/quarantine/quarantine.py
@@ -31,7 +31,7 @@
     "MOST_HELD",
     "MOST_TRIES",
     "TRY_AFTER_S",
-    "Change",
+    "QuarantineChange",
     "Hold",
     "Quarantine",
     "Source",
@@ -103,7 +103,7 @@
         return self.at + HOLD_S
 
 
-class Change(msgspec.Struct, frozen=True):
+class QuarantineChange(msgspec.Struct, frozen=True):
     """A request that was held back, or released; for the log."""
 
     change: Literal["held", "released"]
@@ -128,7 +128,7 @@
         self._suspects: dict[int, float] = {}
         """Requests to be judged soon, with the end of their newest lost run."""
         self._outbox = Outbox()
-        self._changes: list[Change] = []
+        self._changes: list[QuarantineChange] = []
 
     # Requests.
 
@@ -142,7 +142,7 @@
         found = self._holds.get(fingerprint)
         return found if found is not None and now < found.until else None
 
-    def try_once_more(self, hold: Hold, now: float) -> bool:
+    def start_trial(self, hold: Hold, now: float) -> bool:
         """Return whether a request that is held back is run now, as a try.
 
         Only one entry for all may call this, so that one target ends at most.
@@ -166,7 +166,7 @@
     def _has_evidence(self, fingerprint: int) -> bool:
         return fingerprint in self._holds or self._book.knows(fingerprint)
 
-    def crashed(self, target: int, run: LostRun, now: float) -> None:
+    def record_crash(self, target: int, run: LostRun, now: float) -> None:
         """Record that a target ended while it ran a request.
 
         Args:
@@ -205,7 +205,7 @@
 
     # The verdict.
 
-    def judge(self, now: float) -> list[Change]:
+    def judge(self, now: float) -> list[QuarantineChange]:
         """Hold back what counts as the cause of ends by now.
 
         Returns: what was held back or released since the last call.
@@ -233,7 +233,7 @@
         fingerprint = hold.fingerprint
         if fingerprint in self._holds or now >= hold.until:
             return
-        if self.is_void(hold):
+        if self.is_exonerated(hold):
             self._tell_release(fingerprint, now)
             return
         if len(self._holds) >= MOST_HELD:
@@ -272,7 +272,7 @@
         ends = len(self._book.crashes(fingerprint))
         hold = self._holds.get(fingerprint)
         tries = hold.tries if hold is not None else 0
-        self._changes.append(Change(change, fingerprint, source, ends, tries))
+        self._changes.append(QuarantineChange(change, fingerprint, source, ends, tries))
 
     def _forget(self, now: float) -> None:
         """Drop what does not count any more."""
@@ -293,7 +293,7 @@
             at = now - notice.age_ms / 1000
             if notice.kind is NoticeKind.CRASH:
                 run = LostRun(notice.fingerprint, at - notice.span / 1000, at)
-                self.crashed(notice.target, run, now)
+                self.record_crash(notice.target, run, now)
             elif notice.kind is NoticeKind.HELD:
                 self._hold(_held_hold(notice, at), "peer", now)
             elif self._is_newer(notice.fingerprint, at):
@@ -308,16 +308,16 @@
 
     # The store.
 
-    def take_stored(self, hold: Hold, now: float) -> None:
+    def add_stored(self, hold: Hold, now: float) -> None:
         """Take what is held back by the store's account."""
         self._hold(hold, "store", now)
 
-    def take_removed(self, fingerprint: int, now: float) -> None:
+    def release_removed(self, fingerprint: int, now: float) -> None:
         """Release a request whose record was taken from the store."""
         if fingerprint in self._holds:
             self._release(fingerprint, now, "store", now)
 
-    def is_void(self, hold: Hold) -> bool:
+    def is_exonerated(self, hold: Hold) -> bool:
         """Return whether what a record holds a request back for is void."""
         return hold.first <= self._void_until(hold.fingerprint)
 
--- a/leverdoor/quarantine/records.py
+++ b/leverdoor/quarantine/records.py
@@ -17,7 +17,13 @@
 from leverdoor.quarantine.crashes import MEMORY_S
 from leverdoor.quarantine.quarantine import HOLD_S, MOST_TRIES, TRY_AFTER_S, Hold
 
-__all__ = ["Record", "hold_of", "parse_record", "record_of", "serialize_record"]
+__all__ = [
+    "Record",
+    "hold_from_record",
+    "parse_record",
+    "record_from_hold",
+    "serialize_record",
+]
 
 MOST_MS = (1 << 53) - 1
 """Greatest time of a record, in milliseconds; the greatest whole number of JSON."""
@@ -50,7 +56,7 @@
     return serialize_json(record)
 
 
-def record_of(hold: Hold, entry: str, now: float, wall_s: float) -> Record:
+def record_from_hold(hold: Hold, entry: str, now: float, wall_s: float) -> Record:
     """Return the record of a hold.
 
     Args:
@@ -63,7 +69,9 @@
     return Record(held_at_ms, round(hold.at - hold.first, 3), entry, hold.tries)
 
 
-def hold_of(record: Record, fingerprint: int, now: float, wall_s: float) -> Hold:
+def hold_from_record(
+    record: Record, fingerprint: int, now: float, wall_s: float
+) -> Hold:
     """Return the hold of a record; its figures are brought into range.
 
     Args:
--- a/leverdoor/quarantine/refusal.py
+++ b/leverdoor/quarantine/refusal.py
@@ -5,7 +5,7 @@
 from leverdoor.errors import Code, Refusal
 from leverdoor.quarantine.quarantine import Hold
 
-__all__ = ["held_refusal"]
+__all__ = ["quarantine_refusal"]
 
 LEAST_RETRY_AFTER_S = 1.0
 """Least time after which a request that may run once more should come back, in seconds.
@@ -15,7 +15,7 @@
 """
 
 
-def held_refusal(hold: Hold, now: float) -> Refusal:
+def quarantine_refusal(hold: Hold, now: float) -> Refusal:
     """Return the refusal of a request that is held back.
 
     It may come back when the hold is over, or when it is tried once more, and not
--- a/leverdoor/quarantine/trying.py
+++ b/leverdoor/quarantine/trial_owner.py
@@ -10,10 +10,10 @@
 
 import xxhash
 
-__all__ = ["tries_for_all"]
+__all__ = ["is_trial_owner"]
 
 
-def tries_for_all(own: str, others: Iterable[str], fingerprint: int) -> bool:
+def is_trial_owner(own: str, others: Iterable[str], fingerprint: int) -> bool:
     """Return whether a process tries a request for all.
 
     The first of all that are known by a hash of both, silent ones included: one that is
--- a/tests/test_entry_connections.py
+++ b/tests/test_entry_connections.py
@@ -18,7 +18,7 @@
 from leverdoor.entry.requests.outgoing import Outgoing
 from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.model.resources import Target
-from leverdoor.quarantine.ended_targets import TargetCheck
+from leverdoor.quarantine.crash_checker import TargetCheckResult
 
 LONG_S = 2 * LIMITED_IDLE_S
 
@@ -68,7 +68,7 @@
     connections.most = {"s": 390}
     one = target("one", address=address)
     checks = [connections.check(one) for _ in range(20)]
-    assert set(await asyncio.gather(*checks)) == {TargetCheck.SERVES}
+    assert set(await asyncio.gather(*checks)) == {TargetCheckResult.SERVES}
     idle = connections.idle_count(one)
     assert 0 < idle * entries < 390
     assert idle == 16 or (idle + 1) * entries > 0.8 * 390
@@ -125,14 +125,14 @@
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     connections = Connections("x-id", "a", lambda _: None, lambda *_: None)
     one = target("one", address=address)
-    assert await connections.check(one) is TargetCheck.SERVES
+    assert await connections.check(one) is TargetCheckResult.SERVES
     reply = await connections.exchange(one, outgoing("first"), takes)
     assert reply.status == 200
     assert connections.opened == 1
     connections.close()
     server.close()
     await server.wait_closed()
-    assert await connections.check(one) is TargetCheck.ENDED
+    assert await connections.check(one) is TargetCheckResult.ENDED
 
 
 async def test_a_request_whose_target_stopped_taking_requests_is_not_sent() -> None:
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -11,13 +11,13 @@
 from hypothesis import strategies as st
 
 from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
-from leverdoor.entry.limits.asking import RoomAsking
 from leverdoor.entry.limits.limiter import Limiter
-from leverdoor.entry.limits.role import (
+from leverdoor.entry.limits.limiter_client import LimiterClient
+from leverdoor.entry.limits.limiter_selection import (
     HANDOVER_PART,
     HANDOVER_S,
     NEWCOMER_S,
-    LimiterRole,
+    LimiterSelection,
 )
 from leverdoor.entry.membership.liveness import SILENCE_S
 from leverdoor.entry.membership.member import (
@@ -34,7 +34,7 @@
 from leverdoor.entry.pauses import PAUSE_S, Pauses
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.placement_request import PlacementRequest
-from leverdoor.limits.named import LimitWord
+from leverdoor.limits.advertised import AdvertisedLimit
 from leverdoor.model.resources import Route, Service, Target, WorkClass
 from leverdoor.model.target_id import target_id
 
@@ -63,7 +63,7 @@
         self.membership = Membership(member(own))
         self.elapsed_s = 0.0
         self.pauses = Pauses(0.0, lambda: self.elapsed_s)
-        self.role = LimiterRole(self.membership, lambda: state, self.pauses)
+        self.role = LimiterSelection(self.membership, lambda: state, self.pauses)
         for name in others:
             self.hear(name, LONG_S)
 
@@ -72,9 +72,9 @@
         row = MemberRow(member_id(name), 1, state)
         self.membership.observe(LastSeen(row, at), at)
 
-    def part(self, now: float) -> float:
+    def own_share(self, now: float) -> float:
         self.run_until(now)
-        return self.role.part(TARGET, now)
+        return self.role.own_share(TARGET, now)
 
     def run_until(self, now: float) -> None:
         """Run without a pause."""
@@ -111,7 +111,7 @@
     parts = []
     for view in views().values():
         run_long(view)
-        parts.append(view.part(LONG_S))
+        parts.append(view.own_share(LONG_S))
     assert sorted(parts) == [0.0, 0.0, 0.0, 0.0, 1.0]
 
 
@@ -128,7 +128,7 @@
             for other in rest:
                 if other != name:
                     view.hear(other, now)
-            parts.setdefault(after_s, []).append(view.part(now))
+            parts.setdefault(after_s, []).append(view.own_share(now))
     early, late = parts.values()
     assert sorted(early) == [0.0, HANDOVER_PART]
     assert sorted(late) == [0.0, pytest.approx(1.2 * 2 / 3)]
@@ -138,13 +138,13 @@
     former = limiter_of(View("b1-0", [n for n in ENTRIES if n != "b1-0"]))
     leaving = View(former, [n for n in ENTRIES if n != former], LEAVING)
     run_long(leaving)
-    assert leaving.part(LONG_S) == 0.0
+    assert leaving.own_share(LONG_S) == 0.0
     parts = []
     for name in [n for n in ENTRIES if n != former and n.startswith("a")]:
         view = View(name, [n for n in ENTRIES if n != name])
         run_long(view)
         view.hear(former, LONG_S + 0.01, LEAVING)
-        parts.append(view.part(LONG_S + 0.15))
+        parts.append(view.own_share(LONG_S + 0.15))
     assert sorted(parts) == [0.0, 1.0]
 
 
@@ -153,10 +153,10 @@
     view = View(former, [n for n in ENTRIES if n != former])
     run_long(view)
     view.elapsed_s = LONG_S + 2 * PAUSE_S
-    assert view.part(LONG_S) == HANDOVER_PART
+    assert view.own_share(LONG_S) == HANDOVER_PART
     view = View(former, [], SERVING)
-    assert view.part(NEWCOMER_S - 0.1) == HANDOVER_PART
-    assert view.part(NEWCOMER_S + 0.1) == 1.0
+    assert view.own_share(NEWCOMER_S - 0.1) == HANDOVER_PART
+    assert view.own_share(NEWCOMER_S + 0.1) == 1.0
 
 
 @given(
@@ -180,7 +180,7 @@
         for j, other in enumerate(names):
             if j != i and sides[j] == sides[i]:
                 view.hear(other, now)
-        total += view.part(now)
+        total += view.own_share(now)
     assert 0.0 < total <= 1.5
 
 
@@ -193,7 +193,7 @@
     view = View("a1-0", [])
     run_long(view)
     view.pauses = Pauses(0.0, lambda: 0.0)
-    role = LimiterRole(view.membership, lambda: SERVING, view.pauses)
+    role = LimiterSelection(view.membership, lambda: SERVING, view.pauses)
     return Limiter(fleet, role, view.pauses, {target_id(only.name): only}.get)
 
 
@@ -203,14 +203,14 @@
     def __init__(self, own: str, answers: bool = True) -> None:
         now = asyncio.get_running_loop().time()
         self.fleet = Fleet()
-        self.fleet.limits.take(LimitWord(target_id(TARGET.name), 2.0, now - 60.0))
+        self.fleet.limits.take(AdvertisedLimit(target_id(TARGET.name), 2.0, now - 60.0))
         self.sent: list[tuple[RoomRequest, str]] = []
         self._answers = answers
-        self.asking = self._asking(own, now)
+        self.grant_client = self._asking(own, now)
         other = "a1-1" if own == "a1-0" else "a1-0"
         self.limiting = self._limiter(other, now)
 
-    def _role(self, own: str, now: float) -> tuple[LimiterRole, Pauses]:
+    def _role(self, own: str, now: float) -> tuple[LimiterSelection, Pauses]:
         membership = Membership(member(own))
         for name in ("a1-0", "a1-1"):
             if name != own:
@@ -218,17 +218,17 @@
                 row = MemberRow(member_id(name), 1, SERVING)
                 membership.observe(LastSeen(row, now), now)
         pauses = Pauses(now - 60.0, lambda: 0.0)
-        return LimiterRole(membership, lambda: SERVING, pauses), pauses
+        return LimiterSelection(membership, lambda: SERVING, pauses), pauses
 
     def _limiter(self, own: str, now: float) -> Limiter:
         role, pauses = self._role(own, now)
         targets = {target_id(TARGET.name): TARGET}
         return Limiter(self.fleet, role, pauses, targets.get)
 
-    def _asking(self, own: str, now: float) -> RoomAsking:
+    def _asking(self, own: str, now: float) -> LimiterClient:
         role, _ = self._role(own, now)
         limiter = self._limiter(own, now)
-        return RoomAsking(
+        return LimiterClient(
             self.fleet, role, limiter, self._ask, Random(1), EntryMetrics()
         )
 
@@ -236,7 +236,7 @@
         self.sent.append((request, to))
         if self._answers:
             now = asyncio.get_running_loop().time()
-            self.asking.answered(self.limiting.answer(request, now))
+            self.grant_client.answered(self.limiting.answer(request, now))
 
     def request(self) -> PlacementRequest:
         route = Route(
@@ -260,7 +260,9 @@
 
 async def test_what_the_limiter_grants_is_sent_and_no_more() -> None:
     desk = Desk(asker())
-    granted = [await desk.asking.acquire(desk.request(), TARGET) for _ in range(9)]
+    granted = [
+        await desk.grant_client.acquire(desk.request(), TARGET) for _ in range(9)
+    ]
     assert granted == [True] * 5 + [False] * 4
     assert all(
         to == f"g/{limiter}"
@@ -276,7 +278,9 @@
 
 async def test_the_limiter_itself_needs_no_message() -> None:
     desk = Desk("a1-1" if asker() == "a1-0" else "a1-0")
-    granted = [await desk.asking.acquire(desk.request(), TARGET) for _ in range(9)]
+    granted = [
+        await desk.grant_client.acquire(desk.request(), TARGET) for _ in range(9)
+    ]
     assert granted == [True] * 5 + [False] * 4
     assert desk.sent == []
 
@@ -291,19 +295,19 @@
         address="10.0.0.8:80",
         slots=9,
     )
-    assert await desk.asking.acquire(desk.request(), other)
+    assert await desk.grant_client.acquire(desk.request(), other)
     assert desk.sent == []
 
 
 async def test_no_answer_is_no_room() -> None:
     """It is asked twice; what is cut off from the limiter sends nothing."""
     desk = Desk(asker(), answers=False)
-    assert not await desk.asking.acquire(desk.request(), TARGET)
+    assert not await desk.grant_client.acquire(desk.request(), TARGET)
     assert len(desk.sent) == 2
     assert len({request.number for request, _ in desk.sent}) == 1
     now = asyncio.get_running_loop().time()
     late = RoomAnswer(desk.sent[0][0].number, True, 0, 0)
-    desk.asking.answered(late)
+    desk.grant_client.answered(late)
     assert desk.fleet.of(TARGET, now).room.closed(2, now)
 
 
@@ -368,10 +372,10 @@
     cold = msgspec.structs.replace(TARGET, cold_ms=60_000)
     fleet.renew({cold.name: cold}, 0.0, [service(11.0)])
     assert fleet.room_per_s(cold, 1.0) == 8.25
-    fleet.limits.take(LimitWord(target_id(cold.name), 2.0, 1.0))
+    fleet.limits.take(AdvertisedLimit(target_id(cold.name), 2.0, 1.0))
     assert fleet.room_per_s(cold, 1.0) == 2.0
     assert fleet.room_per_s(cold, 61.0) == 2.0
-    fleet.limits.take(LimitWord(target_id(cold.name), None, 2.0))
+    fleet.limits.take(AdvertisedLimit(target_id(cold.name), None, 2.0))
     assert fleet.room_per_s(cold, 61.0) is None
     fleet.renew({cold.name: cold}, 3.0, [service(0.0)])
     assert fleet.room_per_s(cold, 3.0) is None
--- a/tests/test_named_limits.py
+++ b/tests/test_named_limits.py
@@ -5,15 +5,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from leverdoor.limits.named import KEPT_S, REORDERED_S, LimitBook, LimitWord
+from leverdoor.limits.advertised import (
+    REORDERED_S,
+    RETENTION_S,
+    AdvertisedLimit,
+    LimitTable,
+)
 
 
-def word(per_s: float | None, at: float, target: int = 7) -> LimitWord:
-    return LimitWord(target, per_s, at)
+def word(per_s: float | None, at: float, target: int = 7) -> AdvertisedLimit:
+    return AdvertisedLimit(target, per_s, at)
 
 
 def test_a_limit_is_named_changed_and_ended() -> None:
-    book = LimitBook()
+    book = LimitTable()
     assert book.take(word(None, 0.0)) is None
     assert not list(book.newest())
     changes = [
@@ -35,7 +40,7 @@
 
 
 def test_an_answer_sent_before_the_limit_was_named_does_not_end_it() -> None:
-    book = LimitBook()
+    book = LimitTable()
     book.take(word(3.5, 1.0))
     assert book.take(word(None, 1.0 + REORDERED_S / 2)) is None
     assert book.per_s(7) == 3.5
@@ -44,11 +49,11 @@
 
 
 def test_a_word_that_nothing_renews_is_forgotten() -> None:
-    book = LimitBook()
+    book = LimitTable()
     book.take(word(3.5, 1.0))
-    book.forget(1.0 + KEPT_S)
+    book.forget(1.0 + RETENTION_S)
     assert book.limited() == [7]
-    book.forget(1.5 + KEPT_S)
+    book.forget(1.5 + RETENTION_S)
     assert book.limited() == []
 
 
@@ -65,7 +70,7 @@
 ) -> None:
     """Whole seconds apart, so that no answer can have overtaken another."""
     newest = max(words, key=lambda pair: pair[1])
-    in_order, shuffled = LimitBook(), LimitBook()
+    in_order, shuffled = LimitTable(), LimitTable()
     for per_s, at in sorted(words, key=lambda pair: pair[1]):
         in_order.take(word(per_s, float(at)))
     mixed = list(words)
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -13,7 +13,7 @@
 
 from leverdoor.entry.wire import UnreadableReport
 from leverdoor.errors import SettingsError
-from leverdoor.limits.named import UnreadableLimit
+from leverdoor.limits.advertised import UnreadableLimit
 from leverdoor.model.resources import (
     ClientLimits,
     Drain,
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -44,7 +44,7 @@
         target = next(TARGETS)
         for fingerprint in fingerprints:
             run = LostRun(fingerprint, self.now - ran_s, self.now)
-            self.all[at].crashed(target, run, self.now)
+            self.all[at].record_crash(target, run, self.now)
 
     def round(self, rounds: int = 1) -> None:
         for _ in range(rounds):
@@ -60,7 +60,7 @@
     def tries(self, fingerprint: int, at: int = 0) -> bool:
         """Return whether an entry, which does so for all, tries a request now."""
         hold = self.all[at].hold(fingerprint, self.now)
-        return hold is not None and self.all[at].try_once_more(hold, self.now)
+        return hold is not None and self.all[at].start_trial(hold, self.now)
 
     def verdict(self, fingerprint: int) -> Verdict:
         """Return the first entry's verdict."""
@@ -94,7 +94,7 @@
         # The other entry reports the same ends, a moment later.
         run = LostRun(CAUSE, s.now - 0.08, s.now)
         target = next(TARGETS) - 1
-        s.all[1].crashed(target, run, s.now)
+        s.all[1].record_crash(target, run, s.now)
     s.round(SETTLED)
     assert s.held(CAUSE) == [True, True]
     assert [s.verdict(CAUSE), s.verdict(VICTIM)] == [Verdict.CAUSE, Verdict.HARMLESS]
@@ -149,7 +149,7 @@
     s.now += 0.1
     for _ in range(2 * ENOUGH):
         run = LostRun(VICTIM, s.now - 0.1, s.now)
-        s.all[0].crashed(next(TARGETS), run, s.now)
+        s.all[0].record_crash(next(TARGETS), run, s.now)
     s.round(SETTLED)
     assert s.held(VICTIM) == [False, False]
 
@@ -161,7 +161,7 @@
     for i in range(ENOUGH):
         s.now = began + 0.2 + 0.1 * i
         run = LostRun(CAUSE, began + 0.01 * i, s.now)
-        s.all[0].crashed(next(TARGETS), run, s.now)
+        s.all[0].record_crash(next(TARGETS), run, s.now)
     s.round(SETTLED)
     assert s.held(CAUSE) == [True]
 
@@ -184,7 +184,7 @@
     s.now += 0.1
     for i in range(50):
         run = LostRun(20_000 + i, s.now - 0.1, s.now + 0.0005 * i)
-        s.all[0].crashed(next(TARGETS), run, s.now)
+        s.all[0].record_crash(next(TARGETS), run, s.now)
     for _ in range(ENOUGH - 1):
         s.crash(CAUSE)
     s.round(SETTLED)
@@ -271,7 +271,7 @@
         others = range(100 * i + 1_000_000, 100 * i + 1_000_100)
         for fingerprint in (VICTIM, *others):
             run = LostRun(fingerprint, began, s.now + 0.0001 * i)
-            s.all[0].crashed(target, run, s.now)
+            s.all[0].record_crash(target, run, s.now)
     assert len(s.all[0]._book) <= MOST_CRASHES
     s.now += 1.0
     s.crash(CAUSE)
@@ -331,9 +331,11 @@
     )
     for target, began, end in runs:
         run = LostRun(CAUSE, s.now + began, s.now + end)
-        s.all[0].crashed(target, run, s.now + end)
+        s.all[0].record_crash(target, run, s.now + end)
     for target, began, end in ((2, 0.058, 0.087), (4, 0.087, 0.116), (6, 0.120, 0.161)):
-        s.all[1].crashed(target, LostRun(VICTIM, s.now + began, s.now + end), s.now)
+        s.all[1].record_crash(
+            target, LostRun(VICTIM, s.now + began, s.now + end), s.now
+        )
     s.now += 0.2
     s.round(SETTLED)
     assert s.held(CAUSE) == [True, True]
--- a/tests/test_quarantine_records.py
+++ b/tests/test_quarantine_records.py
@@ -27,12 +27,12 @@
     Quarantine,
 )
 from leverdoor.quarantine.records import (
-    hold_of,
+    hold_from_record,
     parse_record,
-    record_of,
+    record_from_hold,
     serialize_record,
 )
-from leverdoor.quarantine.refusal import held_refusal
+from leverdoor.quarantine.refusal import quarantine_refusal
 from leverdoor.quarantine.verdict import ENOUGH
 from leverdoor.storage.store import KeyValue, LeasingStore, Write
 
@@ -79,7 +79,7 @@
             self.now += 1.0
             for fingerprint in {CAUSE, beside or CAUSE}:
                 run = LostRun(fingerprint, self.now - 0.1, self.now)
-                self.quarantine.crashed(i, run, self.now)
+                self.quarantine.record_crash(i, run, self.now)
         self.now += 1.1 * JUDGE_AFTER_S
         self.quarantine.judge(self.now)
         assert self.held()
@@ -164,7 +164,7 @@
     one.now += TRY_AFTER_S
     hold = one.quarantine.hold(CAUSE, one.now)
     assert hold is not None and hold.tries == MOST_TRIES
-    assert one.quarantine.try_once_more(hold, one.now)
+    assert one.quarantine.start_trial(hold, one.now)
     one.write(WALL_S)
     assert parse_record(one.store[KEY].value).tries == MOST_TRIES - 1
     assert one.held()
@@ -179,22 +179,22 @@
 
 def test_the_age_of_a_record_is_told_by_wall_clocks_within_bounds() -> None:
     hold = Hold(CAUSE, 990.0, 1000.0)
-    record = record_of(hold, "n1", 1010.0, WALL_S)
+    record = record_from_hold(hold, "n1", 1010.0, WALL_S)
     assert parse_record(serialize_record(record)) == record
     for wall_s, at in ((WALL_S, 1010.0), (WALL_S - HOUR_S, 1020.0)):
-        found = hold_of(record, CAUSE, 1020.0, wall_s)
+        found = hold_from_record(record, CAUSE, 1020.0, wall_s)
         assert found.at == pytest.approx(at, abs=0.01)
         assert found.at - found.first == pytest.approx(10.0, abs=0.01)
-    assert hold_of(record, CAUSE, 5000.0, WALL_S + HOUR_S).until == 5000.0
+    assert hold_from_record(record, CAUSE, 5000.0, WALL_S + HOUR_S).until == 5000.0
 
 
 def test_a_refusal_says_when_to_come_back() -> None:
-    sure = held_refusal(Hold(CAUSE, 990.0, 1000.0), 1100.0)
+    sure = quarantine_refusal(Hold(CAUSE, 990.0, 1000.0), 1100.0)
     assert sure.code is Code.QUARANTINED
     assert sure.retry_after_ms == round((HOLD_S - 100.0) * 1000)
-    unsure = held_refusal(Hold(CAUSE, 990.0, 1000.0, 1, 1005.0), 1002.0)
+    unsure = quarantine_refusal(Hold(CAUSE, 990.0, 1000.0, 1, 1005.0), 1002.0)
     assert unsure.retry_after_ms == 3_000
-    assert held_refusal(
+    assert quarantine_refusal(
         Hold(CAUSE, 990.0, 1000.0, 1, 1005.0), 1004.9
     ).retry_after_ms == (1_000)
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from leverdoor.limits.room import RENEWAL_S, Room, burst
+from leverdoor.limits.token_bucket import RENEWAL_S, Room, burst
 from windows import allowed, most_in_a_window
 
 
@@ -100,7 +100,7 @@
     refused = room.ask(2.0, 1.0, 0, 0, 0.0)
     assert not refused.granted
     assert refused.wait_s == 0.5
-    assert refused.room_s >= refused.wait_s
+    assert refused.retry_after_s >= refused.wait_s
 
 
 def test_the_more_ask_the_longer_each_waits_to_ask_again() -> None:
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -25,8 +25,8 @@
 from leverdoor.errors import Code, Problem, Run
 from leverdoor.gate.keys import Key
 from leverdoor.gate.lookups import LookupAnswer, LookupEntry
-from leverdoor.limits.named import LimitWord
-from leverdoor.limits.rows import serialize_words
+from leverdoor.limits.advertised import AdvertisedLimit
+from leverdoor.limits.encoding import serialize_limits
 from leverdoor.membership import ownership
 from leverdoor.membership.peers import AgentHeartbeat, GateState, Gossip, Load
 from leverdoor.model.burn import BurnLine, Counts, Series
@@ -233,8 +233,9 @@
 LIMIT_NEWS = messages.LimitNews(
     "n1",
     messages.DigestScope.REGION,
-    serialize_words(
-        [LimitWord(0xFEDCBA98, 3.5, 8.0), LimitWord(7, None, 9.75)], now=10.0
+    serialize_limits(
+        [AdvertisedLimit(0xFEDCBA98, 3.5, 8.0), AdvertisedLimit(7, None, 9.75)],
+        now=10.0,
     ),
 )
 ROOM_REQUEST = messages.RoomRequest("10.0.0.1:7946", 70_000, 0xFEDCBA98, 3.5, 2, 17)
