--- a/leverdoor/quarantine/crash_checker.py
+++ b/leverdoor/quarantine/crash_checker.py
@@ -1,12 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Finds out whether a target ended, or only lost an answer.
+"""Checks whether a target crashed or only failed to answer one request.
 
-A target that closes a connection without an answer may have ended, with all that it was
-running, or may be well. The answer itself doesn't tell; a new connection does at once.
+A target that closes a connection without a response may have crashed, with all its
+runs, or may be healthy. Only a new connection to the target tells these cases apart.
 
-Owns the checks under way and the lost runs that wait for them; lost with the process.
-Relies on its caller to make the check and to log what it found.
+Owns the checks in progress and the lost runs that wait for them; lost with the process.
+Relies on its caller to open the connection and to log the result.
 """
 
 import asyncio
@@ -17,47 +17,54 @@
 from leverdoor.model.resources import Target
 from leverdoor.quarantine.crashes import LostRun
 
-__all__ = ["CheckTarget", "CrashChecker", "TakeChecked", "TargetCheckResult"]
+__all__ = ["CrashChecker", "HandleResult", "OpenConnection", "TargetCheckResult"]
 
 
 class TargetCheckResult(StrEnum):
-    """What a new connection to a target showed."""
+    """The result of opening a new connection to a target."""
 
     ENDED = "ended"
-    """It was refused: the VM is there, the target's process is not."""
+    """The connection was refused: the VM runs, but the target's process does not."""
     SERVES = "serves"
-    """It was taken."""
+    """The connection was accepted."""
     SILENT = "silent"
-    """There was no answer."""
+    """The connection attempt got no answer."""
 
 
-CheckTarget: TypeAlias = Callable[[Target], Awaitable[TargetCheckResult]]
+OpenConnection: TypeAlias = Callable[[Target], Awaitable[TargetCheckResult]]
 """Opens a new connection to a target."""
-TakeChecked: TypeAlias = Callable[
+HandleResult: TypeAlias = Callable[
     [Target, TargetCheckResult, list[LostRun], float], None
 ]
-"""Called with a target, what the check found, the runs of this process whose answers it
-lost, and how long the check took, in seconds."""
+"""Called with a target, the result of its check, the runs of this process on the target
+that got no response, and the duration of the check in seconds."""
 
 
 class CrashChecker:
-    """Looks at targets that closed connections without an answer."""
-
-    def __init__(self, check: CheckTarget, take: TakeChecked) -> None:
-        """Create it without any check under way."""
-        self._check_target = check
-        self._take = take
-        self._lost: dict[str, list[LostRun]] = {}
-        """By target, the runs that wait for its check."""
+    """Checks targets that closed connections without a response."""
+
+    def __init__(
+        self, open_connection: OpenConnection, handle_result: HandleResult
+    ) -> None:
+        """Create a checker without checks in progress.
+
+        Args:
+          open_connection: opens a new connection to a target.
+          handle_result: called with the result of each check.
+        """
+        self._open_connection = open_connection
+        self._handle_result = handle_result
+        self._waiting_runs: dict[str, list[LostRun]] = {}
+        """By target name, the runs that wait for the result of its check."""
         self._checks: set[asyncio.Task[None]] = set()
 
     def check(self, target: Target, run: LostRun) -> None:
-        """Have a target looked at; runs that it loses meanwhile share the check."""
-        waiting = self._lost.get(target.name)
+        """Start a check of a target; runs lost during a check share its result."""
+        waiting = self._waiting_runs.get(target.name)
         if waiting is not None:
             waiting.append(run)
             return
-        self._lost[target.name] = [run]
+        self._waiting_runs[target.name] = [run]
         task = asyncio.ensure_future(self._check(target))
         self._checks.add(task)
         task.add_done_callback(self._checks.discard)
@@ -66,7 +73,7 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
-            found = await self._check_target(target)
+            result = await self._open_connection(target)
         finally:
-            runs = self._lost.pop(target.name)
-        self._take(target, found, runs, loop.time() - began)
+            runs = self._waiting_runs.pop(target.name)
+        self._handle_result(target, result, runs, loop.time() - began)
--- a/leverdoor/quarantine/crashes.py
+++ b/leverdoor/quarantine/crashes.py
@@ -1,13 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The ends of targets and the runs that ended with them: who may have been the cause.
+"""Records crashes of targets and the requests that each target was running.
 
-A target that ends takes all that it runs with it, and one of these runs may be the
-cause. Which one shows only when it comes again: the cause is there each time, others by
-chance. So an end speaks against the one of its requests that was there at the most.
+A crash ends all runs of the target, and one of them may have caused it. The cause shows
+only by repetition: it is present at each of its crashes, other requests only by chance.
+A crash is therefore attributed to the request that was present at the most crashes.
 
-Owns the ends of the last ten minutes, at most `MOST_CRASHES`; lost with the process.
-Relies on its caller for the time, and for reporting ends that other entries saw.
+Owns the crashes of the last ten minutes, at most `MAX_CRASHES`; lost with the process.
+Relies on its caller for the time and for the crashes that other entries report.
 """
 
 import math
@@ -16,227 +16,233 @@
 import msgspec
 
 __all__ = [
-    "MEMORY_S",
-    "MOST_CRASHES",
+    "CRASH_RETENTION_S",
+    "MAX_CRASHES",
     "Crash",
-    "CrashBook",
+    "CrashTable",
     "LostRun",
-    "distinct",
-    "moments",
-    "separate",
+    "count_independent",
+    "count_events",
+    "count_sequential",
 ]
 
-MEMORY_S = 600.0
-"""How long the end of a target counts, in seconds.
+CRASH_RETENTION_S = 600.0
+"""How long a crash counts as evidence, in seconds.
 
-A request that comes once in minutes is known as well. Greater: more memory. Smaller:
-targets go on ending under a request that comes seldom.
+It covers a request that comes once in some minutes. A longer time takes more memory; a
+shorter one lets a rare request go on crashing targets.
 """
-SAME_END_S = 1.0
-"""Time within which two reports of a target's end are of the same end, in seconds.
+SAME_CRASH_S = 1.0
+"""Time within which two reports of a target refer to the same crash, in seconds.
 
-Reports arrive 0.6 s apart, and a target that starts again takes longer. Greater: a
-second end is overlooked. Smaller: one end counts twice.
+Reports of one crash arrive up to 0.6 s apart, and a restart of the target takes longer.
+A greater value overlooks a second crash; a smaller one counts a crash twice.
 """
-MOST_CRASHES = 256
-"""Ends kept; with `MOST_RUNS` each, 4.0 MB (tracemalloc).
+MAX_CRASHES = 256
+"""Crashes kept; with `MAX_RUNS` runs each they take 4.0 MB (tracemalloc).
 
-The 750 targets of a large site that lose a third at once. Of more, those are dropped
-that say least (`CrashBook._drop_one`).
+A large site of 750 targets that loses a third of them at once fits. If there are more,
+the crash with the least evidence is dropped (`CrashTable._drop_one`).
 """
-MOST_RUNS = 48
-"""Runs kept for each end: five times the slots of usual targets."""
-LEAST_APART = 0.5
-"""Part of the shorter of two runs that lies outside the other, for both to count.
-
-Runs that overlap may have ended by one cause, such as a power loss. Half, since times
-from other entries are off by some milliseconds. Greater: runs that followed each other
-count once. Smaller: runs that ended at the same moment count twice.
+MAX_RUNS = 48
+"""Runs kept for each crash: five times the slots of a usual target."""
+MIN_DISJOINT_SHARE = 0.5
+"""Share of the shorter of two runs that must not overlap the other for both to count.
+
+Overlapping runs may have ended by one cause, such as a power loss. The share is below 1
+since times from other entries are off by some milliseconds. With a greater share,
+sequential runs count once; with a smaller one, runs that ended together count twice.
 """
 
-MOMENT_S = 0.06
-"""Time within which ends of targets count as one event, in seconds.
+EVENT_WINDOW_S = 0.06
+"""Time within which crashes count as one event, in seconds.
 
-The way between regions is up to 0.055 s, so one event is seen that far apart. Greater:
-targets that end one after the other pass for one event; a fatal request was seen to end
-targets 0.06 to 0.1 s apart. Smaller: one event counts several times.
+The one-way delay between regions is up to 0.055 s, so reports of one event differ by as
+much. With a greater value, sequential crashes pass for one event: a fatal request
+crashed targets 0.06 to 0.1 s apart. With a smaller one, one event counts several times.
 """
 
 
 class LostRun(msgspec.Struct, frozen=True):
-    """One run of a request whose target ended; monotonic times in seconds."""
+    """One run of a request whose target crashed; monotonic times in seconds."""
 
     fingerprint: int
     began: float
-    """When it was sent."""
+    """When the request was sent."""
     ended: float
-    """When its connection was closed."""
+    """When the connection was closed."""
 
 
 class Crash(msgspec.Struct):
-    """The end of a target, and the runs that ended with it."""
+    """A crash of a target and the runs that it ended."""
 
     target: int
     """Hash of the target's name."""
     at: float
-    """When it was first seen, monotonic time in seconds."""
+    """When the first report saw it, monotonic time in seconds."""
     runs: dict[int, LostRun]
     """By fingerprint."""
 
 
-def moments(times: Iterable[float]) -> int:
-    """Return at how many moments something happened (`MOMENT_S`), from its times."""
+def count_events(times: Iterable[float]) -> int:
+    """Return how many events the times make up; see `EVENT_WINDOW_S`."""
     count = 0
     began = -math.inf
     for time in sorted(times):
-        if time - began > MOMENT_S:
+        if time - began > EVENT_WINDOW_S:
             count += 1
             began = time
     return count
 
 
-def separate(runs: Iterable[LostRun]) -> int:
-    """Return how many of some runs followed one another.
+def count_sequential(runs: Iterable[LostRun]) -> int:
+    """Return how many of the runs were sequential.
 
-    The greatest number of runs of which no two overlap by much (`LEAST_APART`).
+    This is the greatest number of runs of which no two overlap by more than
+    `MIN_DISJOINT_SHARE` allows.
     """
     count = 0
     last: LostRun | None = None
     for run in sorted(runs, key=lambda r: r.ended):
-        if last is None or _apart(last, run):
+        if last is None or _are_sequential(last, run):
             count += 1
             last = run
     return count
 
 
-def distinct(crashes: Sequence[Crash], fingerprint: int) -> int:
-    """Return how many of a request's ends can't have come from one event.
+def count_independent(crashes: Sequence[Crash], fingerprint: int) -> int:
+    """Return how many crashes of a request cannot have come from one event.
 
-    They are at different moments, or its runs followed one another. Attempts that
-    overlap end targets at different moments; one entry's follow one another.
+    Crashes are independent if they belong to different events or if the runs of the
+    request were sequential. Overlapping attempts crash targets in different events; the
+    attempts of one entry are sequential.
     """
-    runs = separate(c.runs[fingerprint] for c in crashes)
-    return max(runs, moments(c.at for c in crashes))
+    runs = count_sequential(c.runs[fingerprint] for c in crashes)
+    return max(runs, count_events(c.at for c in crashes))
 
 
-def _apart(before: LostRun, after: LostRun) -> bool:
-    """Return whether of two runs the later one began near the earlier one's end."""
+def _are_sequential(before: LostRun, after: LostRun) -> bool:
+    """Return whether the later run began near the end of the earlier one, or after."""
     shorter_s = min(before.ended - before.began, after.ended - after.began)
-    return after.began >= before.ended - (1 - LEAST_APART) * shorter_s
+    return after.began >= before.ended - (1 - MIN_DISJOINT_SHARE) * shorter_s
 
 
-class CrashBook:
-    """The ends of targets that any entry saw."""
+class CrashTable:
+    """The crashes of targets that any entry saw."""
 
     def __init__(self) -> None:
-        """Create it without any."""
+        """Create an empty table."""
         self._crashes: list[Crash] = []
-        """In the order in which they became known."""
+        """In the order in which they were reported."""
         self._by_fingerprint: dict[int, list[Crash]] = {}
         self._counts: dict[int, int] = {}
-        """Counts that were asked for and still hold, by fingerprint."""
+        """Cache of `independent_count`, by fingerprint."""
 
     def __len__(self) -> int:
-        """Count the ends that are kept."""
+        """Return the number of crashes kept."""
         return len(self._crashes)
 
     def add(self, target: int, run: LostRun) -> bool:
-        """Take a run that ended with its target; return whether it is new."""
-        crash = self._of(target, run.ended)
+        """Record a run that ended with its target; return whether it is new."""
+        crash = self._find(target, run.ended)
         if crash is None:
-            if len(self._crashes) >= MOST_CRASHES:
+            if len(self._crashes) >= MAX_CRASHES:
                 self._drop_one()
             crash = Crash(target, run.ended, {})
             self._crashes.append(crash)
-        if run.fingerprint in crash.runs or len(crash.runs) >= MOST_RUNS:
+        if run.fingerprint in crash.runs or len(crash.runs) >= MAX_RUNS:
             return False
         crash.runs[run.fingerprint] = run
         self._by_fingerprint.setdefault(run.fingerprint, []).append(crash)
         self._counts.pop(run.fingerprint, None)
         return True
 
-    def _of(self, target: int, ended: float) -> Crash | None:
-        """Return the known end of a target that a report is of."""
+    def _find(self, target: int, ended: float) -> Crash | None:
+        """Return the known crash that a report refers to."""
         for crash in reversed(self._crashes):
-            if crash.target == target and abs(crash.at - ended) <= SAME_END_S:
+            if crash.target == target and abs(crash.at - ended) <= SAME_CRASH_S:
                 return crash
         return None
 
-    def knows(self, fingerprint: int) -> bool:
-        """Return whether a request was present at any end."""
+    def has_crashes(self, fingerprint: int) -> bool:
+        """Return whether a request was running at any crash."""
         return fingerprint in self._by_fingerprint
 
-    def crashes(self, fingerprint: int) -> list[Crash]:
-        """Return the ends at which a request was present."""
+    def crashes_of(self, fingerprint: int) -> list[Crash]:
+        """Return the crashes at which a request was running."""
         return list(self._by_fingerprint.get(fingerprint, ()))
 
-    def beside(self, fingerprint: int) -> set[int]:
-        """Return the other requests that were present at a request's ends."""
-        found = self._by_fingerprint.get(fingerprint, ())
-        return {other for c in found for other in c.runs} - {fingerprint}
+    def concurrent_requests(self, fingerprint: int) -> set[int]:
+        """Return the other requests that were running at a request's crashes."""
+        crashes = self._by_fingerprint.get(fingerprint, ())
+        return {other for c in crashes for other in c.runs} - {fingerprint}
 
-    def count(self, fingerprint: int) -> int:
-        """Return at how many ends a request was present, one after the other."""
-        found = self._counts.get(fingerprint)
-        if found is None:
+    def independent_count(self, fingerprint: int) -> int:
+        """Return the number of independent crashes of a request."""
+        known = self._counts.get(fingerprint)
+        if known is None:
             crashes = self._by_fingerprint.get(fingerprint, ())
-            found = self._counts[fingerprint] = distinct(crashes, fingerprint)
-        return found
+            known = self._counts[fingerprint] = count_independent(crashes, fingerprint)
+        return known
 
-    def attributed(self, fingerprint: int) -> list[Crash]:
-        """Return the ends at which no request was present that was so more often.
+    def attributed_crashes(self, fingerprint: int) -> list[Crash]:
+        """Return the crashes of a request at which no request with a greater count ran.
 
-        Counts are of moments, so that ends close together say little. Of two with the
-        same count the one comes first that was at all ends of the other and at more:
-        it explains them, while the other does not explain its.
+        Counts are of independent crashes, so crashes close together are weak evidence.
+        Of two requests with the same count, the one that was running at all crashes of
+        the other and at more gets them: it explains the other's crashes, but the other
+        does not explain its.
         """
-        own = self.count(fingerprint)
-        crashes = self.crashes(fingerprint)
+        own_count = self.independent_count(fingerprint)
+        crashes = self.crashes_of(fingerprint)
         if any(
-            self.count(other) == own and self._explains(other, crashes)
-            for other in self.beside(fingerprint)
+            self.independent_count(other) == own_count
+            and self._explains(other, crashes)
+            for other in self.concurrent_requests(fingerprint)
         ):
             return []
-        return [c for c in crashes if self._weight(c) <= own]
+        return [c for c in crashes if self._evidence(c) <= own_count]
 
     def _explains(self, other: int, crashes: Sequence[Crash]) -> bool:
-        """Return whether a request was at all of some ends, and at more of them."""
-        ends = self._by_fingerprint[other]
-        if len(ends) <= len(crashes):
+        """Return whether a request was running at all the crashes and at others too."""
+        other_crashes = self._by_fingerprint[other]
+        if len(other_crashes) <= len(crashes):
             return False
         return all(other in c.runs for c in crashes)
 
-    def times(self, first: float, last: float) -> list[float]:
-        """Return the times of all ends within a span of time."""
+    def crash_times(self, first: float, last: float) -> list[float]:
+        """Return the times of all crashes from `first` to `last`."""
         return [c.at for c in self._crashes if first <= c.at <= last]
 
-    def clear(self, fingerprint: int, until: float) -> bool:
-        """Drop a request's runs that ended until a time; return if there were any."""
-        found = self._by_fingerprint.get(fingerprint, ())
-        void = [c for c in found if c.runs[fingerprint].ended <= until]
-        for crash in void:
+    def discard_runs(self, fingerprint: int, until: float) -> bool:
+        """Drop a request's runs that ended by a time; return whether there were any."""
+        crashes = self._by_fingerprint.get(fingerprint, ())
+        discarded = [c for c in crashes if c.runs[fingerprint].ended <= until]
+        for crash in discarded:
             self._remove_run(crash, fingerprint)
-        return bool(void)
+        return bool(discarded)
 
     def forget(self, now: float) -> None:
-        """Drop what is too old to count."""
-        for crash in [c for c in self._crashes if now - c.at > MEMORY_S]:
+        """Drop the crashes that are too old to count."""
+        for crash in [c for c in self._crashes if now - c.at > CRASH_RETENTION_S]:
             self._drop(crash)
 
     def _drop_one(self) -> None:
-        """Drop the end that says least: whose requests were seen at no other end.
+        """Drop the oldest of the crashes with the least evidence.
 
-        Of several the one that has been known longest, so that an event that ends many
-        targets at once does not drive out what is known of one request.
+        The requests of such a crash were running at no other crash. An event that
+        crashes many targets at once thus does not displace the evidence against one
+        request.
         """
-        self._drop(min(self._crashes, key=self._weight))
+        self._drop(min(self._crashes, key=self._evidence))
 
-    def _weight(self, crash: Crash) -> int:
-        """Return the greatest count of an end's requests.
+    def _evidence(self, crash: Crash) -> int:
+        """Return the greatest count of independent crashes of a crash's requests.
 
-        Not the number of ends: a popular request is at all that one event ends.
+        The number of all crashes would not do: a popular request runs on all targets
+        that one event crashes.
         """
-        return max((self.count(f) for f in crash.runs), default=0)
+        return max((self.independent_count(f) for f in crash.runs), default=0)
 
     def _drop(self, crash: Crash) -> None:
         self._crashes = [c for c in self._crashes if c is not crash]
--- a/leverdoor/quarantine/notices.py
+++ b/leverdoor/quarantine/notices.py
@@ -1,8 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What entries tell each other of requests that end targets, as bytes; pure.
+"""Binary encoding of the quarantine notices that entries send each other.
 
-A notice is 19 bytes. Times are sent as ages, since clocks differ.
+A notice has 19 bytes. Times are sent as ages, since the clocks of entries differ. Pure;
+owns no state.
 """
 
 import struct
@@ -11,64 +12,70 @@
 
 import msgspec
 
-__all__ = ["HELD_SPAN_S", "Notice", "NoticeKind", "parse_notices", "serialize_notices"]
+__all__ = [
+    "HELD_SPAN_UNIT_S",
+    "Notice",
+    "NoticeKind",
+    "parse_notices",
+    "serialize_notices",
+]
 
 ROW = struct.Struct("<BQIIH")
-"""Kind, fingerprint, target, age and span of a notice."""
-MOST_MS = (1 << 32) - 1
-"""Greatest age that a notice holds."""
-MOST_SPAN = (1 << 16) - 1
-"""Greatest span that a notice holds."""
+"""Kind, fingerprint, target, age and span of a notice, in this order."""
+MAX_AGE_MS = (1 << 32) - 1
+"""Greatest age that a notice can hold, in ms."""
+MAX_SPAN = (1 << 16) - 1
+"""Greatest span that a notice can hold."""
 
 
-HELD_SPAN_S = 0.01
-"""Unit of the span of a notice that a request is held back, in seconds.
+HELD_SPAN_UNIT_S = 0.01
+"""Unit of the span of a `HELD` notice, in seconds.
 
-Two bytes then reach 655 s, beyond `crashes.MEMORY_S`.
+With this unit, two bytes reach 655 s, beyond `crashes.CRASH_RETENTION_S`.
 """
 
 
 class NoticeKind(IntEnum):
-    """What a notice says of a request."""
+    """The event of a request that a notice reports."""
 
     CRASH = 0
-    """A target ended while it ran the request."""
+    """A target crashed while it ran the request."""
     HELD = 1
-    """It is held back."""
+    """The request is quarantined."""
     RELEASED = 2
-    """A target ran it to an end, so nothing before counts against it."""
+    """A target completed the request, so all earlier evidence is discarded."""
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """One notice."""
+    """A notice about one request."""
 
     kind: NoticeKind
     fingerprint: int
     age_ms: int
-    """Since the target ended, the request was held back, or its run ended well."""
+    """Time since the crash, the start of the quarantine, or the completed run."""
     target: int = 0
-    """Of `CRASH`: hash of the target's name. Of `HELD`: how often it may be tried."""
+    """For `CRASH`: hash of the target's name. For `HELD`: the number of trials left."""
     span: int = 0
-    """Of `CRASH`: the length of the run in ms. Of `HELD`: the time from the first end
-    that counts to when it was held back, in units of `HELD_SPAN_S`."""
+    """For `CRASH`: the length of the run in ms. For `HELD`: the time from the first
+    crash that counts to the start of the quarantine, in units of `HELD_SPAN_UNIT_S`."""
 
 
 def serialize_notices(notices: Iterable[Notice]) -> bytes:
-    """Serialize notices one after the other."""
+    """Serialize notices as consecutive rows."""
     return b"".join(
         ROW.pack(
-            n.kind,
-            n.fingerprint,
-            n.target,
-            min(max(n.age_ms, 0), MOST_MS),
-            min(max(n.span, 0), MOST_SPAN),
+            notice.kind,
+            notice.fingerprint,
+            notice.target,
+            min(max(notice.age_ms, 0), MAX_AGE_MS),
+            min(max(notice.span, 0), MAX_SPAN),
         )
-        for n in notices
+        for notice in notices
     )
 
 
 def parse_notices(data: bytes) -> list[Notice]:
-    """Parse notices; one cut short, or of an unknown kind, is left out."""
+    """Parse notices; a truncated one or one of an unknown kind is left out."""
     whole = len(data) - len(data) % ROW.size
     return [
         Notice(NoticeKind(kind), fingerprint, age_ms, target, span)
--- a/leverdoor/quarantine/outbox.py
+++ b/leverdoor/quarantine/outbox.py
@@ -1,13 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry tells the others of requests that end targets, and for how long.
+"""Selects the quarantine notices that an entry sends to the others in each round.
 
-News go out for some rounds, since datagrams are lost; each entry that they are new to
-passes them on. What is held back is told again in turn, so that it reaches whoever
-was cut off.
+A new notice is sent for some rounds, since datagrams are lost, and each entry that it
+is new to forwards it. Quarantined requests are announced again in turn, so that entries
+that were cut off learn of them.
 
-Owns the news of the last moments and the turn, lost with the process. Relies on the
-caller for the time.
+Owns the pending notices and the round number, which are lost with the process. Relies
+on the caller for the time.
 """
 
 from collections import OrderedDict
@@ -15,108 +15,109 @@
 
 import msgspec
 
-from leverdoor.quarantine.crashes import CrashBook
+from leverdoor.quarantine.crashes import CrashTable
 from leverdoor.quarantine.notices import Notice, NoticeKind
 
-__all__ = ["MOST_SENT", "NEVER", "News", "Outbox"]
+__all__ = ["MAX_SENT", "NEVER", "Outbox", "PendingNotice"]
 
 NEVER = float("-inf")
-"""A time before all others."""
-RESENT_S = 0.7
-"""How long news are told again, in seconds; three rounds, as rows of entries are.
+"""A time before all others; stands for an event that never happened."""
+RESEND_S = 0.7
+"""How long a new notice is resent, in seconds: three rounds, as for rows of entries.
 
-Greater: more bytes. Smaller: with two datagrams lost in a row an entry misses them.
+A longer time costs more bytes. With a shorter one an entry misses a notice if two
+datagrams in a row are lost.
 """
-MOST_SENT = 48
-"""Notices in one message at most: 912 bytes, which fit one packet.
+MAX_SENT = 48
+"""Greatest number of notices in one message: 912 bytes, which fit one packet.
 
-Greater: long datagrams are lost more often. Smaller: an event that ends many targets
-hides one request among its victims for longer.
+Longer datagrams are lost more often. With fewer notices, an event that crashes many
+targets delays the notices of a single request for longer.
 """
-MOST_KEPT = 1_024
-"""News kept: of a loss of a hundred targets with ten runs each."""
-TURN_ROUNDS = 5
-"""Rounds between two that tell again what is held back: a second."""
-TOLD_IN_TURN = 8
-"""Requests held back that are told again in one such round: 152 bytes."""
+MAX_PENDING = 1_024
+"""Pending notices kept: the crash of a hundred targets with ten runs each fits."""
+REFRESH_ROUNDS = 5
+"""Rounds between two that announce quarantined requests again: about a second."""
+HOLDS_PER_REFRESH = 8
+"""Quarantined requests that are announced again in one such round: 152 bytes."""
 
 
-class News(msgspec.Struct, frozen=True):
-    """What became known of a request."""
+class PendingNotice(msgspec.Struct, frozen=True):
+    """A notice before it is sent: it has the time of the event in place of its age."""
 
     kind: NoticeKind
     fingerprint: int
     at: float
-    """When it happened, monotonic time in seconds."""
+    """When the event happened, monotonic time in seconds."""
     target: int = 0
     span: int = 0
-    """As in a notice."""
+    """As in `Notice`."""
 
     def notice(self, now: float) -> Notice:
-        """Return it as it is told at a time."""
+        """Return the notice to send at a time."""
         age_ms = round((now - self.at) * 1000)
         return Notice(self.kind, self.fingerprint, age_ms, self.target, self.span)
 
 
 class Outbox:
-    """The news that an entry tells."""
+    """The notices that an entry sends."""
 
     def __init__(self) -> None:
-        """Create it without any."""
-        self._news: OrderedDict[tuple[int, int, int], tuple[float, News]] = (
-            OrderedDict()
-        )
-        """By what they are of: since when they are told, and the news."""
+        """Create an empty outbox."""
+        self._pending: OrderedDict[
+            tuple[int, int, int], tuple[float, PendingNotice]
+        ] = OrderedDict()
+        """By kind, fingerprint and crashed target: the notice and when it was added."""
         self._round = 0
 
-    def add(self, news: News, now: float) -> None:
-        """Tell news from now on, unless the same are being told."""
-        target = news.target if news.kind is NoticeKind.CRASH else 0
-        key = (news.kind, news.fingerprint, target)
-        since, before = self._news.get(key, (NEVER, news))
-        if now - since <= RESENT_S and before.at >= news.at:
+    def add(self, notice: PendingNotice, now: float) -> None:
+        """Add a notice, unless the same or a newer one is being sent."""
+        target = notice.target if notice.kind is NoticeKind.CRASH else 0
+        key = (notice.kind, notice.fingerprint, target)
+        added_at, previous = self._pending.get(key, (NEVER, notice))
+        if now - added_at <= RESEND_S and previous.at >= notice.at:
             return
-        self._news[key] = (now, news)
-        self._news.move_to_end(key)
-        if len(self._news) > MOST_KEPT:
-            self._news.popitem(last=False)
+        self._pending[key] = (now, notice)
+        self._pending.move_to_end(key)
+        if len(self._pending) > MAX_PENDING:
+            self._pending.popitem(last=False)
 
     def notices(
-        self, held: Sequence[News], book: CrashBook, now: float
+        self, held: Sequence[PendingNotice], crash_table: CrashTable, now: float
     ) -> list[Notice]:
-        """Return what to tell in a round.
+        """Return the notices to send in a round.
 
-        Of too many, releases and what is held back go first, then the requests that
-        were there when the most targets ended.
+        If there are too many, releases and quarantines precede crashes, and crashes of
+        requests with the most crashes come first.
 
         Args:
-          held: what is held back.
-          book: the ends of targets.
+          held: the notices of all quarantined requests.
+          crash_table: the known crashes.
           now: monotonic time in seconds.
         """
         self._round += 1
-        while self._news:
-            key, (since, _) = next(iter(self._news.items()))
-            if now - since <= RESENT_S:
+        while self._pending:
+            key, (added_at, _) = next(iter(self._pending.items()))
+            if now - added_at <= RESEND_S:
                 break
-            del self._news[key]
-        recent = [news for _, news in self._news.values()]
-        if len(recent) > MOST_SENT:
-            recent.sort(key=lambda n: _weight(n, book), reverse=True)
-        if self._round % TURN_ROUNDS == 0:
-            recent = [*self._in_turn(held), *recent]
-        return [news.notice(now) for news in recent[:MOST_SENT]]
-
-    def _in_turn(self, held: Sequence[News]) -> list[News]:
+            del self._pending[key]
+        recent = [notice for _, notice in self._pending.values()]
+        if len(recent) > MAX_SENT:
+            recent.sort(key=lambda n: _rank(n, crash_table), reverse=True)
+        if self._round % REFRESH_ROUNDS == 0:
+            recent = [*self._next_holds(held), *recent]
+        return [notice.notice(now) for notice in recent[:MAX_SENT]]
+
+    def _next_holds(self, held: Sequence[PendingNotice]) -> list[PendingNotice]:
         if not held:
             return []
-        start = self._round // TURN_ROUNDS * TOLD_IN_TURN % len(held)
-        return [*held[start:], *held[:start]][:TOLD_IN_TURN]
+        start = self._round // REFRESH_ROUNDS * HOLDS_PER_REFRESH % len(held)
+        return [*held[start:], *held[:start]][:HOLDS_PER_REFRESH]
 
 
-def _weight(news: News, book: CrashBook) -> tuple[int, int]:
-    """Return how much news matter: first by kind, then by the ends of their request.
+def _rank(notice: PendingNotice, crash_table: CrashTable) -> tuple[int, int]:
+    """Return the rank of a notice: its kind, then the crashes of its request.
 
-    Releases matter most: a harmless request is refused for as long as one is late.
+    Releases rank highest: a harmless request is refused until its release arrives.
     """
-    return news.kind, len(book.crashes(news.fingerprint))
+    return notice.kind, len(crash_table.crashes_of(notice.fingerprint))
--- a/leverdoor/quarantine/records.py
+++ b/leverdoor/quarantine/records.py
@@ -1,12 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What is held back as the store keeps it, so that it outlasts all entries.
+"""The store's records of quarantined requests, which outlive all entries.
 
-A record has no lease: one that ran out while the store is away would release the
-request. Its age is told by wall clocks, the only ones that outlast a process; a clock
-that is off by seconds shifts the end of a hold by as much. Any program may write to the
-store, so figures are brought into range here: what is taken must fit a notice. Owns no
-state.
+A record has no lease: a lease that expired while the store is unavailable would release
+the request. Its age is measured by wall clocks, the only ones that outlive a process; a
+clock that is off by seconds shifts the end of a hold by as much. Any program may write
+to the store, so this module clamps the values to what fits a notice. Owns no state.
 """
 
 from typing import Annotated
@@ -14,8 +13,8 @@
 import msgspec
 
 from leverdoor.codec import serialize_json
-from leverdoor.quarantine.crashes import MEMORY_S
-from leverdoor.quarantine.quarantine import HOLD_S, MOST_TRIES, TRY_AFTER_S, Hold
+from leverdoor.quarantine.crashes import CRASH_RETENTION_S
+from leverdoor.quarantine.quarantine import HOLD_S, MAX_TRIALS, TRIAL_DELAY_S, Hold
 
 __all__ = [
     "Record",
@@ -25,28 +24,28 @@
     "serialize_record",
 ]
 
-MOST_MS = (1 << 53) - 1
-"""Greatest time of a record, in milliseconds; the greatest whole number of JSON."""
+MAX_TIME_MS = (1 << 53) - 1
+"""Greatest time of a record, in ms: the greatest integer that is exact in JSON."""
 
 
 class Record(msgspec.Struct, frozen=True):
-    """One request that is held back; operators may read and remove it."""
+    """A quarantined request; operators may read and delete its record."""
 
-    held_at_ms: Annotated[int, msgspec.Meta(ge=0, le=MOST_MS)]
-    """Milliseconds since the epoch."""
+    held_at_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME_MS)]
+    """When the request was quarantined, in milliseconds since the epoch."""
     first_s: float
-    """From the first end that counts to when it was held back, in seconds."""
+    """Time from the first crash that counts to the quarantine, in seconds."""
     entry: str
-    """Which entry wrote it."""
+    """Name of the entry that wrote the record."""
     tries: int = 0
-    """How often it may still be tried, since it may be harmless."""
+    """The number of trials left for a request that may be harmless."""
 
 
 def parse_record(data: bytes) -> Record:
     """Parse a record.
 
     Raises:
-      msgspec.MsgspecError: it is not one.
+      msgspec.MsgspecError: the data is not a valid record.
     """
     return msgspec.json.decode(data, type=Record)
 
@@ -60,7 +59,7 @@
     """Return the record of a hold.
 
     Args:
-      hold: what is held back.
+      hold: the hold on a request.
       entry: this entry's name.
       now: monotonic time in seconds.
       wall_s: seconds since the epoch at that time.
@@ -72,16 +71,16 @@
 def hold_from_record(
     record: Record, fingerprint: int, now: float, wall_s: float
 ) -> Hold:
-    """Return the hold of a record; its figures are brought into range.
+    """Return the hold of a record, with its values clamped to their ranges.
 
     Args:
-      record: as the store has it.
-      fingerprint: the request's.
+      record: the record in the store.
+      fingerprint: fingerprint of the request.
       now: monotonic time in seconds.
       wall_s: seconds since the epoch at that time.
     """
     age_s = min(max(wall_s - record.held_at_ms / 1000, 0.0), HOLD_S)
     at = now - age_s
-    first = at - min(max(record.first_s, 0.0), MEMORY_S)
-    tries = min(max(record.tries, 0), MOST_TRIES)
-    return Hold(fingerprint, first, at, tries, at + TRY_AFTER_S)
+    first = at - min(max(record.first_s, 0.0), CRASH_RETENTION_S)
+    tries = min(max(record.tries, 0), MAX_TRIALS)
+    return Hold(fingerprint, first, at, tries, at + TRIAL_DELAY_S)
--- a/leverdoor/quarantine/refusal.py
+++ b/leverdoor/quarantine/refusal.py
@@ -1,34 +1,34 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The refusal of a request that is held back. Owns no state."""
+"""The refusal of a quarantined request. Owns no state."""
 
 from leverdoor.errors import Code, Refusal
 from leverdoor.quarantine.quarantine import Hold
 
 __all__ = ["quarantine_refusal"]
 
-LEAST_RETRY_AFTER_S = 1.0
-"""Least time after which a request that may run once more should come back, in seconds.
+MIN_RETRY_AFTER_S = 1.0
+"""Least retry time of a refused request, in seconds.
 
-Its try may be under way at another entry. Greater: a harmless one waits longer.
-Smaller: it comes back before the try has ended.
+A trial of the request may be running at another entry. With a greater value, a harmless
+request waits longer; with a smaller one, it is retried before the trial has ended.
 """
 
 
 def quarantine_refusal(hold: Hold, now: float) -> Refusal:
-    """Return the refusal of a request that is held back.
+    """Return the refusal of a quarantined request.
 
-    It may come back when the hold is over, or when it is tried once more, and not
-    before: no entry would run it.
+    Its retry time is the next trial, or the end of the hold if no trials are left. No
+    entry would run the request before.
 
     Args:
-      hold: how it is held back.
+      hold: the hold on the request.
       now: monotonic time in seconds.
     """
     until = hold.try_at if hold.tries else hold.until
-    left_s = max(until - now, LEAST_RETRY_AFTER_S)
+    left_s = max(until - now, MIN_RETRY_AFTER_S)
     detail = (
-        f"targets ended under it from {now - hold.first:.1f} s ago on; held back"
-        f" {now - hold.at:.1f} s ago, for {left_s:.1f} s more, {hold.tries} tries left"
+        f"request quarantined: targets crashed since {now - hold.first:.1f} s ago; held"
+        f" {now - hold.at:.1f} s ago, for {left_s:.1f} s more, {hold.tries} trials left"
     )
     return Refusal(Code.QUARANTINED, detail, retry_after_ms=round(left_s * 1000))
--- a/leverdoor/quarantine/trial_owner.py
+++ b/leverdoor/quarantine/trial_owner.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which process runs a request once more that is held back and may be harmless.
+"""Selects the process that runs the trials of a quarantined request.
 
-Owns no state; relies on all processes knowing the same others, as far as they are in
-touch. Two that differ both try it, which may cost a second target.
+A trial runs a request once more that may be harmless. Owns no state. Relies on all
+connected processes having the same view of the others. Two processes with different
+views may both run a trial, which may crash a second target.
 """
 
 from collections.abc import Iterable
@@ -14,19 +15,19 @@
 
 
 def is_trial_owner(own: str, others: Iterable[str], fingerprint: int) -> bool:
-    """Return whether a process tries a request for all.
+    """Return whether this process runs the trials of a request.
 
-    The first of all that are known by a hash of both, silent ones included: one that is
-    cut off leaves the request untried rather than having it tried twice.
+    Rendezvous hashing selects one of all known processes, including silent ones. If the
+    selected process is cut off, there is no trial, rather than two.
 
     Args:
       own: name of this process.
-      others: names of the others that are known.
-      fingerprint: the request's.
+      others: names of the other known processes.
+      fingerprint: fingerprint of the request.
     """
-    place = _place(own, fingerprint)
-    return all(place < _place(name, fingerprint) for name in others)
+    own_weight = _hash_weight(own, fingerprint)
+    return all(own_weight < _hash_weight(name, fingerprint) for name in others)
 
 
-def _place(name: str, fingerprint: int) -> int:
+def _hash_weight(name: str, fingerprint: int) -> int:
     return xxhash.xxh3_64_intdigest(name.encode(), seed=fingerprint)
--- a/leverdoor/quarantine/verdict.py
+++ b/leverdoor/quarantine/verdict.py
@@ -1,69 +1,74 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The rule by which a request counts as the cause that targets end.
+"""Decides whether a request counts as the cause of crashes.
 
-Two errors are weighed: a request that ends its targets and is sent on, and a harmless
-one that was there when targets ended and is turned away. The third end holds a request
-back that was there at the most, the fourth any; where it may be harmless, it is tried
-once more soon.
+The rule balances two errors: sending on a request that crashes its targets, and
+refusing a harmless request that was running when targets crashed. The third crash
+quarantines a request if the crashes are attributed to it, the fourth in any case. A
+request that may be harmless soon gets a trial run.
 
-Pure; owns no state. Relies on the ends in a `CrashBook`.
+Pure; owns no state. Relies on the crashes in a `CrashTable`.
 """
 
 from enum import IntEnum
 
-from leverdoor.quarantine.crashes import CrashBook, distinct, moments
+from leverdoor.quarantine.crashes import CrashTable, count_events, count_independent
 
-__all__ = ["ENOUGH", "Verdict", "judge_request"]
+__all__ = ["MIN_CRASHES", "Verdict", "judge_request"]
 
-ENOUGH = 3
-"""Ends, one after the other, after which a request is held back.
+MIN_CRASHES = 3
+"""Independent crashes attributed to a request after which it is quarantined.
 
-The operator's bound: after the third it may be sent three times more. Greater: more
-targets end. Smaller: harmless requests that were retried beside the cause are held
-back. Counting alone: see benchmarks/quarantine.py.
+The operator requires at most three more sends after the third crash. A greater value
+lets more targets crash; a smaller one quarantines harmless requests whose retries ran
+next to the cause. benchmarks/quarantine.py compares a rule that only counts crashes.
 """
-ENOUGH_BESIDE = 4
-"""The same where others were present at its ends more often.
+MIN_CRASHES_UNATTRIBUTED = 4
+"""Independent crashes after which a request is quarantined without attribution.
 
-One more, since the cause may be among those seen less often: with a region cut off 11
-sends too many without it. Greater: more targets end then. Smaller: 120 of 5,212
-harmless attempts refused where 11 are now.
+It is one more than `MIN_CRASHES` and applies if other requests at the crashes were seen
+more often, since the cause may be among those seen less often: without this rule, the
+cause was sent 11 times too often while a region was cut off. With a greater value, more
+targets crash; with a smaller one, 120 of 5,212 harmless attempts were refused in place
+of 11.
 """
-SURE_SHARE = 0.5
-"""Part of the moments with ends at which a request was present, to be sure of it.
+CERTAIN_SHARE = 0.5
+"""Least share of the crash events that must be a request's own for certainty.
 
-Of those from its first end to its last; targets that end at one moment count once. Most
-of what ended. Greater: two such requests at a time run once more each. Smaller:
-where targets keep ending by themselves, harmless requests stay held back.
+It refers to the events from the request's first crash to its last; targets that crash
+together count as one event. Half means that the request explains most crashes. With a
+greater share, two fatal requests at a time each get one more run. With a smaller one,
+harmless requests stay quarantined where targets keep crashing by themselves.
 """
 
 
 class Verdict(IntEnum):
-    """What the ends of targets say of a request."""
+    """What the crashes of targets indicate about a request."""
 
     HARMLESS = 0
-    """Nothing, or too little."""
+    """There is no evidence, or too little."""
     UNSURE = 1
-    """It may be the cause, and may have been there by chance."""
+    """The request may be the cause or may have been running by chance."""
     CAUSE = 2
-    """No other request and no other reason fits as well."""
+    """No other request and no other reason explains the crashes as well."""
 
 
-def judge_request(book: CrashBook, fingerprint: int) -> Verdict:
-    """Return what the ends of targets say of a request.
+def judge_request(crash_table: CrashTable, fingerprint: int) -> Verdict:
+    """Judge a request by the crashes of targets.
 
     Args:
-      book: the ends of targets that any entry saw.
-      fingerprint: the request's.
+      crash_table: the crashes that any entry saw.
+      fingerprint: fingerprint of the request.
     """
-    crashes = book.attributed(fingerprint)
-    if distinct(crashes, fingerprint) < ENOUGH:
-        # Requests that are sent on beside the cause can be at more ends than it.
-        hidden = book.count(fingerprint) >= ENOUGH_BESIDE
-        return Verdict.UNSURE if hidden else Verdict.HARMLESS
+    crashes = crash_table.attributed_crashes(fingerprint)
+    if count_independent(crashes, fingerprint) < MIN_CRASHES:
+        # Requests that are still sent may be running at more crashes than the cause.
+        unattributed = (
+            crash_table.independent_count(fingerprint) >= MIN_CRASHES_UNATTRIBUTED
+        )
+        return Verdict.UNSURE if unattributed else Verdict.HARMLESS
     rivals = set.intersection(*(set(c.runs) for c in crashes)) - {fingerprint}
     times = [c.at for c in crashes]
-    all_times = book.times(min(times), max(times))
-    most = moments(times) >= SURE_SHARE * moments(all_times)
-    return Verdict.UNSURE if rivals or not most else Verdict.CAUSE
+    all_times = crash_table.crash_times(min(times), max(times))
+    certain = count_events(times) >= CERTAIN_SHARE * count_events(all_times)
+    return Verdict.UNSURE if rivals or not certain else Verdict.CAUSE
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A request is known again by what targets get of it, and by nothing else."""
+"""The fingerprint of a request covers exactly what targets receive."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -18,13 +18,13 @@
 )
 
 
-def test_each_part_counts() -> None:
+def test_the_fingerprint_covers_each_part() -> None:
     found = {request_fingerprint(*one) for one in (REQUEST, *OTHERS)}
     assert len(found) == 1 + len(OTHERS)
     assert request_fingerprint(*REQUEST) == request_fingerprint(*REQUEST)
 
 
-def test_the_host_counts_in_any_case() -> None:
+def test_the_case_of_the_host_is_ignored() -> None:
     method, host, *rest = REQUEST
     assert request_fingerprint(method, host.upper(), *rest) == request_fingerprint(  # type: ignore[arg-type]
         *REQUEST
@@ -32,11 +32,13 @@
 
 
 @given(st.text(), st.binary(max_size=64), st.integers(-1, 1 << 40))
-def test_any_request_has_one_of_eight_bytes(path: str, body: bytes, size: int) -> None:
+def test_any_request_has_a_fingerprint_of_eight_bytes(
+    path: str, body: bytes, size: int
+) -> None:
     found = request_fingerprint("GET", "h", path, "", body, size)
     assert 0 < found < 1 << 64
     assert len(fingerprint_text(found)) == 16
 
 
-def test_none_has_no_text() -> None:
+def test_the_text_of_no_fingerprint_is_empty() -> None:
     assert fingerprint_text(0) == ""
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -214,7 +214,7 @@
         self._answers = answers
         self.grant_client = self._create_client(own, now)
         other = "a1-1" if own == "a1-0" else "a1-0"
-        self.limiter = self._create_limiter(other, now)
+        self.limiter_peer = self._create_limiter(other, now)
 
     def _create_selection(
         self, own: str, now: float
@@ -244,7 +244,7 @@
         self.sent.append((request, to))
         if self._answers:
             now = asyncio.get_running_loop().time()
-            self.grant_client.handle_answer(self.limiter.answer(request, now))
+            self.grant_client.handle_answer(self.limiter_peer.answer(request, now))
 
     def request(self) -> PlacementRequest:
         route = Route(
@@ -329,18 +329,22 @@
     now = asyncio.get_running_loop().time()
     key = target_id(TARGET.name)
     bad = RoomRequest("g/x", 1, key, per_s, 2, 0)
-    assert not exchange.limiter.answer(bad, now).granted
-    assert exchange.limiter.answer(RoomRequest("g/x", 2, key, 2.0, 2, 0), now).granted
+    assert not exchange.limiter_peer.answer(bad, now).granted
+    assert exchange.limiter_peer.answer(
+        RoomRequest("g/x", 2, key, 2.0, 2, 0), now
+    ).granted
 
 
 async def test_a_duplicate_request_takes_one_token() -> None:
     exchange = GrantExchange(client_name())
     now = asyncio.get_running_loop().time()
     request = RoomRequest("g/x", 1, target_id(TARGET.name), 2.0, 2, 0)
-    answers = [exchange.limiter.answer(request, now) for _ in range(9)]
+    answers = [exchange.limiter_peer.answer(request, now) for _ in range(9)]
     assert all(a.granted for a in answers)
     others = [
-        exchange.limiter.answer(RoomRequest("g/x", n, request.target, 2.0, 2, 0), now)
+        exchange.limiter_peer.answer(
+            RoomRequest("g/x", n, request.target, 2.0, 2, 0), now
+        )
         for n in range(2, 11)
     ]
     assert sum(a.granted for a in others) == 4
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Notices of requests that end targets: what is written is read, and any bytes."""
+"""Encoding of quarantine notices: round trip, and parsing of arbitrary bytes."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -24,10 +24,12 @@
 
 
 @given(st.lists(notices, max_size=5), st.binary(max_size=18))
-def test_notices_are_read_as_written(some: list[Notice], cut: bytes) -> None:
-    assert parse_notices(serialize_notices(some) + cut) == some
+def test_notices_round_trip_and_truncated_ones_are_ignored(
+    some: list[Notice], truncated: bytes
+) -> None:
+    assert parse_notices(serialize_notices(some) + truncated) == some
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_read(data: bytes) -> None:
+def test_arbitrary_bytes_are_parsed_without_an_error(data: bytes) -> None:
     Quarantine().receive(parse_notices(data), 1000.0)
--- a/tests/test_quarantine_records.py
+++ b/tests/test_quarantine_records.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What is held back stands in the store, and what happens there holds at entries."""
+"""The records of quarantined requests in the store, and their effect on entries."""
 
 import os
 import time
@@ -20,9 +20,9 @@
 from leverdoor.quarantine.notices import serialize_notices
 from leverdoor.quarantine.quarantine import (
     HOLD_S,
-    JUDGE_AFTER_S,
-    MOST_TRIES,
-    TRY_AFTER_S,
+    JUDGMENT_DELAY_S,
+    MAX_TRIALS,
+    TRIAL_DELAY_S,
     Hold,
     Quarantine,
 )
@@ -33,17 +33,17 @@
     serialize_record,
 )
 from leverdoor.quarantine.refusal import quarantine_refusal
-from leverdoor.quarantine.verdict import ENOUGH
+from leverdoor.quarantine.verdict import MIN_CRASHES
 from leverdoor.storage.store import KeyValue, LeasingStore, Write
 
-CAUSE = 0xCA05E
-KEY = wire({}).held_key(fingerprint_text(CAUSE))
+FATAL_REQUEST = 0xCA05E
+KEY = wire({}).held_key(fingerprint_text(FATAL_REQUEST))
 WALL_S = 1.7e9
 HOUR_S = 3_600.0
 
 
 class Entry:
-    """One entry's quarantine with its records; the store is a plain dict."""
+    """The quarantine of one entry with its records; a dict stands in for the store."""
 
     def __init__(self, store: dict[str, KeyValue], now: float = 1000.0) -> None:
         self.now = now
@@ -60,7 +60,7 @@
         self.records.take(records, self.now)
 
     def write(self, wall_s: float) -> list[Write]:
-        """Write what is due, as the store does."""
+        """Apply the due writes to the store and read it back."""
         writes = self.records.due(self.now, wall_s)
         for w in writes:
             held = self.store.get(w.key)
@@ -73,20 +73,20 @@
         self.read()
         return writes
 
-    def hold(self, beside: int = 0) -> None:
-        """Let targets end under the cause, and judge."""
-        for i in range(ENOUGH):
+    def hold(self, concurrent: int = 0) -> None:
+        """Let targets crash while they run the fatal request, and judge it."""
+        for i in range(MIN_CRASHES):
             self.now += 1.0
-            for fingerprint in {CAUSE, beside or CAUSE}:
+            for fingerprint in {FATAL_REQUEST, concurrent or FATAL_REQUEST}:
                 run = LostRun(fingerprint, self.now - 0.1, self.now)
                 self.quarantine.record_crash(i, run, self.now)
-        self.now += 1.1 * JUDGE_AFTER_S
+        self.now += 1.1 * JUDGMENT_DELAY_S
         self.quarantine.judge(self.now)
         assert self.held()
 
     def held(self) -> bool:
         self.quarantine.judge(self.now)
-        return self.quarantine.hold(CAUSE, self.now) is not None
+        return self.quarantine.hold(FATAL_REQUEST, self.now) is not None
 
 
 @pytest.fixture(autouse=True)
@@ -94,7 +94,7 @@
     monkeypatch.setattr(time, "time", lambda: WALL_S)
 
 
-def test_a_record_is_written_once_and_tells_an_entry_that_starts() -> None:
+def test_a_record_is_written_once_and_restored_by_an_entry_that_starts() -> None:
     one = Entry({})
     one.hold()
     assert [w.key for w in one.write(WALL_S)] == [KEY]
@@ -104,7 +104,7 @@
     assert two.held()
 
 
-def test_a_record_that_is_removed_releases_its_request() -> None:
+def test_deleting_a_record_releases_its_request() -> None:
     one = Entry({})
     one.hold()
     one.write(WALL_S)
@@ -114,16 +114,16 @@
     assert one.write(WALL_S) == []
 
 
-def test_a_run_that_ends_well_removes_the_record() -> None:
+def test_a_completed_run_removes_the_record() -> None:
     one = Entry({})
     one.hold()
     one.write(WALL_S)
     one.now += 1.0
-    one.quarantine.answered(CAUSE, one.now)
+    one.quarantine.answered(FATAL_REQUEST, one.now)
     assert [w.value for w in one.write(WALL_S)] == [None]
 
 
-def test_a_record_that_is_over_is_removed() -> None:
+def test_an_expired_record_is_removed() -> None:
     one = Entry({})
     one.hold()
     one.write(WALL_S)
@@ -135,7 +135,7 @@
 
 
 def test_a_clock_that_is_ahead_removes_no_record() -> None:
-    """It would release the request at all entries."""
+    """Removing the record would release the request at all entries."""
     one = Entry({})
     one.hold()
     one.write(WALL_S)
@@ -145,7 +145,7 @@
     assert KEY in one.store
 
 
-def test_what_is_held_back_once_more_gets_a_new_record() -> None:
+def test_a_second_quarantine_writes_a_new_record() -> None:
     one = Entry({})
     one.hold()
     one.write(WALL_S)
@@ -156,51 +156,53 @@
     assert one.held()
 
 
-def test_a_record_says_how_many_tries_are_left() -> None:
-    """An entry that starts must not try it as if nobody had."""
+def test_a_record_has_the_number_of_trials_left() -> None:
+    """An entry that starts must not repeat the trials of other entries."""
     one = Entry({})
-    one.hold(beside=CAUSE + 1)
+    one.hold(concurrent=FATAL_REQUEST + 1)
     one.write(WALL_S)
-    one.now += TRY_AFTER_S
-    hold = one.quarantine.hold(CAUSE, one.now)
-    assert hold is not None and hold.tries == MOST_TRIES
+    one.now += TRIAL_DELAY_S
+    hold = one.quarantine.hold(FATAL_REQUEST, one.now)
+    assert hold is not None and hold.tries == MAX_TRIALS
     assert one.quarantine.start_trial(hold, one.now)
     one.write(WALL_S)
-    assert parse_record(one.store[KEY].value).tries == MOST_TRIES - 1
+    assert parse_record(one.store[KEY].value).tries == MAX_TRIALS - 1
     assert one.held()
 
 
-def test_records_that_cannot_be_read_do_no_harm() -> None:
+def test_unreadable_records_are_ignored() -> None:
     bad = {"x/zz": KeyValue("x/zz", b"{}", 1), "x/12": KeyValue("x/12", b"[", 1)}
     one = Entry(bad)
     one.read()
     assert one.write(WALL_S) == []
 
 
-def test_the_age_of_a_record_is_told_by_wall_clocks_within_bounds() -> None:
-    hold = Hold(CAUSE, 990.0, 1000.0)
+def test_the_age_of_a_record_is_clamped_against_wrong_wall_clocks() -> None:
+    hold = Hold(FATAL_REQUEST, 990.0, 1000.0)
     record = record_from_hold(hold, "n1", 1010.0, WALL_S)
     assert parse_record(serialize_record(record)) == record
     for wall_s, at in ((WALL_S, 1010.0), (WALL_S - HOUR_S, 1020.0)):
-        found = hold_from_record(record, CAUSE, 1020.0, wall_s)
+        found = hold_from_record(record, FATAL_REQUEST, 1020.0, wall_s)
         assert found.at == pytest.approx(at, abs=0.01)
         assert found.at - found.first == pytest.approx(10.0, abs=0.01)
-    assert hold_from_record(record, CAUSE, 5000.0, WALL_S + HOUR_S).until == 5000.0
+    assert (
+        hold_from_record(record, FATAL_REQUEST, 5000.0, WALL_S + HOUR_S).until == 5000.0
+    )
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
-    sure = quarantine_refusal(Hold(CAUSE, 990.0, 1000.0), 1100.0)
+def test_a_refusal_has_the_time_of_the_next_attempt() -> None:
+    sure = quarantine_refusal(Hold(FATAL_REQUEST, 990.0, 1000.0), 1100.0)
     assert sure.code is Code.QUARANTINED
     assert sure.retry_after_ms == round((HOLD_S - 100.0) * 1000)
-    unsure = quarantine_refusal(Hold(CAUSE, 990.0, 1000.0, 1, 1005.0), 1002.0)
+    unsure = quarantine_refusal(Hold(FATAL_REQUEST, 990.0, 1000.0, 1, 1005.0), 1002.0)
     assert unsure.retry_after_ms == 3_000
     assert quarantine_refusal(
-        Hold(CAUSE, 990.0, 1000.0, 1, 1005.0), 1004.9
+        Hold(FATAL_REQUEST, 990.0, 1000.0, 1, 1005.0), 1004.9
     ).retry_after_ms == (1_000)
 
 
-def take_and_tell(text: str, value: bytes) -> Entry:
-    """Have an entry read a record that another program wrote, and tell the others."""
+def read_record_and_send_notices(text: str, value: bytes) -> Entry:
+    """Let an entry read a record of another program and send its notices."""
     one = Entry({})
     one.records.take({text: KeyValue(KEY, value, 1)}, one.now)
     one.records.due(one.now, WALL_S)
@@ -209,33 +211,39 @@
     return one
 
 
-GOOD = b'{"held_at_ms":1700000000000,"first_s":2.0,"entry":"n1","tries":1}'
+VALID_RECORD = b'{"held_at_ms":1700000000000,"first_s":2.0,"entry":"n1","tries":1}'
 
 
 @pytest.mark.parametrize(
     ("text", "value"),
     [
-        ("f" * 20, GOOD),
-        ("-1", GOOD),
-        (fingerprint_text(CAUSE), GOOD.replace(b'"tries":1', b'"tries":-1')),
+        ("f" * 20, VALID_RECORD),
+        ("-1", VALID_RECORD),
         (
-            fingerprint_text(CAUSE),
-            GOOD.replace(b'"tries":1', b'"tries":%d' % (1 << 40)),
+            fingerprint_text(FATAL_REQUEST),
+            VALID_RECORD.replace(b'"tries":1', b'"tries":-1'),
+        ),
+        (
+            fingerprint_text(FATAL_REQUEST),
+            VALID_RECORD.replace(b'"tries":1', b'"tries":%d' % (1 << 40)),
+        ),
+        (fingerprint_text(FATAL_REQUEST), VALID_RECORD.replace(b"2.0", b"1e308")),
+        (
+            fingerprint_text(FATAL_REQUEST),
+            VALID_RECORD.replace(b"1700000000000", b"9" * 400),
         ),
-        (fingerprint_text(CAUSE), GOOD.replace(b"2.0", b"1e308")),
-        (fingerprint_text(CAUSE), GOOD.replace(b"1700000000000", b"9" * 400)),
     ],
 )
 def test_a_record_out_of_range_does_not_silence_an_entry(
     text: str, value: bytes
 ) -> None:
-    """Found by reading: one such record would have ended the round of every entry.
+    """Guards against a record that stops the heartbeats of all entries.
 
-    A record that is JSON of the right types was taken as it was; the next round could
-    not pack its fingerprint, tries or span into a notice and raised, so that no entry
-    sent heartbeats while the record stood.
+    A record of the right JSON types was accepted without a check of its ranges. The
+    next round could not pack its fingerprint, tries or span into a notice and raised,
+    so that no entry sent heartbeats while the record was in the store.
     """
-    take_and_tell(text, value)
+    read_record_and_send_notices(text, value)
 
 
 @given(
@@ -248,5 +256,5 @@
         st.integers(),
     ).map(str.encode),
 )
-def test_any_record_is_read_or_left_out(text: str, value: bytes) -> None:
-    take_and_tell(text, value)
+def test_any_record_is_read_or_ignored(text: str, value: bytes) -> None:
+    read_record_and_send_notices(text, value)
--- a/tests/test_quarantine_site.py
+++ b/tests/test_quarantine_site.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Both errors of holding requests back, over whole sites on a fake clock.
+"""Both errors of the quarantine, for emulated sites on a fake clock.
 
-Sends of a fatal request beyond the operator's bound, and harmless requests that are
-turned away; benchmarks/quarantine.py plays more entries and prints figures.
+The errors are sends of a fatal request beyond the operator's bound and refusals of
+harmless requests. benchmarks/quarantine.py emulates more entries and prints figures.
 """
 
 import pytest
@@ -11,8 +11,8 @@
 from emulated_quarantine import play_quarantine
 from quarantine_plan import QuarantinePlan
 
-MOST_MORE = 3
-"""Sends of a fatal request later than 4 s after the third target ended under it."""
+MAX_LATE_SENDS = 3
+"""Sends allowed later than 4 s after a fatal request crashed its third target."""
 
 
 @pytest.mark.parametrize(
@@ -29,17 +29,17 @@
     ],
     ids=str,
 )
-def test_a_fatal_request_is_sent_on_three_times_at_most(plan: QuarantinePlan) -> None:
-    """Without anything held back it is sent 58 times more, at 12 entries."""
-    assert play_quarantine(plan).most_sent_late <= MOST_MORE
+def test_a_fatal_request_is_sent_at_most_three_more_times(plan: QuarantinePlan) -> None:
+    """Without the quarantine it is sent 58 more times with 12 entries."""
+    assert play_quarantine(plan).most_sent_late <= MAX_LATE_SENDS
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("entries", [12, 65])
-def test_an_event_that_ends_many_targets_turns_nobody_away(
+def test_an_event_that_crashes_many_targets_refuses_no_request(
     entries: int, seed: int
 ) -> None:
-    """As a failure domain that loses power, with all that its targets ran."""
+    """A failure domain loses power, which ends all runs of its targets."""
     plan = QuarantinePlan(entries, fatal=0, loss=0.05, at_once=0.4, seed=seed)
     found = play_quarantine(plan)
     assert found.harmless_lost > 0
