--- a/leverdoor/quarantine/crashes.py
+++ b/leverdoor/quarantine/crashes.py
@@ -21,8 +21,8 @@
     "Crash",
     "CrashTable",
     "LostRun",
-    "count_independent",
     "count_events",
+    "count_independent",
     "count_sequential",
 ]
 
--- a/leverdoor/quarantine/quarantine.py
+++ b/leverdoor/quarantine/quarantine.py
@@ -57,10 +57,10 @@
 
 By then all entries have quarantined the cause, so it crashes no target during a trial.
 With a greater value, harmless requests are refused for longer; with a smaller one, the
-trial runs into the same trouble.
+trial runs during the same incident.
 """
 TRIAL_BACKOFF_X = 5.0
-"""Factor on that delay until the next trial, so that brief trouble is over by then."""
+"""Factor on that delay until the next trial: an incident of seconds is over by then."""
 MAX_TRIALS = 2
 """Trials of one request.
 
--- a/leverdoor/quarantine/refusal.py
+++ b/leverdoor/quarantine/refusal.py
@@ -8,7 +8,7 @@
 __all__ = ["quarantine_refusal"]
 
 MIN_RETRY_AFTER_S = 1.0
-"""Least retry time of a refused request, in seconds.
+"""Least retry-after time of a refused request, in seconds.
 
 A trial of the request may be running at another entry. With a greater value, a harmless
 request waits longer; with a smaller one, it is retried before the trial has ended.
@@ -18,8 +18,8 @@
 def quarantine_refusal(hold: Hold, now: float) -> Refusal:
     """Return the refusal of a quarantined request.
 
-    Its retry time is the next trial, or the end of the hold if no trials are left. No
-    entry would run the request before.
+    Its retry-after time ends with the next trial, or with the hold if no trials are
+    left. No entry would run the request before.
 
     Args:
       hold: the hold on the request.
@@ -28,7 +28,7 @@
     until = hold.try_at if hold.tries else hold.until
     left_s = max(until - now, MIN_RETRY_AFTER_S)
     detail = (
-        f"request quarantined: targets crashed since {now - hold.first:.1f} s ago; held"
-        f" {now - hold.at:.1f} s ago, for {left_s:.1f} s more, {hold.tries} trials left"
+        f"targets that ran it crashed, first {now - hold.first:.1f} s ago; quarantined"
+        f" {now - hold.at:.1f} s ago, for {left_s:.1f} s more, {hold.tries} tries left"
     )
     return Refusal(Code.QUARANTINED, detail, retry_after_ms=round(left_s * 1000))
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -36,7 +36,7 @@
     return sum(r.path == FATAL for t in site.targets.values() for r in t.runs)
 
 
-async def send_until_quarantined(site: EntrySite) -> None:
+async def send_until_enough_crashes(site: EntrySite) -> None:
     entries = list(site.entries.values())
     turn = 0
     while count_crashes(site) < MIN_CRASHES:
@@ -61,7 +61,7 @@
     The quarantine survives a restart of all entries.
     """
     site.crash_paths.add(FATAL)
-    await send_until_quarantined(site)
+    await send_until_enough_crashes(site)
     await asyncio.sleep(QUARANTINED_AFTER_S)
     before = count_crashes(site)
     refused = await send_to_all(site, FATAL)
