--- a/leverdoor/limits/encoding.py
+++ b/leverdoor/limits/encoding.py
@@ -45,9 +45,9 @@
       data: rows that another entry serialized.
       now: monotonic time in seconds, to which the ages refer.
     """
-    whole = len(data) - len(data) % ROW.size
+    complete_size = len(data) - len(data) % ROW.size
     return [
         AdvertisedLimit(target, None if per_s < 0.0 else per_s, now - age_ms / 1000)
-        for target, per_s, age_ms in ROW.iter_unpack(data[:whole])
+        for target, per_s, age_ms in ROW.iter_unpack(data[:complete_size])
         if math.isfinite(per_s)
     ]
--- a/leverdoor/quarantine/crash_checker.py
+++ b/leverdoor/quarantine/crash_checker.py
@@ -5,8 +5,8 @@
 A target that closes a connection without a response may have crashed, with all its
 runs, or may be healthy. Only a new connection to the target tells these cases apart.
 
-Owns the checks in progress and the lost runs that wait for them; lost with the process.
-Relies on its caller to open the connection and to log the result.
+Owns the checks in progress and the runs whose outcome depends on them. Both are lost
+with the process. Relies on its caller to open the connection and to log the result.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 OpenConnection: TypeAlias = Callable[[Target], Awaitable[TargetCheckResult]]
-"""Opens a new connection to a target."""
+"""Opens a new connection to a target. If it raises, the runs get no result."""
 HandleResult: TypeAlias = Callable[
     [Target, TargetCheckResult, list[LostRun], float], None
 ]
--- a/leverdoor/quarantine/crashes.py
+++ b/leverdoor/quarantine/crashes.py
@@ -29,37 +29,39 @@
 CRASH_RETENTION_S = 600.0
 """How long a crash counts as evidence, in seconds.
 
-It covers a request that comes once in some minutes. A longer time takes more memory; a
-shorter one lets a rare request go on crashing targets.
+It is long enough to count the crashes of a request that is sent every few minutes. A
+longer time takes more memory; with a shorter one a rare request keeps crashing targets.
 """
 SAME_CRASH_S = 1.0
-"""Time within which two reports of a target refer to the same crash, in seconds.
+"""Time within which two reports about a target refer to one crash, in seconds.
 
 Reports of one crash arrive up to 0.6 s apart, and a restart of the target takes longer.
 A greater value overlooks a second crash; a smaller one counts a crash twice.
 """
 MAX_CRASHES = 256
-"""Crashes kept; with `MAX_RUNS` runs each they take 4.0 MB (tracemalloc).
+"""Greatest number of crashes kept; with `MAX_RUNS` runs each they take 4.0 MB.
 
-A large site of 750 targets that loses a third of them at once fits. If there are more,
-the crash with the least evidence is dropped (`CrashTable._drop_one`).
+This is enough for a third of the 750 targets of a large site. Beyond it, the crash with
+the least evidence is dropped (`CrashTable._drop_weakest`).
 """
 MAX_RUNS = 48
 """Runs kept for each crash: five times the slots of a usual target."""
 MIN_DISJOINT_SHARE = 0.5
-"""Share of the shorter of two runs that must not overlap the other for both to count.
+"""Least share of the shorter of two runs that lies outside the other run.
 
-Overlapping runs may have ended by one cause, such as a power loss. The share is below 1
-since times from other entries are off by some milliseconds. With a greater share,
-sequential runs count once; with a smaller one, runs that ended together count twice.
+With less, the two runs count as one: overlapping runs may have ended by one cause, such
+as a power loss. The share is below 1 since times from other entries are off by some
+milliseconds. With a greater share, sequential runs count once; with a smaller one, runs
+that ended together count twice.
 """
 
 EVENT_WINDOW_S = 0.06
 """Time within which crashes count as one event, in seconds.
 
-The one-way delay between regions is up to 0.055 s, so reports of one event differ by as
-much. With a greater value, sequential crashes pass for one event: a fatal request
-crashed targets 0.06 to 0.1 s apart. With a smaller one, one event counts several times.
+An event is one cause that crashes several targets at once. The one-way delay between
+regions is up to 0.055 s, so reports of one event differ by as much. A greater value
+merges the crashes of a fatal request, which may be 0.06 to 0.1 s apart; with a smaller
+one, one event counts several times.
 """
 
 
@@ -78,8 +80,8 @@
 
     target: int
     """Hash of the target's name."""
-    at: float
-    """When the first report saw it, monotonic time in seconds."""
+    ended_at: float
+    """End of the run in the first report that arrived, monotonic time in seconds."""
     runs: dict[int, LostRun]
     """By fingerprint."""
 
@@ -96,10 +98,9 @@
 
 
 def count_sequential(runs: Iterable[LostRun]) -> int:
-    """Return how many of the runs were sequential.
+    """Return the greatest number of runs that hardly overlap each other.
 
-    This is the greatest number of runs of which no two overlap by more than
-    `MIN_DISJOINT_SHARE` allows.
+    `MIN_DISJOINT_SHARE` is the overlap from which on two runs count as one.
     """
     count = 0
     last: LostRun | None = None
@@ -113,12 +114,12 @@
 def count_independent(crashes: Sequence[Crash], fingerprint: int) -> int:
     """Return how many crashes of a request cannot have come from one event.
 
-    Crashes are independent if they belong to different events or if the runs of the
-    request were sequential. Overlapping attempts crash targets in different events; the
-    attempts of one entry are sequential.
+    The number is the greater one of two counts. Events count the attempts of several
+    entries, which may overlap. Sequential runs count the attempts of one entry that
+    follow each other within one event.
     """
     runs = count_sequential(c.runs[fingerprint] for c in crashes)
-    return max(runs, count_events(c.at for c in crashes))
+    return max(runs, count_events(c.ended_at for c in crashes))
 
 
 def _are_sequential(before: LostRun, after: LostRun) -> bool:
@@ -128,7 +129,7 @@
 
 
 class CrashTable:
-    """The crashes of targets that any entry saw."""
+    """The crashes that this entry saw or other entries reported."""
 
     def __init__(self) -> None:
         """Create an empty table."""
@@ -143,11 +144,11 @@
         return len(self._crashes)
 
     def add(self, target: int, run: LostRun) -> bool:
-        """Record a run that ended with its target; return whether it is new."""
+        """Record a run that a crash ended; return whether the run is new."""
         crash = self._find(target, run.ended)
         if crash is None:
             if len(self._crashes) >= MAX_CRASHES:
-                self._drop_one()
+                self._drop_weakest()
             crash = Crash(target, run.ended, {})
             self._crashes.append(crash)
         if run.fingerprint in crash.runs or len(crash.runs) >= MAX_RUNS:
@@ -160,7 +161,7 @@
     def _find(self, target: int, ended: float) -> Crash | None:
         """Return the known crash that a report refers to."""
         for crash in reversed(self._crashes):
-            if crash.target == target and abs(crash.at - ended) <= SAME_CRASH_S:
+            if crash.target == target and abs(crash.ended_at - ended) <= SAME_CRASH_S:
                 return crash
         return None
 
@@ -189,22 +190,22 @@
         """Return the crashes of a request at which no request with a greater count ran.
 
         Counts are of independent crashes, so crashes close together are weak evidence.
-        Of two requests with the same count, the one that was running at all crashes of
-        the other and at more gets them: it explains the other's crashes, but the other
-        does not explain its.
+        If the crashes of request A are a proper subset of those of request B and their
+        counts are equal, A's crashes are attributed to B, since only B was running at
+        all of them.
         """
         own_count = self.independent_count(fingerprint)
         crashes = self.crashes_of(fingerprint)
         if any(
             self.independent_count(other) == own_count
-            and self._explains(other, crashes)
+            and self._ran_at_all_and_more(other, crashes)
             for other in self.concurrent_requests(fingerprint)
         ):
             return []
-        return [c for c in crashes if self._evidence(c) <= own_count]
+        return [c for c in crashes if self._max_independent_count(c) <= own_count]
 
-    def _explains(self, other: int, crashes: Sequence[Crash]) -> bool:
-        """Return whether a request was running at all the crashes and at others too."""
+    def _ran_at_all_and_more(self, other: int, crashes: Sequence[Crash]) -> bool:
+        """Return whether a request was running at all the crashes and at more."""
         other_crashes = self._by_fingerprint[other]
         if len(other_crashes) <= len(crashes):
             return False
@@ -212,7 +213,7 @@
 
     def crash_times(self, first: float, last: float) -> list[float]:
         """Return the times of all crashes from `first` to `last`."""
-        return [c.at for c in self._crashes if first <= c.at <= last]
+        return [c.ended_at for c in self._crashes if first <= c.ended_at <= last]
 
     def discard_runs(self, fingerprint: int, until: float) -> bool:
         """Drop a request's runs that ended by a time; return whether there were any."""
@@ -224,23 +225,23 @@
 
     def forget(self, now: float) -> None:
         """Drop the crashes that are too old to count."""
-        for crash in [c for c in self._crashes if now - c.at > CRASH_RETENTION_S]:
+        for crash in [c for c in self._crashes if now - c.ended_at > CRASH_RETENTION_S]:
             self._drop(crash)
 
-    def _drop_one(self) -> None:
+    def _drop_weakest(self) -> None:
         """Drop the oldest of the crashes with the least evidence.
 
-        The requests of such a crash were running at no other crash. An event that
-        crashes many targets at once thus does not displace the evidence against one
-        request.
+        Usually the requests of such a crash were running at no other crash. An event
+        that crashes many targets at once thus does not displace the evidence against
+        one request.
         """
-        self._drop(min(self._crashes, key=self._evidence))
+        self._drop(min(self._crashes, key=self._max_independent_count))
 
-    def _evidence(self, crash: Crash) -> int:
-        """Return the greatest count of independent crashes of a crash's requests.
+    def _max_independent_count(self, crash: Crash) -> int:
+        """Return the greatest `independent_count` among the requests of a crash.
 
-        The number of all crashes would not do: a popular request runs on all targets
-        that one event crashes.
+        Counting all crashes would rank a popular request too high, since it runs on all
+        targets that one event crashes.
         """
         return max((self.independent_count(f) for f in crash.runs), default=0)
 
--- a/leverdoor/quarantine/fingerprint.py
+++ b/leverdoor/quarantine/fingerprint.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Identifies repetitions of a request by a hash of what targets receive.
+"""Identifies repetitions of a request by a hash of its content.
 
 A request id identifies one attempt of a client, so a repeated request has a new one.
-The fingerprint covers what stays: method, host, path, caller and body. It leaves out
-the affinity key, since harmless requests share it and a client may change it.
+The fingerprint covers method, host, path, caller, body and length. It leaves out the
+affinity key, since harmless requests share it and a client may change it.
 
 Owns no state.
 """
@@ -24,7 +24,7 @@
 def request_fingerprint(
     method: str, host: str, path: str, caller: str, body: bytes, length: int
 ) -> int:
-    """Return the fingerprint of a request, which is never 0.
+    """Return the fingerprint of a request; 0 stands for no fingerprint elsewhere.
 
     Args:
       method: the HTTP method.
@@ -34,19 +34,19 @@
       body: the whole body if it is short, otherwise its beginning.
       length: length of the whole body in bytes; -1 if it is unknown.
     """
-    head = "\n".join((method, host.lower(), path, caller, str(length)))
-    digest = blake2b(body, digest_size=FINGERPRINT_BYTES, key=_head_key(head))
+    fields = "\n".join((method, host.lower(), path, caller, str(length)))
+    digest = blake2b(body, digest_size=FINGERPRINT_BYTES, key=_body_hash_key(fields))
     return int.from_bytes(digest.digest(), "big") or 1
 
 
-def _head_key(head: str) -> bytes:
-    """Hash the head into a key for the body's hash.
+def _body_hash_key(fields: str) -> bytes:
+    """Return the key of the body's hash, which is a hash of the other fields.
 
-    Keying keeps the head separate from the body, so bytes cannot move between them.
+    With the key, moving bytes between the fields and the body changes the fingerprint.
     """
-    return blake2b(head.encode("utf-8", "surrogateescape"), digest_size=32).digest()
+    return blake2b(fields.encode("utf-8", "surrogateescape"), digest_size=32).digest()
 
 
 def fingerprint_text(fingerprint: int) -> str:
-    """Return a fingerprint as hexadecimal text for logs and the store; "" for 0."""
+    """Return a fingerprint as hexadecimal text; "" for 0, which is no fingerprint."""
     return f"{fingerprint:016x}" if fingerprint else ""
--- a/leverdoor/quarantine/notices.py
+++ b/leverdoor/quarantine/notices.py
@@ -25,7 +25,7 @@
 MAX_AGE_MS = (1 << 32) - 1
 """Greatest age that a notice can hold, in ms."""
 MAX_SPAN = (1 << 16) - 1
-"""Greatest span that a notice can hold."""
+"""Greatest span in a row, in the unit of the kind of notice."""
 
 
 HELD_SPAN_UNIT_S = 0.01
@@ -36,7 +36,10 @@
 
 
 class NoticeKind(IntEnum):
-    """The event of a request that a notice reports."""
+    """What a notice reports about a request.
+
+    The values are sent to other entries and rank notices: a greater one is sent first.
+    """
 
     CRASH = 0
     """A target crashed while it ran the request."""
@@ -47,7 +50,7 @@
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """A notice about one request."""
+    """A crash, quarantine or release of one request, as sent to other entries."""
 
     kind: NoticeKind
     fingerprint: int
@@ -76,9 +79,11 @@
 
 def parse_notices(data: bytes) -> list[Notice]:
     """Parse notices; a truncated one or one of an unknown kind is left out."""
-    whole = len(data) - len(data) % ROW.size
+    complete_size = len(data) - len(data) % ROW.size
     return [
         Notice(NoticeKind(kind), fingerprint, age_ms, target, span)
-        for kind, fingerprint, target, age_ms, span in ROW.iter_unpack(data[:whole])
+        for kind, fingerprint, target, age_ms, span in ROW.iter_unpack(
+            data[:complete_size]
+        )
         if kind in NoticeKind.__members__.values()
     ]
--- a/leverdoor/quarantine/outbox.py
+++ b/leverdoor/quarantine/outbox.py
@@ -2,9 +2,9 @@
 # SPDX-License-Identifier: Apache-2.0
 """Selects the quarantine notices that an entry sends to the others in each round.
 
-A new notice is sent for some rounds, since datagrams are lost, and each entry that it
-is new to forwards it. Quarantined requests are announced again in turn, so that entries
-that were cut off learn of them.
+A new notice is sent for some rounds, since datagrams are lost. An entry that receives a
+notice for the first time forwards it. Quarantined requests are announced again in turn,
+so that entries that were cut off learn of them.
 
 Owns the pending notices and the round number, which are lost with the process. Relies
 on the caller for the time.
@@ -23,7 +23,7 @@
 NEVER = float("-inf")
 """A time before all others; stands for an event that never happened."""
 RESEND_S = 0.7
-"""How long a new notice is resent, in seconds: three rounds, as for rows of entries.
+"""How long a new notice is resent, in seconds: three rounds.
 
 A longer time costs more bytes. With a shorter one an entry misses a notice if two
 datagrams in a row are lost.
@@ -35,11 +35,11 @@
 targets delays the notices of a single request for longer.
 """
 MAX_PENDING = 1_024
-"""Pending notices kept: the crash of a hundred targets with ten runs each fits."""
+"""Greatest number of pending notices: 100 crashed targets with ten runs each."""
 REFRESH_ROUNDS = 5
-"""Rounds between two that announce quarantined requests again: about a second."""
+"""Number of rounds after which holds are announced again: about a second."""
 HOLDS_PER_REFRESH = 8
-"""Quarantined requests that are announced again in one such round: 152 bytes."""
+"""Greatest number of holds that are announced again in one round: 152 bytes."""
 
 
 class PendingNotice(msgspec.Struct, frozen=True):
@@ -50,6 +50,7 @@
     at: float
     """When the event happened, monotonic time in seconds."""
     target: int = 0
+    """As in `Notice`."""
     span: int = 0
     """As in `Notice`."""
 
@@ -83,12 +84,12 @@
             self._pending.popitem(last=False)
 
     def notices(
-        self, held: Sequence[PendingNotice], crash_table: CrashTable, now: float
+        self, hold_notices: Sequence[PendingNotice], crash_table: CrashTable, now: float
     ) -> list[Notice]:
         """Return the notices to send in a round.
 
-        If there are too many, releases and quarantines precede crashes, and crashes of
-        requests with the most crashes come first.
+        If there are more than `MAX_SENT`, releases are sent first, then holds, then
+        crash notices by descending number of crashes of their request.
 
         Args:
           held: the notices of all quarantined requests.
@@ -105,14 +106,14 @@
         if len(recent) > MAX_SENT:
             recent.sort(key=lambda n: _rank(n, crash_table), reverse=True)
         if self._round % REFRESH_ROUNDS == 0:
-            recent = [*self._next_holds(held), *recent]
+            recent = [*self._next_holds(hold_notices), *recent]
         return [notice.notice(now) for notice in recent[:MAX_SENT]]
 
-    def _next_holds(self, held: Sequence[PendingNotice]) -> list[PendingNotice]:
-        if not held:
+    def _next_holds(self, hold_notices: Sequence[PendingNotice]) -> list[PendingNotice]:
+        if not hold_notices:
             return []
-        start = self._round // REFRESH_ROUNDS * HOLDS_PER_REFRESH % len(held)
-        return [*held[start:], *held[:start]][:HOLDS_PER_REFRESH]
+        start = self._round // REFRESH_ROUNDS * HOLDS_PER_REFRESH % len(hold_notices)
+        return [*hold_notices[start:], *hold_notices[:start]][:HOLDS_PER_REFRESH]
 
 
 def _rank(notice: PendingNotice, crash_table: CrashTable) -> tuple[int, int]:
--- a/leverdoor/quarantine/quarantine.py
+++ b/leverdoor/quarantine/quarantine.py
@@ -6,7 +6,8 @@
 (`CrashTable`). Each judges requests by the same rule (verdict.py) and announces its
 quarantined requests, so that all entries refuse them. A completed run exonerates a
 request: all entries discard the earlier evidence against it. A request that may be
-harmless soon gets a trial run, which one entry runs on behalf of all.
+harmless soon gets a trial run, which one entry runs on behalf of all. A hold is the
+record of one quarantined request; logs and notices call such a request "held".
 
 Owns the quarantined requests and those that were released or completed lately. All of
 it is lost with the process, but the quarantined requests are also kept in the store
@@ -41,32 +42,34 @@
 """How long a request stays quarantined, in seconds.
 
 This is the time to fix or replace the software of the targets. With a greater value, a
-harmless request that was quarantined by mistake waits longer; with a smaller one, three
-more targets crash each time that a hold ends.
+harmless request that was quarantined by mistake waits longer. A request that is still
+fatal crashes `MIN_CRASHES` more targets each time its hold expires, so with a smaller
+value more targets crash.
 """
 JUDGMENT_DELAY_S = 0.6
 """Time to wait for the reports of other entries after the newest crash, in seconds.
 
-Reports arrive within 0.57 s (p99 within a region, 195 entries, 5% of datagrams lost,
-benchmarks/knowledge.py). With a greater value, more targets crash meanwhile; with a
-smaller one, a request that was running by chance is judged before the reports show that
-another one was running at each crash.
+Reports arrive within 0.57 s at p99 in a region of 195 entries that loses 5% of its
+datagrams (benchmarks/knowledge.py). With a greater value, more targets crash meanwhile.
+With a smaller one, a harmless request is judged before all reports of the cause have
+arrived. `_release_applies` uses the same time as a tolerance.
 """
 TRIAL_DELAY_S = 2.0
 """Time until the first trial of a request that may be harmless, in seconds.
 
-By then all entries have quarantined the cause, so it crashes no target during a trial.
-With a greater value, harmless requests are refused for longer; with a smaller one, the
-trial runs during the same incident.
+By then all entries have quarantined the request that caused the crashes, so it cannot
+crash the target during the trial. With a greater value, harmless requests are refused
+for longer; with a smaller one, the trial runs during the same incident.
 """
-TRIAL_BACKOFF_X = 5.0
-"""Factor on that delay until the next trial: an incident of seconds is over by then."""
+TRIAL_BACKOFF_FACTOR = 5.0
+"""Factor on `TRIAL_DELAY_S` for later trials; incidents of some seconds end by then."""
 MAX_TRIALS = 2
 """Trials of one request.
 
-The operator allows three sends later than 4 s after the third crash, which leaves one
-for an entry that was cut off. With a greater value none is left; with a smaller one, a
-harmless request whose only trial hits an unrelated crash stays quarantined.
+The operator allows three sends later than 4 s after the third crash. The trials use two
+of them, and one remains for an entry that was cut off. With a greater value none
+remains; with a smaller one, a harmless request whose only trial hits an unrelated crash
+stays quarantined.
 """
 MAX_HOLDS = 256
 """Greatest number of quarantined requests; the oldest hold is dropped first.
@@ -77,12 +80,12 @@
 MAX_COMPLETED = 4_096
 """Completed requests kept; they take 0.6 MB.
 
-They cover some minutes at 16 requests per second and entry. A greater value takes more
+They cover four minutes at 16 requests per second and entry. A greater value takes more
 memory; with a smaller one, a late report counts against a request that completed
 meanwhile.
 """
 MAX_RELEASED = 1_024
-"""Releases by other entries or the store that are kept; see `MAX_COMPLETED`."""
+"""Greatest number of releases kept, for the same reason as `MAX_COMPLETED`."""
 
 Source: TypeAlias = Literal["crashes", "peer", "store", "answer"]
 """What quarantined a request (crashes, another entry, the store) or released it (an
@@ -90,22 +93,25 @@
 
 
 class Hold(msgspec.Struct, frozen=True):
-    """The hold on a quarantined request; monotonic times in seconds."""
+    """The record of a quarantined request; monotonic times in seconds."""
 
     fingerprint: int
-    first: float
+    first_crash_at: float
     """When the first crash happened that counts against the request."""
-    at: float
+    quarantined_at: float
     """When the request was quarantined."""
     tries: int = 0
-    """The number of trials left; a request that is certainly the cause gets none."""
-    try_at: float = 0.0
+    """The number of trials left, under the name that records and logs use.
+
+    A request that is certainly the cause gets none.
+    """
+    next_trial_at: float = 0.0
     """When the next trial may run."""
 
     @property
     def until(self) -> float:
         """When the hold ends."""
-        return self.at + HOLD_S
+        return self.quarantined_at + HOLD_S
 
 
 class QuarantineChange(msgspec.Struct, frozen=True):
@@ -115,21 +121,22 @@
     fingerprint: int
     source: Source
     ends: int
-    """Crashes known to this entry at which the request was running."""
+    """Crashes known here at which the request was running, under its log field."""
     tries: int = 0
     """The number of trials left if the request is quarantined."""
 
 
 class Quarantine:
-    """The quarantine of one entry."""
+    """The requests that one entry refuses because they crash targets."""
 
     def __init__(self) -> None:
         """Create an empty quarantine."""
         self._crash_table = CrashTable()
         self._holds: dict[int, Hold] = {}
         self._completed: OrderedDict[int, float] = OrderedDict()
+        """By fingerprint, when a target last completed the request."""
         self._released_until: OrderedDict[int, float] = OrderedDict()
-        """By fingerprint, until when evidence against the request is discarded."""
+        """By fingerprint, up to which time evidence against it is discarded."""
         self._suspects: dict[int, float] = {}
         """Requests to judge, by fingerprint, with the end of their newest lost run."""
         self._outbox = Outbox()
@@ -139,11 +146,11 @@
 
     @property
     def holds(self) -> Mapping[int, Hold]:
-        """The holds on the quarantined requests, by fingerprint."""
+        """The holds by fingerprint, with those that expired since the last `judge`."""
         return self._holds
 
     def hold(self, fingerprint: int, now: float) -> Hold | None:
-        """Return the hold on a request; None if the request may run."""
+        """Return the hold on a request that has not expired; None if there is none."""
         found = self._holds.get(fingerprint)
         return found if found is not None and now < found.until else None
 
@@ -153,7 +160,7 @@
         Only the owner of the request's trials may call this, so that a trial crashes at
         most one target.
         """
-        if not hold.tries or now < hold.try_at:
+        if not hold.tries or now < hold.next_trial_at:
             return False
         self._holds[hold.fingerprint] = _after_trial(hold, now)
         return True
@@ -165,7 +172,7 @@
 
     def answered(self, fingerprint: int, now: float) -> None:
         """Record that a target completed a request, which shows that it is harmless."""
-        _store_time(self._completed, fingerprint, now, MAX_COMPLETED)
+        _remember_time(self._completed, fingerprint, now, MAX_COMPLETED)
         if self._has_evidence(fingerprint):
             self._release(fingerprint, now, "answer", now)
 
@@ -175,21 +182,24 @@
     def record_crash(self, target: int, run: LostRun, now: float) -> None:
         """Record that a target crashed while it ran a request.
 
+        If the evidence of that time has been discarded, the release is announced again.
+
         Args:
           target: hash of the target's name.
           run: the run that the crash ended.
           now: when this entry learned of it.
         """
-        if run.ended <= self._discarded_until(run.fingerprint):
+        if run.ended <= self._evidence_discarded_to(run.fingerprint):
             self._announce_release(run.fingerprint, now)
             return
         if now - run.ended > CRASH_RETENTION_S or not self._crash_table.add(
             target, run
         ):
             return
-        self._add_suspect(run.fingerprint)
+        self._add_suspect_if_repeated(run.fingerprint)
         hold = self._holds.get(run.fingerprint)
-        if hold is not None and hold.tries and run.began >= hold.try_at:
+        if hold is not None and hold.tries and run.began >= hold.next_trial_at:
+            # The run was the trial of another entry, so it counts as one here too.
             self._holds[run.fingerprint] = _after_trial(hold, now)
         run_ms = round((run.ended - run.began) * 1000)
         kind = NoticeKind.CRASH
@@ -197,19 +207,19 @@
             PendingNotice(kind, run.fingerprint, run.ended, target, run_ms), now
         )
 
-    def _add_suspect(self, fingerprint: int) -> None:
-        """Mark a request with several crashes to be judged.
+    def _add_suspect_if_repeated(self, fingerprint: int) -> None:
+        """Mark a request to be judged if it has at least `MIN_CRASHES` crashes.
 
-        This also happens when another request of the same crashes proves harmless,
-        since the evidence against that one then counts against this one.
+        `_release` also calls this for the concurrent requests: once a request proves
+        harmless, its crashes are attributed to the others.
         """
         crashes = self._crash_table.crashes_of(fingerprint)
         if len(crashes) >= MIN_CRASHES:
             newest = max(c.runs[fingerprint].ended for c in crashes)
             self._suspects[fingerprint] = newest
 
-    def _discarded_until(self, fingerprint: int) -> float:
-        """Return until when evidence against a request is discarded."""
+    def _evidence_discarded_to(self, fingerprint: int) -> float:
+        """Return up to which time evidence against a request is discarded."""
         answered = self._completed.get(fingerprint, NEVER)
         return max(answered, self._released_until.get(fingerprint, NEVER))
 
@@ -233,13 +243,17 @@
         if verdict is Verdict.HARMLESS or fingerprint in self._holds:
             return
         crashes = self._crash_table.crashes_of(fingerprint)
-        first = min(c.runs[fingerprint].ended for c in crashes)
+        first_crash_at = min(c.runs[fingerprint].ended for c in crashes)
         tries = MAX_TRIALS if verdict is Verdict.UNSURE else 0
-        hold = Hold(fingerprint, first, now, tries, now + TRIAL_DELAY_S)
-        self._hold(hold, "crashes", now)
+        hold = Hold(fingerprint, first_crash_at, now, tries, now + TRIAL_DELAY_S)
+        self._quarantine_request(hold, "crashes", now)
 
-    def _hold(self, hold: Hold, source: Source, now: float) -> None:
-        """Quarantine a request unless it already is or the evidence is discarded."""
+    def _quarantine_request(self, hold: Hold, source: Source, now: float) -> None:
+        """Quarantine a request.
+
+        Nothing happens if it is quarantined already, if the hold has expired, or if its
+        evidence has been discarded.
+        """
         fingerprint = hold.fingerprint
         if fingerprint in self._holds or now >= hold.until:
             return
@@ -247,7 +261,9 @@
             self._announce_release(fingerprint, now)
             return
         if len(self._holds) >= MAX_HOLDS:
-            del self._holds[min(self._holds, key=lambda f: self._holds[f].at)]
+            del self._holds[
+                min(self._holds, key=lambda f: self._holds[f].quarantined_at)
+            ]
         self._holds[fingerprint] = hold
         self._suspects.pop(fingerprint, None)
         self._record_change("held", fingerprint, source)
@@ -256,24 +272,24 @@
     def _release(
         self, fingerprint: int, until: float, source: Source, now: float
     ) -> None:
-        """Discard the evidence against a request until a time, and end its hold."""
+        """Discard the evidence against a request up to a time, and end its hold."""
         if until <= self._released_until.get(fingerprint, NEVER):
             return
-        _store_time(self._released_until, fingerprint, until, MAX_RELEASED)
+        _remember_time(self._released_until, fingerprint, until, MAX_RELEASED)
         concurrent = self._crash_table.concurrent_requests(fingerprint)
         self._crash_table.discard_runs(fingerprint, until)
         if len(self._crash_table.crashes_of(fingerprint)) < MIN_CRASHES:
             self._suspects.pop(fingerprint, None)
         for other in concurrent:
-            self._add_suspect(other)
+            self._add_suspect_if_repeated(other)
         hold = self._holds.get(fingerprint)
-        if hold is not None and hold.first <= until:
+        if hold is not None and hold.first_crash_at <= until:
             del self._holds[fingerprint]
             self._record_change("released", fingerprint, source)
         self._announce_release(fingerprint, now)
 
     def _announce_release(self, fingerprint: int, now: float) -> None:
-        until = self._discarded_until(fingerprint)
+        until = self._evidence_discarded_to(fingerprint)
         self._outbox.add(PendingNotice(NoticeKind.RELEASED, fingerprint, until), now)
 
     def _record_change(
@@ -305,14 +321,19 @@
                 run = LostRun(notice.fingerprint, at - notice.span / 1000, at)
                 self.record_crash(notice.target, run, now)
             elif notice.kind is NoticeKind.HELD:
-                self._hold(_announced_hold(notice, at), "peer", now)
-            elif self._is_newer(notice.fingerprint, at):
+                self._quarantine_request(_announced_hold(notice, at), "peer", now)
+            elif self._release_applies(notice.fingerprint, at):
+                # The notice is of kind `RELEASED`.
                 self._release(notice.fingerprint, at, "peer", now)
 
-    def _is_newer(self, fingerprint: int, at: float) -> bool:
-        """Return whether a release is new; ages of repeated notices differ slightly."""
+    def _release_applies(self, fingerprint: int, at: float) -> bool:
+        """Return whether a release ends a hold or is newer than the known release.
+
+        The ages in repeated notices of one release differ slightly, so a release counts
+        as newer only if it is newer by more than `JUDGMENT_DELAY_S`.
+        """
         hold = self._holds.get(fingerprint)
-        if hold is not None and hold.first <= at:
+        if hold is not None and hold.first_crash_at <= at:
             return True
         return at > self._released_until.get(fingerprint, NEVER) + JUDGMENT_DELAY_S
 
@@ -320,7 +341,7 @@
 
     def add_stored(self, hold: Hold, now: float) -> None:
         """Quarantine a request that has a record in the store."""
-        self._hold(hold, "store", now)
+        self._quarantine_request(hold, "store", now)
 
     def release_removed(self, fingerprint: int, now: float) -> None:
         """Release a request whose record was deleted from the store."""
@@ -329,13 +350,13 @@
 
     def is_exonerated(self, hold: Hold) -> bool:
         """Return whether the evidence for a hold has been discarded."""
-        return hold.first <= self._discarded_until(hold.fingerprint)
+        return hold.first_crash_at <= self._evidence_discarded_to(hold.fingerprint)
 
 
-def _store_time(
+def _remember_time(
     times: OrderedDict[int, float], fingerprint: int, at: float, max_size: int
 ) -> None:
-    """Store a time of a request; drop the one stored first if there are too many."""
+    """Remember a time of a request; drop the oldest one if there are too many."""
     times[fingerprint] = at
     times.move_to_end(fingerprint)
     if len(times) > max_size:
@@ -344,19 +365,26 @@
 
 def _after_trial(hold: Hold, now: float) -> Hold:
     """Return a hold after one more trial."""
-    try_at = now + TRIAL_BACKOFF_X * TRIAL_DELAY_S
-    return msgspec.structs.replace(hold, tries=hold.tries - 1, try_at=try_at)
+    next_trial_at = now + TRIAL_BACKOFF_FACTOR * TRIAL_DELAY_S
+    return msgspec.structs.replace(
+        hold, tries=hold.tries - 1, next_trial_at=next_trial_at
+    )
 
 
 def _hold_notice(hold: Hold) -> PendingNotice:
-    """Return the notice of a hold, with its trials left in the field for the target."""
-    span = math.floor((hold.at - hold.first) / HELD_SPAN_UNIT_S)
+    """Return the notice of a hold; `target` carries the number of trials left."""
+    span = math.floor((hold.quarantined_at - hold.first_crash_at) / HELD_SPAN_UNIT_S)
     kind = NoticeKind.HELD
-    return PendingNotice(kind, hold.fingerprint, hold.at, target=hold.tries, span=span)
+    return PendingNotice(
+        kind, hold.fingerprint, hold.quarantined_at, target=hold.tries, span=span
+    )
 
 
 def _announced_hold(notice: Notice, at: float) -> Hold:
-    """Return the hold that a notice announces; `at` is when it began."""
-    first = at - notice.span * HELD_SPAN_UNIT_S
+    """Return the hold that a notice announces; `at` is when it began.
+
+    The delay of the next trial starts again from there.
+    """
+    first_crash_at = at - notice.span * HELD_SPAN_UNIT_S
     tries = min(notice.target, MAX_TRIALS)
-    return Hold(notice.fingerprint, first, at, tries, at + TRIAL_DELAY_S)
+    return Hold(notice.fingerprint, first_crash_at, at, tries, at + TRIAL_DELAY_S)
--- a/leverdoor/quarantine/records.py
+++ b/leverdoor/quarantine/records.py
@@ -1,11 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The store's records of quarantined requests, which outlive all entries.
+"""Records of quarantined requests in the store, where they survive all entries.
 
 A record has no lease: a lease that expired while the store is unavailable would release
-the request. Its age is measured by wall clocks, the only ones that outlive a process; a
-clock that is off by seconds shifts the end of a hold by as much. Any program may write
-to the store, so this module clamps the values to what fits a notice. Owns no state.
+the request. Its age is measured by wall clocks, since monotonic clocks end with a
+process; a clock that is off by seconds shifts the end of a hold by as much. Any program
+may write to the store, so this module clamps the values to the ranges of a notice. Owns
+no state.
 """
 
 from typing import Annotated
@@ -29,7 +30,7 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """A quarantined request; operators may read and delete its record."""
+    """The stored record of a hold; operators may read and delete it."""
 
     held_at_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME_MS)]
     """When the request was quarantined, in milliseconds since the epoch."""
@@ -64,8 +65,13 @@
       now: monotonic time in seconds.
       wall_s: seconds since the epoch at that time.
     """
-    held_at_ms = round((wall_s - (now - hold.at)) * 1000)
-    return Record(held_at_ms, round(hold.at - hold.first, 3), entry, hold.tries)
+    held_at_ms = round((wall_s - (now - hold.quarantined_at)) * 1000)
+    return Record(
+        held_at_ms,
+        round(hold.quarantined_at - hold.first_crash_at, 3),
+        entry,
+        hold.tries,
+    )
 
 
 def hold_from_record(
@@ -73,6 +79,8 @@
 ) -> Hold:
     """Return the hold of a record, with its values clamped to their ranges.
 
+    The age is clamped to at least 0 and at most `HOLD_S`.
+
     Args:
       record: the record in the store.
       fingerprint: fingerprint of the request.
@@ -80,7 +88,13 @@
       wall_s: seconds since the epoch at that time.
     """
     age_s = min(max(wall_s - record.held_at_ms / 1000, 0.0), HOLD_S)
-    at = now - age_s
-    first = at - min(max(record.first_s, 0.0), CRASH_RETENTION_S)
+    quarantined_at = now - age_s
+    first_crash_at = quarantined_at - min(max(record.first_s, 0.0), CRASH_RETENTION_S)
     tries = min(max(record.tries, 0), MAX_TRIALS)
-    return Hold(fingerprint, first, at, tries, at + TRIAL_DELAY_S)
+    return Hold(
+        fingerprint,
+        first_crash_at,
+        quarantined_at,
+        tries,
+        quarantined_at + TRIAL_DELAY_S,
+    )
--- a/leverdoor/quarantine/trial_owner.py
+++ b/leverdoor/quarantine/trial_owner.py
@@ -2,9 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Selects the process that runs the trials of a quarantined request.
 
-A trial runs a request once more that may be harmless. Owns no state. Relies on all
-connected processes having the same view of the others. Two processes with different
-views may both run a trial, which may crash a second target.
+A trial is one more run of a quarantined request that may be harmless. The processes are
+entries or gates. Owns no state. Relies on all connected processes having the same view
+of the others. Two processes with different views may both run a trial, which may crash
+a second target.
 """
 
 from collections.abc import Iterable
@@ -17,8 +18,9 @@
 def is_trial_owner(own: str, others: Iterable[str], fingerprint: int) -> bool:
     """Return whether this process runs the trials of a request.
 
-    Rendezvous hashing selects one of all known processes, including silent ones. If the
-    selected process is cut off, there is no trial, rather than two.
+    Rendezvous hashing selects one of all known processes. Silent processes take part,
+    so that the two sides of a partition do not both run a trial; if the selected
+    process is cut off, there is none.
 
     Args:
       own: name of this process.
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The fingerprint of a request covers exactly what targets receive."""
+"""The fingerprint covers method, host, path, caller, body and length."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/test_quarantine_records.py
+++ b/tests/test_quarantine_records.py
@@ -60,7 +60,7 @@
         self.records.take(records, self.now)
 
     def write(self, wall_s: float) -> list[Write]:
-        """Apply the due writes to the store and read it back."""
+        """Apply the due writes to the store, and let the entry read the store again."""
         writes = self.records.due(self.now, wall_s)
         for w in writes:
             held = self.store.get(w.key)
@@ -73,8 +73,12 @@
         self.read()
         return writes
 
-    def hold(self, concurrent: int = 0) -> None:
-        """Let targets crash while they run the fatal request, and judge it."""
+    def quarantine_by_crashes(self, concurrent: int = 0) -> None:
+        """Let targets crash until the fatal request is quarantined.
+
+        Args:
+          concurrent: another request that ran at the crashes; 0 for none.
+        """
         for i in range(MIN_CRASHES):
             self.now += 1.0
             for fingerprint in {FATAL_REQUEST, concurrent or FATAL_REQUEST}:
@@ -96,7 +100,7 @@
 
 def test_a_record_is_written_once_and_restored_by_an_entry_that_starts() -> None:
     one = Entry({})
-    one.hold()
+    one.quarantine_by_crashes()
     assert [w.key for w in one.write(WALL_S)] == [KEY]
     assert one.write(WALL_S) == []
     two = Entry(one.store)
@@ -106,7 +110,7 @@
 
 def test_deleting_a_record_releases_its_request() -> None:
     one = Entry({})
-    one.hold()
+    one.quarantine_by_crashes()
     one.write(WALL_S)
     one.store.clear()
     one.read()
@@ -116,7 +120,7 @@
 
 def test_a_completed_run_removes_the_record() -> None:
     one = Entry({})
-    one.hold()
+    one.quarantine_by_crashes()
     one.write(WALL_S)
     one.now += 1.0
     one.quarantine.answered(FATAL_REQUEST, one.now)
@@ -125,7 +129,7 @@
 
 def test_an_expired_record_is_removed() -> None:
     one = Entry({})
-    one.hold()
+    one.quarantine_by_crashes()
     one.write(WALL_S)
     one.now += HOLD_S + REMOVED_AFTER_S
     assert not one.held()
@@ -137,7 +141,7 @@
 def test_a_clock_that_is_ahead_removes_no_record() -> None:
     """Removing the record would release the request at all entries."""
     one = Entry({})
-    one.hold()
+    one.quarantine_by_crashes()
     one.write(WALL_S)
     ahead = Entry(one.store)
     ahead.read()
@@ -147,11 +151,11 @@
 
 def test_a_second_quarantine_writes_a_new_record() -> None:
     one = Entry({})
-    one.hold()
+    one.quarantine_by_crashes()
     one.write(WALL_S)
     one.now += HOLD_S + 1.0
     assert not one.held()
-    one.hold()
+    one.quarantine_by_crashes()
     assert [w.value is None for w in one.write(WALL_S + HOLD_S)] == [False]
     assert one.held()
 
@@ -159,7 +163,7 @@
 def test_a_record_has_the_number_of_trials_left() -> None:
     """An entry that starts must not repeat the trials of other entries."""
     one = Entry({})
-    one.hold(concurrent=FATAL_REQUEST + 1)
+    one.quarantine_by_crashes(concurrent=FATAL_REQUEST + 1)
     one.write(WALL_S)
     one.now += TRIAL_DELAY_S
     hold = one.quarantine.hold(FATAL_REQUEST, one.now)
@@ -183,14 +187,16 @@
     assert parse_record(serialize_record(record)) == record
     for wall_s, at in ((WALL_S, 1010.0), (WALL_S - HOUR_S, 1020.0)):
         found = hold_from_record(record, FATAL_REQUEST, 1020.0, wall_s)
-        assert found.at == pytest.approx(at, abs=0.01)
-        assert found.at - found.first == pytest.approx(10.0, abs=0.01)
+        assert found.quarantined_at == pytest.approx(at, abs=0.01)
+        assert found.quarantined_at - found.first_crash_at == pytest.approx(
+            10.0, abs=0.01
+        )
     assert (
         hold_from_record(record, FATAL_REQUEST, 5000.0, WALL_S + HOUR_S).until == 5000.0
     )
 
 
-def test_a_refusal_has_the_time_of_the_next_attempt() -> None:
+def test_a_refusal_has_the_time_to_the_next_trial_or_the_end_of_the_hold() -> None:
     sure = quarantine_refusal(Hold(FATAL_REQUEST, 990.0, 1000.0), 1100.0)
     assert sure.code is Code.QUARANTINED
     assert sure.retry_after_ms == round((HOLD_S - 100.0) * 1000)
@@ -234,7 +240,7 @@
         ),
     ],
 )
-def test_a_record_out_of_range_does_not_silence_an_entry(
+def test_a_record_out_of_range_does_not_stop_heartbeats(
     text: str, value: bytes
 ) -> None:
     """Guards against a record that stops the heartbeats of all entries.
