--- a/leverdoor/entry/limits/limit_collector.py
+++ b/leverdoor/entry/limits/limit_collector.py
@@ -3,9 +3,9 @@
 """Collects the limits that targets advertise in responses, and logs their changes.
 
 Owns the limits that this entry received itself, which it sends to the other entries,
-and the unreadable texts that were already logged. Both are lost with the process.
-Relies on the wire format for the header, and on `limits.advertised` for the limit in
-force.
+and the unreadable header values that were already logged. Both are lost with the
+process. Relies on the wire format for the header, and on `limits.advertised` for the
+limit in force.
 """
 
 from collections.abc import Collection, Iterable
@@ -60,27 +60,27 @@
         except UnreadableLimit as e:
             self._log_unreadable(target, str(e))
             return
-        limit = AdvertisedLimit(target_id(target.name), per_s, now)
-        self._log_change(self._table.take(limit), "answer")
-        if self._table.latest(limit.target) is limit:
-            self._received_here[limit.target] = limit
+        advertisement = AdvertisedLimit(target_id(target.name), per_s, now)
+        self._log_change(self._table.take(advertisement), "answer")
+        if self._table.latest(advertisement.target) is advertisement:
+            self._received_here[advertisement.target] = advertisement
 
     def received_here(self) -> list[AdvertisedLimit]:
         """Return the limits that this entry received itself, for the other entries."""
         return list(self._received_here.values())
 
-    def receive_from_peers(self, limits: Iterable[AdvertisedLimit]) -> None:
+    def receive_from_peers(self, advertisements: Iterable[AdvertisedLimit]) -> None:
         """Record the limits that other entries received from targets."""
-        for limit in limits:
-            self._log_change(self._table.take(limit), "peer")
+        for advertisement in advertisements:
+            self._log_change(self._table.take(advertisement), "peer")
 
     def forget(self, now: float) -> None:
-        """Drop limits past their retention, and report how many targets are limited."""
+        """Drop limits past their retention, and set the gauge of limited targets."""
         self._table.forget(now)
         self._received_here = {
-            target: limit
-            for target, limit in self._received_here.items()
-            if now - limit.at <= RETENTION_S
+            target: advertisement
+            for target, advertisement in self._received_here.items()
+            if now - advertisement.at <= RETENTION_S
         }
         self._metrics.limited_targets.set(len(self._table.targets_with_limit()))
 
@@ -92,6 +92,7 @@
     def _log_change(self, change: LimitChange | None, source: str) -> None:
         if change is None:
             return
-        limit = change.latest
-        name = self._names.get(limit.target, f"{limit.target:08x}")
-        self._events.target_limit(name, change.change, limit.per_s, source)
+        # A target that is unknown here is logged by its id.
+        advertisement = change.advertisement
+        name = self._names.get(advertisement.target, f"{advertisement.target:08x}")
+        self._events.target_limit(name, change.change, advertisement.per_s, source)
--- a/leverdoor/entry/limits/limiter.py
+++ b/leverdoor/entry/limits/limiter.py
@@ -28,10 +28,10 @@
 
 __all__ = ["Limiter"]
 
-NOT_LIMITER = GrantDecision(granted=False, wait_s=0.1, retry_after_s=0.5)
-"""The answer of an entry that is not the limiter of the target.
+NOT_LIMITER_DECISION = GrantDecision(granted=False, wait_s=0.1, retry_after_s=0.5)
+"""The decision of an entry that is not the limiter of the target.
 
-The sender may know the right limiter after the wait.
+After the wait, the requesting entry may know the right limiter.
 """
 MAX_ANSWERS = 4_096
 """Answers kept to detect duplicate requests."""
@@ -52,7 +52,7 @@
         Args:
           fleet: the limits of targets.
           selection: the share of a target's limit that this entry may grant.
-          pauses: for how long this entry has run without a pause.
+          pauses: measures how long this entry has run without a pause.
           find_target: returns the target with a `target_id`; None if there is none.
         """
         self._fleet = fleet
@@ -71,9 +71,9 @@
           now: monotonic time in seconds.
         """
         key = (request.sender, request.number)
-        known = self._answers.get(key)
-        if known is not None:
-            return known
+        known_answer = self._answers.get(key)
+        if known_answer is not None:
+            return known_answer
         decision = self._decide_request(request, now)
         answer = RoomAnswer(
             request.number,
@@ -89,7 +89,7 @@
     def _decide_request(self, request: RoomRequest, now: float) -> GrantDecision:
         target = self._find_target(request.target)
         if target is None or not 0.0 <= request.per_s < math.inf:
-            return NOT_LIMITER
+            return NOT_LIMITER_DECISION
         return self.decide(target, request.per_s, request.priority, request.missed, now)
 
     def decide(
@@ -99,20 +99,20 @@
 
         Args:
           target: the target.
-          per_s: the target's limit as the sender knows it, in requests per second. The
-            smaller of this and the limit known here applies, since either entry may
-            have missed a change.
+          per_s: the target's limit as the requesting entry knows it, in requests per
+            second. The smaller of this and the limit known here applies, since either
+            entry may have missed a change.
           priority: priority of the request; smaller is more urgent.
-          suppressed: requests of that priority for which the sender sent no grant
-            request since its last one.
+          suppressed: requests of that priority that the requesting entry refused by
+            itself since its previous grant request.
           now: monotonic time in seconds.
         """
         share = self._selection.own_share(target, now)
         if not share:
-            return NOT_LIMITER
+            return NOT_LIMITER_DECISION
         key = target_id(target.name)
-        known = self._fleet.room_per_s(target, now)
-        per_s = per_s if known is None else min(per_s, known)
+        own_per_s = self._fleet.room_per_s(target, now)
+        per_s = per_s if own_per_s is None else min(per_s, own_per_s)
         bucket = self._buckets.get(key)
         if bucket is None:
             bucket = PriorityTokenBucket(
--- a/leverdoor/entry/limits/limiter_client.py
+++ b/leverdoor/entry/limits/limiter_client.py
@@ -2,15 +2,16 @@
 # SPDX-License-Identifier: Apache-2.0
 """Requests a grant from the limiter of a target before a request is sent to the target.
 
+Grants bound the rate of requests to targets with a limit and to targets that warm up.
 The client sends the grant request as one datagram and repeats it if the answer times
-out. The timeouts add up to a fraction of the time that a look-up has. A missing answer
-counts as a refusal, so an entry that is cut off from the limiter sends nothing. Late
-answers are ignored.
+out. The timeouts add up to at most 0.3 s, a fraction of the time limit of a look-up. A
+missing answer counts as a refusal, so an entry that is cut off from the limiter sends
+nothing. Late answers are ignored.
 
 Owns the pending grant requests, which are lost with the process. Relies on
 `LimiterSelection` for the limiter of a target, on `Limiter` where this entry is the
-limiter, and on the refusals noted in the target's state, which keep other requests from
-asking again too early.
+limiter, and on the state of targets: it records a refusal there, and until the wait of
+the refusal has passed no grant is requested at that priority.
 """
 
 import asyncio
@@ -111,6 +112,7 @@
     ) -> GrantDecision:
         limiter = self._selection.limiter(target, now)
         if limiter is None:
+            # No entry serves, which counts like a missing answer.
             return self._count_outcome(UNANSWERED_DECISION, "unanswered")
         if limiter.name == self._selection.own.name:
             decision = self._limiter.decide(target, per_s, priority, suppressed, now)
--- a/leverdoor/entry/limits/limiter_selection.py
+++ b/leverdoor/entry/limits/limiter_selection.py
@@ -30,7 +30,7 @@
 __all__ = ["LimiterSelection"]
 
 HANDOVER_S = 4.0
-"""Age of an entry's last heartbeat up to which others may still ask it, in seconds.
+"""Age of the last heartbeat up to which an entry may still get grant requests, in s.
 
 Entries of other regions consider it silent after 3.2 s, and digests may arrive late.
 """
@@ -39,9 +39,10 @@
 HANDOVER_SHARE = 0.5
 """Share of a limit that is granted while another entry may still grant all of it.
 
-That lasts for up to 2.4 s; with half of the limit the sum keeps the bound over 4 s.
+Two limiters may overlap for up to 2.4 s. With this share, the sum of their grants in a
+window of 4 s stays below 1.5 times the limit.
 """
-PARTITION_SHARE_X = 1.2
+PARTITION_SHARE_FACTOR = 1.2
 """Factor on the share of the region's entries that are live in this entry's view.
 
 Each side of a partition grants that share of the limit. Together, the sides grant at
@@ -53,16 +54,16 @@
 The cache saves processor time in regions with hundreds of entries.
 """
 MAX_RANKINGS = 256
-"""Targets whose ranking of entries is cached."""
+"""Greatest number of cached rankings; when it is reached, all are dropped."""
 
 
-class _Selection(msgspec.Struct, frozen=True):
-    """The cached limiter of a target."""
+class _CachedLimiter(msgspec.Struct, frozen=True):
+    """The limiter of a target, as it was selected at a time."""
 
-    found_at: float
+    cached_at: float
     member: Member | None
     own_share: float
-    """Share of the limit that this entry may grant once all entries know of it."""
+    """Share of the limit that this entry may grant once all entries know the entry."""
 
 
 class _Ranking(msgspec.Struct, frozen=True):
@@ -82,18 +83,18 @@
         state: Callable[[], EntryState],
         pauses: Pauses,
     ) -> None:
-        """Create a selection with empty caches.
+        """Create a selector with empty caches.
 
         Args:
           membership: the known entries.
           state: returns the state of this entry.
-          pauses: for how long this entry has run without a pause.
+          pauses: measures how long this entry has run without a pause.
         """
         self._membership = membership
         self.own = membership.own
         self._state = state
         self._pauses = pauses
-        self._selections: dict[int, _Selection] = {}
+        self._cached_limiters: dict[int, _CachedLimiter] = {}
         self._rankings: dict[int, _Ranking] = {}
         self._live_shares: dict[str, tuple[float, float]] = {}
         """By region, the time of the computation and the share of live entries."""
@@ -117,34 +118,35 @@
             return min(share, HANDOVER_SHARE)
         return share
 
-    def _select(self, target: Target, now: float) -> _Selection:
+    def _select(self, target: Target, now: float) -> _CachedLimiter:
         key = target_id(target.name)
-        found = self._selections.get(key)
-        if found is None or now - found.found_at > SELECTION_CACHE_S:
+        cached = self._cached_limiters.get(key)
+        if cached is None or now - cached.cached_at > SELECTION_CACHE_S:
             names = self._ranking(key, target.region)
             member = self._first_serving(names, now)
             own = member is not None and member.name == self.own.name
             share = self._share_as_limiter(names, target.region, now) if own else 0.0
-            found = self._selections[key] = _Selection(now, member, share)
-        return found
+            cached = self._cached_limiters[key] = _CachedLimiter(now, member, share)
+        return cached
 
     def _ranking(self, key: int, region: str) -> list[str]:
-        """Return the names of the entries that may limit a target, the first one first.
+        """Return the names of the entries that may limit a target, by hash weight.
 
-        The ranking is cached until an entry joins, leaves or restarts. Hashing all
-        entries of a large region for each target would cost a percent of a core.
+        The first serving entry is the limiter. The ranking is cached until an entry
+        joins, leaves or restarts. Hashing all entries of a large region for each target
+        would cost a percent of a core.
         """
         membership_version = (self._membership.version, self._membership.count)
         known = self._rankings.get(key)
         if known is not None and known.membership_version == membership_version:
             return known.names
         names = [r.member.name for r in self._eligible_records(region)]
-        if self._is_eligible(region):
+        if self._may_limit_region(region):
             names.append(self.own.name)
         names.sort(key=lambda name: _hash_weight(name, key), reverse=True)
         if len(self._rankings) >= MAX_RANKINGS:
             self._rankings.clear()
-            self._selections.clear()
+            self._cached_limiters.clear()
         self._rankings[key] = _Ranking(membership_version, names)
         return names
 
@@ -161,17 +163,19 @@
 
     def _share_as_limiter(self, names: list[str], region: str, now: float) -> float:
         # Silent entries may serve on the other side of a partition, so the share never
-        # exceeds `PARTITION_SHARE_X` times the share of the entries that are live here.
-        share = min(PARTITION_SHARE_X * self._live_share(region, now), 1.0)
+        # exceeds `PARTITION_SHARE_FACTOR` times the share of the entries that are live here.
+        share = min(PARTITION_SHARE_FACTOR * self._live_share(region, now), 1.0)
         return (
-            min(share, HANDOVER_SHARE) if self._has_predecessor(names, now) else share
+            min(share, HANDOVER_SHARE) if self._has_rival_limiter(names, now) else share
         )
 
-    def _has_predecessor(self, names: list[str], now: float) -> bool:
-        """Return whether a silent entry may still act as the limiter of a target.
+    def _has_rival_limiter(self, names: list[str], now: float) -> bool:
+        """Return whether an entry ranked before this one may still act as the limiter.
+
+        Such an entry is silent, since this entry is the first live one.
 
         Args:
-          names: the ranking of the target; only entries before this one are checked.
+          names: the ranking of the entries for the target.
           now: monotonic time in seconds.
         """
         predecessors = names[: names.index(self.own.name)]
@@ -184,20 +188,21 @@
 
     def _live_share(self, region: str, now: float) -> float:
         """Return the share of a region's entries that are live, including this one."""
-        found_at, share = self._live_shares.get(region, (float("-inf"), 1.0))
-        if now - found_at > SELECTION_CACHE_S:
+        computed_at, share = self._live_shares.get(region, (float("-inf"), 1.0))
+        if now - computed_at > SELECTION_CACHE_S:
             known = [r for r in self._eligible_records(region) if r.state != LEAVING]
             live = sum(self._is_serving(r, now) for r in known)
-            own = int(self._is_eligible(region))
+            own = int(self._may_limit_region(region))
             share = (live + own) / (len(known) + own)
             self._live_shares[region] = (now, share)
         return share
 
-    def _is_eligible(self, region: str) -> bool:
+    def _may_limit_region(self, region: str) -> bool:
         """Return whether this entry may limit a region's targets."""
         return self.own.region == region or not self._has_entries(region)
 
     def _has_entries(self, region: str) -> bool:
+        """Return whether other entries are known in a region, live or silent."""
         return bool(self._membership.count_in_region(region))
 
     def _eligible_records(self, region: str) -> list[PeerRecord]:
--- a/leverdoor/entry/limits/target_limits.py
+++ b/leverdoor/entry/limits/target_limits.py
@@ -30,7 +30,7 @@
 
 
 class TargetLimits:
-    """Collects, requests and grants the limits of targets at one entry."""
+    """Collects the limits of targets, and requests and decides on grants."""
 
     def __init__(
         self,
@@ -69,7 +69,8 @@
         self.collector.renew(targets)
 
     def round(self, now: float) -> list[AdvertisedLimit]:
-        """Note that the process runs; return the limits to send in this round."""
+        """Return the limits to send in this round; call it in each round."""
+        # The call records that the process runs.
         self._pauses.running_s(now)
         return self.collector.received_here()
 
@@ -78,9 +79,9 @@
         self.collector.receive_from_peers(limits)
 
     def take(self, message: RoomMessage, now: float) -> RoomAnswer | None:
-        """Handle another entry's grant request, or its answer to a request of this one.
+        """Handle another entry's grant request, or an answer to this entry's request.
 
-        Returns: the answer to a grant request; None for an answer.
+        Returns: the answer if the message is a grant request, otherwise None.
         """
         if isinstance(message, RoomRequest):
             return self._limiter.answer(message, now)
--- a/leverdoor/limits/advertised.py
+++ b/leverdoor/limits/advertised.py
@@ -18,7 +18,7 @@
 __all__ = ["AdvertisedLimit", "LimitChange", "LimitTable", "UnreadableLimit"]
 
 REORDER_WINDOW_S = 0.15
-"""Least age of a limit that a response without a limit ends, in seconds.
+"""Time after a limit was received in which responses without one are ignored, in s.
 
 Responses sent before the limit was set arrive up to one link delay after the first
 response that advertises it.
@@ -26,8 +26,8 @@
 RETENTION_S = 60.0
 """How long an advertisement that is not renewed stays in force, in seconds.
 
-It is as long as a silent entry is remembered, which may be the only one that gets
-responses from the target.
+A silent entry is remembered for the same time. It may be the only entry that still
+receives responses from the target, so the last limit that it sent stays in force.
 """
 
 
@@ -36,7 +36,7 @@
 
 
 class AdvertisedLimit(msgspec.Struct, frozen=True):
-    """The limit of a target as one response advertised it."""
+    """The limit of a target, or that it has none, as one response said."""
 
     target: int
     """The `target_id` of the target."""
@@ -49,9 +49,9 @@
 class LimitChange(msgspec.Struct, frozen=True):
     """A limit that was set, changed or ended."""
 
-    latest: AdvertisedLimit
+    advertisement: AdvertisedLimit
     change: str
-    """The value in the log: "named" for a new limit, "changed" or "ended"."""
+    """"named" for a new limit, "changed" or "ended"; the log has the same values."""
 
 
 class LimitTable:
@@ -65,65 +65,69 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no target advertised a limit lately, which is the usual state."""
+        """Whether the table has no advertisements, which is the usual state."""
         return not self._newest
 
     def unchanged_s(self, target: int, now: float) -> float:
-        """Return for how long a target's limit has been unchanged, in seconds."""
+        """Return for how long a limit has been unchanged, in seconds; 0 if unknown."""
         return now - self._since.get(target, now)
 
     def per_s(self, target: int) -> float | None:
         """Return a target's limit in requests per second; None if it has none."""
-        limit = self._newest.get(target)
-        return limit.per_s if limit is not None else None
+        advertisement = self._newest.get(target)
+        return advertisement.per_s if advertisement is not None else None
 
     def latest(self, target: int) -> AdvertisedLimit | None:
-        """Return a target's newest advertisement; None if it never set a limit."""
+        """Return a target's newest advertisement; None if there is none."""
         return self._newest.get(target)
 
     def targets_with_limit(self) -> list[int]:
         """Return the `target_id` of each target that has a limit."""
-        return [t for t, limit in self._newest.items() if limit.per_s is not None]
+        return [
+            t
+            for t, advertisement in self._newest.items()
+            if advertisement.per_s is not None
+        ]
 
-    def take(self, limit: AdvertisedLimit) -> LimitChange | None:
+    def take(self, advertisement: AdvertisedLimit) -> LimitChange | None:
         """Record an advertisement; return the change, or None if there is none.
 
-        Advertisements may arrive in any order. A target that never set a limit is not
+        Advertisements may arrive in any order. A target without a known limit is not
         stored, so the usual response without a limit takes no memory.
         """
-        known = self._newest.get(limit.target)
+        known = self._newest.get(advertisement.target)
         if known is None:
-            if limit.per_s is None:
+            if advertisement.per_s is None:
                 return None
-            self._newest[limit.target] = limit
-            self._since[limit.target] = limit.at
-            return LimitChange(limit, "named")
-        if limit.at <= known.at or _may_be_reordered(known, limit):
+            self._newest[advertisement.target] = advertisement
+            self._since[advertisement.target] = advertisement.at
+            return LimitChange(advertisement, "named")
+        if advertisement.at <= known.at or _may_be_reordered(known, advertisement):
             return None
-        self._newest[limit.target] = limit
-        if limit.per_s == known.per_s:
+        self._newest[advertisement.target] = advertisement
+        if advertisement.per_s == known.per_s:
             return None
-        self._since[limit.target] = limit.at
-        if limit.per_s is None:
-            return LimitChange(limit, "ended")
-        return LimitChange(limit, "named" if known.per_s is None else "changed")
+        self._since[advertisement.target] = advertisement.at
+        if advertisement.per_s is None:
+            return LimitChange(advertisement, "ended")
+        return LimitChange(advertisement, "named" if known.per_s is None else "changed")
 
     def forget(self, now: float) -> None:
         """Drop the advertisements that were not renewed for `RETENTION_S`."""
         self._newest = {
-            target: limit
-            for target, limit in self._newest.items()
-            if now - limit.at <= RETENTION_S
+            target: advertisement
+            for target, advertisement in self._newest.items()
+            if now - advertisement.at <= RETENTION_S
         }
         self._since = {t: at for t, at in self._since.items() if t in self._newest}
 
     def newest(self) -> Iterable[AdvertisedLimit]:
-        """Return the newest advertisement of each target that ever set a limit."""
+        """Return the newest advertisement of each target in the table."""
         return self._newest.values()
 
 
-def _may_be_reordered(known: AdvertisedLimit, limit: AdvertisedLimit) -> bool:
+def _may_be_reordered(known: AdvertisedLimit, advertisement: AdvertisedLimit) -> bool:
     """Return whether a response without a limit may predate the known limit."""
-    if limit.per_s is not None or known.per_s is None:
+    if advertisement.per_s is not None or known.per_s is None:
         return False
-    return limit.at - known.at < REORDER_WINDOW_S
+    return advertisement.at - known.at < REORDER_WINDOW_S
--- a/leverdoor/limits/encoding.py
+++ b/leverdoor/limits/encoding.py
@@ -2,7 +2,8 @@
 # SPDX-License-Identifier: Apache-2.0
 """Binary encoding of the limits that entries send each other; pure, owns no state.
 
-A row has 12 bytes. Times are sent as ages, since the clocks of entries differ.
+Each advertisement is a row of 12 bytes. Times are sent as ages, since the clocks of
+entries differ.
 """
 
 import math
@@ -16,25 +17,25 @@
 ROW = struct.Struct("<IfI")
 """Target, requests per second, and age of the advertisement in ms."""
 NO_LIMIT = -1.0
-"""Encodes that the target has no limit."""
+"""Encodes that the target has no limit; the parser accepts any negative number."""
 MAX_AGE_MS = (1 << 32) - 1
 """Greatest age that a row can hold, in ms."""
 
 
-def serialize_limits(limits: Iterable[AdvertisedLimit], now: float) -> bytes:
+def serialize_limits(advertisements: Iterable[AdvertisedLimit], now: float) -> bytes:
     """Serialize limits as consecutive rows.
 
     Args:
-      limits: the advertised limits.
+      advertisements: the advertised limits.
       now: monotonic time in seconds.
     """
     return b"".join(
         ROW.pack(
-            limit.target,
-            NO_LIMIT if limit.per_s is None else limit.per_s,
-            min(max(round((now - limit.at) * 1000), 0), MAX_AGE_MS),
+            advertisement.target,
+            NO_LIMIT if advertisement.per_s is None else advertisement.per_s,
+            min(max(round((now - advertisement.at) * 1000), 0), MAX_AGE_MS),
         )
-        for limit in limits
+        for advertisement in advertisements
     )
 
 
--- a/leverdoor/limits/token_bucket.py
+++ b/leverdoor/limits/token_bucket.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A token bucket that grants the requests of one target's limit by priority.
+"""A token bucket that enforces the limit of one target and prefers urgent requests.
 
 One bucket decides on all requests to a limited target. The total rate is therefore
 exact for any number of entries, and no entry holds a quota that it does not use. When
@@ -18,42 +18,50 @@
 __all__ = ["PROBE_INTERVAL_S", "GrantDecision", "PriorityTokenBucket", "burst_tokens"]
 
 BURST_REQUESTS = 4.0
-"""Tokens that a bucket of any limit may accumulate.
+"""Constant part of the capacity in tokens, for any limit above zero.
 
-Requests arrive unevenly: with room for one token, half of the requests that arrive
-at just the limit would be refused.
+Requests arrive unevenly: with a capacity of one token, half of the requests would be
+refused if they arrived exactly at the rate of the limit.
 """
 BURST_S = 0.5
-"""Additional capacity, as seconds of the limit."""
+"""Time in which the limit yields the other part of the capacity, in seconds."""
 PROBE_INTERVAL_S = 5.0
 """Time without a grant after which a request is granted without a token, in seconds.
 
-Only a response of the target shows that its limit ended, and with a limit near zero no
-request would be sent that brings one.
+Only a response of the target can end its limit. With a limit near zero no request would
+be sent, so there would be no response. If several limiters grant shares of the limit,
+each waits longer, so that together they send one such request per interval.
 """
-URGENT_RESERVE_X = 2.0
-"""Reserve for more urgent requests, as a multiple of the share of the rate they use.
+URGENT_RESERVE_FACTOR = 2.0
+"""Factor on the share of the rate that more urgent requests use, for their reserve.
 
-They arrive unevenly and would find no token if only their mean were reserved.
+The product is the reserved share of the capacity. The factor exceeds 1 because the
+requests arrive unevenly and would find no token if only their mean rate were reserved.
 """
 DEMAND_AVERAGE_S = 2.0
 """Time constant of the moving average of each priority's demand, in seconds."""
-UNDELAYED_DEMAND_X = 4.0
-UNDELAYED_DEMAND_PER_S = 20.0
-"""Demand up to which an entry may ask again as soon as a token is expected.
+BACKOFF_DEMAND_FACTOR = 4.0
+BACKOFF_DEMAND_PER_S = 20.0
+"""Demand above which the wait of refused entries grows, in requests per second.
 
-The threshold is `UNDELAYED_DEMAND_X` times the limit plus `UNDELAYED_DEMAND_PER_S`, in
-grant requests per second. Above it, the wait grows with the demand.
+The threshold is `BACKOFF_DEMAND_FACTOR` times the limit plus `BACKOFF_DEMAND_PER_S`.
+Below it, an entry may request a grant again as soon as a token is expected.
 """
 MAX_WAIT_S = 2.0
-"""Longest time for which an entry is told not to ask again, in seconds.
+"""Upper bound of `GrantDecision.wait_s`, in seconds.
 
-It bounds how long tokens that become available unexpectedly stay unused.
+Tokens that become available earlier than estimated stay unused for at most this time.
 """
 MIN_WAIT_S = 0.02
-"""Shortest such time, in seconds; it bounds the message rate of a busy entry."""
+"""Lower bound of `GrantDecision.wait_s`, in seconds.
+
+It bounds the message rate of a busy entry.
+"""
 MAX_RETRY_AFTER_S = 10.0
-"""Upper bound of the estimate after which a refused caller may retry, in seconds."""
+"""Upper bound of `GrantDecision.retry_after_s`, in seconds.
+
+It is also the estimate of the time to the next token if the rate is zero.
+"""
 
 
 class GrantDecision(msgspec.Struct, frozen=True):
@@ -61,9 +69,9 @@
 
     granted: bool
     wait_s: float = 0.0
-    """If refused: for how long not to ask again at this priority, in seconds."""
+    """If refused: delay of the entry's next request at this priority, in seconds."""
     retry_after_s: float = 0.0
-    """If refused: when the request can expect a grant given the demand, in seconds."""
+    """If refused: estimated delay until a grant, for the caller, in seconds."""
 
 
 def burst_tokens(per_s: float, share: float = 1.0) -> float:
@@ -119,8 +127,8 @@
           per_s: the limit in requests per second; it may change between calls.
           share: the share of the limit that the bucket grants, from 0 to 1.
           priority: priority of the request; smaller is more urgent.
-          suppressed: requests of that priority for which the entry sent no grant
-            request since its last one.
+          suppressed: requests of that priority that the entry refused by itself since
+            its previous grant request.
           now: monotonic time in seconds.
         """
         rate = per_s * share
@@ -151,21 +159,21 @@
         urgent = sum(d.per_s(now) for p, d in self._demand.items() if p < priority)
         if not urgent:
             return 0.0
-        fraction = URGENT_RESERVE_X * urgent / rate if rate else 1.0
+        fraction = URGENT_RESERVE_FACTOR * urgent / rate if rate else 1.0
         return max(capacity - 1.0, 0.0) * min(fraction, 1.0)
 
     def _refusal(
         self, rate: float, missing_tokens: float, priority: int, now: float
     ) -> GrantDecision:
         demand = sum(d.per_s(now) for d in self._demand.values())
-        demand_ahead = sum(
+        demand_at_or_above = sum(
             d.per_s(now) for p, d in self._demand.items() if p <= priority
         )
         next_token_s = missing_tokens / rate if rate else MAX_RETRY_AFTER_S
         backoff = max(
-            demand / (UNDELAYED_DEMAND_X * rate + UNDELAYED_DEMAND_PER_S), 1.0
+            demand / (BACKOFF_DEMAND_FACTOR * rate + BACKOFF_DEMAND_PER_S), 1.0
         )
-        queue_factor = max(demand_ahead / rate, 1.0) if rate else 1.0
+        demand_ratio = max(demand_at_or_above / rate, 1.0) if rate else 1.0
         wait_s = min(max(next_token_s * backoff, MIN_WAIT_S), MAX_WAIT_S)
-        retry_after_s = min(next_token_s * queue_factor, MAX_RETRY_AFTER_S)
+        retry_after_s = min(next_token_s * demand_ratio, MAX_RETRY_AFTER_S)
         return GrantDecision(granted=False, wait_s=wait_s, retry_after_s=retry_after_s)
--- a/tests/test_entry_limits.py
+++ b/tests/test_entry_limits.py
@@ -72,17 +72,20 @@
     targets = [target(f"t{i}") for i in range(6)]
     desk = Desk(*targets)
     limit(desk, 0.5, *targets)
-    asked = desk.ask()
-    questions = 0
-    while isinstance(found := desk.placement.place(asked, desk.now), Placement):
+    request = desk.ask()
+    grant_requests = 0
+    while isinstance(found := desk.placement.place(request, desk.now), Placement):
         desk.placement.ended(found, desk.now)
-        asked.without_room.add(found.target.name)
-        questions += 1
-    assert questions == MOST_QUESTIONS
+        request.without_room.add(found.target.name)
+        grant_requests += 1
+    assert grant_requests == MOST_QUESTIONS
 
 
 def test_a_limit_reduces_the_capacity_to_the_slots_that_it_keeps_busy() -> None:
-    """Keys then leave a region whose targets are limited, at a bounded rate."""
+    """A limited target has the slots that its limit can use: rate times latency.
+
+    Keys then leave a region whose targets are limited, at a bounded rate.
+    """
     only = target("t1")
     desk = Desk(only)
     desk.serve("k", 200.0)
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -1,13 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""All entries quarantine a request that crashes each target that runs it.
+"""All entries quarantine a fatal request, which crashes each target that runs it.
 
-Guards against one fatal request that takes down a service. A look-up crashed its target
-0.1 s after it arrived, and then the target of its second attempt. The caller got a 502
-and repeated the look-up some seconds later at other entries. It crashed 31 targets, and
-each crash lost the responses to up to ten other callers. Entries kept nothing about a
-request after its last attempt and did not exchange what they knew of requests. Other
-look-ups with the same key on the same route were served all the while.
+Guards against a look-up that is retried at target after target. Each attempt crashed
+its target, the caller repeated the look-up at other entries, and 31 targets crashed;
+each crash lost the responses to up to ten other callers. Entries forgot a request after
+its last attempt and did not exchange what they knew of requests. Only that look-up must
+be refused: others with the same key on the same route are harmless.
 """
 
 import asyncio
@@ -31,15 +30,15 @@
 """Pause between repetitions, in seconds, in which crashed targets restart."""
 
 
-def count_crashes(site: EntrySite) -> int:
-    """Count the crashes of targets that began to run the fatal request."""
+def count_fatal_runs(site: EntrySite) -> int:
+    """Count the runs of the fatal request, each of which crashes its target."""
     return sum(r.path == FATAL for t in site.targets.values() for r in t.runs)
 
 
 async def send_until_enough_crashes(site: EntrySite) -> None:
     entries = list(site.entries.values())
     turn = 0
-    while count_crashes(site) < MIN_CRASHES:
+    while count_fatal_runs(site) < MIN_CRASHES:
         await site.request(entries[turn % len(entries)], "GET", FATAL, None, KEY)
         turn += 1
 
@@ -56,16 +55,16 @@
 async def test_all_entries_quarantine_a_request_that_crashes_its_targets(
     site: EntrySite,
 ) -> None:
-    """It is refused at once, and other requests with its key are served.
+    """It is refused from then on, and other requests with its key are served.
 
     The quarantine survives a restart of all entries.
     """
     site.crash_paths.add(FATAL)
     await send_until_enough_crashes(site)
     await asyncio.sleep(QUARANTINED_AFTER_S)
-    before = count_crashes(site)
+    before = count_fatal_runs(site)
     refused = await send_to_all(site, FATAL)
-    assert count_crashes(site) - before <= MAX_LATE_SENDS
+    assert count_fatal_runs(site) - before <= MAX_LATE_SENDS
     assert refused[-1].status == 503
     for answer in await send_to_all(site, HARMLESS):
         check_own(answer)
@@ -78,4 +77,4 @@
     for entry in site.entries.values():
         await site.ready(entry)
     await send_to_all(site, FATAL)
-    assert count_crashes(site) - before <= MAX_LATE_SENDS
+    assert count_fatal_runs(site) - before <= MAX_LATE_SENDS
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -38,8 +38,8 @@
 from leverdoor.model.resources import Route, Service, Target, WorkClass
 from leverdoor.model.target_id import target_id
 
-LONG_S = 100.0
-"""A time at which an entry has been running for long."""
+STEADY_S = 100.0
+"""A time at which an entry has run for longer than any time of the selection."""
 TARGET = Target(
     name="i-1",
     service="look",
@@ -65,7 +65,7 @@
         self.pauses = Pauses(0.0, lambda: self.elapsed_s)
         self.selection = LimiterSelection(self.membership, lambda: state, self.pauses)
         for name in others:
-            self.receive_heartbeat(name, LONG_S)
+            self.receive_heartbeat(name, STEADY_S)
 
     def receive_heartbeat(
         self, name: str, at: float, state: EntryState = SERVING
@@ -92,12 +92,12 @@
     return {n: EntryView(n, [o for o in ENTRY_NAMES if o != n]) for n in ENTRY_NAMES}
 
 
-def run_long(view: EntryView) -> None:
-    """Advance the clock of an entry to `LONG_S`."""
-    view.run_until(LONG_S)
+def run_until_steady(view: EntryView) -> None:
+    """Advance the clock of an entry to `STEADY_S`."""
+    view.run_until(STEADY_S)
 
 
-def limiter_of(view: EntryView, now: float = LONG_S) -> str:
+def limiter_of(view: EntryView, now: float = STEADY_S) -> str:
     found = view.selection.limiter(TARGET, now)
     assert found is not None
     return found.name
@@ -112,8 +112,8 @@
 def test_only_the_limiter_grants_and_it_grants_the_whole_limit() -> None:
     shares = []
     for view in views().values():
-        run_long(view)
-        shares.append(view.own_share(LONG_S))
+        run_until_steady(view)
+        shares.append(view.own_share(STEADY_S))
     assert sorted(shares) == [0.0, 0.0, 0.0, 0.0, 1.0]
 
 
@@ -127,9 +127,9 @@
     shares: dict[float, list[float]] = {}
     for name in rest:
         view = EntryView(name, [n for n in ENTRY_NAMES if n != name])
-        run_long(view)
+        run_until_steady(view)
         for after_s in (SILENCE_S + 0.1, HANDOVER_S + 0.2):
-            now = LONG_S + after_s
+            now = STEADY_S + after_s
             for other in rest:
                 if other != name:
                     view.receive_heartbeat(other, now)
@@ -142,23 +142,23 @@
 def test_a_leaving_limiter_grants_nothing_and_its_successor_the_whole_limit() -> None:
     previous = limiter_of(EntryView("b1-0", [n for n in ENTRY_NAMES if n != "b1-0"]))
     leaving = EntryView(previous, [n for n in ENTRY_NAMES if n != previous], LEAVING)
-    run_long(leaving)
-    assert leaving.own_share(LONG_S) == 0.0
+    run_until_steady(leaving)
+    assert leaving.own_share(STEADY_S) == 0.0
     shares = []
     for name in [n for n in ENTRY_NAMES if n != previous and n.startswith("a")]:
         view = EntryView(name, [n for n in ENTRY_NAMES if n != name])
-        run_long(view)
-        view.receive_heartbeat(previous, LONG_S + 0.01, LEAVING)
-        shares.append(view.own_share(LONG_S + 0.15))
+        run_until_steady(view)
+        view.receive_heartbeat(previous, STEADY_S + 0.01, LEAVING)
+        shares.append(view.own_share(STEADY_S + 0.15))
     assert sorted(shares) == [0.0, 1.0]
 
 
 def test_a_limiter_that_started_or_resumed_grants_a_share_first() -> None:
     previous = limiter_of(EntryView("b1-0", [n for n in ENTRY_NAMES if n != "b1-0"]))
     view = EntryView(previous, [n for n in ENTRY_NAMES if n != previous])
-    run_long(view)
-    view.elapsed_s = LONG_S + 2 * PAUSE_S
-    assert view.own_share(LONG_S) == HANDOVER_SHARE
+    run_until_steady(view)
+    view.elapsed_s = STEADY_S + 2 * PAUSE_S
+    assert view.own_share(STEADY_S) == HANDOVER_SHARE
     view = EntryView(previous, [], SERVING)
     assert view.own_share(DISCOVERY_S - 0.1) == HANDOVER_SHARE
     assert view.own_share(DISCOVERY_S + 0.1) == 1.0
@@ -173,16 +173,15 @@
 ) -> None:
     """The bound holds for any number of sides, and right after the partition.
 
-    Guards against isolated entries that act as the successor of a single silent
-    limiter: in the benchmark a fifth of 195 entries, each cut off alone, granted
-    themselves half of the limit at first.
+    Guards against isolated entries that each act as the successor of a silent limiter:
+    a fifth of 195 entries, each isolated, granted themselves half of the limit.
     """
     names = [f"a1-{i}" for i in range(len(sides))]
-    now = LONG_S + after_s
+    now = STEADY_S + after_s
     total = 0.0
     for i, name in enumerate(names):
         view = EntryView(name, [n for n in names if n != name])
-        run_long(view)
+        run_until_steady(view)
         for j, other in enumerate(names):
             if j != i and sides[j] == sides[i]:
                 view.receive_heartbeat(other, now)
@@ -197,7 +196,7 @@
 def limiter_without_peers(fleet: Fleet, only: Target) -> Limiter:
     """Return the limiter of an entry that has run without peers for long."""
     view = EntryView("a1-0", [])
-    run_long(view)
+    run_until_steady(view)
     view.pauses = Pauses(0.0, lambda: 0.0)
     selection = LimiterSelection(view.membership, lambda: SERVING, view.pauses)
     return Limiter(fleet, selection, view.pauses, {target_id(only.name): only}.get)
@@ -261,7 +260,7 @@
 
 def client_name() -> str:
     """Return which of the two entries is not the limiter of the target."""
-    limiter = EntryView("b1-0", ["a1-0", "a1-1"]).selection.limiter(TARGET, LONG_S)
+    limiter = EntryView("b1-0", ["a1-0", "a1-1"]).selection.limiter(TARGET, STEADY_S)
     assert limiter is not None
     return "a1-1" if limiter.name == "a1-0" else "a1-0"
 
@@ -354,12 +353,12 @@
 def test_a_cold_target_gets_its_warm_up_rate_for_any_number_of_clients(
     clients: int, steps_ms: list[int]
 ) -> None:
-    """Any second has at most 1.5 times the warm-up rate of its service and 5 more."""
+    """Any second has at most 1.5 times the warm-up rate plus 5 grants."""
     fleet = Fleet()
     cold = msgspec.structs.replace(TARGET, cold_ms=60_000)
-    fleet.renew({cold.name: cold}, LONG_S, [service(11.0)])
+    fleet.renew({cold.name: cold}, STEADY_S, [service(11.0)])
     limiter = limiter_without_peers(fleet, cold)
-    now, granted = LONG_S, []
+    now, granted = STEADY_S, []
     for number, step_ms in enumerate(steps_ms * clients):
         now += step_ms / 1000
         request = RoomRequest("g/x", number, target_id(cold.name), 8.25, 2, 0)
@@ -372,10 +371,10 @@
 def test_the_warm_up_rate_of_a_cold_target_is_used() -> None:
     fleet = Fleet()
     cold = msgspec.structs.replace(TARGET, cold_ms=60_000)
-    fleet.renew({cold.name: cold}, LONG_S, [service(11.0)])
+    fleet.renew({cold.name: cold}, STEADY_S, [service(11.0)])
     limiter = limiter_without_peers(fleet, cold)
     granted = sum(
-        limiter.decide(cold, 11.0, 2, 0, LONG_S + step / 100).granted
+        limiter.decide(cold, 11.0, 2, 0, STEADY_S + step / 100).granted
         for step in range(1_000)
     )
     assert granted >= 0.7 * 11.0 * 10.0
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -39,7 +39,7 @@
         self.silent: set[int] = set()
 
     def crash(self, *fingerprints: int, at: int = 0, ran_s: float = 0.1) -> None:
-        """Let a target crash while it runs some requests of one entry."""
+        """Let a target crash while it runs some requests of the entry `at`."""
         self.now += ran_s
         target = next(TARGETS)
         for fingerprint in fingerprints:
@@ -86,7 +86,7 @@
 
 
 def test_a_request_running_beside_the_cause_is_not_quarantined() -> None:
-    """A harmless request was retried at targets that the cause also reached."""
+    """The cause has one more crash, so only the cause is quarantined."""
     cluster = EntryCluster()
     cluster.crash(FATAL_REQUEST, at=1)
     for _ in range(MIN_CRASHES):
@@ -294,13 +294,15 @@
 
 @settings(max_examples=60, deadline=None)
 @given(events)
-def test_entries_converge_on_the_same_holds(some: list[tuple[str, int, int]]) -> None:
+def test_entries_converge_on_the_same_holds(
+    events_in_order: list[tuple[str, int, int]],
+) -> None:
     """All entries quarantine the same requests after any crashes and answers."""
     cluster = EntryCluster(3)
-    for what, at, fingerprint in some:
-        if what == "crash":
+    for event, at, fingerprint in events_in_order:
+        if event == "crash":
             cluster.crash(fingerprint, at=at)
-        elif what == "answer":
+        elif event == "answer":
             cluster.now += 0.01
             cluster.all[at].answered(fingerprint, cluster.now)
         else:
@@ -311,14 +313,11 @@
 
 
 def test_no_harmless_request_is_held_beside_a_cause_of_simultaneous_crashes() -> None:
-    """Guards against harmless look-ups that are refused beside the cause.
-
-    A fatal request came to three entries at a time, and with second attempts all six
-    targets crashed within 74 ms. A popular look-up ran at three of the crashes, one
-    after the other. Six crashes within 74 ms make up three events, so by events alone
-    both requests had three crashes and the look-up was quarantined too: six harmless
-    look-ups were refused for 2.3 s (soak seed 820020). The cause must be preferred,
-    since it was running at all three crashes of the look-up and at three more.
+    """A request at three of six crashes is harmless if another was at all six.
+
+    Guards against a comparison of event counts alone. Six crashes within 74 ms make up
+    three events, so the cause counts as three, like a look-up that was running at three
+    of the crashes, one after the other. Harmless look-ups were refused for 2.3 s.
     """
     cluster = EntryCluster()
     runs = (
--- a/tests/test_quarantine_site.py
+++ b/tests/test_quarantine_site.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Both errors of the quarantine, for emulated sites on a fake clock.
+"""Late sends of fatal requests and wrong refusals, for emulated sites on a fake clock.
 
-The errors are sends of a fatal request beyond the operator's bound and refusals of
-harmless requests. benchmarks/quarantine.py emulates more entries and prints figures.
+A send is late if it exceeds the operator's bound. benchmarks/quarantine.py emulates
+more entries and prints figures.
 """
 
 import pytest
@@ -30,13 +30,13 @@
     ids=str,
 )
 def test_a_fatal_request_is_sent_at_most_three_more_times(plan: QuarantinePlan) -> None:
-    """Without the quarantine it is sent 58 more times with 12 entries."""
+    """For comparison: without the quarantine, 12 entries send it 58 more times."""
     assert play_quarantine(plan).most_sent_late <= MAX_LATE_SENDS
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("entries", [12, 65])
-def test_an_event_that_crashes_many_targets_refuses_no_request(
+def test_no_request_is_refused_after_an_event_that_crashes_many_targets(
     entries: int, seed: int
 ) -> None:
     """A failure domain loses power, which ends all runs of its targets."""
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -98,7 +98,7 @@
     assert not any(bucket.acquire(3.5, 0.0, 0, 0, float(t)).granted for t in range(30))
 
 
-def test_a_refusal_says_when_to_ask_again() -> None:
+def test_a_refusal_has_the_wait_until_the_next_grant_request() -> None:
     bucket = PriorityTokenBucket(1.0, 0.0)
     assert bucket.acquire(2.0, 1.0, 0, 0, 0.0).granted
     refused = bucket.acquire(2.0, 1.0, 0, 0, 0.0)
--- a/tests/test_target_limits.py
+++ b/tests/test_target_limits.py
@@ -2,11 +2,9 @@
 # SPDX-License-Identifier: Apache-2.0
 """All entries together keep the limit that a target advertises.
 
-Guards against limits that no entry enforces. Two targets advertised limits of 3.4 and
-3.6 requests per second in each response, and eight entries kept sending eight, then
-seven per second; over an hour the limits were exceeded by a fifth. No request was
-refused and nothing was logged, because no entry read the advertised limits: each entry
-placed requests by load, warmth and distance alone.
+Guards against advertised limits that no entry reads. Each entry then places requests by
+load, warmth and distance alone: eight entries sent eight requests per second to targets
+with limits of 3.4 and 3.6, and nothing was refused or logged.
 """
 
 import asyncio
@@ -23,7 +21,7 @@
 LIMITS = {"i-look-a1-0": "3.5", "i-look-b1-1": "0.5"}
 
 
-def most_from(target: UpstreamStandin, since: float) -> int:
+def max_requests_in_window(target: UpstreamStandin, since: float) -> int:
     """Return the most requests that a target received in a window after a time."""
     return most_in_a_window(r.at for r in target.runs if r.at >= since)
 
@@ -40,7 +38,9 @@
         advertised_at = asyncio.get_running_loop().time()
         await asyncio.sleep(LOAD_S)
     for name, limit in LIMITS.items():
-        most = most_from(site.targets[name], advertised_at + ENFORCED_AFTER_S)
+        most = max_requests_in_window(
+            site.targets[name], advertised_at + ENFORCED_AFTER_S
+        )
         assert 0 < most <= allowed(float(limit)), name
     for answer in look_ups.answers:
         check_own(answer)
@@ -53,8 +53,8 @@
     """The refusals have their own code and a retry time, and no refused request ran.
 
     Guards against excess look-ups that are served: six targets with limits of three per
-    second each served 58 look-ups per second together, and none was refused. At least
-    40% of the limits must be used, since grant requests may time out on a busy machine.
+    second each served 58 per second together. Only 40% of the limits must be used,
+    since grant requests may time out on a busy machine.
     """
     limited = [t for t in site.targets.values() if t.service == "look"]
     for target in limited:
@@ -65,7 +65,7 @@
         await asyncio.sleep(LOAD_S)
     ran = 0
     for target in limited:
-        most = most_from(target, advertised_at + ENFORCED_AFTER_S)
+        most = max_requests_in_window(target, advertised_at + ENFORCED_AFTER_S)
         assert most <= allowed(3.0), target.name
         ran += sum(r.at >= advertised_at + ENFORCED_AFTER_S for r in target.runs)
     assert ran >= 0.4 * 3.0 * len(limited) * (LOAD_S - ENFORCED_AFTER_S)
