--- a/leverdoor/entry/limits/limiter_selection.py
+++ b/leverdoor/entry/limits/limiter_selection.py
@@ -162,8 +162,8 @@
         return None
 
     def _share_as_limiter(self, names: list[str], region: str, now: float) -> float:
-        # Silent entries may serve on the other side of a partition, so the share never
-        # exceeds `PARTITION_SHARE_FACTOR` times the share of the entries that are live here.
+        # Silent entries may serve on the other side of a partition, so the live share
+        # bounds the share up to `PARTITION_SHARE_FACTOR`.
         share = min(PARTITION_SHARE_FACTOR * self._live_share(region, now), 1.0)
         return (
             min(share, HANDOVER_SHARE) if self._has_rival_limiter(names, now) else share
