--- a/benchmarks/emulated_quarantine.py
+++ b/benchmarks/emulated_quarantine.py
@@ -224,7 +224,9 @@
     def _holds(self, name: str, fingerprint: int) -> bool:
         if self.plan.count_only:
             return self._lost[fingerprint] >= ENOUGH
-        return self._node(name).quarantine.hold(fingerprint, self.now) is not None
+        return (
+            self._node(name).quarantine.active_hold(fingerprint, self.now) is not None
+        )
 
     def _send(self, run: _Run) -> None:
         """Run a request at the first target of its key that was not tried."""
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -19,7 +19,7 @@
 from leverdoor.entry.exchange.exchange_types import EntryStatus
 from leverdoor.entry.exchange.messages import EntryHeartbeat, RoomRequest
 from leverdoor.entry.limits.limiter import Limiter
-from leverdoor.entry.limits.limiter_selection import SELECTION_CACHE_S, LimiterSelection
+from leverdoor.entry.limits.limiter_selector import SELECTION_CACHE_S, LimiterSelector
 from leverdoor.entry.membership.member import SERVING, Member, MemberRow, member_id
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.naming import Naming
@@ -29,7 +29,7 @@
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
-from leverdoor.limits.advertised import AdvertisedLimit
+from leverdoor.limits.advertised import LimitAdvertisement
 from leverdoor.model.resources import (
     Region,
     Resource,
@@ -161,14 +161,14 @@
         row = MemberRow(member_id(other.name), 1, SERVING)
         membership.observe(LastSeen(row, 1e6), 0.0)
     pauses = Pauses(-60.0, lambda: 0.0)
-    role = LimiterSelection(membership, lambda: SERVING, pauses)
+    role = LimiterSelector(membership, lambda: SERVING, pauses)
     limited = [t for t in resources(30_000, 1) if isinstance(t, Target)]
     mine = [t for t in limited if role.own_share(t, 0.0)][:1]
     moments = (i * 1.01 * SELECTION_CACHE_S for i in range(10**9))
     turns = iter(range(10**9))
 
     def choose() -> None:
-        fresh = LimiterSelection(membership, lambda: SERVING, pauses)
+        fresh = LimiterSelector(membership, lambda: SERVING, pauses)
         fresh.limiter(limited[0], 0.0)
 
     def choose_again() -> None:
@@ -180,7 +180,7 @@
     decided = 0.0
     if mine:
         fleet = Fleet()
-        fleet.limits.take(AdvertisedLimit(target_id(mine[0].name), 3.5, 0.0))
+        fleet.limits.take(LimitAdvertisement(target_id(mine[0].name), 3.5, 0.0))
         limiter = Limiter(fleet, role, pauses, {target_id(mine[0].name): mine[0]}.get)
         key = target_id(mine[0].name)
 
--- a/benchmarks/limit_node.py
+++ b/benchmarks/limit_node.py
@@ -16,7 +16,7 @@
 from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate
 from leverdoor.entry.exchange.messages import ExchangeMessage
 from leverdoor.entry.limits.limiter import Limiter
-from leverdoor.entry.limits.limiter_selection import LimiterSelection
+from leverdoor.entry.limits.limiter_selector import LimiterSelector
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
@@ -24,7 +24,7 @@
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.room_notes import RoomNotes
 from leverdoor.errors import Refusal
-from leverdoor.limits.advertised import AdvertisedLimit
+from leverdoor.limits.advertised import LimitAdvertisement
 from leverdoor.model.resources import Target, Workspace
 from leverdoor.model.target_id import target_id
 from leverdoor.workspaces.quota import Quotas
@@ -71,11 +71,11 @@
         self.fleet = Fleet()
         self.book = self.fleet.limits
         self.pauses = Pauses(now, shared.clock)
-        self.role = LimiterSelection(self.membership, lambda: SERVING, self.pauses)
+        self.role = LimiterSelector(self.membership, lambda: SERVING, self.pauses)
         by_id = {target_id(t.name): t for t in shared.targets}
         self.limiter = Limiter(self.fleet, self.role, self.pauses, by_id.get)
         self.notes = {t.name: RoomNotes() for t in shared.targets}
-        self._own_words: dict[int, AdvertisedLimit] = {}
+        self._own_words: dict[int, LimitAdvertisement] = {}
         self._parts: dict[str, _EvenPart] = {}
         self._workspaces = {
             t.name: Workspace(name=t.name, rate_per_s=shared.per_s, burst=0.0)
@@ -116,9 +116,9 @@
 
     def answered(self, target: Target, per_s: float | None, now: float) -> None:
         """Take what an answer of a target names."""
-        word = AdvertisedLimit(target_id(target.name), per_s, now)
+        word = LimitAdvertisement(target_id(target.name), per_s, now)
         self.book.take(word)
-        if self.book.latest(word.target) is word:
+        if self.book.newest_of(word.target) is word:
             self._own_words[word.target] = word
 
     # The ways that were weighed.
--- a/benchmarks/quarantine_node.py
+++ b/benchmarks/quarantine_node.py
@@ -16,7 +16,11 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.quarantine.quarantine import Quarantine
-from leverdoor.quarantine.records import Record, hold_from_record, record_from_hold
+from leverdoor.quarantine.records import (
+    QuarantineRecord,
+    hold_from_record,
+    record_from_hold,
+)
 from leverdoor.quarantine.trial_owner import is_trial_owner
 
 __all__ = ["EmulatedRecords", "QuarantineNode"]
@@ -51,7 +55,7 @@
 
     def tries(self, fingerprint: int, now: float) -> bool:
         """Return whether it runs a request that is held back once more."""
-        hold = self.quarantine.hold(fingerprint, now)
+        hold = self.quarantine.active_hold(fingerprint, now)
         own, others = self.membership.own.name, self.membership.names()
         if hold is None or not is_trial_owner(own, others, fingerprint):
             return False
@@ -63,7 +67,7 @@
 
     def __init__(self) -> None:
         """Create it without any."""
-        self._records: dict[int, Record] = {}
+        self._records: dict[int, QuarantineRecord] = {}
 
     def write(self, node: QuarantineNode, now: float) -> list[int]:
         """Write what an entry holds back, remove what it knows to be harmless.
@@ -72,7 +76,7 @@
         """
         for fingerprint, record in list(self._records.items()):
             hold = hold_from_record(record, fingerprint, now, WALL_S + now)
-            if node.quarantine.is_exonerated(hold):
+            if node.quarantine.has_no_evidence(hold):
                 del self._records[fingerprint]
         added = []
         for fingerprint, hold in node.quarantine.holds.items():
--- a/leverdoor/entry/exchange/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -12,7 +12,7 @@
 from leverdoor.entry.exchange.messages import ExchangeMessage, Shares
 from leverdoor.entry.exchange.use_lists import Use
 from leverdoor.entry.membership.member import EntryState
-from leverdoor.limits.advertised import AdvertisedLimit
+from leverdoor.limits.advertised import LimitAdvertisement
 from leverdoor.quarantine.notices import Notice
 from leverdoor.workspaces.others_use import OthersUse
 
@@ -40,7 +40,7 @@
     """The store's newest answer that `revision` rests on."""
     unserved: bool = False
     """Whether the store does not answer this entry."""
-    limits: list[AdvertisedLimit] = []
+    limits: list[LimitAdvertisement] = []
     """What targets named as limits in answers to this entry."""
     notices: list[Notice] = []
     """What to tell of requests that end targets."""
@@ -66,7 +66,7 @@
     """The store's newest answer that the sender's revision rests on."""
     use: OthersUse | None = None
     """Requests of workspaces by all other entries; None if there is no new sum."""
-    limits: list[AdvertisedLimit] = []
+    limits: list[LimitAdvertisement] = []
     """What targets named as limits in answers to other entries."""
     notices: list[Notice] = []
     """What another entry told of requests that end targets."""
--- a/leverdoor/entry/exchange/limit_exchange.py
+++ b/leverdoor/entry/exchange/limit_exchange.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from leverdoor.entry.exchange.messages import OWN_SCOPE, DigestScope, LimitNews
-from leverdoor.limits.advertised import RETENTION_S, AdvertisedLimit
+from leverdoor.limits.advertised import RETENTION_S, LimitAdvertisement
 from leverdoor.limits.encoding import parse_limits, serialize_limits
 
 __all__ = ["LimitExchange"]
@@ -35,7 +35,7 @@
 class _Told(msgspec.Struct):
     """A word, and since when it is news."""
 
-    word: AdvertisedLimit
+    word: LimitAdvertisement
     new_at: float
 
 
@@ -50,18 +50,20 @@
         }
         """By scope and target."""
 
-    def take(self, news: LimitNews, now: float) -> list[AdvertisedLimit]:
+    def take(self, news: LimitNews, now: float) -> list[LimitAdvertisement]:
         """Take what another entry tells; return it for the other parts."""
         words = parse_limits(news.words, now)
         if news.scope != DigestScope.ALL:
             self._note(news.scope, words, now)
         return words
 
-    def note_own(self, words: Iterable[AdvertisedLimit], now: float) -> None:
+    def note_own(self, words: Iterable[LimitAdvertisement], now: float) -> None:
         """Take the newest words that this entry received itself."""
         self._note(OWN_SCOPE, words, now)
 
-    def _note(self, scope: int, words: Iterable[AdvertisedLimit], now: float) -> None:
+    def _note(
+        self, scope: int, words: Iterable[LimitAdvertisement], now: float
+    ) -> None:
         known = self._words.setdefault(scope, {})
         for word in words:
             before = known.get(word.target)
--- a/leverdoor/entry/limits/limit_collector.py
+++ b/leverdoor/entry/limits/limit_collector.py
@@ -17,7 +17,7 @@
 from leverdoor.entry.wire import Wire
 from leverdoor.limits.advertised import (
     RETENTION_S,
-    AdvertisedLimit,
+    LimitAdvertisement,
     LimitChange,
     LimitTable,
     UnreadableLimit,
@@ -41,7 +41,7 @@
         self._metrics = metrics
         self._names: dict[int, str] = {}
         """Names of targets by `target_id`."""
-        self._received_here: dict[int, AdvertisedLimit] = {}
+        self._received_here: dict[int, LimitAdvertisement] = {}
         """By target, the limit in force if this entry received it itself."""
         self._unreadable = UnreadableTexts()
 
@@ -60,16 +60,16 @@
         except UnreadableLimit as e:
             self._log_unreadable(target, str(e))
             return
-        advertisement = AdvertisedLimit(target_id(target.name), per_s, now)
+        advertisement = LimitAdvertisement(target_id(target.name), per_s, now)
         self._log_change(self._table.take(advertisement), "answer")
-        if self._table.latest(advertisement.target) is advertisement:
+        if self._table.newest_of(advertisement.target) is advertisement:
             self._received_here[advertisement.target] = advertisement
 
-    def received_here(self) -> list[AdvertisedLimit]:
+    def received_here(self) -> list[LimitAdvertisement]:
         """Return the limits that this entry received itself, for the other entries."""
         return list(self._received_here.values())
 
-    def receive_from_peers(self, advertisements: Iterable[AdvertisedLimit]) -> None:
+    def receive_from_peers(self, advertisements: Iterable[LimitAdvertisement]) -> None:
         """Record the limits that other entries received from targets."""
         for advertisement in advertisements:
             self._log_change(self._table.take(advertisement), "peer")
--- a/leverdoor/entry/limits/limiter.py
+++ b/leverdoor/entry/limits/limiter.py
@@ -6,7 +6,7 @@
 answers, so that a duplicate message does not take a second token. Both are lost with
 the process; a bucket starts empty if another limiter may just have granted requests.
 
-Relies on the fleet for the limits of targets and on `LimiterSelection` for the share of
+Relies on the fleet for the limits of targets and on `LimiterSelector` for the share of
 a limit that this entry may grant.
 """
 
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 
 from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
-from leverdoor.entry.limits.limiter_selection import LimiterSelection
+from leverdoor.entry.limits.limiter_selector import LimiterSelector
 from leverdoor.entry.pauses import Pauses
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.limits.token_bucket import (
@@ -43,7 +43,7 @@
     def __init__(
         self,
         fleet: Fleet,
-        selection: LimiterSelection,
+        selection: LimiterSelector,
         pauses: Pauses,
         find_target: Callable[[int], Target | None],
     ) -> None:
--- a/leverdoor/entry/limits/limiter_client.py
+++ b/leverdoor/entry/limits/limiter_client.py
@@ -9,7 +9,7 @@
 nothing. Late answers are ignored.
 
 Owns the pending grant requests, which are lost with the process. Relies on
-`LimiterSelection` for the limiter of a target, on `Limiter` where this entry is the
+`LimiterSelector` for the limiter of a target, on `Limiter` where this entry is the
 limiter, and on the state of targets: it records a refusal there, and until the wait of
 the refusal has passed no grant is requested at that priority.
 """
@@ -21,7 +21,7 @@
 
 from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
 from leverdoor.entry.limits.limiter import Limiter
-from leverdoor.entry.limits.limiter_selection import LimiterSelection
+from leverdoor.entry.limits.limiter_selector import LimiterSelector
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.placement.fleet import Fleet
@@ -59,7 +59,7 @@
     def __init__(
         self,
         fleet: Fleet,
-        selection: LimiterSelection,
+        selection: LimiterSelector,
         limiter: Limiter,
         send_request: Callable[[RoomRequest, str], None],
         rng: Random,
--- a/leverdoor/entry/limits/limiter_selection.py
+++ b/leverdoor/entry/limits/limiter_selector.py
@@ -27,7 +27,7 @@
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
 
-__all__ = ["LimiterSelection"]
+__all__ = ["LimiterSelector"]
 
 HANDOVER_S = 4.0
 """Age of the last heartbeat up to which an entry may still get grant requests, in s.
@@ -74,7 +74,7 @@
     names: list[str]
 
 
-class LimiterSelection:
+class LimiterSelector:
     """Selects limiters by this entry's view of the membership."""
 
     def __init__(
--- a/leverdoor/entry/limits/target_limits.py
+++ b/leverdoor/entry/limits/target_limits.py
@@ -16,13 +16,13 @@
 from leverdoor.entry.limits.limit_collector import LimitCollector
 from leverdoor.entry.limits.limiter import Limiter
 from leverdoor.entry.limits.limiter_client import LimiterClient
-from leverdoor.entry.limits.limiter_selection import LimiterSelection
+from leverdoor.entry.limits.limiter_selector import LimiterSelector
 from leverdoor.entry.membership.member import EntryState
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.pauses import Pauses
 from leverdoor.entry.placement.fleet import Fleet
-from leverdoor.limits.advertised import AdvertisedLimit
+from leverdoor.limits.advertised import LimitAdvertisement
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
 
@@ -56,7 +56,7 @@
             context.wire, fleet.limits, context.events, metrics
         )
         self._pauses = Pauses(asyncio.get_running_loop().time())
-        selection = LimiterSelection(membership, state, self._pauses)
+        selection = LimiterSelector(membership, state, self._pauses)
         self._limiter = Limiter(fleet, selection, self._pauses, self._targets.get)
         self.grant_client = LimiterClient(
             fleet, selection, self._limiter, send_request, context.rng, metrics
@@ -68,13 +68,13 @@
         self._targets.update((target_id(t.name), t) for t in targets.values())
         self.collector.renew(targets)
 
-    def round(self, now: float) -> list[AdvertisedLimit]:
+    def round(self, now: float) -> list[LimitAdvertisement]:
         """Return the limits to send in this round; call it in each round."""
         # The call records that the process runs.
         self._pauses.running_s(now)
         return self.collector.received_here()
 
-    def receive_from_peers(self, limits: Iterable[AdvertisedLimit]) -> None:
+    def receive_from_peers(self, limits: Iterable[LimitAdvertisement]) -> None:
         """Store the limits that other entries received from targets."""
         self.collector.receive_from_peers(limits)
 
--- a/leverdoor/entry/quarantine_records.py
+++ b/leverdoor/entry/quarantine_records.py
@@ -105,7 +105,7 @@
         self._read = found
         for fingerprint in gone:
             del self._seen[fingerprint]
-            self._quarantine.release_removed(fingerprint, now)
+            self._quarantine.release_deleted(fingerprint, now)
 
     def _take(self, fingerprint: int, entry: KeyValue, now: float) -> bool:
         """Take one record; return whether it can be read."""
@@ -165,7 +165,7 @@
             return hold.tries < record.tries or seen_s > HOLD_S
         if seen_s > HOLD_S + REMOVED_AFTER_S:
             return True
-        return self._quarantine.is_exonerated(
+        return self._quarantine.has_no_evidence(
             hold_from_record(record, fingerprint, now, wall_s)
         )
 
--- a/leverdoor/entry/requests/handler.py
+++ b/leverdoor/entry/requests/handler.py
@@ -170,7 +170,7 @@
           Refusal: it is held back.
         """
         now = asyncio.get_running_loop().time()
-        hold = self._quarantine.hold(progress.fingerprint, now)
+        hold = self._quarantine.active_hold(progress.fingerprint, now)
         if hold is None:
             return
         if self._tries(hold.fingerprint) and self._quarantine.start_trial(hold, now):
--- a/leverdoor/gate/quarantining.py
+++ b/leverdoor/gate/quarantining.py
@@ -80,7 +80,7 @@
           Refusal: it is held back.
         """
         now = asyncio.get_running_loop().time()
-        hold = self._quarantine.hold(fingerprint, now)
+        hold = self._quarantine.active_hold(fingerprint, now)
         if hold is None:
             return
         mine = is_trial_owner(self._vm, self._neighbours.vms(), fingerprint)
--- a/leverdoor/limits/advertised.py
+++ b/leverdoor/limits/advertised.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-__all__ = ["AdvertisedLimit", "LimitChange", "LimitTable", "UnreadableLimit"]
+__all__ = ["LimitAdvertisement", "LimitChange", "LimitTable", "UnreadableLimit"]
 
 REORDER_WINDOW_S = 0.15
 """Time after a limit was received in which responses without one are ignored, in s.
@@ -35,7 +35,7 @@
     """The limit in a response is not a number of requests per second."""
 
 
-class AdvertisedLimit(msgspec.Struct, frozen=True):
+class LimitAdvertisement(msgspec.Struct, frozen=True):
     """The limit of a target, or that it has none, as one response said."""
 
     target: int
@@ -49,7 +49,7 @@
 class LimitChange(msgspec.Struct, frozen=True):
     """A limit that was set, changed or ended."""
 
-    advertisement: AdvertisedLimit
+    advertisement: LimitAdvertisement
     change: str
     """"named" for a new limit, "changed" or "ended"; the log has the same values."""
 
@@ -59,7 +59,7 @@
 
     def __init__(self) -> None:
         """Create an empty table."""
-        self._newest: dict[int, AdvertisedLimit] = {}
+        self._newest: dict[int, LimitAdvertisement] = {}
         self._since: dict[int, float] = {}
         """By target, when its limit was last set or changed."""
 
@@ -77,7 +77,7 @@
         advertisement = self._newest.get(target)
         return advertisement.per_s if advertisement is not None else None
 
-    def latest(self, target: int) -> AdvertisedLimit | None:
+    def newest_of(self, target: int) -> LimitAdvertisement | None:
         """Return a target's newest advertisement; None if there is none."""
         return self._newest.get(target)
 
@@ -89,7 +89,7 @@
             if advertisement.per_s is not None
         ]
 
-    def take(self, advertisement: AdvertisedLimit) -> LimitChange | None:
+    def take(self, advertisement: LimitAdvertisement) -> LimitChange | None:
         """Record an advertisement; return the change, or None if there is none.
 
         Advertisements may arrive in any order. A target without a known limit is not
@@ -121,12 +121,14 @@
         }
         self._since = {t: at for t, at in self._since.items() if t in self._newest}
 
-    def newest(self) -> Iterable[AdvertisedLimit]:
+    def newest(self) -> Iterable[LimitAdvertisement]:
         """Return the newest advertisement of each target in the table."""
         return self._newest.values()
 
 
-def _may_be_reordered(known: AdvertisedLimit, advertisement: AdvertisedLimit) -> bool:
+def _may_be_reordered(
+    known: LimitAdvertisement, advertisement: LimitAdvertisement
+) -> bool:
     """Return whether a response without a limit may predate the known limit."""
     if advertisement.per_s is not None or known.per_s is None:
         return False
--- a/leverdoor/limits/encoding.py
+++ b/leverdoor/limits/encoding.py
@@ -10,7 +10,7 @@
 import struct
 from collections.abc import Iterable
 
-from leverdoor.limits.advertised import AdvertisedLimit
+from leverdoor.limits.advertised import LimitAdvertisement
 
 __all__ = ["parse_limits", "serialize_limits"]
 
@@ -22,7 +22,7 @@
 """Greatest age that a row can hold, in ms."""
 
 
-def serialize_limits(advertisements: Iterable[AdvertisedLimit], now: float) -> bytes:
+def serialize_limits(advertisements: Iterable[LimitAdvertisement], now: float) -> bytes:
     """Serialize limits as consecutive rows.
 
     Args:
@@ -39,7 +39,7 @@
     )
 
 
-def parse_limits(data: bytes, now: float) -> list[AdvertisedLimit]:
+def parse_limits(data: bytes, now: float) -> list[LimitAdvertisement]:
     """Parse rows; a truncated row, or one whose limit is not finite, is left out.
 
     Args:
@@ -48,7 +48,7 @@
     """
     complete_size = len(data) - len(data) % ROW.size
     return [
-        AdvertisedLimit(target, None if per_s < 0.0 else per_s, now - age_ms / 1000)
+        LimitAdvertisement(target, None if per_s < 0.0 else per_s, now - age_ms / 1000)
         for target, per_s, age_ms in ROW.iter_unpack(data[:complete_size])
         if math.isfinite(per_s)
     ]
--- a/leverdoor/quarantine/quarantine.py
+++ b/leverdoor/quarantine/quarantine.py
@@ -149,7 +149,7 @@
         """The holds by fingerprint, with those that expired since the last `judge`."""
         return self._holds
 
-    def hold(self, fingerprint: int, now: float) -> Hold | None:
+    def active_hold(self, fingerprint: int, now: float) -> Hold | None:
         """Return the hold on a request that has not expired; None if there is none."""
         found = self._holds.get(fingerprint)
         return found if found is not None and now < found.until else None
@@ -167,7 +167,7 @@
 
     def may_retry(self, fingerprint: int, now: float) -> bool:
         """Return whether a request that got no response may go to another target."""
-        held = self.hold(fingerprint, now) is not None
+        held = self.active_hold(fingerprint, now) is not None
         return not held and fingerprint not in self._suspects
 
     def answered(self, fingerprint: int, now: float) -> None:
@@ -257,7 +257,7 @@
         fingerprint = hold.fingerprint
         if fingerprint in self._holds or now >= hold.until:
             return
-        if self.is_exonerated(hold):
+        if self.has_no_evidence(hold):
             self._announce_release(fingerprint, now)
             return
         if len(self._holds) >= MAX_HOLDS:
@@ -343,12 +343,12 @@
         """Quarantine a request that has a record in the store."""
         self._quarantine_request(hold, "store", now)
 
-    def release_removed(self, fingerprint: int, now: float) -> None:
+    def release_deleted(self, fingerprint: int, now: float) -> None:
         """Release a request whose record was deleted from the store."""
         if fingerprint in self._holds:
             self._release(fingerprint, now, "store", now)
 
-    def is_exonerated(self, hold: Hold) -> bool:
+    def has_no_evidence(self, hold: Hold) -> bool:
         """Return whether the evidence for a hold has been discarded."""
         return hold.first_crash_at <= self._evidence_discarded_to(hold.fingerprint)
 
--- a/leverdoor/quarantine/records.py
+++ b/leverdoor/quarantine/records.py
@@ -18,7 +18,7 @@
 from leverdoor.quarantine.quarantine import HOLD_S, MAX_TRIALS, TRIAL_DELAY_S, Hold
 
 __all__ = [
-    "Record",
+    "QuarantineRecord",
     "hold_from_record",
     "parse_record",
     "record_from_hold",
@@ -29,7 +29,7 @@
 """Greatest time of a record, in ms: the greatest integer that is exact in JSON."""
 
 
-class Record(msgspec.Struct, frozen=True):
+class QuarantineRecord(msgspec.Struct, frozen=True):
     """The stored record of a hold; operators may read and delete it."""
 
     held_at_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME_MS)]
@@ -42,21 +42,23 @@
     """The number of trials left for a request that may be harmless."""
 
 
-def parse_record(data: bytes) -> Record:
+def parse_record(data: bytes) -> QuarantineRecord:
     """Parse a record.
 
     Raises:
       msgspec.MsgspecError: the data is not a valid record.
     """
-    return msgspec.json.decode(data, type=Record)
+    return msgspec.json.decode(data, type=QuarantineRecord)
 
 
-def serialize_record(record: Record) -> bytes:
+def serialize_record(record: QuarantineRecord) -> bytes:
     """Serialize a record."""
     return serialize_json(record)
 
 
-def record_from_hold(hold: Hold, entry: str, now: float, wall_s: float) -> Record:
+def record_from_hold(
+    hold: Hold, entry: str, now: float, wall_s: float
+) -> QuarantineRecord:
     """Return the record of a hold.
 
     Args:
@@ -66,7 +68,7 @@
       wall_s: seconds since the epoch at that time.
     """
     held_at_ms = round((wall_s - (now - hold.quarantined_at)) * 1000)
-    return Record(
+    return QuarantineRecord(
         held_at_ms,
         round(hold.quarantined_at - hold.first_crash_at, 3),
         entry,
@@ -75,7 +77,7 @@
 
 
 def hold_from_record(
-    record: Record, fingerprint: int, now: float, wall_s: float
+    record: QuarantineRecord, fingerprint: int, now: float, wall_s: float
 ) -> Hold:
     """Return the hold of a record, with its values clamped to their ranges.
 
--- a/tests/test_entry_limits.py
+++ b/tests/test_entry_limits.py
@@ -6,7 +6,7 @@
 from leverdoor.entry.placement.choice import MOST_QUESTIONS
 from leverdoor.entry.placement.placement_request import Placement
 from leverdoor.errors import Code, Rejection
-from leverdoor.limits.advertised import AdvertisedLimit
+from leverdoor.limits.advertised import LimitAdvertisement
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
 
@@ -14,7 +14,7 @@
 def limit(desk: Desk, per_s: float, *targets: Target) -> None:
     """Let targets advertise a limit."""
     for t in targets:
-        desk.fleet.limits.take(AdvertisedLimit(target_id(t.name), per_s, desk.now))
+        desk.fleet.limits.take(LimitAdvertisement(target_id(t.name), per_s, desk.now))
 
 
 def refuse_grants(
@@ -39,7 +39,7 @@
     assert desk.name("k") == home.name
     refuse_grants(desk, 1.0, 0, home)
     desk.now += 0.5
-    end = AdvertisedLimit(target_id(home.name), None, desk.now)
+    end = LimitAdvertisement(target_id(home.name), None, desk.now)
     assert desk.fleet.limits.take(end) is not None
     assert desk.name("k") == home.name
 
--- a/tests/test_limit_exchange.py
+++ b/tests/test_limit_exchange.py
@@ -8,7 +8,7 @@
 from leverdoor.entry.exchange.exchange_types import PeerUpdate
 from leverdoor.entry.exchange.limit_exchange import MOST_TOLD, LimitExchange
 from leverdoor.entry.exchange.messages import OWN_SCOPE, DigestScope, LimitNews
-from leverdoor.limits.advertised import AdvertisedLimit, LimitTable
+from leverdoor.limits.advertised import LimitAdvertisement, LimitTable
 from leverdoor.limits.encoding import parse_limits, serialize_limits
 from test_entry_exchange import Entries
 
@@ -30,7 +30,7 @@
 
     def name_limit(self, name: str, per_s: float | None) -> None:
         """Let a target's answer to an entry name a limit."""
-        word = AdvertisedLimit(7, per_s, self.now)
+        word = LimitAdvertisement(7, per_s, self.now)
         self.books[name].take(word)
         self.report(name, limits=[word])
 
@@ -55,7 +55,7 @@
 def test_what_is_not_new_is_told_again_each_second() -> None:
     """Whoever starts, or was cut off, learns it."""
     exchange = LimitExchange("n1")
-    exchange.note_own([AdvertisedLimit(7, 3.5, 0.0)], 0.0)
+    exchange.note_own([LimitAdvertisement(7, 3.5, 0.0)], 0.0)
     sent = [exchange.news(OWN_SCOPE, turn, turn * 0.2) for turn in range(1, 21)]
     assert sum(news is not None for news in sent) == 3 + 4
     exchange.forget(61.0)
@@ -64,7 +64,7 @@
 
 def test_a_word_is_not_told_back_to_where_it_came_from() -> None:
     exchange = LimitExchange("n1")
-    words = serialize_limits([AdvertisedLimit(7, 3.5, 0.0)], 0.0)
+    words = serialize_limits([LimitAdvertisement(7, 3.5, 0.0)], 0.0)
     exchange.take(LimitNews("n2", DigestScope.REGION, words), 0.0)
     assert exchange.news(DigestScope.DOMAIN, 5, 0.1) is None
     assert exchange.news(DigestScope.REGION, 5, 0.1) is not None
@@ -75,7 +75,9 @@
 
 def test_of_many_limits_each_is_told_within_some_turns() -> None:
     exchange = LimitExchange("n1")
-    exchange.note_own([AdvertisedLimit(i, 1.0, 0.0) for i in range(3 * MOST_TOLD)], 0.0)
+    exchange.note_own(
+        [LimitAdvertisement(i, 1.0, 0.0) for i in range(3 * MOST_TOLD)], 0.0
+    )
     seen: set[int] = set()
     for turn in range(10, 30):
         news = exchange.news(OWN_SCOPE, turn, turn * 0.2)
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -13,11 +13,11 @@
 from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
 from leverdoor.entry.limits.limiter import Limiter
 from leverdoor.entry.limits.limiter_client import LimiterClient
-from leverdoor.entry.limits.limiter_selection import (
+from leverdoor.entry.limits.limiter_selector import (
     DISCOVERY_S,
     HANDOVER_S,
     HANDOVER_SHARE,
-    LimiterSelection,
+    LimiterSelector,
 )
 from leverdoor.entry.membership.liveness import SILENCE_S
 from leverdoor.entry.membership.member import (
@@ -34,7 +34,7 @@
 from leverdoor.entry.pauses import PAUSE_S, Pauses
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.placement_request import PlacementRequest
-from leverdoor.limits.advertised import AdvertisedLimit
+from leverdoor.limits.advertised import LimitAdvertisement
 from leverdoor.model.resources import Route, Service, Target, WorkClass
 from leverdoor.model.target_id import target_id
 
@@ -63,7 +63,7 @@
         self.membership = Membership(member(own))
         self.elapsed_s = 0.0
         self.pauses = Pauses(0.0, lambda: self.elapsed_s)
-        self.selection = LimiterSelection(self.membership, lambda: state, self.pauses)
+        self.selection = LimiterSelector(self.membership, lambda: state, self.pauses)
         for name in others:
             self.receive_heartbeat(name, STEADY_S)
 
@@ -198,7 +198,7 @@
     view = EntryView("a1-0", [])
     run_until_steady(view)
     view.pauses = Pauses(0.0, lambda: 0.0)
-    selection = LimiterSelection(view.membership, lambda: SERVING, view.pauses)
+    selection = LimiterSelector(view.membership, lambda: SERVING, view.pauses)
     return Limiter(fleet, selection, view.pauses, {target_id(only.name): only}.get)
 
 
@@ -208,16 +208,16 @@
     def __init__(self, own: str, answers: bool = True) -> None:
         now = asyncio.get_running_loop().time()
         self.fleet = Fleet()
-        self.fleet.limits.take(AdvertisedLimit(target_id(TARGET.name), 2.0, now - 60.0))
+        self.fleet.limits.take(
+            LimitAdvertisement(target_id(TARGET.name), 2.0, now - 60.0)
+        )
         self.sent: list[tuple[RoomRequest, str]] = []
         self._answers = answers
         self.grant_client = self._create_client(own, now)
         other = "a1-1" if own == "a1-0" else "a1-0"
         self.limiter_peer = self._create_limiter(other, now)
 
-    def _create_selection(
-        self, own: str, now: float
-    ) -> tuple[LimiterSelection, Pauses]:
+    def _create_selection(self, own: str, now: float) -> tuple[LimiterSelector, Pauses]:
         membership = Membership(member(own))
         for name in ("a1-0", "a1-1"):
             if name != own:
@@ -225,7 +225,7 @@
                 row = MemberRow(member_id(name), 1, SERVING)
                 membership.observe(LastSeen(row, now), now)
         pauses = Pauses(now - 60.0, lambda: 0.0)
-        return LimiterSelection(membership, lambda: SERVING, pauses), pauses
+        return LimiterSelector(membership, lambda: SERVING, pauses), pauses
 
     def _create_limiter(self, own: str, now: float) -> Limiter:
         selection, pauses = self._create_selection(own, now)
@@ -385,10 +385,10 @@
     cold = msgspec.structs.replace(TARGET, cold_ms=60_000)
     fleet.renew({cold.name: cold}, 0.0, [service(11.0)])
     assert fleet.room_per_s(cold, 1.0) == 8.25
-    fleet.limits.take(AdvertisedLimit(target_id(cold.name), 2.0, 1.0))
+    fleet.limits.take(LimitAdvertisement(target_id(cold.name), 2.0, 1.0))
     assert fleet.room_per_s(cold, 1.0) == 2.0
     assert fleet.room_per_s(cold, 61.0) == 2.0
-    fleet.limits.take(AdvertisedLimit(target_id(cold.name), None, 2.0))
+    fleet.limits.take(LimitAdvertisement(target_id(cold.name), None, 2.0))
     assert fleet.room_per_s(cold, 61.0) is None
     fleet.renew({cold.name: cold}, 3.0, [service(0.0)])
     assert fleet.room_per_s(cold, 3.0) is None
--- a/tests/test_named_limits.py
+++ b/tests/test_named_limits.py
@@ -8,13 +8,13 @@
 from leverdoor.limits.advertised import (
     REORDER_WINDOW_S,
     RETENTION_S,
-    AdvertisedLimit,
+    LimitAdvertisement,
     LimitTable,
 )
 
 
-def limit(per_s: float | None, at: float, target: int = 7) -> AdvertisedLimit:
-    return AdvertisedLimit(target, per_s, at)
+def limit(per_s: float | None, at: float, target: int = 7) -> LimitAdvertisement:
+    return LimitAdvertisement(target, per_s, at)
 
 
 def test_a_limit_is_set_changed_and_ended() -> None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -59,7 +59,7 @@
 
     def starts_trial(self, fingerprint: int, at: int = 0) -> bool:
         """Return whether an entry that owns the trials of a request starts one now."""
-        hold = self.all[at].hold(fingerprint, self.now)
+        hold = self.all[at].active_hold(fingerprint, self.now)
         return hold is not None and self.all[at].start_trial(hold, self.now)
 
     def verdict(self, fingerprint: int) -> Verdict:
@@ -67,7 +67,7 @@
         return judge_request(self.all[0]._crash_table, fingerprint)
 
     def held(self, fingerprint: int) -> list[bool]:
-        return [one.hold(fingerprint, self.now) is not None for one in self.all]
+        return [one.active_hold(fingerprint, self.now) is not None for one in self.all]
 
 
 SETTLING_ROUNDS = round(JUDGMENT_DELAY_S / ROUND_S) + 2
@@ -248,7 +248,7 @@
     for _ in range(MIN_CRASHES):
         cluster.crash(FATAL_REQUEST)
     cluster.round(SETTLING_ROUNDS)
-    hold = cluster.all[0].hold(FATAL_REQUEST, cluster.now)
+    hold = cluster.all[0].active_hold(FATAL_REQUEST, cluster.now)
     assert hold is not None
     cluster.now = hold.until
     assert cluster.held(FATAL_REQUEST) == [False]
--- a/tests/test_quarantine_records.py
+++ b/tests/test_quarantine_records.py
@@ -90,7 +90,7 @@
 
     def held(self) -> bool:
         self.quarantine.judge(self.now)
-        return self.quarantine.hold(FATAL_REQUEST, self.now) is not None
+        return self.quarantine.active_hold(FATAL_REQUEST, self.now) is not None
 
 
 @pytest.fixture(autouse=True)
@@ -166,7 +166,7 @@
     one.quarantine_by_crashes(concurrent=FATAL_REQUEST + 1)
     one.write(WALL_S)
     one.now += TRIAL_DELAY_S
-    hold = one.quarantine.hold(FATAL_REQUEST, one.now)
+    hold = one.quarantine.active_hold(FATAL_REQUEST, one.now)
     assert hold is not None and hold.tries == MAX_TRIALS
     assert one.quarantine.start_trial(hold, one.now)
     one.write(WALL_S)
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -25,7 +25,7 @@
 from leverdoor.errors import Code, Problem, Run
 from leverdoor.gate.keys import Key
 from leverdoor.gate.lookups import LookupAnswer, LookupEntry
-from leverdoor.limits.advertised import AdvertisedLimit
+from leverdoor.limits.advertised import LimitAdvertisement
 from leverdoor.limits.encoding import serialize_limits
 from leverdoor.membership import ownership
 from leverdoor.membership.peers import AgentHeartbeat, GateState, Gossip, Load
@@ -234,7 +234,7 @@
     "n1",
     messages.DigestScope.REGION,
     serialize_limits(
-        [AdvertisedLimit(0xFEDCBA98, 3.5, 8.0), AdvertisedLimit(7, None, 9.75)],
+        [LimitAdvertisement(0xFEDCBA98, 3.5, 8.0), LimitAdvertisement(7, None, 9.75)],
         now=10.0,
     ),
 )
