--- a/leverdoor/limits/token_bucket.py
+++ b/leverdoor/limits/token_bucket.py
@@ -74,31 +74,31 @@
     """If refused: estimated delay until a grant, for the caller, in seconds."""
 
 
-def burst_tokens(per_s: float, share: float = 1.0) -> float:
+def burst_tokens(limit_per_s: float, share: float = 1.0) -> float:
     """Return the capacity of a bucket in tokens; 0 for a limit of zero.
 
     Args:
-      per_s: the limit in requests per second.
+      limit_per_s: the limit in requests per second.
       share: the share of the limit that the bucket grants, from 0 to 1.
     """
-    if not per_s:
+    if not limit_per_s:
         return 0.0
-    return max((BURST_REQUESTS + BURST_S * per_s) * share, 1.0)
+    return max((BURST_REQUESTS + BURST_S * limit_per_s) * share, 1.0)
 
 
 class _Demand:
     """The request rate of one priority, as an exponential moving average."""
 
     def __init__(self, now: float) -> None:
-        self._per_s = 0.0
+        self._rate_per_s = 0.0
         self._updated_at = now
 
     def add(self, count: int, now: float) -> None:
-        self._per_s = self.per_s(now) + count / DEMAND_AVERAGE_S
+        self._rate_per_s = self.rate_per_s(now) + count / DEMAND_AVERAGE_S
         self._updated_at = now
 
-    def per_s(self, now: float) -> float:
-        return self._per_s * math.exp(
+    def rate_per_s(self, now: float) -> float:
+        return self._rate_per_s * math.exp(
             -max(now - self._updated_at, 0.0) / DEMAND_AVERAGE_S
         )
 
@@ -119,20 +119,25 @@
         self._demand: dict[int, _Demand] = {}
 
     def acquire(
-        self, per_s: float, share: float, priority: int, suppressed: int, now: float
+        self,
+        limit_per_s: float,
+        share: float,
+        priority: int,
+        suppressed: int,
+        now: float,
     ) -> GrantDecision:
         """Take a token for one request, or refuse it.
 
         Args:
-          per_s: the limit in requests per second; it may change between calls.
+          limit_per_s: the limit in requests per second; it may change between calls.
           share: the share of the limit that the bucket grants, from 0 to 1.
           priority: priority of the request; smaller is more urgent.
           suppressed: requests of that priority that the entry refused by itself since
             its previous grant request.
           now: monotonic time in seconds.
         """
-        rate = per_s * share
-        capacity = burst_tokens(per_s, share)
+        rate = limit_per_s * share
+        capacity = burst_tokens(limit_per_s, share)
         elapsed_s = max(now - self._updated_at, 0.0)
         self._tokens = min(self._tokens + elapsed_s * rate, capacity)
         self._updated_at = now
@@ -156,7 +161,7 @@
         rate: if they use half of the rate, a less urgent request is granted only from
         a full bucket.
         """
-        urgent = sum(d.per_s(now) for p, d in self._demand.items() if p < priority)
+        urgent = sum(d.rate_per_s(now) for p, d in self._demand.items() if p < priority)
         if not urgent:
             return 0.0
         fraction = URGENT_RESERVE_FACTOR * urgent / rate if rate else 1.0
@@ -165,9 +170,9 @@
     def _refusal(
         self, rate: float, missing_tokens: float, priority: int, now: float
     ) -> GrantDecision:
-        demand = sum(d.per_s(now) for d in self._demand.values())
+        demand = sum(d.rate_per_s(now) for d in self._demand.values())
         demand_at_or_above = sum(
-            d.per_s(now) for p, d in self._demand.items() if p <= priority
+            d.rate_per_s(now) for p, d in self._demand.items() if p <= priority
         )
         next_token_s = missing_tokens / rate if rate else MAX_RETRY_AFTER_S
         backoff = max(
--- a/leverdoor/quarantine/crashes.py
+++ b/leverdoor/quarantine/crashes.py
@@ -143,7 +143,7 @@
         """Return the number of crashes kept."""
         return len(self._crashes)
 
-    def add(self, target: int, run: LostRun) -> bool:
+    def add_run(self, target: int, run: LostRun) -> bool:
         """Record a run that a crash ended; return whether the run is new."""
         crash = self._find(target, run.ended)
         if crash is None:
--- a/leverdoor/quarantine/outbox.py
+++ b/leverdoor/quarantine/outbox.py
@@ -83,10 +83,10 @@
         if len(self._pending) > MAX_PENDING:
             self._pending.popitem(last=False)
 
-    def notices(
+    def next_notices(
         self, hold_notices: Sequence[PendingNotice], crash_table: CrashTable, now: float
     ) -> list[Notice]:
-        """Return the notices to send in a round.
+        """Begin a round, and return the notices to send in it.
 
         If there are more than `MAX_SENT`, releases are sent first, then holds, then
         crash notices by descending number of crashes of their request.
--- a/leverdoor/quarantine/quarantine.py
+++ b/leverdoor/quarantine/quarantine.py
@@ -192,7 +192,7 @@
         if run.ended <= self._evidence_discarded_to(run.fingerprint):
             self._announce_release(run.fingerprint, now)
             return
-        if now - run.ended > CRASH_RETENTION_S or not self._crash_table.add(
+        if now - run.ended > CRASH_RETENTION_S or not self._crash_table.add_run(
             target, run
         ):
             return
@@ -311,7 +311,7 @@
     def notices(self, now: float) -> list[Notice]:
         """Return the notices to send to other entries in this round."""
         held = [_hold_notice(hold) for hold in self._holds.values()]
-        return self._outbox.notices(held, self._crash_table, now)
+        return self._outbox.next_notices(held, self._crash_table, now)
 
     def receive(self, notices: list[Notice], now: float) -> None:
         """Apply the notices of another entry; new ones are forwarded."""
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -18,11 +18,11 @@
 
 def test_a_crash_that_is_reported_twice_counts_once() -> None:
     table = CrashTable()
-    assert table.add(1, LostRun(FATAL_REQUEST, 0.0, 0.1))
-    assert not table.add(1, LostRun(FATAL_REQUEST, 0.0, 0.1 + SAME_CRASH_S))
-    assert table.add(1, LostRun(FATAL_REQUEST, 2.0, 2.1))
+    assert table.add_run(1, LostRun(FATAL_REQUEST, 0.0, 0.1))
+    assert not table.add_run(1, LostRun(FATAL_REQUEST, 0.0, 0.1 + SAME_CRASH_S))
+    assert table.add_run(1, LostRun(FATAL_REQUEST, 2.0, 2.1))
     for i in range(2 * MAX_RUNS):
-        table.add(2, LostRun(i, 0.0, 0.1))
+        table.add_run(2, LostRun(i, 0.0, 0.1))
     assert len(table._crashes[-1].runs) == MAX_RUNS
 
 
@@ -36,11 +36,11 @@
 def test_crashes_are_attributed_to_the_request_with_the_most_crashes() -> None:
     table = CrashTable()
     for i in range(MIN_CRASHES):
-        table.add(i, LostRun(FATAL_REQUEST, i, i + 0.1))
-        table.add(i, LostRun(HARMLESS_REQUEST, i, i + 0.1))
+        table.add_run(i, LostRun(FATAL_REQUEST, i, i + 0.1))
+        table.add_run(i, LostRun(HARMLESS_REQUEST, i, i + 0.1))
     assert judge_request(table, FATAL_REQUEST) is Verdict.UNSURE
     assert judge_request(table, HARMLESS_REQUEST) is Verdict.UNSURE
-    table.add(MIN_CRASHES, LostRun(FATAL_REQUEST, MIN_CRASHES, MIN_CRASHES + 0.1))
+    table.add_run(MIN_CRASHES, LostRun(FATAL_REQUEST, MIN_CRASHES, MIN_CRASHES + 0.1))
     assert judge_request(table, FATAL_REQUEST) is Verdict.CAUSE
     assert judge_request(table, HARMLESS_REQUEST) is Verdict.HARMLESS
     assert table.attributed_crashes(HARMLESS_REQUEST) == []
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -197,6 +197,7 @@
     """Return the limiter of an entry that has run without peers for long."""
     view = EntryView("a1-0", [])
     run_until_steady(view)
+    # This clock stands still, so the entry counts as running since time 0.
     view.pauses = Pauses(0.0, lambda: 0.0)
     selection = LimiterSelector(view.membership, lambda: SERVING, view.pauses)
     return Limiter(fleet, selection, view.pauses, {target_id(only.name): only}.get)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -35,39 +35,46 @@
 
     def __init__(self, number: int = 2) -> None:
         self.now = 1000.0
-        self.all = [Quarantine() for _ in range(number)]
+        self.quarantines = [Quarantine() for _ in range(number)]
         self.silent: set[int] = set()
 
-    def crash(self, *fingerprints: int, at: int = 0, ran_s: float = 0.1) -> None:
-        """Let a target crash while it runs some requests of the entry `at`."""
+    def crash(
+        self, *fingerprints: int, entry_index: int = 0, ran_s: float = 0.1
+    ) -> None:
+        """Let a target crash while it runs some requests of the entry `entry_index`."""
         self.now += ran_s
         target = next(TARGETS)
         for fingerprint in fingerprints:
             run = LostRun(fingerprint, self.now - ran_s, self.now)
-            self.all[at].record_crash(target, run, self.now)
+            self.quarantines[entry_index].record_crash(target, run, self.now)
 
     def round(self, rounds: int = 1) -> None:
         for _ in range(rounds):
             self.now += ROUND_S
-            for i, one in enumerate(self.all):
-                one.judge(self.now)
-                notices = one.notices(self.now)
+            for i, quarantine in enumerate(self.quarantines):
+                quarantine.judge(self.now)
+                notices = quarantine.notices(self.now)
                 assert len(serialize_notices(notices)) <= 19 * MAX_SENT
-                for j, other in enumerate(self.all):
+                for j, receiver in enumerate(self.quarantines):
                     if i != j and not self.silent & {i, j}:
-                        other.receive(notices, self.now)
+                        receiver.receive(notices, self.now)
 
-    def starts_trial(self, fingerprint: int, at: int = 0) -> bool:
+    def starts_trial(self, fingerprint: int, entry_index: int = 0) -> bool:
         """Return whether an entry that owns the trials of a request starts one now."""
-        hold = self.all[at].active_hold(fingerprint, self.now)
-        return hold is not None and self.all[at].start_trial(hold, self.now)
+        hold = self.quarantines[entry_index].active_hold(fingerprint, self.now)
+        return hold is not None and self.quarantines[entry_index].start_trial(
+            hold, self.now
+        )
 
     def verdict(self, fingerprint: int) -> Verdict:
         """Return the verdict of the first entry."""
-        return judge_request(self.all[0]._crash_table, fingerprint)
+        return judge_request(self.quarantines[0]._crash_table, fingerprint)
 
     def held(self, fingerprint: int) -> list[bool]:
-        return [one.active_hold(fingerprint, self.now) is not None for one in self.all]
+        return [
+            quarantine.active_hold(fingerprint, self.now) is not None
+            for quarantine in self.quarantines
+        ]
 
 
 SETTLING_ROUNDS = round(JUDGMENT_DELAY_S / ROUND_S) + 2
@@ -76,11 +83,11 @@
 
 def test_the_third_crash_quarantines_at_any_entry() -> None:
     cluster = EntryCluster(3)
-    for at in range(2):
-        cluster.crash(FATAL_REQUEST, at=at)
+    for entry_index in range(2):
+        cluster.crash(FATAL_REQUEST, entry_index=entry_index)
         cluster.round(SETTLING_ROUNDS)
     assert cluster.held(FATAL_REQUEST) == [False, False, False]
-    cluster.crash(FATAL_REQUEST, at=2)
+    cluster.crash(FATAL_REQUEST, entry_index=2)
     cluster.round(SETTLING_ROUNDS)
     assert cluster.held(FATAL_REQUEST) == [True, True, True]
 
@@ -88,13 +95,13 @@
 def test_a_request_running_beside_the_cause_is_not_quarantined() -> None:
     """The cause has one more crash, so only the cause is quarantined."""
     cluster = EntryCluster()
-    cluster.crash(FATAL_REQUEST, at=1)
+    cluster.crash(FATAL_REQUEST, entry_index=1)
     for _ in range(MIN_CRASHES):
-        cluster.crash(HARMLESS_REQUEST, at=0)
+        cluster.crash(HARMLESS_REQUEST, entry_index=0)
         # The other entry reports the same crash a moment later.
         run = LostRun(FATAL_REQUEST, cluster.now - 0.08, cluster.now)
         target = next(TARGETS) - 1
-        cluster.all[1].record_crash(target, run, cluster.now)
+        cluster.quarantines[1].record_crash(target, run, cluster.now)
     cluster.round(SETTLING_ROUNDS)
     assert cluster.held(FATAL_REQUEST) == [True, True]
     assert [cluster.verdict(FATAL_REQUEST), cluster.verdict(HARMLESS_REQUEST)] == [
@@ -113,7 +120,7 @@
     assert not cluster.starts_trial(HARMLESS_REQUEST)
     cluster.now += TRIAL_DELAY_S
     assert cluster.starts_trial(HARMLESS_REQUEST)
-    cluster.all[0].answered(HARMLESS_REQUEST, cluster.now)
+    cluster.quarantines[0].answered(HARMLESS_REQUEST, cluster.now)
     cluster.round(SETTLING_ROUNDS)
     assert cluster.held(HARMLESS_REQUEST) == [False, False]
     trials = 0
@@ -142,7 +149,7 @@
     for _ in range(MIN_CRASHES):
         cluster.crash(FATAL_REQUEST, HARMLESS_REQUEST)
     assert cluster.verdict(FATAL_REQUEST) is Verdict.UNSURE
-    cluster.all[0].answered(HARMLESS_REQUEST, cluster.now)
+    cluster.quarantines[0].answered(HARMLESS_REQUEST, cluster.now)
     assert cluster.verdict(FATAL_REQUEST) is Verdict.CAUSE
 
 
@@ -152,7 +159,7 @@
     cluster.now += 0.1
     for _ in range(2 * MIN_CRASHES):
         run = LostRun(HARMLESS_REQUEST, cluster.now - 0.1, cluster.now)
-        cluster.all[0].record_crash(next(TARGETS), run, cluster.now)
+        cluster.quarantines[0].record_crash(next(TARGETS), run, cluster.now)
     cluster.round(SETTLING_ROUNDS)
     assert cluster.held(HARMLESS_REQUEST) == [False, False]
 
@@ -164,7 +171,7 @@
     for i in range(MIN_CRASHES):
         cluster.now = began + 0.2 + 0.1 * i
         run = LostRun(FATAL_REQUEST, began + 0.01 * i, cluster.now)
-        cluster.all[0].record_crash(next(TARGETS), run, cluster.now)
+        cluster.quarantines[0].record_crash(next(TARGETS), run, cluster.now)
     cluster.round(SETTLING_ROUNDS)
     assert cluster.held(FATAL_REQUEST) == [True]
 
@@ -187,7 +194,7 @@
     cluster.now += 0.1
     for i in range(50):
         run = LostRun(20_000 + i, cluster.now - 0.1, cluster.now + 0.0005 * i)
-        cluster.all[0].record_crash(next(TARGETS), run, cluster.now)
+        cluster.quarantines[0].record_crash(next(TARGETS), run, cluster.now)
     for _ in range(MIN_CRASHES - 1):
         cluster.crash(FATAL_REQUEST)
     cluster.round(SETTLING_ROUNDS)
@@ -196,9 +203,9 @@
 
 def test_a_completed_run_discards_the_earlier_evidence() -> None:
     cluster = EntryCluster(3)
-    for at in range(MIN_CRASHES):
-        cluster.crash(HARMLESS_REQUEST, at=at)
-    cluster.all[0].answered(HARMLESS_REQUEST, cluster.now)
+    for entry_index in range(MIN_CRASHES):
+        cluster.crash(HARMLESS_REQUEST, entry_index=entry_index)
+    cluster.quarantines[0].answered(HARMLESS_REQUEST, cluster.now)
     cluster.round(SETTLING_ROUNDS)
     assert cluster.held(HARMLESS_REQUEST) == [False, False, False]
     cluster.crash(HARMLESS_REQUEST)
@@ -212,7 +219,7 @@
         cluster.crash(HARMLESS_REQUEST)
     cluster.round(SETTLING_ROUNDS)
     assert cluster.held(HARMLESS_REQUEST) == [True, True, True]
-    cluster.all[2].answered(HARMLESS_REQUEST, cluster.now)
+    cluster.quarantines[2].answered(HARMLESS_REQUEST, cluster.now)
     cluster.round(2)
     assert cluster.held(HARMLESS_REQUEST) == [False, False, False]
 
@@ -222,10 +229,10 @@
     cluster = EntryCluster(3)
     cluster.silent = {0}
     for _ in range(MIN_CRASHES):
-        cluster.crash(HARMLESS_REQUEST, at=0)
+        cluster.crash(HARMLESS_REQUEST, entry_index=0)
     cluster.round(SETTLING_ROUNDS)
     assert cluster.held(HARMLESS_REQUEST) == [True, False, False]
-    cluster.all[1].answered(HARMLESS_REQUEST, cluster.now)
+    cluster.quarantines[1].answered(HARMLESS_REQUEST, cluster.now)
     cluster.silent = set()
     cluster.round(10)
     assert cluster.held(HARMLESS_REQUEST) == [False, False, False]
@@ -248,7 +255,7 @@
     for _ in range(MIN_CRASHES):
         cluster.crash(FATAL_REQUEST)
     cluster.round(SETTLING_ROUNDS)
-    hold = cluster.all[0].active_hold(FATAL_REQUEST, cluster.now)
+    hold = cluster.quarantines[0].active_hold(FATAL_REQUEST, cluster.now)
     assert hold is not None
     cluster.now = hold.until
     assert cluster.held(FATAL_REQUEST) == [False]
@@ -274,8 +281,8 @@
         others = range(100 * i + 1_000_000, 100 * i + 1_000_100)
         for fingerprint in (HARMLESS_REQUEST, *others):
             run = LostRun(fingerprint, began, cluster.now + 0.0001 * i)
-            cluster.all[0].record_crash(target, run, cluster.now)
-    assert len(cluster.all[0]._crash_table) <= MAX_CRASHES
+            cluster.quarantines[0].record_crash(target, run, cluster.now)
+    assert len(cluster.quarantines[0]._crash_table) <= MAX_CRASHES
     cluster.now += 1.0
     cluster.crash(FATAL_REQUEST)
     cluster.round(SETTLING_ROUNDS)
@@ -299,12 +306,12 @@
 ) -> None:
     """All entries quarantine the same requests after any crashes and answers."""
     cluster = EntryCluster(3)
-    for event, at, fingerprint in events_in_order:
+    for event, entry_index, fingerprint in events_in_order:
         if event == "crash":
-            cluster.crash(fingerprint, at=at)
+            cluster.crash(fingerprint, entry_index=entry_index)
         elif event == "answer":
             cluster.now += 0.01
-            cluster.all[at].answered(fingerprint, cluster.now)
+            cluster.quarantines[entry_index].answered(fingerprint, cluster.now)
         else:
             cluster.round()
     cluster.round(SETTLING_ROUNDS + round(RESEND_S / ROUND_S))
@@ -330,9 +337,9 @@
     )
     for target, began, end in runs:
         run = LostRun(FATAL_REQUEST, cluster.now + began, cluster.now + end)
-        cluster.all[0].record_crash(target, run, cluster.now + end)
+        cluster.quarantines[0].record_crash(target, run, cluster.now + end)
     for target, began, end in ((2, 0.058, 0.087), (4, 0.087, 0.116), (6, 0.120, 0.161)):
-        cluster.all[1].record_crash(
+        cluster.quarantines[1].record_crash(
             target,
             LostRun(HARMLESS_REQUEST, cluster.now + began, cluster.now + end),
             cluster.now,
--- a/tests/test_quarantine_records.py
+++ b/tests/test_quarantine_records.py
@@ -63,12 +63,12 @@
         """Apply the due writes to the store, and let the entry read the store again."""
         writes = self.records.due(self.now, wall_s)
         for w in writes:
-            held = self.store.get(w.key)
-            assert w.expect == (held.revision if held else 0)
+            stored = self.store.get(w.key)
+            assert w.expect == (stored.revision if stored else 0)
             if w.value is None:
                 del self.store[w.key]
             else:
-                revision = held.revision + 1 if held else 1
+                revision = stored.revision + 1 if stored else 1
                 self.store[w.key] = KeyValue(w.key, w.value, revision)
         self.read()
         return writes
@@ -99,86 +99,86 @@
 
 
 def test_a_record_is_written_once_and_restored_by_an_entry_that_starts() -> None:
-    one = Entry({})
-    one.quarantine_by_crashes()
-    assert [w.key for w in one.write(WALL_S)] == [KEY]
-    assert one.write(WALL_S) == []
-    two = Entry(one.store)
-    two.read()
-    assert two.held()
+    entry = Entry({})
+    entry.quarantine_by_crashes()
+    assert [w.key for w in entry.write(WALL_S)] == [KEY]
+    assert entry.write(WALL_S) == []
+    restarted = Entry(entry.store)
+    restarted.read()
+    assert restarted.held()
 
 
 def test_deleting_a_record_releases_its_request() -> None:
-    one = Entry({})
-    one.quarantine_by_crashes()
-    one.write(WALL_S)
-    one.store.clear()
-    one.read()
-    assert not one.held()
-    assert one.write(WALL_S) == []
+    entry = Entry({})
+    entry.quarantine_by_crashes()
+    entry.write(WALL_S)
+    entry.store.clear()
+    entry.read()
+    assert not entry.held()
+    assert entry.write(WALL_S) == []
 
 
 def test_a_completed_run_removes_the_record() -> None:
-    one = Entry({})
-    one.quarantine_by_crashes()
-    one.write(WALL_S)
-    one.now += 1.0
-    one.quarantine.answered(FATAL_REQUEST, one.now)
-    assert [w.value for w in one.write(WALL_S)] == [None]
+    entry = Entry({})
+    entry.quarantine_by_crashes()
+    entry.write(WALL_S)
+    entry.now += 1.0
+    entry.quarantine.answered(FATAL_REQUEST, entry.now)
+    assert [w.value for w in entry.write(WALL_S)] == [None]
 
 
 def test_an_expired_record_is_removed() -> None:
-    one = Entry({})
-    one.quarantine_by_crashes()
-    one.write(WALL_S)
-    one.now += HOLD_S + REMOVED_AFTER_S
-    assert not one.held()
-    assert one.write(WALL_S) == []
-    one.now += 1.0
-    assert [w.value for w in one.write(WALL_S)] == [None]
+    entry = Entry({})
+    entry.quarantine_by_crashes()
+    entry.write(WALL_S)
+    entry.now += HOLD_S + REMOVED_AFTER_S
+    assert not entry.held()
+    assert entry.write(WALL_S) == []
+    entry.now += 1.0
+    assert [w.value for w in entry.write(WALL_S)] == [None]
 
 
 def test_a_clock_that_is_ahead_removes_no_record() -> None:
     """Removing the record would release the request at all entries."""
-    one = Entry({})
-    one.quarantine_by_crashes()
-    one.write(WALL_S)
-    ahead = Entry(one.store)
+    entry = Entry({})
+    entry.quarantine_by_crashes()
+    entry.write(WALL_S)
+    ahead = Entry(entry.store)
     ahead.read()
     assert ahead.write(WALL_S + HOUR_S) == []
-    assert KEY in one.store
+    assert KEY in entry.store
 
 
 def test_a_second_quarantine_writes_a_new_record() -> None:
-    one = Entry({})
-    one.quarantine_by_crashes()
-    one.write(WALL_S)
-    one.now += HOLD_S + 1.0
-    assert not one.held()
-    one.quarantine_by_crashes()
-    assert [w.value is None for w in one.write(WALL_S + HOLD_S)] == [False]
-    assert one.held()
+    entry = Entry({})
+    entry.quarantine_by_crashes()
+    entry.write(WALL_S)
+    entry.now += HOLD_S + 1.0
+    assert not entry.held()
+    entry.quarantine_by_crashes()
+    assert [w.value is None for w in entry.write(WALL_S + HOLD_S)] == [False]
+    assert entry.held()
 
 
 def test_a_record_has_the_number_of_trials_left() -> None:
     """An entry that starts must not repeat the trials of other entries."""
-    one = Entry({})
-    one.quarantine_by_crashes(concurrent=FATAL_REQUEST + 1)
-    one.write(WALL_S)
-    one.now += TRIAL_DELAY_S
-    hold = one.quarantine.active_hold(FATAL_REQUEST, one.now)
+    entry = Entry({})
+    entry.quarantine_by_crashes(concurrent=FATAL_REQUEST + 1)
+    entry.write(WALL_S)
+    entry.now += TRIAL_DELAY_S
+    hold = entry.quarantine.active_hold(FATAL_REQUEST, entry.now)
     assert hold is not None and hold.tries == MAX_TRIALS
-    assert one.quarantine.start_trial(hold, one.now)
-    one.write(WALL_S)
-    assert parse_record(one.store[KEY].value).tries == MAX_TRIALS - 1
-    assert one.held()
+    assert entry.quarantine.start_trial(hold, entry.now)
+    entry.write(WALL_S)
+    assert parse_record(entry.store[KEY].value).tries == MAX_TRIALS - 1
+    assert entry.held()
 
 
 def test_unreadable_records_are_ignored() -> None:
     bad = {"x/zz": KeyValue("x/zz", b"{}", 1), "x/12": KeyValue("x/12", b"[", 1)}
-    one = Entry(bad)
-    one.read()
-    assert one.write(WALL_S) == []
+    entry = Entry(bad)
+    entry.read()
+    assert entry.write(WALL_S) == []
 
 
 def test_the_age_of_a_record_is_clamped_against_wrong_wall_clocks() -> None:
@@ -197,11 +197,13 @@
 
 
 def test_a_refusal_has_the_time_to_the_next_trial_or_the_end_of_the_hold() -> None:
-    sure = quarantine_refusal(Hold(FATAL_REQUEST, 990.0, 1000.0), 1100.0)
-    assert sure.code is Code.QUARANTINED
-    assert sure.retry_after_ms == round((HOLD_S - 100.0) * 1000)
-    unsure = quarantine_refusal(Hold(FATAL_REQUEST, 990.0, 1000.0, 1, 1005.0), 1002.0)
-    assert unsure.retry_after_ms == 3_000
+    certain = quarantine_refusal(Hold(FATAL_REQUEST, 990.0, 1000.0), 1100.0)
+    assert certain.code is Code.QUARANTINED
+    assert certain.retry_after_ms == round((HOLD_S - 100.0) * 1000)
+    uncertain = quarantine_refusal(
+        Hold(FATAL_REQUEST, 990.0, 1000.0, 1, 1005.0), 1002.0
+    )
+    assert uncertain.retry_after_ms == 3_000
     assert quarantine_refusal(
         Hold(FATAL_REQUEST, 990.0, 1000.0, 1, 1005.0), 1004.9
     ).retry_after_ms == (1_000)
@@ -209,12 +211,12 @@
 
 def read_record_and_send_notices(text: str, value: bytes) -> Entry:
     """Let an entry read a record of another program and send its notices."""
-    one = Entry({})
-    one.records.take({text: KeyValue(KEY, value, 1)}, one.now)
-    one.records.due(one.now, WALL_S)
-    one.quarantine.judge(one.now)
-    serialize_notices(one.quarantine.notices(one.now))
-    return one
+    entry = Entry({})
+    entry.records.take({text: KeyValue(KEY, value, 1)}, entry.now)
+    entry.records.due(entry.now, WALL_S)
+    entry.quarantine.judge(entry.now)
+    serialize_notices(entry.quarantine.notices(entry.now))
+    return entry
 
 
 VALID_RECORD = b'{"held_at_ms":1700000000000,"first_s":2.0,"entry":"n1","tries":1}'
