--- a/benchmarks/emulated_quarantine.py
+++ b/benchmarks/emulated_quarantine.py
@@ -158,7 +158,7 @@
             return
         self._lost[run.fingerprint] += 1
         lost = LostRun(run.fingerprint, run.began, ended)
-        self._node(run.entry).quarantine.crashed(target_id(name), lost, self.now)
+        self._node(run.entry).quarantine.record_crash(target_id(name), lost, self.now)
 
     def _lose(self, run: _Run, name: str) -> None:
         """Send a lost run on, or have its caller try again."""
@@ -224,7 +224,9 @@
     def _holds(self, name: str, fingerprint: int) -> bool:
         if self.plan.count_only:
             return self._lost[fingerprint] >= ENOUGH
-        return self._node(name).quarantine.hold(fingerprint, self.now) is not None
+        return (
+            self._node(name).quarantine.active_hold(fingerprint, self.now) is not None
+        )
 
     def _send(self, run: _Run) -> None:
         """Run a request at the first target of its key that was not tried."""
--- a/leverdoor/quarantine/refusal.py
+++ b/leverdoor/quarantine/refusal.py
@@ -1,34 +1,37 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The refusal of a request that is held back. Owns no state."""
+"""Builds the refusal of a quarantined request. Owns no state."""
 
 from leverdoor.errors import Code, Refusal
 from leverdoor.quarantine.quarantine import Hold
 
-__all__ = ["held_refusal"]
+__all__ = ["quarantine_refusal"]
 
-LEAST_RETRY_AFTER_S = 1.0
-"""Least time after which a request that may run once more should come back, in seconds.
+MIN_RETRY_AFTER_S = 1.0
+"""Least retry-after time of a refused request, in seconds.
 
-Its try may be under way at another entry. Greater: a harmless one waits longer.
-Smaller: it comes back before the try has ended.
+If the next trial is due, another entry may be running it, and this is the time to
+finish it. With a greater value, a harmless request waits longer; with a smaller one, it
+is retried before the trial has ended.
 """
 
 
-def held_refusal(hold: Hold, now: float) -> Refusal:
-    """Return the refusal of a request that is held back.
+def quarantine_refusal(hold: Hold, now: float) -> Refusal:
+    """Return the refusal of a quarantined request.
 
-    It may come back when the hold is over, or when it is tried once more, and not
-    before: no entry would run it.
+    Its retry-after time is the time to the next trial, or to the end of the hold if no
+    trials are left, since no entry runs the request earlier.
 
     Args:
-      hold: how it is held back.
+      hold: the hold on the request.
       now: monotonic time in seconds.
     """
-    until = hold.try_at if hold.tries else hold.until
-    left_s = max(until - now, LEAST_RETRY_AFTER_S)
+    until = hold.next_trial_at if hold.tries else hold.until
+    left_s = max(until - now, MIN_RETRY_AFTER_S)
     detail = (
-        f"targets ended under it from {now - hold.first:.1f} s ago on; held back"
-        f" {now - hold.at:.1f} s ago, for {left_s:.1f} s more, {hold.tries} tries left"
+        "request is quarantined: targets crashed while running it, first"
+        f" {now - hold.first_crash_at:.1f} s ago; quarantined"
+        f" {now - hold.quarantined_at:.1f} s ago, next run in {left_s:.1f} s at the"
+        f" earliest, {hold.tries} tries left"
     )
     return Refusal(Code.QUARANTINED, detail, retry_after_ms=round(left_s * 1000))
