--- a/benchmarks/emulated_exchange.py
+++ b/benchmarks/emulated_exchange.py
@@ -125,7 +125,7 @@
         self.membership = Membership(own)
         roles = Roles(self.membership, rng)
         self._exchange = Exchange(self.membership, roles)
-        self._exchange.lists.renew(targets)
+        self._exchange.target_count_codec.renew(targets)
         self._rng = rng
         self._targets = targets[own.region]
         self._shares = {s: dict.fromkeys(targets, 0.3) for s in ("x", "y", "z")}
@@ -135,7 +135,7 @@
         counts = Counter(self._rng.choices(self._targets, k=BUSY_TARGETS))
         report = EntryStatus(SERVING, 1, dict(counts), self._shares, -1, [])
         sendings, _ = self._exchange.round(report, now)
-        return [(s.message, s.to) for s in sendings]
+        return [(s.message, s.destinations) for s in sendings]
 
     def take(self, message: ExchangeMessage, now: float) -> None:
         """Take a message."""
--- a/benchmarks/emulated_following.py
+++ b/benchmarks/emulated_following.py
@@ -27,7 +27,7 @@
 from leverdoor.entry.control_plane import ControlPlane
 from leverdoor.entry.events import Events
 from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate
-from leverdoor.entry.exchange.messages import Message, RoomAnswer, RoomMessage
+from leverdoor.entry.exchange.messages import Message, PermitMessage, PermitResponse
 from leverdoor.entry.exchange.peer_network import PeerNetwork
 from leverdoor.entry.log_writer import LineWriter
 from leverdoor.entry.membership.liveness import HEARTBEAT_S
@@ -206,7 +206,7 @@
     def _take_delta(self, _: Delta) -> None:
         self.keeper.compile()
         self._site.note_in_force(self.member.name, self.state.revision)
-        self.control.peers.spread_news()
+        self.control.peers.schedule_announcement()
 
     def _put_in_force(self, _: Catalog, __: Catalog, configured: Configured) -> None:
         now = asyncio.get_running_loop().time()
@@ -235,7 +235,7 @@
     return Configured("1", [], peers)
 
 
-def _no_room(_: RoomMessage, __: float) -> RoomAnswer | None:
+def _no_room(_: PermitMessage, __: float) -> PermitResponse | None:
     return None
 
 
--- a/benchmarks/emulated_limits.py
+++ b/benchmarks/emulated_limits.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from emulated_exchange import FAR_S, NEAR_S, KnowledgeSite
-from leverdoor.entry.exchange.messages import RoomRequest
+from leverdoor.entry.exchange.messages import PermitRequest
 from leverdoor.entry.limits.asking import FAR_TRY_S, NEAR_TRY_S, TRIES, UNANSWERED
 from leverdoor.entry.membership.member import Member
 from leverdoor.limits.room import RoomDecision
@@ -188,11 +188,11 @@
         else:
             number = next(self._numbers)
             key = target_id(target.name)
-            request = RoomRequest(name, number, key, per_s, 0, missed)
+            request = PermitRequest(name, number, key, per_s, 0, missed)
             self._try(request, limiter, target, TRIES)
 
     def _try(
-        self, request: RoomRequest, limiter: Member, target: Target, left: int
+        self, request: PermitRequest, limiter: Member, target: Target, left: int
     ) -> None:
         """Send a question; send it again, or give it up, if no answer comes."""
         name = request.sender
@@ -221,13 +221,15 @@
         return site.isolated.isdisjoint(names) and site.dead.isdisjoint(names)
 
     def _question(
-        self, request: RoomRequest, limiter: Member, target: Target, way_s: float
+        self, request: PermitRequest, limiter: Member, target: Target, way_s: float
     ) -> None:
         if limiter.name in self.site.dead:
             return
         answer = self._node(limiter.name).limiter.answer(request, self.site.now)
         decision = RoomDecision(
-            answer.granted, answer.wait_ms / 1000, answer.room_ms / 1000
+            answer.granted,
+            answer.retry_after_ms / 1000,
+            answer.permit_expected_ms / 1000,
         )
         self._after(way_s, lambda: self._decided(request.sender, target, decision))
 
--- a/benchmarks/emulated_quotas.py
+++ b/benchmarks/emulated_quotas.py
@@ -130,7 +130,7 @@
         sendings, update = self.exchange.round(report, now)
         self._receive(update, now)
         self.exchange.forget(now)
-        return [(s.message, s.to) for s in sendings]
+        return [(s.message, s.destinations) for s in sendings]
 
     def take(self, message: ExchangeMessage, now: float) -> None:
         """Take a message."""
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -17,7 +17,7 @@
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.exchange.exchange import Exchange
 from leverdoor.entry.exchange.exchange_types import EntryStatus
-from leverdoor.entry.exchange.messages import EntryHeartbeat, RoomRequest
+from leverdoor.entry.exchange.messages import EntryHeartbeat, PermitRequest
 from leverdoor.entry.limits.limiter import Limiter
 from leverdoor.entry.limits.role import REMEMBERED_S, LimiterRole
 from leverdoor.entry.membership.member import SERVING, Member, MemberRow, member_id
@@ -130,7 +130,9 @@
     membership = Membership(member(0))
     naming = Naming(membership)
     exchange = Exchange(membership, Roles(membership, Random(1)))
-    exchange.lists.renew({r: [f"i-{r}{i:07x}" for i in range(180)] for r in REGIONS})
+    exchange.target_count_codec.renew(
+        {r: [f"i-{r}{i:07x}" for i in range(180)] for r in REGIONS}
+    )
     counts = {f"i-a{i:07x}": 2 for i in range(20)}
     heartbeats = [
         EntryHeartbeat(member(i), 1, SERVING, 5, counts) for i in range(1, entries)
@@ -185,8 +187,8 @@
         key = target_id(mine[0].name)
 
         def answer() -> None:
-            request = RoomRequest("10.0.0.1:7", next(turns), key, 3.5, 2, 0)
-            unpack(pack(request), RoomRequest)
+            request = PermitRequest("10.0.0.1:7", next(turns), key, 3.5, 2, 0)
+            unpack(pack(request), PermitRequest)
             pack(limiter.answer(request, 0.0))
 
         decided = median_us(answer, 200)
--- a/benchmarks/quarantine_node.py
+++ b/benchmarks/quarantine_node.py
@@ -43,7 +43,7 @@
         status = EntryStatus(SERVING, 1, {}, {}, -1, [], notices=notices)
         sendings, _ = self.exchange.round(status, now)
         self.exchange.forget(now)
-        return [(s.message, s.to) for s in sendings]
+        return [(s.message, s.destinations) for s in sendings]
 
     def take(self, message: ExchangeMessage, now: float) -> None:
         """Take a message."""
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -125,7 +125,7 @@
         """Take targets, configuration and the other entries from the store."""
         self.fleet.renew(catalog.targets, self._clock.now)
         self._policy.renew(catalog)
-        self._exchange.lists.renew(catalog.names_by_region)
+        self._exchange.target_count_codec.renew(catalog.names_by_region)
         written = {m.name: pack(m) for m in members}
         self._membership.add_registered(written, self._clock.now)
 
@@ -138,8 +138,8 @@
         sendings, update = self._exchange.round(self._report(now), now)
         for sending in sendings:
             size = len(pack(sending.message))
-            self.heartbeat_bytes += size * len(sending.to)
-            send(sending.message, sending.to)
+            self.heartbeat_bytes += size * len(sending.destinations)
+            send(sending.message, sending.destinations)
         self._take_update(update)
         if self._rounds % SHARE_UPDATE_ROUNDS == 0:
             self._policy.shares.update([self._exchange.region_shares()], now)
@@ -162,9 +162,9 @@
 
     def _take_update(self, update: PeerUpdate) -> None:
         now = self._clock.now
-        if update.others is not None and self._shared_fleet is None:
-            self.fleet.receive(OTHERS, update.others, now)
-        self._policy.shared_warmth.receive(update.warm, now)
+        if update.others_in_flight is not None and self._shared_fleet is None:
+            self.fleet.receive(OTHERS, update.others_in_flight, now)
+        self._policy.shared_warmth.receive(update.warm_keys, now)
 
     # Requests.
 
--- a/leverdoor/entry/control_plane.py
+++ b/leverdoor/entry/control_plane.py
@@ -18,7 +18,11 @@
 from leverdoor.entry.context import EntryContext
 from leverdoor.entry.exchange.exchange import Exchange
 from leverdoor.entry.exchange.exchange_types import EntryStatus
-from leverdoor.entry.exchange.peer_link import PeerLink, TakeRoomMessage, TakeUpdate
+from leverdoor.entry.exchange.peer_link import (
+    PeerLink,
+    PeerUpdateHandler,
+    PermitMessageHandler,
+)
 from leverdoor.entry.membership.joining import Joining
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.membership.members import Membership
@@ -63,8 +67,8 @@
         keeper: CatalogKeeper,
         membership: Membership,
         status: Callable[[], EntryStatus],
-        take_update: TakeUpdate,
-        take_room: TakeRoomMessage,
+        take_update: PeerUpdateHandler,
+        take_room: PermitMessageHandler,
     ) -> None:
         """Create all parts; nothing is opened yet.
 
@@ -130,7 +134,7 @@
             self._membership,
             self._roles,
             self._state,
-            self.peers.puller,
+            self.peers.peer_follower,
             self._context.events,
             self._context.rng,
         )
@@ -187,14 +191,14 @@
         was_stale = self._store_role.is_stale(now)
         self._keeper.confirmation.peer_told(told, self._state.revision, now)
         if was_stale and not self._store_role.is_stale(now):
-            self.peers.spread_news()
+            self.peers.schedule_announcement()
 
     def _take_store_answer(self) -> None:
         """Record that the store answered here, as `take_answer` does of others."""
         was_stale = self._store_role.is_stale(asyncio.get_running_loop().time())
         self._keeper.store_answered()
         if was_stale:
-            self.peers.spread_news()
+            self.peers.schedule_announcement()
 
     def is_unserved(self, now: float) -> bool:
         """Return whether the store does not answer this entry."""
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -174,7 +174,7 @@
             self._membership,
             self._metrics,
             lambda: self._state,
-            lambda request, to: self._control.peers.ask_room(request, to),
+            lambda request, to: self._control.peers.send_permit_request(request, to),
         )
         self._control = ControlPlane(
             context,
@@ -274,7 +274,7 @@
         """Compile a newer state, and announce it to other entries."""
         self._keeper.compile()
         self._metrics.revision.set(self._store_copy.revision)
-        self._control.peers.spread_news()
+        self._control.peers.schedule_announcement()
         if self._state == STARTING and self._keeper.catalog.configured:
             self._state = SERVING
             self._events.process("ready", version=self._keeper.catalog.version)
@@ -290,7 +290,7 @@
         self._left_out.take(configured.left_out, now)
         self._data.renew(before, catalog, now)
         exchange = self._control.exchange
-        exchange.lists.renew(catalog.names_by_region)
+        exchange.target_count_codec.renew(catalog.names_by_region)
         workspaces = catalog.workspaces.by_name.values()
         exchange.use.renew(self._data.quotas.plans(workspaces))
 
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -26,7 +26,7 @@
 from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
 from leverdoor.entry.context import EntryContext
 from leverdoor.entry.exchange.exchange_types import PeerUpdate
-from leverdoor.entry.exchange.messages import RoomRequest
+from leverdoor.entry.exchange.messages import PermitRequest
 from leverdoor.entry.limits.target_limits import TargetLimits
 from leverdoor.entry.membership.member import EntryState
 from leverdoor.entry.membership.members import Membership
@@ -64,7 +64,7 @@
         membership: Membership,
         metrics: EntryMetrics,
         state: Callable[[], EntryState],
-        ask_room: Callable[[RoomRequest, str], None],
+        ask_room: Callable[[PermitRequest, str], None],
     ) -> None:
         """Create all parts; nothing is opened yet.
 
@@ -221,9 +221,9 @@
         """Take what other entries reported of targets, keys, quotas and requests."""
         self.quarantine.receive(update.notices, now)
         self.limits.told(update.limits)
-        if update.others is not None:
-            self.fleet.receive(OTHERS, update.others, now)
-        self.placement.shared_warmth.receive(update.warm, now)
+        if update.others_in_flight is not None:
+            self.fleet.receive(OTHERS, update.others_in_flight, now)
+        self.placement.shared_warmth.receive(update.warm_keys, now)
         if update.use is not None:
             self.count_entries()
             self.quotas.receive(update.use, now)
--- a/leverdoor/entry/exchange/round_digests.py
+++ b/leverdoor/entry/exchange/digest_builder.py
@@ -9,13 +9,14 @@
 | ALL | all entries | the entries of its failure domain |
 
 Owns no state but what its parts keep. Relies on `Merger` for counts and shares, on
-`Views` for who there is and on `WarmNews`; decides nothing about recipients.
+`DomainViews` for who there is and on `WarmKeyRelay`; decides nothing about recipients.
 """
 
 from collections.abc import Iterable, Mapping
 
 import msgspec
 
+from leverdoor.entry.exchange.domain_views import DomainViews
 from leverdoor.entry.exchange.encoding import serialize_ids
 from leverdoor.entry.exchange.exchange_types import EntryStatus
 from leverdoor.entry.exchange.merging import MeanShares, Merger
@@ -26,14 +27,13 @@
     RegionCounts,
 )
 from leverdoor.entry.exchange.recipients import in_turn
-from leverdoor.entry.exchange.target_counts import TargetLists
+from leverdoor.entry.exchange.target_counts import TargetCountCodec
 from leverdoor.entry.exchange.unserved import UnservedEntries
-from leverdoor.entry.exchange.use_exchange import UseSummary
-from leverdoor.entry.exchange.views import Views
-from leverdoor.entry.exchange.warm_news import WarmNews
+from leverdoor.entry.exchange.usage_exchange import DigestUsage
+from leverdoor.entry.exchange.warm_key_relay import WarmKeyRelay
 from leverdoor.entry.membership.members import Membership
 
-__all__ = ["SHARES_ROUNDS", "DigestRound", "RoundDigests"]
+__all__ = ["SHARES_ROUNDS", "DigestRound", "DigestBuilder"]
 
 SHARES_ROUNDS = 5
 """Rounds between two that carry the regions' shares, to save bytes.
@@ -53,25 +53,25 @@
     """One round of this entry as an aggregator."""
 
     status: EntryStatus
-    turn: int
+    round_number: int
     """Number of the round."""
     seq: int
     """Number of this entry's newest heartbeat."""
-    use: UseSummary
+    use: DigestUsage
     now: float
     """Monotonic time in seconds."""
 
 
-class RoundDigests:
+class DigestBuilder:
     """Makes an aggregator's digests."""
 
     def __init__(
         self,
         membership: Membership,
-        lists: TargetLists,
+        lists: TargetCountCodec,
         merger: Merger,
-        views: Views,
-        warm_news: WarmNews,
+        views: DomainViews,
+        warm_news: WarmKeyRelay,
         unserved: UnservedEntries,
     ) -> None:
         """Create it around what it reads."""
@@ -105,7 +105,7 @@
         unserved = self._unserved.of_domain(r.status.unserved, r.now)
         digest = msgspec.structs.replace(digest, unserved=serialize_ids(unserved))
         mean = self._merger.domain_shares(r.status.shares)
-        warm = self._warm_news.for_region(r.status.warm, r.now)
+        warm = self._warm_news.for_region(r.status.warm_keys, r.now)
         return self._with_shares(r, digest, mean, warm)
 
     def _of_region(
@@ -119,13 +119,13 @@
     ) -> Digest:
         views = near + self._far_views(r)
         others = [name for name in self._lists.regions() if name != self._own.region]
-        regions = [self._own.region, *in_turn(others, FAR_REGIONS, r.turn)]
+        regions = [self._own.region, *in_turn(others, FAR_REGIONS, r.round_number)]
         loads = self._counts(counts, regions)
         digest = self._digest(r, DigestScope.ALL, views, loads)
         unserved = self._unserved.of_region(r.status.unserved, r.now)
         digest = msgspec.structs.replace(digest, unserved=serialize_ids(unserved))
         mean = self._merger.region_shares(r.status.shares)
-        warm = self._warm_news.for_domain(r.status.warm, r.now)
+        warm = self._warm_news.for_domain(r.status.warm_keys, r.now)
         return self._with_shares(r, digest, mean, warm)
 
     def _far_views(self, r: DigestRound) -> list[DomainView]:
@@ -134,13 +134,15 @@
             for region in self._membership.other_regions()
             for domain in self._membership.domains(region)
         ]
-        return [self._view(d, r) for d in in_turn(far, FAR_DOMAINS, r.turn)]
+        return [self._view(d, r) for d in in_turn(far, FAR_DOMAINS, r.round_number)]
 
     def _view(self, domain: str, r: DigestRound) -> DomainView:
         def newest_seq(name: str) -> int:
             return r.seq if name == self._own.name else self._merger.seq(name)
 
-        return self._views.make(domain, r.status.state, newest_seq, r.turn, r.now)
+        return self._views.make(
+            domain, r.status.state, newest_seq, r.round_number, r.now
+        )
 
     def _counts(
         self, counts: Mapping[str, int], regions: Iterable[str]
@@ -161,7 +163,7 @@
         return Digest(
             self._own.name,
             scope,
-            r.turn,
+            r.round_number,
             self._own.incarnation,
             r.status.revision,
             self._own.pull,
@@ -180,10 +182,10 @@
         self, r: DigestRound, digest: Digest, mean: MeanShares, warm: list[int]
     ) -> Digest:
         """Return a digest with shares, in some rounds, and with news of warm keys."""
-        has_shares = r.turn % SHARES_ROUNDS < 2
+        has_shares = r.round_number % SHARES_ROUNDS < 2
         return msgspec.structs.replace(
             digest,
             entries=mean.entries,
             shares=mean.shares if has_shares else {},
-            warm=serialize_ids(warm),
+            warm_keys=serialize_ids(warm),
         )
--- a/leverdoor/entry/exchange/views.py
+++ b/leverdoor/entry/exchange/domain_views.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Views of failure domains in digests: which entries there are, and how old their news.
+"""DomainViews of failure domains in digests: which entries there are, and how old their news.
 
 Rows (incarnation and state) change seldom, ages in each round. So rows are sent when
 they changed and in turn, and ages, a byte each, refer to rows by their hash.
@@ -14,7 +14,7 @@
 
 from leverdoor.entry.exchange.encoding import (
     AGE_STEP_S,
-    OLDEST_STEPS,
+    MAX_AGE_STEPS,
     parse_rows,
     rows_hash,
     serialize_ages,
@@ -25,7 +25,7 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import LastSeen
 
-__all__ = ["Views"]
+__all__ = ["DomainViews"]
 
 ROWS_RESENT_S = 0.7
 """How long changed rows are sent again in digests, in seconds.
@@ -41,7 +41,7 @@
 """
 
 
-class Views:
+class DomainViews:
     """Makes and takes the views of failure domains that digests carry."""
 
     def __init__(self, membership: Membership) -> None:
@@ -57,7 +57,7 @@
     def take(self, view: DomainView, now: float) -> None:
         """Update the records of a failure domain's entries.
 
-        Ages whose rows are not known, or that say `OLDEST_STEPS`, are left out.
+        Ages whose rows are not known, or that say `MAX_AGE_STEPS`, are left out.
         """
         if view.rows:
             self._rows[rows_hash(view.rows)] = parse_rows(view.rows)
@@ -68,7 +68,7 @@
         while len(self._rows) > KEPT_ROWS:
             self._rows.popitem(last=False)
         for row, steps in zip(rows, view.ages, strict=True):
-            if steps < OLDEST_STEPS:
+            if steps < MAX_AGE_STEPS:
                 at = now - steps * AGE_STEP_S
                 self._membership.observe(LastSeen(row, at), now)
 
@@ -90,7 +90,7 @@
         domain: str,
         state: EntryState,
         seq: Callable[[str], int],
-        turn: int,
+        round_number: int,
         now: float,
     ) -> DomainView:
         """Return the view of a failure domain.
@@ -112,10 +112,10 @@
         rows = serialize_rows(s.row for s in last_seen)
         key = rows_hash(rows)
         ages = serialize_ages(now - s.at for s in last_seen)
-        sent_rows = rows if self._sends_rows(domain, key, turn, now) else b""
+        sent_rows = rows if self._sends_rows(domain, key, round_number, now) else b""
         return DomainView(domain, key, sent_rows, ages, seqs)
 
-    def _sends_rows(self, domain: str, key: int, turn: int, now: float) -> bool:
+    def _sends_rows(self, domain: str, key: int, round_number: int, now: float) -> bool:
         """Return whether a view carries its rows: lately changed, or in turn."""
         before = self._changes.get(domain)
         if before is None or before[0] != key:
@@ -123,4 +123,4 @@
         if now - before[1] <= ROWS_RESENT_S:
             return True
         domains = self._membership.all_domains()
-        return domains[turn % len(domains)] == domain
+        return domains[round_number % len(domains)] == domain
--- a/leverdoor/entry/exchange/encoding.py
+++ b/leverdoor/entry/exchange/encoding.py
@@ -14,7 +14,7 @@
 
 __all__ = [
     "AGE_STEP_S",
-    "OLDEST_STEPS",
+    "MAX_AGE_STEPS",
     "parse_ids",
     "parse_rows",
     "rows_hash",
@@ -29,7 +29,7 @@
 One byte then reaches 5.1 s, beyond each silence that counts. Smaller, far entries would
 be off the scale; greater, ages are rounded up by more.
 """
-OLDEST_STEPS = 255
+MAX_AGE_STEPS = 255
 """Greatest age in steps that a byte holds; it means that or older."""
 ROW = struct.Struct("<IQB")
 """Identity, incarnation and state of an entry."""
@@ -56,7 +56,7 @@
 def serialize_ages(ages_s: Iterable[float]) -> bytes:
     """Serialize ages in seconds, rounded up to whole steps."""
     steps = (-int(-max(age, 0.0) // AGE_STEP_S) for age in ages_s)
-    return bytes(min(step, OLDEST_STEPS) for step in steps)
+    return bytes(min(step, MAX_AGE_STEPS) for step in steps)
 
 
 def serialize_ids(ids: Iterable[int]) -> bytes:
--- a/leverdoor/entry/exchange/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -21,33 +21,37 @@
 import msgspec
 
 from leverdoor.entry.configuration.confirmation import ToldAnswer
+from leverdoor.entry.exchange.digest_builder import (
+    SHARES_ROUNDS,
+    DigestBuilder,
+    DigestRound,
+)
+from leverdoor.entry.exchange.domain_views import DomainViews
 from leverdoor.entry.exchange.encoding import parse_ids, serialize_ids
-from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
+from leverdoor.entry.exchange.exchange_types import (
+    EntryStatus,
+    OutgoingMessage,
+    PeerUpdate,
+)
 from leverdoor.entry.exchange.limit_exchange import LimitExchange
-from leverdoor.entry.exchange.merging import PART_TRUST_S, MeanShares, Merger, merged
+from leverdoor.entry.exchange.merging import SUM_MAX_AGE_S, MeanShares, Merger, merged
 from leverdoor.entry.exchange.messages import (
     OWN_SCOPE,
     Digest,
     DigestScope,
     EntryHeartbeat,
     ExchangeMessage,
-    LimitNews,
-    News,
-    QuarantineNews,
+    LimitUpdate,
+    QuarantineUpdate,
+    RevisionAnnouncement,
     Shares,
 )
 from leverdoor.entry.exchange.recipients import Recipients
-from leverdoor.entry.exchange.round_digests import (
-    SHARES_ROUNDS,
-    DigestRound,
-    RoundDigests,
-)
-from leverdoor.entry.exchange.target_counts import TargetLists
+from leverdoor.entry.exchange.target_counts import TargetCountCodec
 from leverdoor.entry.exchange.unserved import UnservedEntries
-from leverdoor.entry.exchange.use_exchange import UseExchange
-from leverdoor.entry.exchange.use_lists import Use
-from leverdoor.entry.exchange.views import Views
-from leverdoor.entry.exchange.warm_news import WarmNews
+from leverdoor.entry.exchange.usage_encoding import Usage
+from leverdoor.entry.exchange.usage_exchange import UsageExchange
+from leverdoor.entry.exchange.warm_key_relay import WarmKeyRelay
 from leverdoor.entry.membership.member import Member, MemberRow, member_id
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import LastSeen
@@ -72,7 +76,7 @@
     """What one of the own heartbeats counted."""
 
     in_flight: dict[str, int]
-    use: Use
+    use: Usage
 
 
 class Exchange:
@@ -83,21 +87,21 @@
         self._membership = membership
         self._roles = roles
         self._own = membership.own
-        self.lists = TargetLists()
+        self.target_count_codec = TargetCountCodec()
         self._turn = member_id(self._own.name) % FIRST_TURNS
         """Counts rounds."""
         self._seq = 0
         self._own_counts: OrderedDict[int, _OwnCounts] = OrderedDict()
         self._merger = Merger(self._own.domain)
-        self.use = UseExchange(membership)
-        self._views = Views(membership)
-        self._warm_news = WarmNews()
+        self.use = UsageExchange(membership)
+        self._views = DomainViews(membership)
+        self._warm_news = WarmKeyRelay()
         self.unserved = UnservedEntries(self._own)
         self._limits = LimitExchange(self._own.name)
         self._recipients = Recipients(membership, roles)
-        self._round_digests = RoundDigests(
+        self._round_digests = DigestBuilder(
             membership,
-            self.lists,
+            self.target_count_codec,
             self._merger,
             self._views,
             self._warm_news,
@@ -120,16 +124,16 @@
           revision: the revision in force here.
           now: monotonic time in seconds.
         """
-        if isinstance(message, News):
+        if isinstance(message, RevisionAnnouncement):
             return PeerUpdate(
                 source=message.pull if message.revision > revision else "",
                 answer=ToldAnswer(
                     message.revision, message.answer, message.confirmed_ms
                 ),
             )
-        if isinstance(message, QuarantineNews):
+        if isinstance(message, QuarantineUpdate):
             return PeerUpdate(notices=parse_notices(message.notices))
-        if isinstance(message, LimitNews):
+        if isinstance(message, LimitUpdate):
             return PeerUpdate(limits=self._limits.take(message, now))
         if isinstance(message, EntryHeartbeat):
             return self._take_heartbeat(message, revision, now)
@@ -150,10 +154,10 @@
         self._merger.take_heartbeat(heartbeat, now)
         self.use.take_heartbeat(heartbeat, now)
         self.unserved.take_heartbeat(heartbeat, now)
-        warm = parse_ids(heartbeat.warm)
+        warm = parse_ids(heartbeat.warm_keys)
         self._warm_news.take_from_domain(warm, now)
         return PeerUpdate(
-            warm=warm,
+            warm_keys=warm,
             outage_ms=heartbeat.outage_ms,
             source=member.pull if heartbeat.revision > revision else "",
             answer=ToldAnswer(
@@ -170,7 +174,7 @@
         if sender is None or not self._is_next(digest):
             return PeerUpdate(source=source)
         update = PeerUpdate(
-            warm=parse_ids(digest.warm),
+            warm_keys=parse_ids(digest.warm_keys),
             outage_ms=digest.outage_ms,
             source=source,
             answer=ToldAnswer(digest.revision, digest.answer, digest.confirmed_ms),
@@ -179,16 +183,16 @@
             self.unserved.take_digest(digest, sender, now)
         if digest.scope == DigestScope.ALL:
             return self._take_total(digest, sender, update, now)
-        self._take_part(digest, sender, update.warm, now)
+        self._take_part(digest, sender, update.warm_keys, now)
         return update
 
     def _is_next(self, digest: Digest) -> bool:
         """Return whether a digest is newer than the last one of its sender."""
         place = (digest.sender, digest.scope)
-        incarnation, turn = self._last_digest.get(place, (0, 0))
-        if digest.incarnation == incarnation and digest.turn <= turn:
+        incarnation, round_number = self._last_digest.get(place, (0, 0))
+        if digest.incarnation == incarnation and digest.round_number <= round_number:
             return False
-        self._last_digest[place] = (digest.incarnation, digest.turn)
+        self._last_digest[place] = (digest.incarnation, digest.round_number)
         return True
 
     def _take_part(
@@ -207,7 +211,9 @@
 
     def _parse_counts(self, digest: Digest) -> dict[str, dict[str, int]]:
         """Return the counts of a digest by region, as far as their lists are known."""
-        parsed = {loads.region: self.lists.parse(loads) for loads in digest.loads}
+        parsed = {
+            loads.region: self.target_count_codec.parse(loads) for loads in digest.loads
+        }
         return {r: counts for r, counts in parsed.items() if counts is not None}
 
     def _take_total(
@@ -222,17 +228,17 @@
         if digest.shares:
             self._region_shares = digest.shares
         if self._roles.is_aggregator(now):
-            self._recipients.note_other_aggregator(digest.turn, now)
+            self._recipients.note_other_aggregator(digest.round_number, now)
             return update
         own = self._own_counts_in(digest)
         for loads in digest.loads:
-            counts = self.lists.parse(loads)
+            counts = self.target_count_codec.parse(loads)
             if counts is not None:
                 _subtract(own.in_flight, counts)
                 self._totals[loads.region] = (now, counts)
-        fresh = [c for at, c in self._totals.values() if now - at <= PART_TRUST_S]
+        fresh = [c for at, c in self._totals.values() if now - at <= SUM_MAX_AGE_S]
         use = self.use.parse_total(digest, own.use)
-        return msgspec.structs.replace(update, others=merged(fresh), use=use)
+        return msgspec.structs.replace(update, others_in_flight=merged(fresh), use=use)
 
     def _own_counts_in(self, digest: Digest) -> _OwnCounts:
         """Return the own counts that the sums of a digest include."""
@@ -255,23 +261,27 @@
             status.in_flight,
             status.shares if self._seq % SHARES_ROUNDS == 1 else {},
             status.outage_ms,
-            serialize_ids(status.warm),
+            serialize_ids(status.warm_keys),
             self.use.serialize(status.use),
             status.answer.age_ms,
             status.answer.number,
             status.unserved,
         )
 
-    def announce(self, status: EntryStatus, now: float) -> list[Sending]:
+    def announce(self, status: EntryStatus, now: float) -> list[OutgoingMessage]:
         """Return a heartbeat for the aggregators, also between two rounds."""
-        return [Sending(self.heartbeat(status), self._recipients.aggregators(now))]
+        return [
+            OutgoingMessage(self.heartbeat(status), self._recipients.aggregators(now))
+        ]
 
-    def announce_leave(self, status: EntryStatus) -> list[Sending]:
+    def announce_leave(self, status: EntryStatus) -> list[OutgoingMessage]:
         """Return a heartbeat for the whole region: this entry must not be named."""
         to = [m.gossip for m in self._membership.in_own_region()]
-        return [Sending(self.heartbeat(status), to)]
+        return [OutgoingMessage(self.heartbeat(status), to)]
 
-    def news(self, revision: int, answer: ToldAnswer, now: float) -> list[Sending]:
+    def news(
+        self, revision: int, answer: ToldAnswer, now: float
+    ) -> list[OutgoingMessage]:
         """Return the news of a newer state, or of an answer that confirms it.
 
         They go to the aggregators of the own failure domain; from an aggregator, to
@@ -282,8 +292,10 @@
           answer: the store's newest answer that it rests on.
           now: monotonic time in seconds.
         """
-        news = News(revision, self._own.pull, answer.number, answer.age_ms)
-        return [Sending(news, self._news_recipients(now))]
+        news = RevisionAnnouncement(
+            revision, self._own.pull, answer.number, answer.age_ms
+        )
+        return [OutgoingMessage(news, self._news_recipients(now))]
 
     def _news_recipients(self, now: float) -> list[str]:
         """Return the addresses that get news from this entry first."""
@@ -297,7 +309,7 @@
 
     def round(
         self, status: EntryStatus, now: float
-    ) -> tuple[list[Sending], PeerUpdate]:
+    ) -> tuple[list[OutgoingMessage], PeerUpdate]:
         """Return what to send this round and, of an aggregator, the sums of others."""
         self._turn += 1
         sendings = self.announce(status, now)
@@ -310,22 +322,22 @@
             return sendings, PeerUpdate()
         self._region_shares = self._merger.region_shares(status.shares).shares
         update = PeerUpdate(
-            others=self._merger.of_others(now),
+            others_in_flight=self._merger.of_others(now),
             use=self.use.of_others(status.uptime_s, now),
         )
         return sendings + self._digests(status, now), update
 
-    def _quarantine_news(self, status: EntryStatus, now: float) -> Sending:
+    def _quarantine_news(self, status: EntryStatus, now: float) -> OutgoingMessage:
         """Return what to tell of requests that end targets, and to whom.
 
         It goes the way of news of the state; whoever it is new to passes it on.
         """
-        message = QuarantineNews(self._own.name, serialize_notices(status.notices))
-        return Sending(message, self._news_recipients(now))
+        message = QuarantineUpdate(self._own.name, serialize_notices(status.notices))
+        return OutgoingMessage(message, self._news_recipients(now))
 
     def _limit_news(
         self, status: EntryStatus, aggregates: bool, now: float
-    ) -> list[Sending]:
+    ) -> list[OutgoingMessage]:
         """Return what to tell of targets' limits, and to whom: the way of digests.
 
         Recipients are chosen only for what there is to tell, since that draws chance.
@@ -334,11 +346,11 @@
         scopes = DigestScope if aggregates else (OWN_SCOPE,)
         told = {scope: self._limits.news(scope, self._turn, now) for scope in scopes}
         sendings = [
-            Sending(news, self._limit_recipients(scope, now))
+            OutgoingMessage(news, self._limit_recipients(scope, now))
             for scope, news in told.items()
             if news is not None
         ]
-        return [s for s in sendings if s.to]
+        return [s for s in sendings if s.destinations]
 
     def _limit_recipients(self, scope: int, now: float) -> list[str]:
         if scope == OWN_SCOPE:
@@ -349,7 +361,7 @@
             return [m.gossip for m in self._recipients.far(self._turn, now)]
         return [m.gossip for m in self._membership.in_own_domain()]
 
-    def _digests(self, status: EntryStatus, now: float) -> list[Sending]:
+    def _digests(self, status: EntryStatus, now: float) -> list[OutgoingMessage]:
         """Return an aggregator's digests of a round, with their recipients."""
         use = self.use.summary(status.use, status.uptime_s, now)
         made = self._round_digests.make(
@@ -361,10 +373,10 @@
             DigestScope.ALL: self._recipients.own_domain(self._turn, now),
         }
         sendings = [
-            Sending(digest, [m.gossip for m in recipients[scope]])
+            OutgoingMessage(digest, [m.gossip for m in recipients[scope]])
             for scope, digest in made.items()
         ]
-        return [s for s in sendings if s.to]
+        return [s for s in sendings if s.destinations]
 
     def region_shares(self) -> Shares:
         """Return the mean of the region's entries' shares, as last known."""
--- a/leverdoor/entry/exchange/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """What goes into the exchange among entries and what comes out of it.
 
-`EntryStatus` is the input of a round. `Sending` is what to send to whom, `PeerUpdate`
+`EntryStatus` is the input of a round. `OutgoingMessage` is what destinations send destinations whom, `PeerUpdate`
 what was learned for the other parts of this entry. Owns no state.
 """
 
@@ -10,13 +10,13 @@
 
 from leverdoor.entry.configuration.confirmation import NO_ANSWER, ToldAnswer
 from leverdoor.entry.exchange.messages import ExchangeMessage, Shares
-from leverdoor.entry.exchange.use_lists import Use
+from leverdoor.entry.exchange.usage_encoding import Usage
 from leverdoor.entry.membership.member import EntryState
 from leverdoor.limits.named import LimitWord
 from leverdoor.quarantine.notices import Notice
 from leverdoor.workspaces.others_use import OthersUse
 
-__all__ = ["PeerUpdate", "EntryStatus", "Sending"]
+__all__ = ["PeerUpdate", "EntryStatus", "OutgoingMessage"]
 
 
 class EntryStatus(msgspec.Struct, frozen=True):
@@ -30,9 +30,9 @@
     shares: Shares
     outage_ms: int
     """How long ago the store was last unavailable; -1 if not lately."""
-    warm: list[int]
+    warm_keys: list[int]
     """Hashes of keys that other targets than their first answered lately."""
-    use: Use = {}
+    use: Usage = {}
     """Own requests of workspaces in the window of their quotas."""
     uptime_s: float = 0.0
     """Since the start of this process."""
@@ -46,19 +46,19 @@
     """What to tell of requests that end targets."""
 
 
-class Sending(msgspec.Struct, frozen=True):
+class OutgoingMessage(msgspec.Struct, frozen=True):
     """A message, and the addresses that get it, as `ip:port`."""
 
     message: ExchangeMessage
-    to: list[str]
+    destinations: list[str]
 
 
 class PeerUpdate(msgspec.Struct, frozen=True):
     """What a message or a round has for the other parts of this entry."""
 
-    others: dict[str, int] | None = None
+    others_in_flight: dict[str, int] | None = None
     """Requests of all other entries at each target; None if there is no new sum."""
-    warm: list[int] = []
+    warm_keys: list[int] = []
     outage_ms: int = -1
     source: str = ""
     """Where a newer state can be fetched, as `ip:port`; empty if there is none."""
--- a/leverdoor/entry/exchange/limit_exchange.py
+++ b/leverdoor/entry/exchange/limit_exchange.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from leverdoor.entry.exchange.messages import OWN_SCOPE, DigestScope, LimitNews
+from leverdoor.entry.exchange.messages import OWN_SCOPE, DigestScope, LimitUpdate
 from leverdoor.limits.named import KEPT_S, LimitWord
 from leverdoor.limits.rows import parse_words, serialize_words
 
@@ -50,7 +50,7 @@
         }
         """By scope and target."""
 
-    def take(self, news: LimitNews, now: float) -> list[LimitWord]:
+    def take(self, news: LimitUpdate, now: float) -> list[LimitWord]:
         """Take what another entry tells; return it for the other parts."""
         words = parse_words(news.words, now)
         if news.scope != DigestScope.ALL:
@@ -79,7 +79,7 @@
                 t: told for t, told in known.items() if now - told.word.at <= KEPT_S
             }
 
-    def news(self, scope: int, turn: int, now: float) -> LimitNews | None:
+    def news(self, scope: int, round_number: int, now: float) -> LimitUpdate | None:
         """Return what to tell in a round; None if there is nothing.
 
         Args:
@@ -94,16 +94,16 @@
         told = [
             t
             for t in newest.values()
-            if turn % TURN_ROUNDS == 0 or now - t.new_at <= RESENT_S
+            if round_number % TURN_ROUNDS == 0 or now - t.new_at <= RESENT_S
         ]
         if not told:
             return None
         if len(told) > MOST_TOLD:
             told.sort(key=lambda t: t.new_at, reverse=True)
-            start = turn // TURN_ROUNDS * MOST_TOLD % len(told)
+            start = round_number // TURN_ROUNDS * MOST_TOLD % len(told)
             told = [*told[start:], *told[:start]][:MOST_TOLD]
         data = serialize_words((t.word for t in told), now)
-        return LimitNews(self._own, scope, data)
+        return LimitUpdate(self._own, scope, data)
 
 
 def _add_newer(newest: dict[int, _Told], known: dict[int, _Told]) -> None:
--- a/leverdoor/entry/exchange/merging.py
+++ b/leverdoor/entry/exchange/merging.py
@@ -19,15 +19,15 @@
 from leverdoor.entry.exchange.messages import EntryHeartbeat, Shares
 from leverdoor.entry.membership.peer_record import NEVER
 
-__all__ = ["PART_TRUST_S", "MeanShares", "Merger", "merged"]
+__all__ = ["SUM_MAX_AGE_S", "MeanShares", "Merger", "merged"]
 
-HEARTBEAT_TRUST_S = 1.0
+HEARTBEAT_MAX_AGE_S = 1.0
 """Age up to which an entry's own counts are summed, in seconds.
 
 Five heartbeats. Shorter, lost datagrams make targets look idle, and more is sent to
 them than they have slots for; longer, requests of a dead entry keep slots.
 """
-PART_TRUST_S = 2.5
+SUM_MAX_AGE_S = 2.5
 """Age up to which the sums of another domain or region are used, in seconds.
 
 As long as a count of other entries counts at a target (`PEER_TRUST_S` of the fleet).
@@ -134,7 +134,7 @@
         self._heartbeats = {
             name: (at, heartbeat)
             for name, (at, heartbeat) in self._heartbeats.items()
-            if now - at <= PART_TRUST_S
+            if now - at <= SUM_MAX_AGE_S
         }
         self._shares = {n: s for n, s in self._shares.items() if n in self._heartbeats}
         self._domains = _fresh(self._domains, now)
@@ -168,7 +168,8 @@
         return [
             heartbeat.in_flight
             for at, heartbeat in self._heartbeats.values()
-            if now - at <= HEARTBEAT_TRUST_S and heartbeat.member.domain == self._domain
+            if now - at <= HEARTBEAT_MAX_AGE_S
+            and heartbeat.member.domain == self._domain
         ]
 
     # Shares.
@@ -197,7 +198,7 @@
 
 
 def _fresh(parts: dict[str, _Part], now: float) -> dict[str, _Part]:
-    return {n: p for n, p in parts.items() if now - p.at <= PART_TRUST_S}
+    return {n: p for n, p in parts.items() if now - p.at <= SUM_MAX_AGE_S}
 
 
 def _counts(parts: dict[str, _Part], now: float) -> list[Counts]:
@@ -205,7 +206,7 @@
         counts
         for part in parts.values()
         for at, counts in part.counts.values()
-        if now - at <= PART_TRUST_S
+        if now - at <= SUM_MAX_AGE_S
     ]
 
 
--- a/leverdoor/entry/exchange/messages.py
+++ b/leverdoor/entry/exchange/messages.py
@@ -23,14 +23,14 @@
     "OWN_SCOPE",
     "EntryHeartbeat",
     "ExchangeMessage",
-    "LimitNews",
+    "LimitUpdate",
     "Message",
-    "News",
-    "QuarantineNews",
+    "RevisionAnnouncement",
+    "QuarantineUpdate",
     "RegionCounts",
-    "RoomAnswer",
-    "RoomMessage",
-    "RoomRequest",
+    "PermitResponse",
+    "PermitMessage",
+    "PermitRequest",
     "Shares",
 ]
 
@@ -54,7 +54,7 @@
     """Empty in most rounds, to save bytes."""
     outage_ms: int = -1
     """How long ago the store was last unavailable, in ms; -1 if not lately."""
-    warm: bytes = b""
+    warm_keys: bytes = b""
     """Hashes of keys that other targets than their first answered lately."""
     use: bytes = b""
     """Requests of workspaces in the window of their quotas; see `use_lists`."""
@@ -110,7 +110,7 @@
     sender: str
     scope: DigestScope
     """Whose requests are counted."""
-    turn: int
+    round_number: int
     """Counts the rounds of the sender; its recipients alternate with it."""
     incarnation: int
     """Of the sender."""
@@ -123,7 +123,7 @@
     """How many entries the shares are the mean of."""
     shares: Shares = {}
     outage_ms: int = -1
-    warm: bytes = b""
+    warm_keys: bytes = b""
     use: bytes = b""
     """Requests of workspaces by the entries that `scope` covers; see `use_lists`."""
     use_age_ms: int = 0
@@ -142,7 +142,7 @@
     DOMAIN, of its region in scope ALL; see `encoding.parse_ids`."""
 
 
-class News(msgspec.Struct, frozen=True, array_like=True, tag="n"):
+class RevisionAnnouncement(msgspec.Struct, frozen=True, array_like=True, tag="n"):
     """Announces a newer state of the store's copy, at once and in few bytes."""
 
     revision: int
@@ -153,7 +153,7 @@
     confirmed_ms: int = -1
 
 
-class QuarantineNews(msgspec.Struct, frozen=True, array_like=True, tag="q"):
+class QuarantineUpdate(msgspec.Struct, frozen=True, array_like=True, tag="q"):
     """What is known of requests that end targets; sent only if there is something.
 
     A message of its own, since nearly all rounds have none.
@@ -164,7 +164,7 @@
     """See `quarantine.notices`."""
 
 
-class LimitNews(msgspec.Struct, frozen=True, array_like=True, tag="l"):
+class LimitUpdate(msgspec.Struct, frozen=True, array_like=True, tag="l"):
     """What targets named as their limits; sent only if there is something."""
 
     sender: str
@@ -174,12 +174,12 @@
     """See `limits.rows`."""
 
 
-class RoomRequest(msgspec.Struct, frozen=True, array_like=True, tag="r"):
+class PermitRequest(msgspec.Struct, frozen=True, array_like=True, tag="r"):
     """Asks a target's limiter whether one request may be sent there."""
 
     sender: str
     """Where the answer goes, as `ip:port`."""
-    number: int
+    request_number: int
     """Of the question; the sender uses none twice."""
     target: int
     """See `target_id`."""
@@ -187,23 +187,25 @@
     """The target's limit, as the sender knows it."""
     priority: int
     """Of the request; smaller is more urgent."""
-    missed: int
+    suppressed: int
     """Requests of that priority which the sender kept from asking before it."""
 
 
-class RoomAnswer(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """Answers a `RoomRequest`."""
+class PermitResponse(msgspec.Struct, frozen=True, array_like=True, tag="g"):
+    """Answers a `PermitRequest`."""
 
-    number: int
+    request_number: int
     granted: bool
-    wait_ms: int
+    retry_after_ms: int
     """If not granted: how long the sender need not ask again for such a request."""
-    room_ms: int
+    permit_expected_ms: int
     """If not granted: when there should be room for it."""
 
 
-ExchangeMessage: TypeAlias = EntryHeartbeat | Digest | News | QuarantineNews | LimitNews
+ExchangeMessage: TypeAlias = (
+    EntryHeartbeat | Digest | RevisionAnnouncement | QuarantineUpdate | LimitUpdate
+)
 """What entries report to each other in rounds."""
-RoomMessage: TypeAlias = RoomRequest | RoomAnswer
+PermitMessage: TypeAlias = PermitRequest | PermitResponse
 """A question on a request's path, and its answer."""
-Message: TypeAlias = ExchangeMessage | RoomMessage
+Message: TypeAlias = ExchangeMessage | PermitMessage
--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -3,7 +3,7 @@
 """Messages to and from the other entries, and fetches of newer states.
 
 Owns when news of a newer state were sent last; lost with the process. Relies on
-`Exchange` for what to send, on a `PeerNetwork` for the way to other entries, on
+`Exchange` for what destinations send, on a `PeerNetwork` for the way to other entries, on
 `PeerFollower` for fetches, and on the loop's clock. A datagram that is lost is not sent
 again: the next round's replaces it.
 """
@@ -15,19 +15,23 @@
 from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
 from leverdoor.entry.events import Events
 from leverdoor.entry.exchange.exchange import Exchange
-from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
+from leverdoor.entry.exchange.exchange_types import (
+    EntryStatus,
+    OutgoingMessage,
+    PeerUpdate,
+)
 from leverdoor.entry.exchange.messages import (
     Message,
-    RoomAnswer,
-    RoomMessage,
-    RoomRequest,
+    PermitMessage,
+    PermitRequest,
+    PermitResponse,
 )
 from leverdoor.entry.exchange.peer_network import PeerNetwork
 from leverdoor.settings import Address
 from leverdoor.storage.fetching import PeerFollower
 from leverdoor.storage.state import State
 
-__all__ = ["PeerLink", "TakeRoomMessage", "TakeUpdate"]
+__all__ = ["PeerLink", "PermitMessageHandler", "PeerUpdateHandler"]
 
 NEWS_S = 0.03
 """Pause before news are sent, in seconds.
@@ -48,10 +52,12 @@
 """Time of a fetch from which on it is logged, in seconds: several round trips between
 regions."""
 
-TakeRoomMessage: TypeAlias = Callable[[RoomMessage, float], RoomAnswer | None]
+PermitMessageHandler: TypeAlias = Callable[
+    [PermitMessage, float], PermitResponse | None
+]
 """Called with a question for room or an answer, and the monotonic time in seconds;
 returns the answer to a question that another entry asked."""
-TakeUpdate: TypeAlias = Callable[[PeerUpdate, float], None]
+PeerUpdateHandler: TypeAlias = Callable[[PeerUpdate, float], None]
 """Called with what was learned, and the monotonic time in seconds."""
 
 
@@ -66,8 +72,8 @@
         keeper: CatalogKeeper,
         events: Events,
         status: Callable[[], EntryStatus],
-        take: TakeUpdate,
-        take_room: TakeRoomMessage,
+        take: PeerUpdateHandler,
+        take_room: PermitMessageHandler,
     ) -> None:
         """Create it; nothing is opened yet.
 
@@ -89,7 +95,7 @@
         self._status = status
         self._take = take
         self._take_room = take_room
-        self.puller = PeerFollower(state, network)
+        self.peer_follower = PeerFollower(state, network)
         self._news_due = False
         self._news_at = 0.0
 
@@ -116,7 +122,7 @@
         """Send a heartbeat to the whole region: this entry leaves."""
         self._send(self._exchange.announce_leave(self._status()))
 
-    def spread_news(self) -> None:
+    def schedule_announcement(self) -> None:
         """Announce a newer state soon, once for several changes.
 
         Aggregators pass it on at once; with digests alone the last entries would
@@ -136,24 +142,24 @@
         answer = self._keeper.confirmation.tell(revision, now)
         self._send(self._exchange.news(revision, answer, now))
 
-    def _send(self, sendings: list[Sending]) -> None:
+    def _send(self, sendings: list[OutgoingMessage]) -> None:
         for sending in sendings:
-            self._network.send_all(sending.message, sending.to)
+            self._network.send_all(sending.message, sending.destinations)
 
-    def ask_room(self, request: RoomRequest, address: str) -> None:
+    def send_permit_request(self, request: PermitRequest, address: str) -> None:
         """Send a question for room at a target to the entry that limits it."""
         self._network.send_all(request, [address])
 
     def _take_message(self, message: Message) -> None:
         now = asyncio.get_running_loop().time()
-        if isinstance(message, RoomMessage):
+        if isinstance(message, PermitMessage):
             self._answer_room(message, now)
             return
         self._take_update(self._exchange.take(message, self._state.revision, now), now)
 
-    def _answer_room(self, message: RoomMessage, now: float) -> None:
+    def _answer_room(self, message: PermitMessage, now: float) -> None:
         answer = self._take_room(message, now)
-        asked_by = message.sender if isinstance(message, RoomRequest) else ""
+        asked_by = message.sender if isinstance(message, PermitRequest) else ""
         if answer is not None and asked_by:
             self._network.send_all(answer, [asked_by])
 
@@ -166,9 +172,9 @@
         """Fetch what another entry has and this one lacks."""
         loop = asyncio.get_running_loop()
         began, since = loop.time(), self._state.revision
-        if not self.puller.may_pull(address, began):
+        if not self.peer_follower.may_pull(address, began):
             return
-        delta = await self.puller.fetch(address)
+        delta = await self.peer_follower.fetch(address)
         self._keeper.source = address
         newer = delta is not None and self._state.apply(delta)
         self._keeper.source = "store"
--- a/leverdoor/entry/exchange/recipients.py
+++ b/leverdoor/entry/exchange/recipients.py
@@ -52,9 +52,9 @@
         self._other_round: tuple[float, int] = (NEVER, 0)
         """When a digest of the domain's other aggregator came, and its round then."""
 
-    def note_other_aggregator(self, turn: int, now: float) -> None:
+    def note_other_aggregator(self, round_number: int, now: float) -> None:
         """Record the round of a digest of the failure domain's other aggregator."""
-        self._other_round = (now, turn)
+        self._other_round = (now, round_number)
 
     def aggregators(self, now: float) -> list[str]:
         """Return the addresses of the own failure domain's aggregators."""
@@ -69,7 +69,7 @@
             for member in self._roles.recipients(domain, now)
         ]
 
-    def far(self, turn: int, now: float) -> list[Member]:
+    def far(self, round_number: int, now: float) -> list[Member]:
         """Choose the aggregators of the other regions that get a digest.
 
         The aggregators of two regions are paired by their places, so that each gets a
@@ -87,7 +87,7 @@
         for region in self._membership.other_regions():
             members = self._region_recipients(region, now)
             if members:
-                found += _paired(members, place, len(senders), turn)
+                found += _paired(members, place, len(senders), round_number)
         return found
 
     def _region_recipients(self, region: str, now: float) -> list[Member]:
@@ -97,7 +97,7 @@
             for member in self._roles.recipients(domain, now)
         ]
 
-    def own_domain(self, turn: int, now: float) -> list[Member]:
+    def own_domain(self, round_number: int, now: float) -> list[Member]:
         """Choose the entries of the own failure domain that get this round's digest.
 
         Each of two aggregators sends to every other entry, so that all get a digest
@@ -105,7 +105,7 @@
         """
         merging = self._roles.aggregators(self._own.domain, now)
         place, count = merging.index(self._own), len(merging)
-        whose = turn if place == 0 else self._second_turn(turn, now)
+        whose = round_number if place == 0 else self._second_turn(round_number, now)
         live, silent = self._membership.own_domain_by_liveness(now)
         ordered = sorted([*live, self._own], key=lambda m: m.name)
         chosen = [
@@ -114,7 +114,7 @@
             if member is not self._own
             and ((i + whose) % count == 0 or member in merging)
         ]
-        return chosen + (silent if turn % SILENT_ROUNDS == 0 else [])
+        return chosen + (silent if round_number % SILENT_ROUNDS == 0 else [])
 
     def _second_turn(self, own: int, now: float) -> int:
         """Return the turn of a second aggregator, so that it fills the first's gaps.
@@ -130,7 +130,9 @@
         return first + int(rounds) + (since_s < HEARTBEAT_S / 2)
 
 
-def _paired(members: list[Member], place: int, senders: int, turn: int) -> list[Member]:
+def _paired(
+    members: list[Member], place: int, senders: int, round_number: int
+) -> list[Member]:
     """Choose the recipients of a region that are paired with a sender.
 
     Args:
@@ -139,16 +141,16 @@
       senders: how many these are.
       turn: number of the round.
     """
-    if turn % UNPAIRED_ROUNDS == 0:
-        return [members[turn // UNPAIRED_ROUNDS % len(members)]]
+    if round_number % UNPAIRED_ROUNDS == 0:
+        return [members[round_number // UNPAIRED_ROUNDS % len(members)]]
     paired = members[place :: max(senders, 1)]
     paired = paired or [members[place % len(members)]]
-    return in_turn(paired, FAR_PARTNERS, turn)
+    return in_turn(paired, FAR_PARTNERS, round_number)
 
 
-def in_turn(things: list[T], most: int, turn: int) -> list[T]:
+def in_turn(things: list[T], most: int, round_number: int) -> list[T]:
     """Choose some of many, others in each round, all after a few."""
     if len(things) <= most:
         return things
-    start = turn * most % len(things)
+    start = round_number * most % len(things)
     return (things[start:] + things[:start])[:most]
--- a/leverdoor/entry/exchange/target_counts.py
+++ b/leverdoor/entry/exchange/target_counts.py
@@ -16,11 +16,11 @@
 
 from leverdoor.entry.exchange.messages import RegionCounts
 
-__all__ = ["TargetLists"]
+__all__ = ["TargetCountCodec"]
 
-MOST_COUNTED = 255
+MAX_COUNT = 255
 """Greatest count of requests at a target that a byte holds."""
-KEPT_LISTS = 8
+MAX_LISTS = 8
 """Lists of a region's targets that are kept.
 
 For messages of entries that have not yet, or already, taken a change: about one
@@ -28,7 +28,7 @@
 """
 
 
-class TargetLists:
+class TargetCountCodec:
     """The names of each region's targets, in the order of their counts."""
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
             self._newest[region] = (key, ordered)
             self._recent[(region, key)] = ordered
             self._recent.move_to_end((region, key))
-        while len(self._recent) > KEPT_LISTS * max(len(names), 1):
+        while len(self._recent) > MAX_LISTS * max(len(names), 1):
             self._recent.popitem(last=False)
 
     def regions(self) -> list[str]:
@@ -56,8 +56,8 @@
         """Serialize the counts at a region's targets."""
         key, names = self._newest[region]
         data = [counts.get(name, 0) for name in names]
-        if data and not 0 <= min(data) <= max(data) <= MOST_COUNTED:
-            data = [min(max(count, 0), MOST_COUNTED) for count in data]
+        if data and not 0 <= min(data) <= max(data) <= MAX_COUNT:
+            data = [min(max(count, 0), MAX_COUNT) for count in data]
         return RegionCounts(region, key, bytes(data))
 
     def parse(self, loads: RegionCounts) -> dict[str, int] | None:
--- a/leverdoor/entry/exchange/unserved.py
+++ b/leverdoor/entry/exchange/unserved.py
@@ -13,7 +13,7 @@
 
 __all__ = ["UnservedEntries"]
 
-TRUST_S = 1.5
+REPORT_MAX_AGE_S = 1.5
 """How long what was told counts, in seconds: seven rounds.
 
 Longer, an entry that is served again is passed over for longer; shorter, some lost
@@ -60,18 +60,22 @@
           own: whether this entry is one.
           now: monotonic time in seconds.
         """
-        found = [n for n, at in self._heartbeats.items() if now - at <= TRUST_S]
+        found = [
+            n for n, at in self._heartbeats.items() if now - at <= REPORT_MAX_AGE_S
+        ]
         found += [member_id(self._own.name)] if own else []
         return sorted(found)[:MOST_IDS]
 
     def of_region(self, own: bool, now: float) -> list[int]:
         """Return those of the region, as an aggregator was told them."""
-        others = [ids for at, ids in self._domains.values() if now - at <= TRUST_S]
+        others = [
+            ids for at, ids in self._domains.values() if now - at <= REPORT_MAX_AGE_S
+        ]
         found = frozenset(self.of_domain(own, now)).union(*others)
         return sorted(found)[:MOST_IDS]
 
-    def all_known(self, now: float) -> frozenset[int]:
+    def unserved_others(self, now: float) -> frozenset[int]:
         """Return all others of the region that are known to be unserved."""
         at, told = self._region
         direct = frozenset(self.of_region(False, now))
-        return direct | told if now - at <= TRUST_S else direct
+        return direct | told if now - at <= REPORT_MAX_AGE_S else direct
--- a/leverdoor/entry/exchange/use_lists.py
+++ b/leverdoor/entry/exchange/usage_encoding.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Use of workspaces in messages: pairs of place and count, as far as they matter.
+"""Usage of workspaces in messages: pairs of place and count, as far as they matter.
 
 A place is the index in the sorted names of the workspaces that have a quota. Both
 sides need the same list of names, which a hash of it shows; use by a list that is not
@@ -17,16 +17,16 @@
 
 import xxhash
 
-__all__ = ["Use", "UseLists", "summed"]
+__all__ = ["Usage", "UsageCodec", "summed"]
 
-Use = dict[str, int]
+Usage = dict[str, int]
 """Requests in the window of quotas, by workspace."""
 
 HEAD = struct.Struct("<IB")
 """Hash of the list; percentage of a quota below which its use is left out."""
 PAIR = struct.Struct("<HH")
 """Place of a workspace, and its requests."""
-MOST_COUNTED = 65_535
+MAX_COUNT = 65_535
 """Greatest count, and greatest place, that a pair holds."""
 FEW_PAIRS = 300
 """Pairs up to which none is left out: 1.2 kB, which fit one packet."""
@@ -36,14 +36,14 @@
 8 kB. Fewer, and quotas that are nearly used up are left out; more, and large datagrams
 are lost more often.
 """
-KEPT_LISTS = 4
+MAX_LISTS = 4
 """Lists kept for messages of entries that have not yet, or already, taken a change.
 
 A few changes in a row. Fewer, and use is dropped while changes spread.
 """
 
 
-class UseLists:
+class UsageCodec:
     """The names of the workspaces with quotas, in the order of their places."""
 
     def __init__(self) -> None:
@@ -62,10 +62,10 @@
         names = tuple(sorted(planned))
         self._planned = planned
         self._hash = xxhash.xxh32_intdigest("\n".join(names).encode())
-        self._places = {name: i for i, name in enumerate(names[:MOST_COUNTED])}
+        self._places = {name: i for i, name in enumerate(names[:MAX_COUNT])}
         self._recent[self._hash] = names
         self._recent.move_to_end(self._hash)
-        while len(self._recent) > KEPT_LISTS:
+        while len(self._recent) > MAX_LISTS:
             self._recent.popitem(last=False)
 
     def serialize(self, use: Mapping[str, int], least_percent: int = 0) -> bytes:
@@ -82,7 +82,7 @@
             least_percent = 0
         least_part = least_percent / 100
         pairs = [
-            (self._places[name], min(count, MOST_COUNTED))
+            (self._places[name], min(count, MAX_COUNT))
             for name, count in use.items()
             if name in self._places and count > least_part * self._planned[name]
         ]
@@ -104,7 +104,7 @@
         _, least_percent = HEAD.unpack_from(data)
         return float(least_percent) / 100
 
-    def parse(self, data: bytes) -> Use | None:
+    def parse(self, data: bytes) -> Usage | None:
         """Parse the use of workspaces; None if it refers to an unknown list."""
         if len(data) < HEAD.size:
             return {}
@@ -118,9 +118,9 @@
         return {names[place]: count for place, count in pairs if place < len(names)}
 
 
-def summed(*parts: Mapping[str, int]) -> Use:
+def summed(*parts: Mapping[str, int]) -> Usage:
     """Return the sums of several uses."""
-    total: Use = {}
+    total: Usage = {}
     for name, count in chain.from_iterable(part.items() for part in parts):
         total[name] = total.get(name, 0) + count
     return total
--- a/leverdoor/entry/exchange/use_exchange.py
+++ b/leverdoor/entry/exchange/usage_exchange.py
@@ -3,7 +3,7 @@
 """The use of workspaces in heartbeats and digests, sent and received.
 
 An ordinary entry reports its own use and gets the sums of all in a digest. An
-aggregator merges reports (`UseMerger`) and adds what silent entries may take.
+aggregator merges reports (`UsageMerger`) and adds what silent entries may take.
 
 Owns since when this entry merges all sums, lost with the process; until it has reports
 of all failure domains and regions it gives no sum. Relies on `Membership` for who is
@@ -15,14 +15,14 @@
 import msgspec
 
 from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat
-from leverdoor.entry.exchange.use_lists import Use, UseLists
-from leverdoor.entry.exchange.use_merging import FRESH_S, UseMerger, UseReport
+from leverdoor.entry.exchange.usage_encoding import Usage, UsageCodec
+from leverdoor.entry.exchange.usage_merging import FRESH_S, UsageMerger, UsageReport
 from leverdoor.entry.membership.member import LEAVING, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.workspaces.isolation import HOLD_S
 from leverdoor.workspaces.others_use import OthersUse
 
-__all__ = ["UseSummary", "UseExchange"]
+__all__ = ["DigestUsage", "UsageExchange"]
 
 LEAST_PART_REPORTED = 6
 """Percentage of a quota that all failure domains together may leave out of digests.
@@ -43,7 +43,7 @@
 """
 
 
-class UseSummary(msgspec.Struct, frozen=True):
+class DigestUsage(msgspec.Struct, frozen=True):
     """The use in the digests of a round, by the entries that they cover."""
 
     by_scope: dict[DigestScope, bytes]
@@ -55,15 +55,15 @@
     """For how long this entry has merged all sums."""
 
 
-class UseExchange:
+class UsageExchange:
     """The use of workspaces that this entry reports, receives and merges."""
 
     def __init__(self, membership: Membership) -> None:
         """Create it around what is known of the entries."""
         self._membership = membership
         self._own = membership.own
-        self._lists = UseLists()
-        self._merger = UseMerger()
+        self._lists = UsageCodec()
+        self._merger = UsageMerger()
         self._merges_since: float | None = None
         """Since when it has all sums, as an aggregator; None while it has not."""
 
@@ -80,7 +80,7 @@
         """Drop what does not count any more."""
         self._merger.forget(now)
 
-    def serialize(self, use: Use) -> bytes:
+    def serialize(self, use: Usage) -> bytes:
         """Serialize the own use for a heartbeat."""
         return self._lists.serialize(use)
 
@@ -90,7 +90,7 @@
         use = self._lists.parse(heartbeat.use)
         if use is None or member.domain != self._own.domain:
             return
-        report = UseReport(
+        report = UsageReport(
             now,
             use,
             incarnation=member.incarnation,
@@ -106,14 +106,14 @@
         merged_s = digest.merged_ms / 1000
         if digest.scope == DigestScope.DOMAIN:
             entries = self._membership.count_in_domain(sender.domain)
-            report = UseReport(now, use, merged_s, entries, digest.silent)
+            report = UsageReport(now, use, merged_s, entries, digest.silent)
             self._merger.take_domain(sender.domain, report)
         else:
             entries = self._membership.count_in_region(sender.region)
-            report = UseReport(now, use, merged_s, entries, digest.silent)
+            report = UsageReport(now, use, merged_s, entries, digest.silent)
             self._merger.take_region(sender.region, report)
 
-    def parse_total(self, digest: Digest, own: Use) -> OthersUse | None:
+    def parse_total(self, digest: Digest, own: Usage) -> OthersUse | None:
         """Return the use of all others; None if the digest's list is not known.
 
         Args:
@@ -186,7 +186,7 @@
             if self._membership.last_seen(domain)
         }
 
-    def summary(self, own: Use, uptime_s: float, now: float) -> UseSummary:
+    def summary(self, own: Usage, uptime_s: float, now: float) -> DigestUsage:
         """Return the use for an aggregator's digests of a round."""
         sums = self._merger.sums(own, self._unreported_parts(uptime_s, now), now)
         part = LEAST_PART_REPORTED // len(self._membership.all_domains())
@@ -200,4 +200,4 @@
         age_ms = round(self._merger.age_s(now) * 1000)
         since = now if self._merges_since is None else self._merges_since
         merged_ms = round((now - since) * 1000)
-        return UseSummary(by_scope, silent, age_ms, merged_ms)
+        return DigestUsage(by_scope, silent, age_ms, merged_ms)
--- a/leverdoor/entry/exchange/use_merging.py
+++ b/leverdoor/entry/exchange/usage_merging.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """Sums of the use of workspaces, and what silent entries may still take of quotas.
 
-Counts of requests in flight are dropped when an entry falls silent. Use is not: a
+Counts of requests in flight are dropped when an entry falls silent. Usage is not: a
 silent entry may be cut off and still serve, and the use of a former incarnation
 counts until the window of quotas has passed.
 
@@ -16,11 +16,11 @@
 
 import msgspec
 
-from leverdoor.entry.exchange.use_lists import Use, summed
+from leverdoor.entry.exchange.usage_encoding import Usage, summed
 from leverdoor.workspaces.allowance import EVEN_PART
 from leverdoor.workspaces.isolation import HOLD_S, stretch
 
-__all__ = ["FRESH_S", "UseReport", "UseMerger", "UseSums"]
+__all__ = ["FRESH_S", "UsageReport", "UsageMerger", "UsageSums"]
 
 FRESH_S = 0.7
 """Age up to which the report of an entry or failure domain is summed as it is, in s.
@@ -37,12 +37,12 @@
 """How long the use of a former incarnation counts, in s: the window of quotas."""
 
 
-class UseReport(msgspec.Struct):
+class UsageReport(msgspec.Struct):
     """The use that one entry reported, or an aggregator for many."""
 
     at: float
     """When it came: monotonic time in seconds."""
-    use: Use
+    use: Usage
     merged_s: float = FORMER_S
     """For how long its sender has merged the sums. Incarnations that ended before are
     missing."""
@@ -53,51 +53,51 @@
     incarnation: int = 0
     leaves: bool = False
     """Whether the entry takes no new requests."""
-    older: "UseReport | None" = None
+    older: "UsageReport | None" = None
     """The part of an earlier report, of a sender that had merged for long, that this
     one lacks."""
-    reserved: Use | None = None
+    reserved: Usage | None = None
     """What its entries may take since they are silent; None while they are not."""
 
 
-class UseSums(msgspec.Struct, frozen=True):
+class UsageSums(msgspec.Struct, frozen=True):
     """The use of workspaces by the own failure domain, its region, and all."""
 
-    domain: Use
-    region: Use
-    total: Use
+    domain: Usage
+    region: Usage
+    total: Usage
     silent: tuple[int, int, int]
     """Entries of the domain, of the region and of all that are silent: they may take
     part of each quota whatever their use was."""
 
 
-class UseMerger:
+class UsageMerger:
     """The use of workspaces by entry, failure domain and region."""
 
     def __init__(self) -> None:
         """Create it knowing nothing."""
         self.planned: Mapping[str, float] = {}
         """For each workspace with a quota, the planned requests of a window."""
-        self._entries: dict[str, UseReport] = {}
-        self._former: list[UseReport] = []
+        self._entries: dict[str, UsageReport] = {}
+        self._former: list[UsageReport] = []
         """The last reports of incarnations that ended."""
-        self._domains: dict[str, UseReport] = {}
-        self._regions: dict[str, UseReport] = {}
-        self._totals: deque[tuple[float, Use]] = deque(maxlen=KEPT_TOTALS)
+        self._domains: dict[str, UsageReport] = {}
+        self._regions: dict[str, UsageReport] = {}
+        self._totals: deque[tuple[float, Usage]] = deque(maxlen=KEPT_TOTALS)
         """When sums of all entries were made, and these."""
 
-    def take_entry(self, name: str, report: UseReport) -> None:
+    def take_entry(self, name: str, report: UsageReport) -> None:
         """Take the report of an entry of the own failure domain."""
         before = self._entries.get(name)
         if before is not None and before.incarnation != report.incarnation:
             self._former.append(before)
         self._entries[name] = report
 
-    def take_domain(self, domain: str, report: UseReport) -> None:
+    def take_domain(self, domain: str, report: UsageReport) -> None:
         """Take the sums of another failure domain of the region."""
         _take_part(self._domains, domain, report, FRESH_S)
 
-    def take_region(self, region: str, report: UseReport) -> None:
+    def take_region(self, region: str, report: UsageReport) -> None:
         """Take the sums of another region."""
         _take_part(self._regions, region, report, FAR_FRESH_S)
 
@@ -120,7 +120,7 @@
             if now - report.at <= HOLD_S
         }
 
-    def sums(self, own: Mapping[str, int], unreported: int, now: float) -> UseSums:
+    def sums(self, own: Mapping[str, int], unreported: int, now: float) -> UsageSums:
         """Return the sums for an aggregator's digests.
 
         Args:
@@ -137,7 +137,7 @@
         with_domains = near + _silent(self._domains, FRESH_S, now)
         with_regions = with_domains + _silent(self._regions, FAR_FRESH_S, now)
         silent = (near, with_domains, with_regions)
-        return UseSums(domain, region, total, silent)
+        return UsageSums(domain, region, total, silent)
 
     def age_s(self, now: float) -> float:
         """Return the age of the oldest report that is taken as it is, in seconds."""
@@ -149,13 +149,13 @@
         return max((now - report.at for report in fresh), default=0.0)
 
     def _held(
-        self, parts: Mapping[str, UseReport], fresh_s: float, now: float
-    ) -> list[Use]:
+        self, parts: Mapping[str, UsageReport], fresh_s: float, now: float
+    ) -> list[Usage]:
         found = [self._use(report, fresh_s, now) for report in parts.values()]
         older = [r.older for r in parts.values() if r.older is not None]
         return found + [o.use for o in older if now - o.at <= FORMER_S]
 
-    def _use(self, report: UseReport, fresh_s: float, now: float) -> Use:
+    def _use(self, report: UsageReport, fresh_s: float, now: float) -> Usage:
         """Return a use as it was reported; what it may become once it is not fresh."""
         age_s = now - report.at
         if age_s <= fresh_s:
@@ -168,7 +168,7 @@
             report.reserved = self._reserve(report)
         return report.reserved
 
-    def _reserve(self, report: UseReport) -> Use:
+    def _reserve(self, report: UsageReport) -> Usage:
         """Return what the silent entries of a report may take by their use.
 
         It goes by the total when the report came, as they themselves reckon while they
@@ -184,12 +184,12 @@
 
 
 def _fresh(
-    reports: Mapping[str, UseReport], fresh_s: float, now: float
-) -> dict[str, UseReport]:
+    reports: Mapping[str, UsageReport], fresh_s: float, now: float
+) -> dict[str, UsageReport]:
     return {name: one for name, one in reports.items() if now - one.at <= fresh_s}
 
 
-def _silent(reports: Mapping[str, UseReport], fresh_s: float, now: float) -> int:
+def _silent(reports: Mapping[str, UsageReport], fresh_s: float, now: float) -> int:
     """Count the entries that are silent, and still may serve."""
     found = 0
     for one in reports.values():
@@ -201,14 +201,14 @@
     return found
 
 
-def _without(report: UseReport, use: Use) -> UseReport:
+def _without(report: UsageReport, use: Usage) -> UsageReport:
     """Return a report without what a later one has as well."""
     rest = {name: count - use.get(name, 0) for name, count in report.use.items()}
-    return UseReport(report.at, {n: count for n, count in rest.items() if count > 0})
+    return UsageReport(report.at, {n: count for n, count in rest.items() if count > 0})
 
 
 def _take_part(
-    parts: dict[str, UseReport], name: str, report: UseReport, fresh_s: float
+    parts: dict[str, UsageReport], name: str, report: UsageReport, fresh_s: float
 ) -> None:
     """Take the sums of a part, from one of its two aggregators.
 
--- a/leverdoor/entry/exchange/warm_news.py
+++ b/leverdoor/entry/exchange/warm_key_relay.py
@@ -1,8 +1,8 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""News of warm keys, which an aggregator passes on within its region.
+"""RevisionAnnouncement of warm keys, which an aggregator passes on within its region.
 
-News are the 32-bit hashes of `SharedWarmth`, of keys that other targets than their
+RevisionAnnouncement are the 32-bit hashes of `SharedWarmth`, of keys that other targets than their
 first answered lately and may have in their caches.
 
 Owns the news of the last moments, lost with the process: entries then find keys cold
@@ -12,7 +12,7 @@
 from collections import OrderedDict, deque
 from collections.abc import Iterable
 
-__all__ = ["WarmNews"]
+__all__ = ["WarmKeyRelay"]
 
 RESENT_S = 0.5
 """How long news of a warm key are sent again, in seconds.
@@ -27,13 +27,13 @@
 than that, each copy would start the news again.
 """
 MOST_SENT = 128
-"""News in one digest at most: 512 bytes, a third of a packet."""
+"""RevisionAnnouncement in one digest at most: 512 bytes, a third of a packet."""
 MOST_SEEN = 4_096
-"""News remembered as passed on: 32 digests full of them bound the memory."""
+"""RevisionAnnouncement remembered as passed on: 32 digests full of them bound the memory."""
 
 
-class WarmNews:
-    """News of warm keys, from the failure domain and from the rest of the region."""
+class WarmKeyRelay:
+    """RevisionAnnouncement of warm keys, from the failure domain and from the rest of the region."""
 
     def __init__(self) -> None:
         """Create it without any."""
--- a/leverdoor/entry/limits/asking.py
+++ b/leverdoor/entry/limits/asking.py
@@ -16,7 +16,7 @@
 from itertools import count
 from random import Random
 
-from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
+from leverdoor.entry.exchange.messages import PermitRequest, PermitResponse
 from leverdoor.entry.limits.limiter import Limiter
 from leverdoor.entry.limits.role import LimiterRole
 from leverdoor.entry.membership.member import Member
@@ -50,7 +50,7 @@
         fleet: Fleet,
         role: LimiterRole,
         limiter: Limiter,
-        ask_room: Callable[[RoomRequest, str], None],
+        ask_room: Callable[[PermitRequest, str], None],
         rng: Random,
         metrics: EntryMetrics,
     ) -> None:
@@ -103,7 +103,7 @@
         if limiter.name == self._role.own.name:
             decision = self._limiter.decide(target, per_s, priority, missed, now)
             return self._counted(decision)
-        request = RoomRequest(
+        request = PermitRequest(
             self._role.own.gossip,
             next(self._numbers),
             target_id(target.name),
@@ -113,11 +113,11 @@
         )
         return await self._ask_other(limiter, request)
 
-    async def _ask_other(self, limiter: Member, request: RoomRequest) -> RoomDecision:
+    async def _ask_other(self, limiter: Member, request: PermitRequest) -> RoomDecision:
         near = limiter.region == self._role.own.region
         try_s = NEAR_TRY_S if near else FAR_TRY_S
         answer = asyncio.get_running_loop().create_future()
-        self._open[request.number] = answer
+        self._open[request.request_number] = answer
         try:
             for _ in range(TRIES):
                 self._ask_room(request, limiter.gossip)
@@ -126,14 +126,16 @@
                     return self._counted(answer.result())
             return self._counted(UNANSWERED, "unanswered")
         finally:
-            del self._open[request.number]
+            del self._open[request.request_number]
 
-    def answered(self, answer: RoomAnswer) -> None:
+    def answered(self, answer: PermitResponse) -> None:
         """Take another entry's answer; one that is late, or came before, is dropped."""
-        question = self._open.get(answer.number)
+        question = self._open.get(answer.request_number)
         if question is not None and not question.done():
             decision = RoomDecision(
-                answer.granted, answer.wait_ms / 1000, answer.room_ms / 1000
+                answer.granted,
+                answer.retry_after_ms / 1000,
+                answer.permit_expected_ms / 1000,
             )
             question.set_result(decision)
 
--- a/leverdoor/entry/limits/limiter.py
+++ b/leverdoor/entry/limits/limiter.py
@@ -13,7 +13,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
+from leverdoor.entry.exchange.messages import PermitRequest, PermitResponse
 from leverdoor.entry.limits.role import LimiterRole
 from leverdoor.entry.pauses import Pauses
 from leverdoor.entry.placement.fleet import Fleet
@@ -53,23 +53,23 @@
         self._pauses = pauses
         self._target = target
         self._rooms: dict[int, Room] = {}
-        self._answers: OrderedDict[tuple[str, int], RoomAnswer] = OrderedDict()
+        self._answers: OrderedDict[tuple[str, int], PermitResponse] = OrderedDict()
         """By sender and number of the question."""
 
-    def answer(self, request: RoomRequest, now: float) -> RoomAnswer:
+    def answer(self, request: PermitRequest, now: float) -> PermitResponse:
         """Return the answer to another entry's request for room.
 
         Args:
           request: the message; one that was answered gets the same answer again.
           now: monotonic time in seconds.
         """
-        key = (request.sender, request.number)
+        key = (request.sender, request.request_number)
         known = self._answers.get(key)
         if known is not None:
             return known
         decision = self._decide(request, now)
-        answer = RoomAnswer(
-            request.number,
+        answer = PermitResponse(
+            request.request_number,
             decision.granted,
             round(decision.wait_s * 1000),
             round(decision.room_s * 1000),
@@ -79,11 +79,13 @@
             self._answers.popitem(last=False)
         return answer
 
-    def _decide(self, request: RoomRequest, now: float) -> RoomDecision:
+    def _decide(self, request: PermitRequest, now: float) -> RoomDecision:
         target = self._target(request.target)
         if target is None or not 0.0 <= request.per_s < math.inf:
             return NOT_LIMITER
-        return self.decide(target, request.per_s, request.priority, request.missed, now)
+        return self.decide(
+            target, request.per_s, request.priority, request.suppressed, now
+        )
 
     def decide(
         self, target: Target, per_s: float, priority: int, missed: int, now: float
--- a/leverdoor/entry/limits/target_limits.py
+++ b/leverdoor/entry/limits/target_limits.py
@@ -11,7 +11,11 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from leverdoor.entry.context import EntryContext
-from leverdoor.entry.exchange.messages import RoomAnswer, RoomMessage, RoomRequest
+from leverdoor.entry.exchange.messages import (
+    PermitMessage,
+    PermitRequest,
+    PermitResponse,
+)
 from leverdoor.entry.limits.asking import RoomAsking
 from leverdoor.entry.limits.limiter import Limiter
 from leverdoor.entry.limits.named_limits import NamedLimits
@@ -37,7 +41,7 @@
         membership: Membership,
         fleet: Fleet,
         state: Callable[[], EntryState],
-        ask_room: Callable[[RoomRequest, str], None],
+        ask_room: Callable[[PermitRequest, str], None],
         metrics: EntryMetrics,
     ) -> None:
         """Create all parts.
@@ -74,12 +78,12 @@
         """Take what other entries received."""
         self.named.told(words)
 
-    def take(self, message: RoomMessage, now: float) -> RoomAnswer | None:
+    def take(self, message: PermitMessage, now: float) -> PermitResponse | None:
         """Take a question of another entry, or the answer to an own one.
 
         Returns: the answer to a question.
         """
-        if isinstance(message, RoomRequest):
+        if isinstance(message, PermitRequest):
             return self._limiter.answer(message, now)
         self.asking.answered(message)
         return None
--- a/leverdoor/entry/membership/liveness.py
+++ b/leverdoor/entry/membership/liveness.py
@@ -8,12 +8,12 @@
 
 | s | constant | what happens |
 | --- | --- | --- |
-| 0.7 | `use_merging.FRESH_S` | its part of quotas is reserved (other regions 1.2) |
+| 0.7 | `usage_merging.FRESH_S` | its part of quotas is reserved (other regions 1.2) |
 | 0.8 | `roles.AGGREGATOR_SILENCE_S` | without digests, another one aggregates |
-| 1.0 | `merging.HEARTBEAT_TRUST_S` | its requests in flight are not summed any more |
+| 1.0 | `merging.HEARTBEAT_MAX_AGE_S` | its requests in flight are not summed any more |
 | 1.2 | `FORMER_INCARNATION_S` | an incarnation with a lower number may replace it |
 | 1.6 | `SILENCE_S` | not live: not named, no role, logged as silent |
-| 2.5 | `merging.PART_TRUST_S` | sums of its failure domain or region are not used |
+| 2.5 | `merging.SUM_MAX_AGE_S` | sums of its failure domain or region are not used |
 | 3.2 | `FAR_SILENCE_S` | not live, in other regions |
 | 20 | `workspaces.quota.HOLD_S` | its part of quotas is free again |
 | 60 | `FORGET_S` | its record is deleted |
--- a/leverdoor/entry/store_role.py
+++ b/leverdoor/entry/store_role.py
@@ -152,7 +152,7 @@
         if self._served.may_try(now):
             return self._roles.follows_store(followers, now)
         return self._roles.follows_store(
-            followers, now, self._unserved.all_known(now), self.unserved(now)
+            followers, now, self._unserved.unserved_others(now), self.unserved(now)
         )
 
     def must_ask(self, now: float) -> bool:
@@ -178,7 +178,7 @@
 
     def _place(self, now: float) -> int:
         """Return this entry's place among the region's that are served, from 0."""
-        return self._roles.place(now, self._unserved.all_known(now))
+        return self._roles.place(now, self._unserved.unserved_others(now))
 
     def _step_s(self, share: float, now: float) -> float:
         """Return the least time between two entries of the region that ask, in s.
--- a/leverdoor/workspaces/isolation.py
+++ b/leverdoor/workspaces/isolation.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """What an entry that receives no digests may take of a quota.
 
-The others reserve the same for it (entry/exchange/use_merging.py), so that the sides
+The others reserve the same for it (entry/exchange/usage_merging.py), so that the sides
 of a cut together stay within the quota, whatever is requested of them. After HOLD_S
 they reserve nothing more, and it takes next to nothing.
 
--- a/tests/test_entry_digests.py
+++ b/tests/test_entry_digests.py
@@ -8,7 +8,7 @@
 from leverdoor.codec import pack, unpack
 from leverdoor.entry.exchange.encoding import (
     AGE_STEP_S,
-    OLDEST_STEPS,
+    MAX_AGE_STEPS,
     parse_ids,
     parse_rows,
     serialize_ages,
@@ -21,13 +21,13 @@
     DomainView,
     EntryHeartbeat,
     Message,
-    News,
     RegionCounts,
+    RevisionAnnouncement,
 )
 from leverdoor.entry.exchange.target_counts import (
-    KEPT_LISTS,
-    MOST_COUNTED,
-    TargetLists,
+    MAX_COUNT,
+    MAX_LISTS,
+    TargetCountCodec,
 )
 from leverdoor.entry.membership.member import SERVING, Member, MemberRow
 
@@ -56,7 +56,7 @@
 def test_ages_are_rounded_up_and_bounded() -> None:
     """An age that is told too low would keep a dead entry named for longer."""
     told = serialize_ages([-0.1, 0.0, AGE_STEP_S * 1.1, 1e9])
-    assert list(told) == [0, 0, 2, OLDEST_STEPS]
+    assert list(told) == [0, 0, 2, MAX_AGE_STEPS]
 
 
 def test_messages_come_back_by_their_tags() -> None:
@@ -68,14 +68,14 @@
     messages: list[Message] = [
         EntryHeartbeat(member, 1, SERVING, 3, {"t": 2}),
         digest,
-        News(4, "p"),
+        RevisionAnnouncement(4, "p"),
     ]
     for message in messages:
         assert unpack(pack(message), Message) == message  # type: ignore[arg-type]
 
 
 def test_counts_come_back_by_name() -> None:
-    lists = TargetLists()
+    lists = TargetCountCodec()
     lists.renew({"a": ["t2", "t1"], "b": ["u"]})
     told = lists.serialize("a", {"t1": 3, "t2": 0, "u": 5})
     assert told.counts == b"\x03\x00"
@@ -83,22 +83,22 @@
 
 
 def test_a_count_beyond_a_byte_is_told_as_the_most() -> None:
-    lists = TargetLists()
+    lists = TargetCountCodec()
     lists.renew({"a": ["t"]})
     told = lists.serialize("a", {"t": 1_000})
-    assert lists.parse(told) == {"t": MOST_COUNTED}
+    assert lists.parse(told) == {"t": MAX_COUNT}
     assert lists.parse(lists.serialize("a", {"t": -1})) == {}
 
 
 def test_counts_of_a_recent_list_are_understood_and_of_others_not() -> None:
     """Entries take a change of the targets one after the other."""
-    one, other = TargetLists(), TargetLists()
+    one, other = TargetCountCodec(), TargetCountCodec()
     one.renew({"a": ["t1"]})
     other.renew({"a": ["t1"]})
     before = one.serialize("a", {"t1": 1})
     one.renew({"a": ["t1", "t2"]})
     assert one.parse(before) == {"t1": 1}
     assert other.parse(one.serialize("a", {"t2": 1})) is None
-    for i in range(KEPT_LISTS + 1):
+    for i in range(MAX_LISTS + 1):
         one.renew({"a": [f"v{i}"]})
     assert one.parse(before) is None
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -9,8 +9,17 @@
 
 from leverdoor.entry.configuration.confirmation import NO_ANSWER
 from leverdoor.entry.exchange.exchange import Exchange
-from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
-from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat, News
+from leverdoor.entry.exchange.exchange_types import (
+    EntryStatus,
+    OutgoingMessage,
+    PeerUpdate,
+)
+from leverdoor.entry.exchange.messages import (
+    Digest,
+    DigestScope,
+    EntryHeartbeat,
+    RevisionAnnouncement,
+)
 from leverdoor.entry.membership.liveness import HEARTBEAT_S
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member
 from leverdoor.entry.membership.members import Membership
@@ -29,7 +38,7 @@
         self.exchanges: dict[str, Exchange] = {}
         self.naming: dict[str, Naming] = {}
         self.heard: dict[str, PeerUpdate] = {}
-        self.sent: list[tuple[str, Sending]] = []
+        self.sent: list[tuple[str, OutgoingMessage]] = []
         self.silent: set[str] = set()
         members = [_member(n, wide if n.endswith(("-0", "-1")) else 20) for n in names]
         for own in members:
@@ -37,7 +46,7 @@
             for other in members:
                 membership.introduce(other, self.now)
             exchange = Exchange(membership, Roles(membership, Random(own.name)))
-            exchange.lists.renew(TARGETS)
+            exchange.target_count_codec.renew(TARGETS)
             self.exchanges[own.name] = exchange
             self.naming[own.name] = Naming(membership)
             self.reports[own.name] = EntryStatus(SERVING, 1, {}, {}, -1, [])
@@ -54,10 +63,10 @@
                     self._note(name, heard)
                     self.send(name, sendings)
 
-    def send(self, name: str, sendings: list[Sending]) -> None:
+    def send(self, name: str, sendings: list[OutgoingMessage]) -> None:
         for sending in sendings:
             self.sent.append((name, sending))
-            for address in sending.to:
+            for address in sending.destinations:
                 to = address.removeprefix("g/")
                 if to not in self.silent:
                     revision = self.reports[to].revision
@@ -66,14 +75,18 @@
 
     def _note(self, name: str, heard: PeerUpdate) -> None:
         before = self.heard.get(name, PeerUpdate())
-        others = before.others if heard.others is None else heard.others
-        warm = [*before.warm, *heard.warm]
+        others = (
+            before.others_in_flight
+            if heard.others_in_flight is None
+            else heard.others_in_flight
+        )
+        warm = [*before.warm_keys, *heard.warm_keys]
         outage_ms = max(before.outage_ms, heard.outage_ms)
         source = heard.source or before.source
         self.heard[name] = PeerUpdate(others, warm, outage_ms, source)
 
-    def others(self, name: str) -> Mapping[str, int]:
-        return self.heard[name].others or {}
+    def others_in_flight(self, name: str) -> Mapping[str, int]:
+        return self.heard[name].others_in_flight or {}
 
 
 def _member(name: str, link_mbps: int) -> Member:
@@ -94,7 +107,7 @@
         s.report(name, in_flight={"ta1": 1, "tb1": 2})
     s.round(6)
     for name in s.exchanges:
-        assert s.others(name) == {"ta1": 17, "tb1": 34}, name
+        assert s.others_in_flight(name) == {"ta1": 17, "tb1": 34}, name
 
 
 def test_requests_that_ended_are_counted_no_more_a_second_later() -> None:
@@ -105,17 +118,17 @@
     for name in s.exchanges:
         s.report(name, in_flight={})
     s.round(5)
-    assert [s.others(n) for n in s.exchanges] == [{}] * 18
+    assert [s.others_in_flight(n) for n in s.exchanges] == [{}] * 18
 
 
 def test_what_an_entry_that_died_had_is_forgotten() -> None:
     s = Entries(site(["a1", "a2"], 5))
     s.report("a1-4", in_flight={"ta1": 7})
     s.round(6)
-    assert s.others("a2-3") == {"ta1": 7}
+    assert s.others_in_flight("a2-3") == {"ta1": 7}
     s.silent.add("a1-4")
     s.round(9)
-    assert s.others("a2-3") == {}
+    assert s.others_in_flight("a2-3") == {}
 
 
 def test_counts_are_not_kept_for_long_while_lists_of_targets_differ() -> None:
@@ -123,15 +136,19 @@
     s = Entries(site(["a1"], 6))
     s.report("a1-4", in_flight={"ta1": 7})
     s.round(6)
-    assert s.others("a1-3") == {"ta1": 7}
-    s.exchanges["a1-3"].lists.renew({"a": ["other"], "b": ["other"]})
+    assert s.others_in_flight("a1-3") == {"ta1": 7}
+    s.exchanges["a1-3"].target_count_codec.renew({"a": ["other"], "b": ["other"]})
     for name in s.exchanges:
         if name != "a1-3":
-            s.exchanges[name].lists.renew({"a": ["ta1", "new"], "b": ["tb1", "new"]})
+            s.exchanges[name].target_count_codec.renew(
+                {"a": ["ta1", "new"], "b": ["tb1", "new"]}
+            )
     s.round(3)
-    assert s.others("a1-3") == {"ta1": 7}, "a change takes a moment to reach all"
+    assert s.others_in_flight("a1-3") == {"ta1": 7}, (
+        "a change takes a moment to reach all"
+    )
     s.round(12)
-    assert s.others("a1-3") == {}
+    assert s.others_in_flight("a1-3") == {}
 
 
 def test_an_aggregator_keeps_counts_while_lists_of_targets_differ() -> None:
@@ -139,14 +156,16 @@
     s = Entries(site(["a1", "a2"], 4))
     s.report("a2-3", in_flight={"ta1": 7})
     s.round(6)
-    assert s.others("a1-0") == {"ta1": 7}
+    assert s.others_in_flight("a1-0") == {"ta1": 7}
     for name in s.exchanges:
         if name.startswith("a2"):
-            s.exchanges[name].lists.renew({"a": ["ta1", "new"], "b": ["tb1", "new"]})
+            s.exchanges[name].target_count_codec.renew(
+                {"a": ["ta1", "new"], "b": ["tb1", "new"]}
+            )
     s.round(4)
-    assert s.others("a1-0") == {"ta1": 7}
+    assert s.others_in_flight("a1-0") == {"ta1": 7}
     s.round(12)
-    assert s.others("a1-0") == {}
+    assert s.others_in_flight("a1-0") == {}
 
 
 def test_an_ordinary_entry_sends_to_the_two_aggregators_only() -> None:
@@ -155,8 +174,8 @@
     s.sent.clear()
     s.round()
     by_name = [x for n, x in s.sent if n == "a1-7"]
-    assert [len(x.to) for x in by_name] == [2]
-    assert set(by_name[0].to) == {"g/a1-0", "g/a1-1"}
+    assert [len(x.destinations) for x in by_name] == [2]
+    assert set(by_name[0].destinations) == {"g/a1-0", "g/a1-1"}
 
 
 def test_every_entry_of_a_domain_is_told_within_two_rounds() -> None:
@@ -164,11 +183,11 @@
     s.round(5)
     s.sent.clear()
     s.round(2)
-    told = {to for _, x in s.sent if _is_total(x) for to in x.to}
+    told = {to for _, x in s.sent if _is_total(x) for to in x.destinations}
     assert told >= {f"g/a1-{i}" for i in range(15)}
 
 
-def _is_total(sending: Sending) -> bool:
+def _is_total(sending: OutgoingMessage) -> bool:
     message = sending.message
     return isinstance(message, Digest) and message.scope is DigestScope.ALL
 
@@ -201,9 +220,11 @@
     s.round(8)
     cut = Entries.send
 
-    def only_within(name: str, sendings: list[Sending]) -> None:
+    def only_within(name: str, sendings: list[OutgoingMessage]) -> None:
         kept = [
-            Sending(x.message, [to for to in x.to if to[2] == name[0]])
+            OutgoingMessage(
+                x.message, [to for to in x.destinations if to[2] == name[0]]
+            )
             for x in sendings
         ]
         cut(s, name, kept)
@@ -239,14 +260,14 @@
     for message in (late, early):
         s.exchanges["a1-0"].take(message, 1, s.now)
     s.round()
-    assert s.others("a1-0") == {"ta1": 1}
+    assert s.others_in_flight("a1-0") == {"ta1": 1}
     assert isinstance(early, EntryHeartbeat)
 
 
 def test_a_repeated_digest_does_not_count() -> None:
     s = Entries(site(["a1"], 4))
     s.round(4)
-    told = [x.message for _, x in s.sent if _is_total(x) and "g/a1-3" in x.to]
+    told = [x.message for _, x in s.sent if _is_total(x) and "g/a1-3" in x.destinations]
     again = s.exchanges["a1-3"].take(told[-1], 1, s.now)
     assert again == PeerUpdate()
 
@@ -261,8 +282,8 @@
         heard: set[str] = set()
         for name in sorted(newly):
             for sending in s.exchanges[name].news(9, NO_ANSWER, s.now):
-                assert isinstance(sending.message, News)
-                heard |= {to.removeprefix("g/") for to in sending.to}
+                assert isinstance(sending.message, RevisionAnnouncement)
+                heard |= {to.removeprefix("g/") for to in sending.destinations}
         newly = heard - reached
         reached |= heard
     assert reached == set(names)
@@ -272,9 +293,12 @@
 def test_news_and_digests_of_a_newer_state_say_where_to_fetch_it() -> None:
     s = Entries(site(["a1"], 4))
     s.round(4)
-    heard = s.exchanges["a1-3"].take(News(5, "p/a1-0"), 1, s.now)
+    heard = s.exchanges["a1-3"].take(RevisionAnnouncement(5, "p/a1-0"), 1, s.now)
     assert heard.source == "p/a1-0"
-    assert s.exchanges["a1-3"].take(News(1, "p/a1-0"), 1, s.now).source == ""
+    assert (
+        s.exchanges["a1-3"].take(RevisionAnnouncement(1, "p/a1-0"), 1, s.now).source
+        == ""
+    )
     s.report("a1-0", revision=5)
     s.round(2)
     assert s.heard["a1-3"].source == "p/a1-0", "its aggregator, by a wide link"
@@ -294,11 +318,11 @@
     s = Entries(site(["a1", "a2", "b1"], 5))
     s.round(6)
     s.heard.clear()
-    s.report("a1-4", warm=[77])
+    s.report("a1-4", warm_keys=[77])
     s.round(2)
-    s.report("a1-4", warm=[])
+    s.report("a1-4", warm_keys=[])
     s.round(4)
-    knowing = {n for n in s.exchanges if 77 in s.heard[n].warm}
+    knowing = {n for n in s.exchanges if 77 in s.heard[n].warm_keys}
     assert knowing >= {n for n in s.exchanges if n[0] == "a" and n != "a1-4"}
     assert not any(n[0] == "b" for n in knowing)
 
--- a/tests/test_limit_exchange.py
+++ b/tests/test_limit_exchange.py
@@ -7,7 +7,7 @@
 
 from leverdoor.entry.exchange.exchange_types import PeerUpdate
 from leverdoor.entry.exchange.limit_exchange import MOST_TOLD, LimitExchange
-from leverdoor.entry.exchange.messages import OWN_SCOPE, DigestScope, LimitNews
+from leverdoor.entry.exchange.messages import OWN_SCOPE, DigestScope, LimitUpdate
 from leverdoor.limits.named import LimitBook, LimitWord
 from leverdoor.limits.rows import parse_words, serialize_words
 from test_entry_exchange import Entries
@@ -56,7 +56,10 @@
     """Whoever starts, or was cut off, learns it."""
     exchange = LimitExchange("n1")
     exchange.note_own([LimitWord(7, 3.5, 0.0)], 0.0)
-    sent = [exchange.news(OWN_SCOPE, turn, turn * 0.2) for turn in range(1, 21)]
+    sent = [
+        exchange.news(OWN_SCOPE, round_number, round_number * 0.2)
+        for round_number in range(1, 21)
+    ]
     assert sum(news is not None for news in sent) == 3 + 4
     exchange.forget(61.0)
     assert exchange.news(OWN_SCOPE, 5, 61.0) is None
@@ -65,11 +68,11 @@
 def test_a_word_is_not_told_back_to_where_it_came_from() -> None:
     exchange = LimitExchange("n1")
     words = serialize_words([LimitWord(7, 3.5, 0.0)], 0.0)
-    exchange.take(LimitNews("n2", DigestScope.REGION, words), 0.0)
+    exchange.take(LimitUpdate("n2", DigestScope.REGION, words), 0.0)
     assert exchange.news(DigestScope.DOMAIN, 5, 0.1) is None
     assert exchange.news(DigestScope.REGION, 5, 0.1) is not None
     exchange = LimitExchange("n1")
-    exchange.take(LimitNews("n2", DigestScope.ALL, words), 0.0)
+    exchange.take(LimitUpdate("n2", DigestScope.ALL, words), 0.0)
     assert exchange.news(DigestScope.REGION, 5, 0.1) is None
 
 
@@ -77,8 +80,8 @@
     exchange = LimitExchange("n1")
     exchange.note_own([LimitWord(i, 1.0, 0.0) for i in range(3 * MOST_TOLD)], 0.0)
     seen: set[int] = set()
-    for turn in range(10, 30):
-        news = exchange.news(OWN_SCOPE, turn, turn * 0.2)
+    for round_number in range(10, 30):
+        news = exchange.news(OWN_SCOPE, round_number, round_number * 0.2)
         if news is not None:
             words = parse_words(news.words, 0.0)
             assert len(words) <= MOST_TOLD
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
+from leverdoor.entry.exchange.messages import PermitRequest, PermitResponse
 from leverdoor.entry.limits.asking import RoomAsking
 from leverdoor.entry.limits.limiter import Limiter
 from leverdoor.entry.limits.role import (
@@ -204,7 +204,7 @@
         now = asyncio.get_running_loop().time()
         self.fleet = Fleet()
         self.fleet.limits.take(LimitWord(target_id(TARGET.name), 2.0, now - 60.0))
-        self.sent: list[tuple[RoomRequest, str]] = []
+        self.sent: list[tuple[PermitRequest, str]] = []
         self._answers = answers
         self.asking = self._asking(own, now)
         other = "a1-1" if own == "a1-0" else "a1-0"
@@ -232,7 +232,7 @@
             self.fleet, role, limiter, self._ask, Random(1), EntryMetrics()
         )
 
-    def _ask(self, request: RoomRequest, to: str) -> None:
+    def _ask(self, request: PermitRequest, to: str) -> None:
         self.sent.append((request, to))
         if self._answers:
             now = asyncio.get_running_loop().time()
@@ -300,9 +300,9 @@
     desk = Desk(asker(), answers=False)
     assert not await desk.asking.acquire(desk.request(), TARGET)
     assert len(desk.sent) == 2
-    assert len({request.number for request, _ in desk.sent}) == 1
+    assert len({request.request_number for request, _ in desk.sent}) == 1
     now = asyncio.get_running_loop().time()
-    late = RoomAnswer(desk.sent[0][0].number, True, 0, 0)
+    late = PermitResponse(desk.sent[0][0].request_number, True, 0, 0)
     desk.asking.answered(late)
     assert desk.fleet.of(TARGET, now).room.closed(2, now)
 
@@ -314,19 +314,19 @@
     desk = Desk(asker())
     now = asyncio.get_running_loop().time()
     key = target_id(TARGET.name)
-    bad = RoomRequest("g/x", 1, key, per_s, 2, 0)
+    bad = PermitRequest("g/x", 1, key, per_s, 2, 0)
     assert not desk.limiting.answer(bad, now).granted
-    assert desk.limiting.answer(RoomRequest("g/x", 2, key, 2.0, 2, 0), now).granted
+    assert desk.limiting.answer(PermitRequest("g/x", 2, key, 2.0, 2, 0), now).granted
 
 
 async def test_a_question_that_comes_twice_is_granted_once() -> None:
     desk = Desk(asker())
     now = asyncio.get_running_loop().time()
-    request = RoomRequest("g/x", 1, target_id(TARGET.name), 2.0, 2, 0)
+    request = PermitRequest("g/x", 1, target_id(TARGET.name), 2.0, 2, 0)
     answers = [desk.limiting.answer(request, now) for _ in range(9)]
     assert all(a.granted for a in answers)
     others = [
-        desk.limiting.answer(RoomRequest("g/x", n, request.target, 2.0, 2, 0), now)
+        desk.limiting.answer(PermitRequest("g/x", n, request.target, 2.0, 2, 0), now)
         for n in range(2, 11)
     ]
     assert sum(a.granted for a in others) == 4
@@ -344,7 +344,7 @@
     now, granted = LONG_S, []
     for number, step_ms in enumerate(steps_ms * askers):
         now += step_ms / 1000
-        request = RoomRequest("g/x", number, target_id(cold.name), 8.25, 2, 0)
+        request = PermitRequest("g/x", number, target_id(cold.name), 8.25, 2, 0)
         if limiter.answer(request, now).granted:
             granted.append(now)
     most = max((sum(a <= b < a + 1 for b in granted) for a in granted), default=0)
--- a/tests/test_platform_registrations.py
+++ b/tests/test_platform_registrations.py
@@ -21,7 +21,7 @@
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.configuration.left_out import MOST_LINES, LeftOutReport
 from leverdoor.entry.exchange.messages import EntryHeartbeat
-from leverdoor.entry.exchange.target_counts import TargetLists
+from leverdoor.entry.exchange.target_counts import TargetCountCodec
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.wire import Configured, LeftOut
@@ -225,7 +225,7 @@
 def carry(taken: list[Target], found: Configured) -> None:
     """All that carries a target takes each that is used."""
     catalog = Catalog(1, found.version, found.resources)
-    lists = TargetLists()
+    lists = TargetCountCodec()
     lists.renew(catalog.names_by_region)
     counts = {t.name: 3 for t in taken}
     member = Member("n", "a", "a1", "f", "g", "p", 1)
--- a/tests/test_soak_in_force.py
+++ b/tests/test_soak_in_force.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from leverdoor.entry.exchange.messages import News
+from leverdoor.entry.exchange.messages import RevisionAnnouncement
 from leverdoor.membership.gossip import GossipSocket
 from leverdoor.standins.soak.cuts import CutKind, draw_cuts
 from leverdoor.standins.soak.harmed import CUTS, HarmedNetwork, LostWays
@@ -83,9 +83,9 @@
     )
     monkeypatch.setenv(CUTS, str(tmp_path / "n.cuts"))
     network = HarmedNetwork()
-    network._socket = GossipSocket(News, lambda _: None)
-    network.send_all(News(1, "p"), ["127.0.0.2:1", "127.0.0.3:1"])
+    network._socket = GossipSocket(RevisionAnnouncement, lambda _: None)
+    network.send_all(RevisionAnnouncement(1, "p"), ["127.0.0.2:1", "127.0.0.3:1"])
     lost = LostWays(unreached=["127.0.0.2"], unanswered=["127.0.0.3"])
     (tmp_path / "n.cuts").write_bytes(msgspec.json.encode(lost))
-    network.send_all(News(1, "p"), ["127.0.0.2:1", "127.0.0.3:1"])
+    network.send_all(RevisionAnnouncement(1, "p"), ["127.0.0.2:1", "127.0.0.3:1"])
     assert sent == ["127.0.0.2:1", "127.0.0.3:1", "127.0.0.3:1"]
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -8,7 +8,7 @@
 
 from leverdoor.entry.configuration.confirmation import Confirmation, ToldAnswer
 from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat
-from leverdoor.entry.exchange.unserved import TRUST_S, UnservedEntries
+from leverdoor.entry.exchange.unserved import REPORT_MAX_AGE_S, UnservedEntries
 from leverdoor.entry.membership.member import SERVING, Member, MemberRow, member_id
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import LastSeen
@@ -125,7 +125,7 @@
 def test_what_was_told_of_an_unserved_entry_is_forgotten() -> None:
     third = Entry("a1-2")
     third.tell_unserved("a1-0", True, AT)
-    later = AT + TRUST_S + 0.1
+    later = AT + REPORT_MAX_AGE_S + 0.1
     third.hear(later)
     assert not third.role.follows(later)
 
@@ -147,8 +147,8 @@
     other = UnservedEntries(member("a2-1"))
     total = Digest("a2-0", DigestScope.ALL, 1, 1, 1, "p", [], [], unserved=_ids(told))
     other.take_digest(total, a2, AT)
-    assert other.all_known(AT) == set(told)
-    assert other.all_known(AT + TRUST_S + 0.1) == set()
+    assert other.unserved_others(AT) == set(told)
+    assert other.unserved_others(AT + REPORT_MAX_AGE_S + 0.1) == set()
 
 
 def _ids(told: list[int]) -> bytes:
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -20,8 +20,8 @@
 import wire_samples as samples
 from leverdoor.codec import pack, parse_json, serialize_json, unpack
 from leverdoor.entry.exchange import encoding, messages
-from leverdoor.entry.exchange.target_counts import TargetLists
-from leverdoor.entry.exchange.use_lists import UseLists
+from leverdoor.entry.exchange.target_counts import TargetCountCodec
+from leverdoor.entry.exchange.usage_encoding import UsageCodec
 from leverdoor.entry.membership.member import link_rank, member_id
 from leverdoor.gate.keys import KeyRing, parse_key, serialize_key
 from leverdoor.membership.gossip import GossipSocket
@@ -402,7 +402,7 @@
 
 def test_counts_of_a_region() -> None:
     """One byte a target, by name; 255 is the most."""
-    lists = TargetLists()
+    lists = TargetCountCodec()
     lists.renew(samples.REGION_TARGETS)
     counts = messages.RegionCounts("siliguri", 3305339154, b"\x03\xff\x00")
     assert lists.serialize("siliguri", samples.REGION_COUNTS) == counts
@@ -411,7 +411,7 @@
 
 def test_use_of_quotas() -> None:
     """Pairs of place and count; 65,535 is the most."""
-    lists = UseLists()
+    lists = UsageCodec()
     lists.renew(samples.PLANNED)
     data = b"\xaaiE\xca\x00\x02\x00Z\x00\x01\x00\xff\xff"
     assert lists.serialize(samples.USE, 20) == data
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -90,7 +90,7 @@
     in_flight={"t1": 3, "t2": 4},
     shares=SHARES,
     outage_ms=1_500,
-    warm=b"\x01\x02\x03\x04",
+    warm_keys=b"\x01\x02\x03\x04",
     use=b"\x05\x06\x07\x08\x09",
     confirmed_ms=250,
     answer=0x0123456789ABCDEF,
@@ -99,7 +99,7 @@
 DIGEST = messages.Digest(
     sender="n1",
     scope=messages.DigestScope.ALL,
-    turn=301,
+    round_number=301,
     incarnation=1_700_000_000_000_001,
     revision=70_000,
     pull="10.0.0.1:7947",
@@ -116,7 +116,7 @@
     entries=7,
     shares=SHARES,
     outage_ms=1_500,
-    warm=b"\x01\x02\x03\x04",
+    warm_keys=b"\x01\x02\x03\x04",
     use=b"\x05\x06\x07\x08\x09",
     use_age_ms=450,
     merged_ms=9_000,
@@ -130,8 +130,8 @@
     Notice(NoticeKind.HELD, 0xFFFFFFFFFFFFFFFE, 70_000, span=25),
     Notice(NoticeKind.RELEASED, 1, 0),
 ]
-QUARANTINE_NEWS = messages.QuarantineNews("n1", serialize_notices(NOTICES))
-NEWS = messages.News(
+QUARANTINE_NEWS = messages.QuarantineUpdate("n1", serialize_notices(NOTICES))
+NEWS = messages.RevisionAnnouncement(
     revision=70_000,
     pull="10.0.0.1:7947",
     answer=0x0123456789ABCDEF,
@@ -230,15 +230,15 @@
     mac=b"\xf1\xf2\xf3\xf4\xf5\xf6\xf7\xf8\xf9\xfa\xfb\xfc",
 )
 
-LIMIT_NEWS = messages.LimitNews(
+LIMIT_NEWS = messages.LimitUpdate(
     "n1",
     messages.DigestScope.REGION,
     serialize_words(
         [LimitWord(0xFEDCBA98, 3.5, 8.0), LimitWord(7, None, 9.75)], now=10.0
     ),
 )
-ROOM_REQUEST = messages.RoomRequest("10.0.0.1:7946", 70_000, 0xFEDCBA98, 3.5, 2, 17)
-ROOM_ANSWER = messages.RoomAnswer(70_000, False, 280, 1400)
+ROOM_REQUEST = messages.PermitRequest("10.0.0.1:7946", 70_000, 0xFEDCBA98, 3.5, 2, 17)
+ROOM_ANSWER = messages.PermitResponse(70_000, False, 280, 1400)
 
 PACKED = {
     "member": Sample(MEMBER, Member),
