--- a/leverdoor/entry/exchange/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -151,9 +151,9 @@
         known = self._membership.member(member.name)
         if known is None or known.incarnation != member.incarnation:
             return PeerUpdate()
-        self._merger.take_heartbeat(heartbeat, now)
-        self.use.take_heartbeat(heartbeat, now)
-        self.unserved.take_heartbeat(heartbeat, now)
+        self._merger.record_heartbeat(heartbeat, now)
+        self.use.record_heartbeat(heartbeat, now)
+        self.unserved.record_heartbeat(heartbeat, now)
         warm = parse_ids(heartbeat.warm_keys)
         self._warm_news.take_from_domain(warm, now)
         return PeerUpdate(
@@ -180,7 +180,7 @@
             answer=ToldAnswer(digest.revision, digest.answer, digest.confirmed_ms),
         )
         if sender.region == self._own.region:
-            self.unserved.take_digest(digest, sender, now)
+            self.unserved.record_digest(digest, sender, now)
         if digest.scope == DigestScope.ALL:
             return self._take_total(digest, sender, update, now)
         self._take_part(digest, sender, update.warm_keys, now)
--- a/leverdoor/entry/exchange/merging.py
+++ b/leverdoor/entry/exchange/merging.py
@@ -96,7 +96,7 @@
         _, last = self._heartbeats.get(name, (0.0, None))
         return last
 
-    def take_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
+    def record_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
         """Take the counts and shares of an entry."""
         name = heartbeat.member.name
         self._heartbeats[name] = (now, heartbeat)
--- a/leverdoor/entry/exchange/unserved.py
+++ b/leverdoor/entry/exchange/unserved.py
@@ -37,7 +37,7 @@
         self._region: tuple[float, frozenset[int]] = (0.0, frozenset())
         """The same for the whole region, from an aggregator of the own one."""
 
-    def take_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
+    def record_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
         """Take whether an entry of the own failure domain is unserved."""
         name = member_id(heartbeat.member.name)
         if heartbeat.unserved:
@@ -45,7 +45,7 @@
         else:
             self._heartbeats.pop(name, None)
 
-    def take_digest(self, digest: Digest, sender: Member, now: float) -> None:
+    def record_digest(self, digest: Digest, sender: Member, now: float) -> None:
         """Take what an aggregator of the region tells."""
         told = frozenset(parse_ids(digest.unserved))
         if digest.scope == DigestScope.DOMAIN:
--- a/leverdoor/entry/exchange/usage_exchange.py
+++ b/leverdoor/entry/exchange/usage_exchange.py
@@ -84,7 +84,7 @@
         """Serialize the own use for a heartbeat."""
         return self._lists.serialize(use)
 
-    def take_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
+    def record_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
         """Take the report of an entry, if it is of the own failure domain."""
         member = heartbeat.member
         use = self._lists.parse(heartbeat.use)
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -84,7 +84,7 @@
     def tell_unserved(self, name: str, unserved: bool, now: float) -> None:
         sender = next(m for m in self.members if m.name == name)
         beat = EntryHeartbeat(sender, 1, SERVING, 1, unserved=unserved)
-        self.unserved.take_heartbeat(beat, now)
+        self.unserved.record_heartbeat(beat, now)
 
 
 def test_the_widest_links_follow_while_the_store_answers_them() -> None:
@@ -135,18 +135,18 @@
     a1, a2 = member("a1-0"), member("a2-0")
     first, second = UnservedEntries(a1), UnservedEntries(a2)
     beat = EntryHeartbeat(member("a1-1"), 1, SERVING, 1, unserved=True)
-    first.take_heartbeat(beat, AT)
+    first.record_heartbeat(beat, AT)
     told = first.of_domain(True, AT)
     assert sorted(told) == sorted(member_id(n) for n in ("a1-0", "a1-1"))
     digest = Digest(
         "a1-0", DigestScope.DOMAIN, 1, 1, 1, "p", [], [], unserved=_ids(told)
     )
-    second.take_digest(digest, a1, AT)
+    second.record_digest(digest, a1, AT)
     assert set(second.of_region(False, AT)) == set(told)
     assert second.of_domain(False, AT) == [], "of the own failure domain only"
     other = UnservedEntries(member("a2-1"))
     total = Digest("a2-0", DigestScope.ALL, 1, 1, 1, "p", [], [], unserved=_ids(told))
-    other.take_digest(total, a2, AT)
+    other.record_digest(total, a2, AT)
     assert other.unserved_others(AT) == set(told)
     assert other.unserved_others(AT + REPORT_MAX_AGE_S + 0.1) == set()
 
