--- a/leverdoor/entry/exchange/digest_builder.py
+++ b/leverdoor/entry/exchange/digest_builder.py
@@ -26,26 +26,26 @@
     DomainView,
     RegionCounts,
 )
-from leverdoor.entry.exchange.recipients import in_turn
+from leverdoor.entry.exchange.recipients import rotate
 from leverdoor.entry.exchange.target_counts import TargetCountCodec
 from leverdoor.entry.exchange.unserved import UnservedEntries
 from leverdoor.entry.exchange.usage_exchange import DigestUsage
 from leverdoor.entry.exchange.warm_key_relay import WarmKeyRelay
 from leverdoor.entry.membership.members import Membership
 
-__all__ = ["SHARES_ROUNDS", "DigestRound", "DigestBuilder"]
+__all__ = ["SHARES_INTERVAL_ROUNDS", "DigestRound", "DigestBuilder"]
 
-SHARES_ROUNDS = 5
+SHARES_INTERVAL_ROUNDS = 5
 """Rounds between two that carry the regions' shares, to save bytes.
 
 Once a second, since shares move in seconds.
 """
-FAR_REGIONS = 9
+MAX_OTHER_REGIONS = 9
 """Other regions whose counts one digest carries at most.
 
 27 regions are all covered within 0.6 s; more make the digest larger.
 """
-FAR_DOMAINS = 18
+MAX_OTHER_REGION_DOMAINS = 18
 """Failure domains of other regions in one digest at most: two a region."""
 
 
@@ -68,94 +68,135 @@
     def __init__(
         self,
         membership: Membership,
-        lists: TargetCountCodec,
+        target_count_codec: TargetCountCodec,
         merger: Merger,
         views: DomainViews,
-        warm_news: WarmKeyRelay,
+        relay: WarmKeyRelay,
         unserved: UnservedEntries,
     ) -> None:
         """Create it around what it reads."""
         self._membership = membership
         self._own = membership.own
-        self._lists = lists
+        self._target_count_codec = target_count_codec
         self._merger = merger
         self._views = views
-        self._warm_news = warm_news
+        self._warm_key_relay = relay
         self._unserved = unserved
 
-    def make(self, r: DigestRound) -> dict[DigestScope, Digest]:
+    def build(self, digest_round: DigestRound) -> dict[DigestScope, Digest]:
         """Return the digests of a round by their scope."""
-        domain = self._merger.of_domain(r.status.in_flight, r.now)
-        region = self._merger.with_domains(domain, r.now)
-        total = self._merger.with_regions(region, r.now)
-        near = self._membership.domains(self._own.region)
-        views = [self._view(name, r) for name in near]
+        domain = self._merger.domain_counts(
+            digest_round.status.in_flight, digest_round.now
+        )
+        region = self._merger.region_counts(domain, digest_round.now)
+        total = self._merger.total_counts(region, digest_round.now)
+        region_domains = self._membership.domains(self._own.region)
+        views = [self._view(name, digest_round) for name in region_domains]
         without_seqs = [msgspec.structs.replace(v, seqs=b"") for v in views]
         return {
-            DigestScope.DOMAIN: self._of_domain(r, domain, without_seqs),
-            DigestScope.REGION: self._of_region(r, region, without_seqs),
-            DigestScope.ALL: self._of_all(r, total, views),
+            DigestScope.DOMAIN: self._domain_digest(digest_round, domain, without_seqs),
+            DigestScope.REGION: self._region_digest(digest_round, region, without_seqs),
+            DigestScope.ALL: self._total_digest(digest_round, total, views),
         }
 
-    def _of_domain(
-        self, r: DigestRound, counts: Mapping[str, int], near: list[DomainView]
+    def _domain_digest(
+        self,
+        digest_round: DigestRound,
+        counts: Mapping[str, int],
+        region_views: list[DomainView],
     ) -> Digest:
-        loads = self._counts(counts, self._lists.regions())
-        digest = self._digest(r, DigestScope.DOMAIN, near, loads)
-        unserved = self._unserved.of_domain(r.status.unserved, r.now)
+        loads = self._serialize_counts(counts, self._target_count_codec.regions())
+        digest = self._create_digest(
+            digest_round, DigestScope.DOMAIN, region_views, loads
+        )
+        unserved = self._unserved.of_domain(
+            digest_round.status.unserved, digest_round.now
+        )
         digest = msgspec.structs.replace(digest, unserved=serialize_ids(unserved))
-        mean = self._merger.domain_shares(r.status.shares)
-        warm = self._warm_news.for_region(r.status.warm_keys, r.now)
-        return self._with_shares(r, digest, mean, warm)
+        mean = self._merger.domain_shares(digest_round.status.shares)
+        warm_hashes = self._warm_key_relay.keys_for_region(
+            digest_round.status.warm_keys, digest_round.now
+        )
+        return self._with_shares_and_warm_keys(digest_round, digest, mean, warm_hashes)
 
-    def _of_region(
-        self, r: DigestRound, counts: Mapping[str, int], near: list[DomainView]
+    def _region_digest(
+        self,
+        digest_round: DigestRound,
+        counts: Mapping[str, int],
+        region_views: list[DomainView],
     ) -> Digest:
-        loads = self._counts(counts, self._lists.regions())
-        return self._digest(r, DigestScope.REGION, near, loads)
+        loads = self._serialize_counts(counts, self._target_count_codec.regions())
+        return self._create_digest(
+            digest_round, DigestScope.REGION, region_views, loads
+        )
 
-    def _of_all(
-        self, r: DigestRound, counts: Mapping[str, int], near: list[DomainView]
+    def _total_digest(
+        self,
+        digest_round: DigestRound,
+        counts: Mapping[str, int],
+        region_views: list[DomainView],
     ) -> Digest:
-        views = near + self._far_views(r)
-        others = [name for name in self._lists.regions() if name != self._own.region]
-        regions = [self._own.region, *in_turn(others, FAR_REGIONS, r.round_number)]
-        loads = self._counts(counts, regions)
-        digest = self._digest(r, DigestScope.ALL, views, loads)
-        unserved = self._unserved.of_region(r.status.unserved, r.now)
+        views = region_views + self._other_region_views(digest_round)
+        others = [
+            name
+            for name in self._target_count_codec.regions()
+            if name != self._own.region
+        ]
+        regions = [
+            self._own.region,
+            *rotate(others, MAX_OTHER_REGIONS, digest_round.round_number),
+        ]
+        loads = self._serialize_counts(counts, regions)
+        digest = self._create_digest(digest_round, DigestScope.ALL, views, loads)
+        unserved = self._unserved.of_region(
+            digest_round.status.unserved, digest_round.now
+        )
         digest = msgspec.structs.replace(digest, unserved=serialize_ids(unserved))
-        mean = self._merger.region_shares(r.status.shares)
-        warm = self._warm_news.for_domain(r.status.warm_keys, r.now)
-        return self._with_shares(r, digest, mean, warm)
+        mean = self._merger.region_shares(digest_round.status.shares)
+        warm_hashes = self._warm_key_relay.keys_for_domain(
+            digest_round.status.warm_keys, digest_round.now
+        )
+        return self._with_shares_and_warm_keys(digest_round, digest, mean, warm_hashes)
 
-    def _far_views(self, r: DigestRound) -> list[DomainView]:
-        far = [
+    def _other_region_views(self, digest_round: DigestRound) -> list[DomainView]:
+        other_domains = [
             domain
             for region in self._membership.other_regions()
             for domain in self._membership.domains(region)
         ]
-        return [self._view(d, r) for d in in_turn(far, FAR_DOMAINS, r.round_number)]
+        return [
+            self._view(d, digest_round)
+            for d in rotate(
+                other_domains, MAX_OTHER_REGION_DOMAINS, digest_round.round_number
+            )
+        ]
 
-    def _view(self, domain: str, r: DigestRound) -> DomainView:
+    def _view(self, domain: str, digest_round: DigestRound) -> DomainView:
         def newest_seq(name: str) -> int:
-            return r.seq if name == self._own.name else self._merger.seq(name)
-
-        return self._views.make(
-            domain, r.status.state, newest_seq, r.round_number, r.now
+            return (
+                digest_round.seq if name == self._own.name else self._merger.seq(name)
+            )
+
+        return self._views.build(
+            domain,
+            digest_round.status.state,
+            newest_seq,
+            digest_round.round_number,
+            digest_round.now,
         )
 
-    def _counts(
+    def _serialize_counts(
         self, counts: Mapping[str, int], regions: Iterable[str]
     ) -> list[RegionCounts]:
         return [
-            self._lists.serialize(region, counts)
+            self._target_count_codec.serialize(region, counts)
             for region in regions
-            if region in self._lists.regions()
+            if region in self._target_count_codec.regions()
         ]
 
-    def _digest(
+    def _create_digest(
         self,
-        r: DigestRound,
+        digest_round: DigestRound,
         scope: DigestScope,
         views: list[DomainView],
         loads: list[RegionCounts],
@@ -163,29 +204,33 @@
         return Digest(
             self._own.name,
             scope,
-            r.round_number,
+            digest_round.round_number,
             self._own.incarnation,
-            r.status.revision,
+            digest_round.status.revision,
             self._own.pull,
             views,
             loads,
-            outage_ms=r.status.outage_ms,
-            use=r.use.by_scope[scope],
-            use_age_ms=r.use.age_ms,
-            silent=r.use.silent[scope],
-            confirmed_ms=r.status.answer.age_ms,
-            answer=r.status.answer.number,
-            merged_ms=r.use.merged_ms,
+            outage_ms=digest_round.status.outage_ms,
+            use=digest_round.use.by_scope[scope],
+            use_age_ms=digest_round.use.age_ms,
+            silent=digest_round.use.silent[scope],
+            confirmed_ms=digest_round.status.answer.age_ms,
+            answer=digest_round.status.answer.number,
+            merged_ms=digest_round.use.merged_ms,
         )
 
-    def _with_shares(
-        self, r: DigestRound, digest: Digest, mean: MeanShares, warm: list[int]
+    def _with_shares_and_warm_keys(
+        self,
+        digest_round: DigestRound,
+        digest: Digest,
+        mean: MeanShares,
+        warm_hashes: list[int],
     ) -> Digest:
         """Return a digest with shares, in some rounds, and with news of warm keys."""
-        has_shares = r.round_number % SHARES_ROUNDS < 2
+        has_shares = digest_round.round_number % SHARES_INTERVAL_ROUNDS < 2
         return msgspec.structs.replace(
             digest,
             entries=mean.entries,
             shares=mean.shares if has_shares else {},
-            warm_keys=serialize_ids(warm),
+            warm_keys=serialize_ids(warm_hashes),
         )
--- a/leverdoor/entry/exchange/domain_views.py
+++ b/leverdoor/entry/exchange/domain_views.py
@@ -15,8 +15,8 @@
 from leverdoor.entry.exchange.encoding import (
     AGE_STEP_S,
     MAX_AGE_STEPS,
+    hash_rows,
     parse_rows,
-    rows_hash,
     serialize_ages,
     serialize_rows,
 )
@@ -27,13 +27,13 @@
 
 __all__ = ["DomainViews"]
 
-ROWS_RESENT_S = 0.7
+ROWS_RESEND_S = 0.7
 """How long changed rows are sent again in digests, in seconds.
 
 Three rounds, since some may be lost. Shorter, a receiver that misses them cannot use
 the ages until the domain's turn; longer costs 13 bytes an entry a round.
 """
-KEPT_ROWS = 512
+MAX_ROW_LISTS = 512
 """Rows kept by hash.
 
 Some versions for each of the 56 failure domains that leverdoor is built for. Fewer than
@@ -51,28 +51,28 @@
         self._own_id = member_id(self._own.name)
         self._rows: OrderedDict[int, list[MemberRow]] = OrderedDict()
         """Rows received, by their hash."""
-        self._changes: dict[str, tuple[int, float]] = {}
+        self._row_changes: dict[str, tuple[int, float]] = {}
         """By failure domain, the hash of its rows here and since when it holds."""
 
-    def take(self, view: DomainView, now: float) -> None:
+    def record(self, view: DomainView, now: float) -> None:
         """Update the records of a failure domain's entries.
 
         Ages whose rows are not known, or that say `MAX_AGE_STEPS`, are left out.
         """
         if view.rows:
-            self._rows[rows_hash(view.rows)] = parse_rows(view.rows)
+            self._rows[hash_rows(view.rows)] = parse_rows(view.rows)
         rows = self._rows.get(view.hash)
         if rows is None or len(rows) != len(view.ages):
             return
         self._rows.move_to_end(view.hash)
-        while len(self._rows) > KEPT_ROWS:
+        while len(self._rows) > MAX_ROW_LISTS:
             self._rows.popitem(last=False)
         for row, steps in zip(rows, view.ages, strict=True):
             if steps < MAX_AGE_STEPS:
                 at = now - steps * AGE_STEP_S
                 self._membership.observe(LastSeen(row, at), now)
 
-    def own_seq(self, views: list[DomainView]) -> int:
+    def own_heartbeat_seq(self, views: list[DomainView]) -> int:
         """Return the number of the own heartbeat that views rest on, modulo 256.
 
         Returns: -1 if they do not have it.
@@ -85,7 +85,7 @@
                     return view.seqs[ids.index(self._own_id)]
         return -1
 
-    def make(
+    def build(
         self,
         domain: str,
         state: EntryState,
@@ -110,17 +110,21 @@
             names = [self._membership.name(s.row.id) for s in last_seen]
             seqs = bytes(seq(name or self._own.name) % 256 for name in names)
         rows = serialize_rows(s.row for s in last_seen)
-        key = rows_hash(rows)
+        row_hash = hash_rows(rows)
         ages = serialize_ages(now - s.at for s in last_seen)
-        sent_rows = rows if self._sends_rows(domain, key, round_number, now) else b""
-        return DomainView(domain, key, sent_rows, ages, seqs)
-
-    def _sends_rows(self, domain: str, key: int, round_number: int, now: float) -> bool:
+        sent_rows = (
+            rows if self._must_send_rows(domain, row_hash, round_number, now) else b""
+        )
+        return DomainView(domain, row_hash, sent_rows, ages, seqs)
+
+    def _must_send_rows(
+        self, domain: str, row_hash: int, round_number: int, now: float
+    ) -> bool:
         """Return whether a view carries its rows: lately changed, or in turn."""
-        before = self._changes.get(domain)
-        if before is None or before[0] != key:
-            before = self._changes[domain] = (key, now)
-        if now - before[1] <= ROWS_RESENT_S:
+        last_change = self._row_changes.get(domain)
+        if last_change is None or last_change[0] != row_hash:
+            last_change = self._row_changes[domain] = (row_hash, now)
+        if now - last_change[1] <= ROWS_RESEND_S:
             return True
         domains = self._membership.all_domains()
         return domains[round_number % len(domains)] == domain
--- a/leverdoor/entry/exchange/encoding.py
+++ b/leverdoor/entry/exchange/encoding.py
@@ -17,7 +17,7 @@
     "MAX_AGE_STEPS",
     "parse_ids",
     "parse_rows",
-    "rows_hash",
+    "hash_rows",
     "serialize_ages",
     "serialize_ids",
     "serialize_rows",
@@ -44,11 +44,11 @@
 
 def parse_rows(data: bytes) -> list[MemberRow]:
     """Parse the incarnations and states of entries; a row cut short is left out."""
-    whole = len(data) - len(data) % ROW.size
-    return [MemberRow(*fields) for fields in ROW.iter_unpack(data[:whole])]
+    complete_length = len(data) - len(data) % ROW.size
+    return [MemberRow(*fields) for fields in ROW.iter_unpack(data[:complete_length])]
 
 
-def rows_hash(data: bytes) -> int:
+def hash_rows(data: bytes) -> int:
     """Return the hash by which ages refer to serialized rows."""
     return xxhash.xxh32_intdigest(data)
 
@@ -66,5 +66,5 @@
 
 def parse_ids(data: bytes) -> list[int]:
     """Parse hashes of 32 bits; one cut short is left out."""
-    whole = len(data) - len(data) % ID.size
-    return [i for (i,) in ID.iter_unpack(data[:whole])]
+    complete_length = len(data) - len(data) % ID.size
+    return [i for (i,) in ID.iter_unpack(data[:complete_length])]
--- a/leverdoor/entry/exchange/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -22,7 +22,7 @@
 
 from leverdoor.entry.configuration.confirmation import ToldAnswer
 from leverdoor.entry.exchange.digest_builder import (
-    SHARES_ROUNDS,
+    SHARES_INTERVAL_ROUNDS,
     DigestBuilder,
     DigestRound,
 )
@@ -34,7 +34,12 @@
     PeerUpdate,
 )
 from leverdoor.entry.exchange.limit_exchange import LimitExchange
-from leverdoor.entry.exchange.merging import SUM_MAX_AGE_S, MeanShares, Merger, merged
+from leverdoor.entry.exchange.merging import (
+    SUM_MAX_AGE_S,
+    MeanShares,
+    Merger,
+    sum_counts,
+)
 from leverdoor.entry.exchange.messages import (
     OWN_SCOPE,
     Digest,
@@ -60,19 +65,19 @@
 
 __all__ = ["Exchange"]
 
-SEQS = 256
+SEQ_MODULUS = 256
 """Numbers of heartbeats that digests tell apart: one byte."""
-OWN_COUNTS_KEPT = 32
+MAX_REPORTED_COUNTS = 32
 """Own heartbeats whose counts are kept, to subtract them from what comes back.
 
 6.4 s of heartbeats, longer than sums are used. With fewer, own requests in a late
 digest would count as those of others.
 """
-FIRST_TURNS = 1_000
+INITIAL_ROUND_MODULUS = 1_000
 """Entries count rounds from one of so many numbers, which spreads their rotations."""
 
 
-class _OwnCounts(msgspec.Struct, frozen=True):
+class _ReportedCounts(msgspec.Struct, frozen=True):
     """What one of the own heartbeats counted."""
 
     in_flight: dict[str, int]
@@ -88,30 +93,30 @@
         self._roles = roles
         self._own = membership.own
         self.target_count_codec = TargetCountCodec()
-        self._turn = member_id(self._own.name) % FIRST_TURNS
+        self._round_number = member_id(self._own.name) % INITIAL_ROUND_MODULUS
         """Counts rounds."""
         self._seq = 0
-        self._own_counts: OrderedDict[int, _OwnCounts] = OrderedDict()
+        self._reported_counts: OrderedDict[int, _ReportedCounts] = OrderedDict()
         self._merger = Merger(self._own.domain)
         self.use = UsageExchange(membership)
         self._views = DomainViews(membership)
-        self._warm_news = WarmKeyRelay()
+        self._warm_key_relay = WarmKeyRelay()
         self.unserved = UnservedEntries(self._own)
         self._limits = LimitExchange(self._own.name)
         self._recipients = Recipients(membership, roles)
-        self._round_digests = DigestBuilder(
+        self._digest_builder = DigestBuilder(
             membership,
             self.target_count_codec,
             self._merger,
             self._views,
-            self._warm_news,
+            self._warm_key_relay,
             self.unserved,
         )
         self._totals: dict[str, tuple[float, dict[str, int]]] = {}
         """By region, when a digest brought the requests of all others at its targets,
         and these. Counts of an unknown list of targets change nothing."""
         self._region_shares: Shares = {}
-        self._last_digest: dict[tuple[str, DigestScope], tuple[int, int]] = {}
+        self._last_rounds: dict[tuple[str, DigestScope], tuple[int, int]] = {}
         """By sender and scope, its incarnation and round."""
 
     # Messages of others.
@@ -134,16 +139,16 @@
         if isinstance(message, QuarantineUpdate):
             return PeerUpdate(notices=parse_notices(message.notices))
         if isinstance(message, LimitUpdate):
-            return PeerUpdate(limits=self._limits.take(message, now))
+            return PeerUpdate(limits=self._limits.receive(message, now))
         if isinstance(message, EntryHeartbeat):
-            return self._take_heartbeat(message, revision, now)
-        return self._take_digest(message, revision, now)
+            return self._handle_heartbeat(message, revision, now)
+        return self._handle_digest(message, revision, now)
 
-    def _take_heartbeat(
+    def _handle_heartbeat(
         self, heartbeat: EntryHeartbeat, revision: int, now: float
     ) -> PeerUpdate:
         member = heartbeat.member
-        if member.name == self._own.name or self._merger.is_old(heartbeat):
+        if member.name == self._own.name or self._merger.is_outdated(heartbeat):
             return PeerUpdate()
         self._membership.introduce(member, now)
         row = MemberRow(member_id(member.name), member.incarnation, heartbeat.state)
@@ -155,7 +160,7 @@
         self.use.record_heartbeat(heartbeat, now)
         self.unserved.record_heartbeat(heartbeat, now)
         warm = parse_ids(heartbeat.warm_keys)
-        self._warm_news.take_from_domain(warm, now)
+        self._warm_key_relay.record_domain_keys(warm, now)
         return PeerUpdate(
             warm_keys=warm,
             outage_ms=heartbeat.outage_ms,
@@ -165,13 +170,13 @@
             ),
         )
 
-    def _take_digest(self, digest: Digest, revision: int, now: float) -> PeerUpdate:
+    def _handle_digest(self, digest: Digest, revision: int, now: float) -> PeerUpdate:
         self._roles.note_digest(digest.sender, now)
         for view in digest.views:
-            self._views.take(view, now)
+            self._views.record(view, now)
         sender = self._membership.member(digest.sender)
         source = digest.pull if digest.revision > revision else ""
-        if sender is None or not self._is_next(digest):
+        if sender is None or not self._is_newer(digest):
             return PeerUpdate(source=source)
         update = PeerUpdate(
             warm_keys=parse_ids(digest.warm_keys),
@@ -182,32 +187,32 @@
         if sender.region == self._own.region:
             self.unserved.record_digest(digest, sender, now)
         if digest.scope == DigestScope.ALL:
-            return self._take_total(digest, sender, update, now)
-        self._take_part(digest, sender, update.warm_keys, now)
+            return self._record_total(digest, sender, update, now)
+        self._record_partial_sums(digest, sender, update.warm_keys, now)
         return update
 
-    def _is_next(self, digest: Digest) -> bool:
+    def _is_newer(self, digest: Digest) -> bool:
         """Return whether a digest is newer than the last one of its sender."""
-        place = (digest.sender, digest.scope)
-        incarnation, round_number = self._last_digest.get(place, (0, 0))
+        sender_scope = (digest.sender, digest.scope)
+        incarnation, round_number = self._last_rounds.get(sender_scope, (0, 0))
         if digest.incarnation == incarnation and digest.round_number <= round_number:
             return False
-        self._last_digest[place] = (digest.incarnation, digest.round_number)
+        self._last_rounds[sender_scope] = (digest.incarnation, digest.round_number)
         return True
 
-    def _take_part(
+    def _record_partial_sums(
         self, digest: Digest, sender: Member, warm: list[int], now: float
     ) -> None:
         """Take the sums of another failure domain or region."""
         if digest.scope == DigestScope.DOMAIN:
             shares = MeanShares(digest.entries, digest.shares)
             counts = self._parse_counts(digest)
-            self._merger.take_domain(sender.domain, counts, shares, now)
-            self._warm_news.take_from_region(warm, now)
-            self.use.take_part(digest, sender, now)
+            self._merger.record_domain(sender.domain, counts, shares, now)
+            self._warm_key_relay.record_region_keys(warm, now)
+            self.use.record_partial_sums(digest, sender, now)
         elif sender.region != self._own.region:
-            self._merger.take_region(sender.region, self._parse_counts(digest), now)
-            self.use.take_part(digest, sender, now)
+            self._merger.record_region(sender.region, self._parse_counts(digest), now)
+            self.use.record_partial_sums(digest, sender, now)
 
     def _parse_counts(self, digest: Digest) -> dict[str, dict[str, int]]:
         """Return the counts of a digest by region, as far as their lists are known."""
@@ -216,7 +221,7 @@
         }
         return {r: counts for r, counts in parsed.items() if counts is not None}
 
-    def _take_total(
+    def _record_total(
         self, digest: Digest, sender: Member, update: PeerUpdate, now: float
     ) -> PeerUpdate:
         """Take the sums of all entries, and subtract the own counts from them.
@@ -228,38 +233,44 @@
         if digest.shares:
             self._region_shares = digest.shares
         if self._roles.is_aggregator(now):
-            self._recipients.note_other_aggregator(digest.round_number, now)
+            self._recipients.record_other_aggregator(digest.round_number, now)
             return update
-        own = self._own_counts_in(digest)
+        own_counts = self._own_counts_included(digest)
         for loads in digest.loads:
             counts = self.target_count_codec.parse(loads)
             if counts is not None:
-                _subtract(own.in_flight, counts)
+                _subtract(own_counts.in_flight, counts)
                 self._totals[loads.region] = (now, counts)
-        fresh = [c for at, c in self._totals.values() if now - at <= SUM_MAX_AGE_S]
-        use = self.use.parse_total(digest, own.use)
-        return msgspec.structs.replace(update, others_in_flight=merged(fresh), use=use)
+        recent_sums = [
+            c for at, c in self._totals.values() if now - at <= SUM_MAX_AGE_S
+        ]
+        usage = self.use.usage_of_others_in(digest, own_counts.use)
+        return msgspec.structs.replace(
+            update, others_in_flight=sum_counts(recent_sums), use=usage
+        )
 
-    def _own_counts_in(self, digest: Digest) -> _OwnCounts:
+    def _own_counts_included(self, digest: Digest) -> _ReportedCounts:
         """Return the own counts that the sums of a digest include."""
-        seq = self._views.own_seq(digest.views)
-        return self._own_counts.get(seq, _OwnCounts({}, {}))
+        seq = self._views.own_heartbeat_seq(digest.views)
+        return self._reported_counts.get(seq, _ReportedCounts({}, {}))
 
     # Messages of this entry.
 
     def heartbeat(self, status: EntryStatus) -> EntryHeartbeat:
         """Return the next heartbeat, and keep its counts."""
         self._seq += 1
-        self._own_counts[self._seq % SEQS] = _OwnCounts(status.in_flight, status.use)
-        while len(self._own_counts) > OWN_COUNTS_KEPT:
-            self._own_counts.popitem(last=False)
+        self._reported_counts[self._seq % SEQ_MODULUS] = _ReportedCounts(
+            status.in_flight, status.use
+        )
+        while len(self._reported_counts) > MAX_REPORTED_COUNTS:
+            self._reported_counts.popitem(last=False)
         return EntryHeartbeat(
             self._own,
             self._seq,
             status.state,
             status.revision,
             status.in_flight,
-            status.shares if self._seq % SHARES_ROUNDS == 1 else {},
+            status.shares if self._seq % SHARES_INTERVAL_ROUNDS == 1 else {},
             status.outage_ms,
             serialize_ids(status.warm_keys),
             self.use.serialize(status.use),
@@ -276,10 +287,10 @@
 
     def announce_leave(self, status: EntryStatus) -> list[OutgoingMessage]:
         """Return a heartbeat for the whole region: this entry must not be named."""
-        to = [m.gossip for m in self._membership.in_own_region()]
-        return [OutgoingMessage(self.heartbeat(status), to)]
+        addresses = [m.gossip for m in self._membership.in_own_region()]
+        return [OutgoingMessage(self.heartbeat(status), addresses)]
 
-    def news(
+    def announce_revision(
         self, revision: int, answer: ToldAnswer, now: float
     ) -> list[OutgoingMessage]:
         """Return the news of a newer state, or of an answer that confirms it.
@@ -292,91 +303,102 @@
           answer: the store's newest answer that it rests on.
           now: monotonic time in seconds.
         """
-        news = RevisionAnnouncement(
+        announcement = RevisionAnnouncement(
             revision, self._own.pull, answer.number, answer.age_ms
         )
-        return [OutgoingMessage(news, self._news_recipients(now))]
+        return [OutgoingMessage(announcement, self._announcement_recipients(now))]
 
-    def _news_recipients(self, now: float) -> list[str]:
+    def _announcement_recipients(self, now: float) -> list[str]:
         """Return the addresses that get news from this entry first."""
         if not self._roles.is_aggregator(now):
             return self._recipients.aggregators(now)
         live, silent = self._membership.own_domain_by_liveness(now)
-        to = [m.gossip for m in (*live, *silent)]
-        to += [m.gossip for m in self._recipients.near(now)]
-        to += [m.gossip for m in self._recipients.far(self._turn, now)]
-        return to
+        addresses = [m.gossip for m in (*live, *silent)]
+        addresses += [m.gossip for m in self._recipients.region_aggregators(now)]
+        addresses += [
+            m.gossip
+            for m in self._recipients.remote_aggregators(self._round_number, now)
+        ]
+        return addresses
 
     def round(
         self, status: EntryStatus, now: float
     ) -> tuple[list[OutgoingMessage], PeerUpdate]:
         """Return what to send this round and, of an aggregator, the sums of others."""
-        self._turn += 1
-        sendings = self.announce(status, now)
+        self._round_number += 1
+        outgoing = self.announce(status, now)
         if status.notices:
-            sendings.append(self._quarantine_news(status, now))
-        aggregates = self._roles.is_aggregator(now)
-        sendings += self._limit_news(status, aggregates, now)
-        if not aggregates:
+            outgoing.append(self._quarantine_message(status, now))
+        is_aggregator = self._roles.is_aggregator(now)
+        outgoing += self._limit_messages(status, is_aggregator, now)
+        if not is_aggregator:
             self.use.stop_merging()
-            return sendings, PeerUpdate()
+            return outgoing, PeerUpdate()
         self._region_shares = self._merger.region_shares(status.shares).shares
         update = PeerUpdate(
-            others_in_flight=self._merger.of_others(now),
-            use=self.use.of_others(status.uptime_s, now),
+            others_in_flight=self._merger.counts_of_others(now),
+            use=self.use.usage_of_others(status.uptime_s, now),
         )
-        return sendings + self._digests(status, now), update
+        return outgoing + self._build_digests(status, now), update
 
-    def _quarantine_news(self, status: EntryStatus, now: float) -> OutgoingMessage:
+    def _quarantine_message(self, status: EntryStatus, now: float) -> OutgoingMessage:
         """Return what to tell of requests that end targets, and to whom.
 
         It goes the way of news of the state; whoever it is new to passes it on.
         """
         message = QuarantineUpdate(self._own.name, serialize_notices(status.notices))
-        return OutgoingMessage(message, self._news_recipients(now))
+        return OutgoingMessage(message, self._announcement_recipients(now))
 
-    def _limit_news(
-        self, status: EntryStatus, aggregates: bool, now: float
+    def _limit_messages(
+        self, status: EntryStatus, is_aggregator: bool, now: float
     ) -> list[OutgoingMessage]:
         """Return what to tell of targets' limits, and to whom: the way of digests.
 
         Recipients are chosen only for what there is to tell, since that draws chance.
         """
-        self._limits.note_own(status.limits, now)
-        scopes = DigestScope if aggregates else (OWN_SCOPE,)
-        told = {scope: self._limits.news(scope, self._turn, now) for scope in scopes}
-        sendings = [
-            OutgoingMessage(news, self._limit_recipients(scope, now))
-            for scope, news in told.items()
-            if news is not None
+        self._limits.record_own(status.limits, now)
+        scopes = DigestScope if is_aggregator else (OWN_SCOPE,)
+        updates = {
+            scope: self._limits.build_update(scope, self._round_number, now)
+            for scope in scopes
+        }
+        outgoing = [
+            OutgoingMessage(update, self._limit_recipients(scope, now))
+            for scope, update in updates.items()
+            if update is not None
         ]
-        return [s for s in sendings if s.destinations]
+        return [s for s in outgoing if s.destinations]
 
     def _limit_recipients(self, scope: int, now: float) -> list[str]:
         if scope == OWN_SCOPE:
             return self._recipients.aggregators(now)
         if scope == DigestScope.DOMAIN:
-            return [m.gossip for m in self._recipients.near(now)]
+            return [m.gossip for m in self._recipients.region_aggregators(now)]
         if scope == DigestScope.REGION:
-            return [m.gossip for m in self._recipients.far(self._turn, now)]
+            return [
+                m.gossip
+                for m in self._recipients.remote_aggregators(self._round_number, now)
+            ]
         return [m.gossip for m in self._membership.in_own_domain()]
 
-    def _digests(self, status: EntryStatus, now: float) -> list[OutgoingMessage]:
+    def _build_digests(self, status: EntryStatus, now: float) -> list[OutgoingMessage]:
         """Return an aggregator's digests of a round, with their recipients."""
-        use = self.use.summary(status.use, status.uptime_s, now)
-        made = self._round_digests.make(
-            DigestRound(status, self._turn, self._seq, use, now)
+        digest_usage = self.use.build_digest_usage(status.use, status.uptime_s, now)
+        digests = self._digest_builder.build(
+            DigestRound(status, self._round_number, self._seq, digest_usage, now)
         )
         recipients = {
-            DigestScope.DOMAIN: self._recipients.near(now),
-            DigestScope.REGION: self._recipients.far(self._turn, now),
-            DigestScope.ALL: self._recipients.own_domain(self._turn, now),
+            DigestScope.DOMAIN: self._recipients.region_aggregators(now),
+            DigestScope.REGION: self._recipients.remote_aggregators(
+                self._round_number, now
+            ),
+            DigestScope.ALL: self._recipients.domain_entries(self._round_number, now),
         }
-        sendings = [
+        outgoing = [
             OutgoingMessage(digest, [m.gossip for m in recipients[scope]])
-            for scope, digest in made.items()
+            for scope, digest in digests.items()
         ]
-        return [s for s in sendings if s.destinations]
+        return [s for s in outgoing if s.destinations]
 
     def region_shares(self) -> Shares:
         """Return the mean of the region's entries' shares, as last known."""
--- a/leverdoor/entry/exchange/limit_exchange.py
+++ b/leverdoor/entry/exchange/limit_exchange.py
@@ -4,7 +4,7 @@
 
 An entry tells the aggregators of its failure domain what it received itself; these tell
 the domain's to the region's other aggregators, the region's to other regions, and all
-to the entries of their domain. A word so never comes back to whom it came from, and
+to the entries of their domain. A report so never comes back to whom it came from, and
 within a second all know it. What is new is told in each round for a while, the rest in
 turn, so that whoever starts or was cut off learns it.
 
@@ -22,21 +22,21 @@
 
 __all__ = ["LimitExchange"]
 
-RESENT_S = 0.7
+RESEND_S = 0.7
 """How long a word that is new is told in each round, in seconds: three rounds, since
 datagrams are lost."""
-TURN_ROUNDS = 5
+FULL_RESEND_ROUNDS = 5
 """Rounds between two that tell all words, a second."""
-MOST_TOLD = 64
+MAX_REPORTS_PER_MESSAGE = 64
 """Words of one message: 768 bytes, which fit one packet. Of more, others in each
 turn."""
 
 
-class _Told(msgspec.Struct):
+class _KnownLimit(msgspec.Struct):
     """A word, and since when it is news."""
 
-    word: LimitWord
-    new_at: float
+    report: LimitWord
+    changed_at: float
 
 
 class LimitExchange:
@@ -45,41 +45,45 @@
     def __init__(self, own: str) -> None:
         """Create it for an entry, by its name."""
         self._own = own
-        self._words: dict[int, dict[int, _Told]] = {
+        self._known: dict[int, dict[int, _KnownLimit]] = {
             scope: {} for scope in (OWN_SCOPE, DigestScope.DOMAIN, DigestScope.REGION)
         }
         """By scope and target."""
 
-    def take(self, news: LimitUpdate, now: float) -> list[LimitWord]:
+    def receive(self, update: LimitUpdate, now: float) -> list[LimitWord]:
         """Take what another entry tells; return it for the other parts."""
-        words = parse_words(news.words, now)
-        if news.scope != DigestScope.ALL:
-            self._note(news.scope, words, now)
-        return words
+        reports = parse_words(update.reports, now)
+        if update.scope != DigestScope.ALL:
+            self._record(update.scope, reports, now)
+        return reports
 
-    def note_own(self, words: Iterable[LimitWord], now: float) -> None:
+    def record_own(self, reports: Iterable[LimitWord], now: float) -> None:
         """Take the newest words that this entry received itself."""
-        self._note(OWN_SCOPE, words, now)
+        self._record(OWN_SCOPE, reports, now)
 
-    def _note(self, scope: int, words: Iterable[LimitWord], now: float) -> None:
-        known = self._words.setdefault(scope, {})
-        for word in words:
-            before = known.get(word.target)
-            if before is not None and word.at <= before.word.at:
+    def _record(self, scope: int, reports: Iterable[LimitWord], now: float) -> None:
+        known = self._known.setdefault(scope, {})
+        for report in reports:
+            previous = known.get(report.target)
+            if previous is not None and report.at <= previous.report.at:
                 continue
-            if before is not None and before.word.per_s == word.per_s:
-                before.word = word
+            if previous is not None and previous.report.per_s == report.per_s:
+                previous.report = report
             else:
-                known[word.target] = _Told(word, now)
+                known[report.target] = _KnownLimit(report, now)
 
     def forget(self, now: float) -> None:
         """Drop words that nothing renewed."""
-        for scope, known in self._words.items():
-            self._words[scope] = {
-                t: told for t, told in known.items() if now - told.word.at <= KEPT_S
+        for scope, known in self._known.items():
+            self._known[scope] = {
+                target: limit
+                for target, limit in known.items()
+                if now - limit.report.at <= KEPT_S
             }
 
-    def news(self, scope: int, round_number: int, now: float) -> LimitUpdate | None:
+    def build_update(
+        self, scope: int, round_number: int, now: float
+    ) -> LimitUpdate | None:
         """Return what to tell in a round; None if there is nothing.
 
         Args:
@@ -87,27 +91,30 @@
           turn: number of the round.
           now: monotonic time in seconds.
         """
-        newest: dict[int, _Told] = {}
-        for of, known in self._words.items():
-            if of <= scope:
-                _add_newer(newest, known)
-        told = [
-            t
-            for t in newest.values()
-            if round_number % TURN_ROUNDS == 0 or now - t.new_at <= RESENT_S
+        newest: dict[int, _KnownLimit] = {}
+        for known_scope, known in self._known.items():
+            if known_scope <= scope:
+                _merge_newer(newest, known)
+        due = [
+            limit
+            for limit in newest.values()
+            if round_number % FULL_RESEND_ROUNDS == 0
+            or now - limit.changed_at <= RESEND_S
         ]
-        if not told:
+        if not due:
             return None
-        if len(told) > MOST_TOLD:
-            told.sort(key=lambda t: t.new_at, reverse=True)
-            start = round_number // TURN_ROUNDS * MOST_TOLD % len(told)
-            told = [*told[start:], *told[:start]][:MOST_TOLD]
-        data = serialize_words((t.word for t in told), now)
+        if len(due) > MAX_REPORTS_PER_MESSAGE:
+            due.sort(key=lambda limit: limit.changed_at, reverse=True)
+            start = (
+                round_number // FULL_RESEND_ROUNDS * MAX_REPORTS_PER_MESSAGE % len(due)
+            )
+            due = [*due[start:], *due[:start]][:MAX_REPORTS_PER_MESSAGE]
+        data = serialize_words((limit.report for limit in due), now)
         return LimitUpdate(self._own, scope, data)
 
 
-def _add_newer(newest: dict[int, _Told], known: dict[int, _Told]) -> None:
-    for target, told in known.items():
-        other = newest.get(target)
-        if other is None or told.word.at > other.word.at:
-            newest[target] = told
+def _merge_newer(newest: dict[int, _KnownLimit], known: dict[int, _KnownLimit]) -> None:
+    for target, limit in known.items():
+        current = newest.get(target)
+        if current is None or limit.report.at > current.report.at:
+            newest[target] = limit
--- a/leverdoor/entry/exchange/merging.py
+++ b/leverdoor/entry/exchange/merging.py
@@ -19,7 +19,7 @@
 from leverdoor.entry.exchange.messages import EntryHeartbeat, Shares
 from leverdoor.entry.membership.peer_record import NEVER
 
-__all__ = ["SUM_MAX_AGE_S", "MeanShares", "Merger", "merged"]
+__all__ = ["SUM_MAX_AGE_S", "MeanShares", "Merger", "sum_counts"]
 
 HEARTBEAT_MAX_AGE_S = 1.0
 """Age up to which an entry's own counts are summed, in seconds.
@@ -44,21 +44,21 @@
     shares: Shares
 
 
-NO_SHARES = MeanShares(0, {})
+EMPTY_SHARES = MeanShares(0, {})
 
 Counts: TypeAlias = dict[str, int]
 """Requests at each target, by its name."""
 
 
-class _Part(msgspec.Struct):
+class _PartialSums(msgspec.Struct):
     """The sums of a failure domain or region, from its aggregators' digests."""
 
     at: float = NEVER
     counts: dict[str, tuple[float, Counts]] = {}
     """By the targets' region: when its sums came, and these."""
-    shares: MeanShares = NO_SHARES
+    shares: MeanShares = EMPTY_SHARES
 
-    def take(self, counts: Mapping[str, Counts], now: float) -> None:
+    def record(self, counts: Mapping[str, Counts], now: float) -> None:
         """Take sums by region; those of regions left out stay, and grow old."""
         self.at = now
         self.counts |= {region: (now, sums) for region, sums in counts.items()}
@@ -77,10 +77,10 @@
         self._heartbeats: dict[str, tuple[float, EntryHeartbeat]] = {}
         self._shares: dict[str, Shares] = {}
         """By entry of the own domain; only some heartbeats carry them."""
-        self._domains: dict[str, _Part] = {}
-        self._regions: dict[str, _Part] = {}
+        self._domains: dict[str, _PartialSums] = {}
+        self._regions: dict[str, _PartialSums] = {}
 
-    def is_old(self, heartbeat: EntryHeartbeat) -> bool:
+    def is_outdated(self, heartbeat: EntryHeartbeat) -> bool:
         """Return whether a later heartbeat of the same incarnation came before."""
         last = self._last(heartbeat.member.name)
         if last is None or last.member.incarnation != heartbeat.member.incarnation:
@@ -103,7 +103,7 @@
         if heartbeat.shares:
             self._shares[name] = heartbeat.shares
 
-    def take_domain(
+    def record_domain(
         self,
         domain: str,
         counts: Mapping[str, Counts],
@@ -118,16 +118,16 @@
           shares: the mean of its entries' shares; empty if the digest has none.
           now: monotonic time in seconds.
         """
-        part = self._domains.setdefault(domain, _Part())
-        part.take(counts, now)
+        partial = self._domains.setdefault(domain, _PartialSums())
+        partial.record(counts, now)
         if shares.shares:
-            part.shares = shares
+            partial.shares = shares
 
-    def take_region(
+    def record_region(
         self, region: str, counts: Mapping[str, Counts], now: float
     ) -> None:
         """Take the sums of another region, by the targets' region."""
-        self._regions.setdefault(region, _Part()).take(counts, now)
+        self._regions.setdefault(region, _PartialSums()).record(counts, now)
 
     def forget(self, now: float) -> None:
         """Drop what is too old to be used."""
@@ -137,34 +137,34 @@
             if now - at <= SUM_MAX_AGE_S
         }
         self._shares = {n: s for n, s in self._shares.items() if n in self._heartbeats}
-        self._domains = _fresh(self._domains, now)
-        self._regions = _fresh(self._regions, now)
+        self._domains = _without_expired(self._domains, now)
+        self._regions = _without_expired(self._regions, now)
 
     # Requests at each target, by its name.
 
-    def of_domain(self, own: Mapping[str, int], now: float) -> dict[str, int]:
+    def domain_counts(self, own: Mapping[str, int], now: float) -> dict[str, int]:
         """Return the requests of the own failure domain.
 
         Args:
           own: those of this entry.
           now: monotonic time in seconds.
         """
-        return merged([own, *self._of_neighbours(now)])
+        return sum_counts([own, *self._domain_heartbeat_counts(now)])
 
-    def with_domains(self, domain: Mapping[str, int], now: float) -> dict[str, int]:
+    def region_counts(self, domain: Mapping[str, int], now: float) -> dict[str, int]:
         """Return the requests of the region, from those of the own failure domain."""
-        return merged([domain, *_counts(self._domains, now)])
+        return sum_counts([domain, *_recent_counts(self._domains, now)])
 
-    def with_regions(self, region: Mapping[str, int], now: float) -> dict[str, int]:
+    def total_counts(self, region: Mapping[str, int], now: float) -> dict[str, int]:
         """Return the requests of all entries, from those of the own region."""
-        return merged([region, *_counts(self._regions, now)])
+        return sum_counts([region, *_recent_counts(self._regions, now)])
 
-    def of_others(self, now: float) -> dict[str, int]:
+    def counts_of_others(self, now: float) -> dict[str, int]:
         """Return the requests of all entries but this one."""
-        region = self.with_domains(self.of_domain({}, now), now)
-        return self.with_regions(region, now)
+        region = self.region_counts(self.domain_counts({}, now), now)
+        return self.total_counts(region, now)
 
-    def _of_neighbours(self, now: float) -> list[dict[str, int]]:
+    def _domain_heartbeat_counts(self, now: float) -> list[dict[str, int]]:
         return [
             heartbeat.in_flight
             for at, heartbeat in self._heartbeats.values()
@@ -176,52 +176,56 @@
 
     def domain_shares(self, own: Shares) -> MeanShares:
         """Return the mean of the own failure domain's entries."""
-        neighbours = [MeanShares(1, s) for s in self._shares.values()]
-        return _mean([MeanShares(1, own), *neighbours])
+        domain_entries = [MeanShares(1, s) for s in self._shares.values()]
+        return _weighted_mean([MeanShares(1, own), *domain_entries])
 
     def region_shares(self, own: Shares) -> MeanShares:
         """Return the mean of the own region's entries."""
-        domains = [part.shares for part in self._domains.values()]
-        return _mean([self.domain_shares(own), *domains])
+        domains = [partial.shares for partial in self._domains.values()]
+        return _weighted_mean([self.domain_shares(own), *domains])
 
 
-def merged(counts: Iterable[Mapping[str, int]]) -> dict[str, int]:
+def sum_counts(counts: Iterable[Mapping[str, int]]) -> dict[str, int]:
     """Return the sums of several counts."""
     total: dict[str, int] = {}
-    for one in counts:
+    for summand in counts:
         if not total:
-            total = dict(one)
+            total = dict(summand)
             continue
-        for name, count in one.items():
+        for name, count in summand.items():
             total[name] = total.get(name, 0) + count
     return total
 
 
-def _fresh(parts: dict[str, _Part], now: float) -> dict[str, _Part]:
-    return {n: p for n, p in parts.items() if now - p.at <= SUM_MAX_AGE_S}
+def _without_expired(
+    partials: dict[str, _PartialSums], now: float
+) -> dict[str, _PartialSums]:
+    return {n: p for n, p in partials.items() if now - p.at <= SUM_MAX_AGE_S}
 
 
-def _counts(parts: dict[str, _Part], now: float) -> list[Counts]:
+def _recent_counts(partials: dict[str, _PartialSums], now: float) -> list[Counts]:
     return [
         counts
-        for part in parts.values()
-        for at, counts in part.counts.values()
+        for partial in partials.values()
+        for at, counts in partial.counts.values()
         if now - at <= SUM_MAX_AGE_S
     ]
 
 
-def _mean(parts: Iterable[MeanShares]) -> MeanShares:
+def _weighted_mean(partials: Iterable[MeanShares]) -> MeanShares:
     """Return the mean of shares, each weighted by its number of entries."""
     entries = 0
     sums: dict[str, dict[str, float]] = {}
     weights: Counter[str] = Counter()
-    for part in parts:
-        entries += part.entries
-        for service, by_region in part.shares.items():
-            weights[service] += part.entries
-            into = sums.setdefault(service, {})
+    for partial in partials:
+        entries += partial.entries
+        for service, by_region in partial.shares.items():
+            weights[service] += partial.entries
+            service_sums = sums.setdefault(service, {})
             for region, share in by_region.items():
-                into[region] = into.get(region, 0.0) + part.entries * share
+                service_sums[region] = (
+                    service_sums.get(region, 0.0) + partial.entries * share
+                )
     mean = {
         service: {r: round(v / weights[service], 4) for r, v in by_region.items()}
         for service, by_region in sums.items()
--- a/leverdoor/entry/exchange/messages.py
+++ b/leverdoor/entry/exchange/messages.py
@@ -170,7 +170,7 @@
     sender: str
     scope: int
     """Whose words these are: a `DigestScope`, or `OWN_SCOPE` for the sender's own."""
-    words: bytes
+    reports: bytes
     """See `limits.rows`."""
 
 
--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -33,13 +33,13 @@
 
 __all__ = ["PeerLink", "PermitMessageHandler", "PeerUpdateHandler"]
 
-NEWS_S = 0.03
+ANNOUNCEMENT_DELAY_S = 0.03
 """Pause before news are sent, in seconds.
 
 Changes in a row are then sent once. Greater, each change is later everywhere by as
 much, at each of three steps.
 """
-BUSY_NEWS_S = 0.15
+MIN_ANNOUNCEMENT_INTERVAL_S = 0.15
 """Least time between two news, in seconds.
 
 A change takes an entry 1.9 ms with 541 targets and 195 entries, and a fetch from a peer
@@ -72,8 +72,8 @@
         keeper: CatalogKeeper,
         events: Events,
         status: Callable[[], EntryStatus],
-        take: PeerUpdateHandler,
-        take_room: PermitMessageHandler,
+        on_update: PeerUpdateHandler,
+        on_permit_message: PermitMessageHandler,
     ) -> None:
         """Create it; nothing is opened yet.
 
@@ -85,7 +85,7 @@
           events: the entry's log.
           status: returns the status of this entry.
           take: passes what was learned on to the other parts.
-          take_room: takes questions for room at targets, and answers to own ones.
+          on_permit_message: takes questions for room at targets, and answers to own ones.
         """
         self._exchange = exchange
         self._network = network
@@ -93,15 +93,15 @@
         self._keeper = keeper
         self._events = events
         self._status = status
-        self._take = take
-        self._take_room = take_room
+        self._on_update = on_update
+        self._on_permit_message = on_permit_message
         self.peer_follower = PeerFollower(state, network)
-        self._news_due = False
-        self._news_at = 0.0
+        self._announcement_scheduled = False
+        self._announced_at = 0.0
 
     async def open(self, listen: Address) -> None:
         """Bind the address that datagrams reach."""
-        await self._network.open(listen, self._take_message)
+        await self._network.open(listen, self._handle_message)
 
     async def close(self) -> None:
         """Close the ways to other entries."""
@@ -109,9 +109,9 @@
 
     def round(self, now: float) -> None:
         """Send the heartbeats and digests of a round."""
-        sendings, update = self._exchange.round(self._status(), now)
-        self._send(sendings)
-        self._take_update(update, now)
+        outgoing, update = self._exchange.round(self._status(), now)
+        self._send(outgoing)
+        self._apply_update(update, now)
 
     def announce(self) -> None:
         """Send a heartbeat at once, since this entry's state changed."""
@@ -128,56 +128,61 @@
         Aggregators pass it on at once; with digests alone the last entries would
         have it after three rounds.
         """
-        if not self._news_due:
-            self._news_due = True
+        if not self._announcement_scheduled:
+            self._announcement_scheduled = True
             loop = asyncio.get_running_loop()
-            at = max(loop.time() + NEWS_S, self._news_at + BUSY_NEWS_S)
-            loop.call_at(at, self._send_news)
-
-    def _send_news(self) -> None:
-        self._news_due = False
+            at = max(
+                loop.time() + ANNOUNCEMENT_DELAY_S,
+                self._announced_at + MIN_ANNOUNCEMENT_INTERVAL_S,
+            )
+            loop.call_at(at, self._announce_revision)
+
+    def _announce_revision(self) -> None:
+        self._announcement_scheduled = False
         now = asyncio.get_running_loop().time()
-        self._news_at = now
+        self._announced_at = now
         revision = self._state.revision
         answer = self._keeper.confirmation.tell(revision, now)
-        self._send(self._exchange.news(revision, answer, now))
+        self._send(self._exchange.announce_revision(revision, answer, now))
 
-    def _send(self, sendings: list[OutgoingMessage]) -> None:
-        for sending in sendings:
-            self._network.send_all(sending.message, sending.destinations)
+    def _send(self, outgoing: list[OutgoingMessage]) -> None:
+        for item in outgoing:
+            self._network.send_all(item.message, item.destinations)
 
     def send_permit_request(self, request: PermitRequest, address: str) -> None:
         """Send a question for room at a target to the entry that limits it."""
         self._network.send_all(request, [address])
 
-    def _take_message(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
         now = asyncio.get_running_loop().time()
         if isinstance(message, PermitMessage):
-            self._answer_room(message, now)
+            self._handle_permit_message(message, now)
             return
-        self._take_update(self._exchange.take(message, self._state.revision, now), now)
+        self._apply_update(self._exchange.take(message, self._state.revision, now), now)
 
-    def _answer_room(self, message: PermitMessage, now: float) -> None:
-        answer = self._take_room(message, now)
-        asked_by = message.sender if isinstance(message, PermitRequest) else ""
-        if answer is not None and asked_by:
-            self._network.send_all(answer, [asked_by])
+    def _handle_permit_message(self, message: PermitMessage, now: float) -> None:
+        answer = self._on_permit_message(message, now)
+        requester = message.sender if isinstance(message, PermitRequest) else ""
+        if answer is not None and requester:
+            self._network.send_all(answer, [requester])
 
-    def _take_update(self, update: PeerUpdate, now: float) -> None:
-        self._take(update, now)
+    def _apply_update(self, update: PeerUpdate, now: float) -> None:
+        self._on_update(update, now)
         if update.source:
-            asyncio.ensure_future(self._pull(update.source))
+            asyncio.ensure_future(self._fetch_state(update.source))
 
-    async def _pull(self, address: str) -> None:
+    async def _fetch_state(self, address: str) -> None:
         """Fetch what another entry has and this one lacks."""
         loop = asyncio.get_running_loop()
-        began, since = loop.time(), self._state.revision
-        if not self.peer_follower.may_pull(address, began):
+        started_at, old_revision = loop.time(), self._state.revision
+        if not self.peer_follower.may_pull(address, started_at):
             return
         delta = await self.peer_follower.fetch(address)
         self._keeper.source = address
-        newer = delta is not None and self._state.apply(delta)
+        applied = delta is not None and self._state.apply(delta)
         self._keeper.source = "store"
-        took_s = loop.time() - began
-        if not newer or took_s > SLOW_FETCH_S:
-            self._events.fetch(address, newer, since, self._state.revision, took_s)
+        took_s = loop.time() - started_at
+        if not applied or took_s > SLOW_FETCH_S:
+            self._events.fetch(
+                address, applied, old_revision, self._state.revision, took_s
+            )
--- a/leverdoor/entry/exchange/peer_network.py
+++ b/leverdoor/entry/exchange/peer_network.py
@@ -22,7 +22,9 @@
     """The way to the other entries."""
 
     @abstractmethod
-    async def open(self, listen: Address, take: Callable[[Message], None]) -> None:
+    async def open(
+        self, listen: Address, on_message: Callable[[Message], None]
+    ) -> None:
         """Receive messages from now on.
 
         Args:
@@ -31,7 +33,7 @@
         """
 
     @abstractmethod
-    def send_all(self, message: Message, to: Iterable[str]) -> None:
+    def send_all(self, message: Message, addresses: Iterable[str]) -> None:
         """Send one message to several addresses; any of them may be lost."""
 
 
@@ -43,15 +45,17 @@
         self._socket: GossipSocket[Message] | None = None
         self._deltas = HttpDeltaSource()
 
-    async def open(self, listen: Address, take: Callable[[Message], None]) -> None:
+    async def open(
+        self, listen: Address, on_message: Callable[[Message], None]
+    ) -> None:
         """Bind the address that datagrams reach."""
-        self._socket = GossipSocket(Message, take)
+        self._socket = GossipSocket(Message, on_message)
         await self._socket.open(listen)
 
-    def send_all(self, message: Message, to: Iterable[str]) -> None:
+    def send_all(self, message: Message, addresses: Iterable[str]) -> None:
         """Send one datagram to each address; none before the socket is open."""
         if self._socket is not None:
-            self._socket.send_all(message, to)
+            self._socket.send_all(message, addresses)
 
     async def fetch(self, address: str, since: int) -> Delta:
         """Fetch what an entry has beyond a revision."""
--- a/leverdoor/entry/exchange/recipients.py
+++ b/leverdoor/entry/exchange/recipients.py
@@ -18,20 +18,20 @@
 from leverdoor.entry.membership.peer_record import NEVER
 from leverdoor.entry.membership.roles import Roles
 
-__all__ = ["Recipients", "in_turn"]
+__all__ = ["Recipients", "rotate"]
 
-SILENT_ROUNDS = 5
+SILENT_INTERVAL_ROUNDS = 5
 """Rounds between two digests to entries that are silent.
 
 Once a second. Without them, two sides of a cut would not notice that it is repaired;
 more often, digests go to VMs that are gone.
 """
-FAR_PARTNERS = 2
+MAX_RECIPIENTS_PER_REGION = 2
 """Aggregators of another region that get a digest in one round at most.
 
 Bounds the bytes between regions where the other region has more aggregators.
 """
-UNPAIRED_ROUNDS = 3
+UNPAIRED_INTERVAL_ROUNDS = 3
 """One round in so many goes to another aggregator than the paired one.
 
 Two sides that see different aggregators reach each other within a second. Lower, the
@@ -49,18 +49,18 @@
         self._membership = membership
         self._roles = roles
         self._own = membership.own
-        self._other_round: tuple[float, int] = (NEVER, 0)
+        self._other_aggregator_round: tuple[float, int] = (NEVER, 0)
         """When a digest of the domain's other aggregator came, and its round then."""
 
-    def note_other_aggregator(self, round_number: int, now: float) -> None:
+    def record_other_aggregator(self, round_number: int, now: float) -> None:
         """Record the round of a digest of the failure domain's other aggregator."""
-        self._other_round = (now, round_number)
+        self._other_aggregator_round = (now, round_number)
 
     def aggregators(self, now: float) -> list[str]:
         """Return the addresses of the own failure domain's aggregators."""
         return [m.gossip for m in self._roles.recipients(self._own.domain, now)]
 
-    def near(self, now: float) -> list[Member]:
+    def region_aggregators(self, now: float) -> list[Member]:
         """Return the aggregators of the region's other failure domains."""
         return [
             member
@@ -69,7 +69,7 @@
             for member in self._roles.recipients(domain, now)
         ]
 
-    def far(self, round_number: int, now: float) -> list[Member]:
+    def remote_aggregators(self, round_number: int, now: float) -> list[Member]:
         """Choose the aggregators of the other regions that get a digest.
 
         The aggregators of two regions are paired by their places, so that each gets a
@@ -82,13 +82,15 @@
             for domain in self._membership.domains(self._own.region)
             for member in self._roles.aggregators(domain, now)
         ]
-        place = senders.index(self._own.name) if self._own.name in senders else 0
-        found: list[Member] = []
+        own_index = senders.index(self._own.name) if self._own.name in senders else 0
+        selected: list[Member] = []
         for region in self._membership.other_regions():
             members = self._region_recipients(region, now)
             if members:
-                found += _paired(members, place, len(senders), round_number)
-        return found
+                selected += _paired_recipients(
+                    members, own_index, len(senders), round_number
+                )
+        return selected
 
     def _region_recipients(self, region: str, now: float) -> list[Member]:
         return [
@@ -97,60 +99,64 @@
             for member in self._roles.recipients(domain, now)
         ]
 
-    def own_domain(self, round_number: int, now: float) -> list[Member]:
+    def domain_entries(self, round_number: int, now: float) -> list[Member]:
         """Choose the entries of the own failure domain that get this round's digest.
 
         Each of two aggregators sends to every other entry, so that all get a digest
         about once a round. The other aggregator gets each, silent entries few.
         """
-        merging = self._roles.aggregators(self._own.domain, now)
-        place, count = merging.index(self._own), len(merging)
-        whose = round_number if place == 0 else self._second_turn(round_number, now)
+        domain_aggregators = self._roles.aggregators(self._own.domain, now)
+        own_index, count = domain_aggregators.index(self._own), len(domain_aggregators)
+        offset = (
+            round_number
+            if own_index == 0
+            else self._complementary_round(round_number, now)
+        )
         live, silent = self._membership.own_domain_by_liveness(now)
         ordered = sorted([*live, self._own], key=lambda m: m.name)
         chosen = [
             member
-            for i, member in enumerate(ordered)
+            for position, member in enumerate(ordered)
             if member is not self._own
-            and ((i + whose) % count == 0 or member in merging)
+            and ((position + offset) % count == 0 or member in domain_aggregators)
         ]
-        return chosen + (silent if round_number % SILENT_ROUNDS == 0 else [])
+        return chosen + (silent if round_number % SILENT_INTERVAL_ROUNDS == 0 else [])
 
-    def _second_turn(self, own: int, now: float) -> int:
+    def _complementary_round(self, own_round: int, now: float) -> int:
         """Return the turn of a second aggregator, so that it fills the first's gaps.
 
         If the first has just sent to one half, the second sends to the other half; if
         the first is about to, to the same half. No entry then waits longer than one
         and a half rounds; with turns of its own it would wait up to two.
         """
-        at, first = self._other_round
+        at, first_round = self._other_aggregator_round
         if now - at > 2 * HEARTBEAT_S:
-            return own
+            return own_round
         rounds, since_s = divmod(now - at, HEARTBEAT_S)
-        return first + int(rounds) + (since_s < HEARTBEAT_S / 2)
+        return first_round + int(rounds) + (since_s < HEARTBEAT_S / 2)
 
 
-def _paired(
-    members: list[Member], place: int, senders: int, round_number: int
+def _paired_recipients(
+    members: list[Member], own_index: int, senders: int, round_number: int
 ) -> list[Member]:
     """Choose the recipients of a region that are paired with a sender.
 
     Args:
       members: of the region; not empty.
-      place: of the sender among its own region's aggregators.
+      own_index: of the sender among its own region's aggregators.
       senders: how many these are.
       turn: number of the round.
     """
-    if round_number % UNPAIRED_ROUNDS == 0:
-        return [members[round_number // UNPAIRED_ROUNDS % len(members)]]
-    paired = members[place :: max(senders, 1)]
-    paired = paired or [members[place % len(members)]]
-    return in_turn(paired, FAR_PARTNERS, round_number)
+    if round_number % UNPAIRED_INTERVAL_ROUNDS == 0:
+        return [members[round_number // UNPAIRED_INTERVAL_ROUNDS % len(members)]]
+    paired = members[own_index :: max(senders, 1)]
+    paired = paired or [members[own_index % len(members)]]
+    return rotate(paired, MAX_RECIPIENTS_PER_REGION, round_number)
 
 
-def in_turn(things: list[T], most: int, round_number: int) -> list[T]:
+def rotate(items: list[T], limit: int, round_number: int) -> list[T]:
     """Choose some of many, others in each round, all after a few."""
-    if len(things) <= most:
-        return things
-    start = round_number * most % len(things)
-    return (things[start:] + things[:start])[:most]
+    if len(items) <= limit:
+        return items
+    start = round_number * limit % len(items)
+    return (items[start:] + items[:start])[:limit]
--- a/leverdoor/entry/exchange/target_counts.py
+++ b/leverdoor/entry/exchange/target_counts.py
@@ -33,32 +33,35 @@
 
     def __init__(self) -> None:
         """Create it without any target."""
-        self._newest: dict[str, tuple[int, tuple[str, ...]]] = {}
+        self._current: dict[str, tuple[int, tuple[str, ...]]] = {}
         self._recent: OrderedDict[tuple[str, int], tuple[str, ...]] = OrderedDict()
 
     def renew(self, names: Mapping[str, Iterable[str]]) -> None:
         """Take the targets' names of a new configuration, by region."""
-        self._newest = {}
-        for region, of_region in names.items():
-            ordered = tuple(sorted(of_region))
-            key = xxhash.xxh32_intdigest("\n".join(ordered).encode())
-            self._newest[region] = (key, ordered)
-            self._recent[(region, key)] = ordered
-            self._recent.move_to_end((region, key))
+        self._current = {}
+        for region, region_names in names.items():
+            ordered = tuple(sorted(region_names))
+            list_hash = xxhash.xxh32_intdigest("\n".join(ordered).encode())
+            self._current[region] = (list_hash, ordered)
+            self._recent[(region, list_hash)] = ordered
+            self._recent.move_to_end((region, list_hash))
         while len(self._recent) > MAX_LISTS * max(len(names), 1):
             self._recent.popitem(last=False)
 
     def regions(self) -> list[str]:
         """Return the regions that have targets, by name."""
-        return sorted(self._newest)
+        return sorted(self._current)
 
     def serialize(self, region: str, counts: Mapping[str, int]) -> RegionCounts:
         """Serialize the counts at a region's targets."""
-        key, names = self._newest[region]
-        data = [counts.get(name, 0) for name in names]
-        if data and not 0 <= min(data) <= max(data) <= MAX_COUNT:
-            data = [min(max(count, 0), MAX_COUNT) for count in data]
-        return RegionCounts(region, key, bytes(data))
+        list_hash, names = self._current[region]
+        region_counts = [counts.get(name, 0) for name in names]
+        if (
+            region_counts
+            and not 0 <= min(region_counts) <= max(region_counts) <= MAX_COUNT
+        ):
+            region_counts = [min(max(count, 0), MAX_COUNT) for count in region_counts]
+        return RegionCounts(region, list_hash, bytes(region_counts))
 
     def parse(self, loads: RegionCounts) -> dict[str, int] | None:
         """Return counts by target, zeros left out; None if their list is not known."""
--- a/leverdoor/entry/exchange/usage_encoding.py
+++ b/leverdoor/entry/exchange/usage_encoding.py
@@ -3,7 +3,7 @@
 """Usage of workspaces in messages: pairs of place and count, as far as they matter.
 
 A place is the index in the sorted names of the workspaces that have a quota. Both
-sides need the same list of names, which a hash of it shows; use by a list that is not
+sides need the same list of names, which a hash of it shows; usage by a list that is not
 known is dropped.
 
 Owns the lists of the newest configurations, lost with the process and made again from
@@ -17,20 +17,20 @@
 
 import xxhash
 
-__all__ = ["Usage", "UsageCodec", "summed"]
+__all__ = ["Usage", "UsageCodec", "sum_usage"]
 
 Usage = dict[str, int]
 """Requests in the window of quotas, by workspace."""
 
-HEAD = struct.Struct("<IB")
-"""Hash of the list; percentage of a quota below which its use is left out."""
+HEADER = struct.Struct("<IB")
+"""Hash of the list; percentage of a quota below which its usage is left out."""
 PAIR = struct.Struct("<HH")
 """Place of a workspace, and its requests."""
 MAX_COUNT = 65_535
 """Greatest count, and greatest place, that a pair holds."""
-FEW_PAIRS = 300
+MAX_UNFILTERED_PAIRS = 300
 """Pairs up to which none is left out: 1.2 kB, which fit one packet."""
-MOST_PAIRS = 2_000
+MAX_PAIRS = 2_000
 """Pairs of a message at most: those with the greatest part of their quota.
 
 8 kB. Fewer, and quotas that are nearly used up are left out; more, and large datagrams
@@ -39,7 +39,7 @@
 MAX_LISTS = 4
 """Lists kept for messages of entries that have not yet, or already, taken a change.
 
-A few changes in a row. Fewer, and use is dropped while changes spread.
+A few changes in a row. Fewer, and usage is dropped while changes spread.
 """
 
 
@@ -50,7 +50,7 @@
         """Create it without any workspace."""
         self._planned: Mapping[str, float] = {}
         self._hash = 0
-        self._places: dict[str, int] = {}
+        self._indexes: dict[str, int] = {}
         self._recent: OrderedDict[int, tuple[str, ...]] = OrderedDict()
 
     def renew(self, planned: Mapping[str, float]) -> None:
@@ -62,65 +62,65 @@
         names = tuple(sorted(planned))
         self._planned = planned
         self._hash = xxhash.xxh32_intdigest("\n".join(names).encode())
-        self._places = {name: i for i, name in enumerate(names[:MAX_COUNT])}
+        self._indexes = {name: i for i, name in enumerate(names[:MAX_COUNT])}
         self._recent[self._hash] = names
         self._recent.move_to_end(self._hash)
         while len(self._recent) > MAX_LISTS:
             self._recent.popitem(last=False)
 
-    def serialize(self, use: Mapping[str, int], least_percent: int = 0) -> bytes:
-        """Serialize the use of workspaces.
+    def serialize(self, usage: Mapping[str, int], min_percent: int = 0) -> bytes:
+        """Serialize the usage of workspaces.
 
         Args:
-          use: requests by workspace.
-          least_percent: of a quota, below which its use is left out if there are
+          usage: requests by workspace.
+          min_percent: of a quota, below which its usage is left out if there are
             many workspaces.
         """
-        if not self._places:
+        if not self._indexes:
             return b""
-        if len(use) <= FEW_PAIRS:
-            least_percent = 0
-        least_part = least_percent / 100
+        if len(usage) <= MAX_UNFILTERED_PAIRS:
+            min_percent = 0
+        min_fraction = min_percent / 100
         pairs = [
-            (self._places[name], min(count, MAX_COUNT))
-            for name, count in use.items()
-            if name in self._places and count > least_part * self._planned[name]
+            (self._indexes[name], min(count, MAX_COUNT))
+            for name, count in usage.items()
+            if name in self._indexes and count > min_fraction * self._planned[name]
         ]
-        if len(pairs) > MOST_PAIRS:
-            pairs = self._tightest(pairs)
-        data = b"".join(PAIR.pack(place, count) for place, count in pairs)
-        return HEAD.pack(self._hash, least_percent) + data
+        if len(pairs) > MAX_PAIRS:
+            pairs = self._most_used(pairs)
+        data = b"".join(PAIR.pack(index, count) for index, count in pairs)
+        return HEADER.pack(self._hash, min_percent) + data
 
-    def _tightest(self, pairs: list[tuple[int, int]]) -> list[tuple[int, int]]:
+    def _most_used(self, pairs: list[tuple[int, int]]) -> list[tuple[int, int]]:
         """Return the pairs with the greatest parts of their quotas."""
         names = self._recent[self._hash]
         pairs.sort(key=lambda pair: -pair[1] / self._planned[names[pair[0]]])
-        return pairs[:MOST_PAIRS]
+        return pairs[:MAX_PAIRS]
 
-    def least_reported(self, data: bytes) -> float:
-        """Return the part of a quota below which a message leaves out its use."""
-        if len(data) < HEAD.size:
+    def omission_threshold(self, data: bytes) -> float:
+        """Return the part of a quota below which a message leaves out its usage."""
+        if len(data) < HEADER.size:
             return 0.0
-        _, least_percent = HEAD.unpack_from(data)
-        return float(least_percent) / 100
+        _, min_percent = HEADER.unpack_from(data)
+        return float(min_percent) / 100
 
     def parse(self, data: bytes) -> Usage | None:
-        """Parse the use of workspaces; None if it refers to an unknown list."""
-        if len(data) < HEAD.size:
+        """Parse the usage of workspaces; None if it refers to an unknown list."""
+        if len(data) < HEADER.size:
             return {}
-        key, _ = HEAD.unpack_from(data)
-        names = self._recent.get(key)
+        list_hash, _ = HEADER.unpack_from(data)
+        names = self._recent.get(list_hash)
         if names is None:
             return None
-        rest = data[HEAD.size :]
-        whole = len(rest) - len(rest) % PAIR.size
-        pairs = PAIR.iter_unpack(rest[:whole])
-        return {names[place]: count for place, count in pairs if place < len(names)}
+        payload = data[HEADER.size :]
+        complete_length = len(payload) - len(payload) % PAIR.size
+        pairs = PAIR.iter_unpack(payload[:complete_length])
+        return {names[index]: count for index, count in pairs if index < len(names)}
 
 
-def summed(*parts: Mapping[str, int]) -> Usage:
+def sum_usage(*usages: Mapping[str, int]) -> Usage:
     """Return the sums of several uses."""
     total: Usage = {}
-    for name, count in chain.from_iterable(part.items() for part in parts):
+    for name, count in chain.from_iterable(usage.items() for usage in usages):
         total[name] = total.get(name, 0) + count
     return total
--- a/leverdoor/entry/exchange/usage_exchange.py
+++ b/leverdoor/entry/exchange/usage_exchange.py
@@ -1,13 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The use of workspaces in heartbeats and digests, sent and received.
+"""The usage of workspaces in heartbeats and digests, sent and received.
 
-An ordinary entry reports its own use and gets the sums of all in a digest. An
+An ordinary entry reports its own usage and gets the sums of all in a digest. An
 aggregator merges reports (`UsageMerger`) and adds what silent entries may take.
 
 Owns since when this entry merges all sums, lost with the process; until it has reports
 of all failure domains and regions it gives no sum. Relies on `Membership` for who is
-silent, and on `workspaces.quota` for how long a silent entry may use what it had.
+silent, and on `workspaces.quota` for how long a silent entry may usage what it had.
 """
 
 from collections.abc import Mapping
@@ -24,27 +24,27 @@
 
 __all__ = ["DigestUsage", "UsageExchange"]
 
-LEAST_PART_REPORTED = 6
+OMITTED_QUOTA_PERCENT = 6
 """Percentage of a quota that all failure domains together may leave out of digests.
 
 Where there are many workspaces. Greater, more of a quota can be used unseen; smaller,
 digests are larger.
 """
-LEAST_REPORTED = 20
-"""Percentage of a quota below which digests of all entries leave out its use.
+TOTAL_OMITTED_PERCENT = 20
+"""Percentage of a quota below which digests of all entries leave out its usage.
 
-Where there are many workspaces. Enough of the quota is left, and receivers take the use
+Where there are many workspaces. Enough of the quota is left, and receivers take the usage
 to be this much. Greater, they admit less than they could; smaller, digests are larger.
 """
-UNREPORTED_PARTS = 2
-"""Even parts of a quota that a silent entry may take whose use is not known.
+UNKNOWN_USAGE_PARTS = 2
+"""Even parts of a quota that a silent entry may take whose usage is not known.
 
-One by the number of entries, one by its use, which is taken to be the mean.
+One by the number of entries, one by its usage, which is taken to be the mean.
 """
 
 
 class DigestUsage(msgspec.Struct, frozen=True):
-    """The use in the digests of a round, by the entries that they cover."""
+    """The usage in the digests of a round, by the entries that they cover."""
 
     by_scope: dict[DigestScope, bytes]
     silent: dict[DigestScope, int]
@@ -56,15 +56,15 @@
 
 
 class UsageExchange:
-    """The use of workspaces that this entry reports, receives and merges."""
+    """The usage of workspaces that this entry reports, receives and merges."""
 
     def __init__(self, membership: Membership) -> None:
         """Create it around what is known of the entries."""
         self._membership = membership
         self._own = membership.own
-        self._lists = UsageCodec()
+        self._codec = UsageCodec()
         self._merger = UsageMerger()
-        self._merges_since: float | None = None
+        self._complete_since: float | None = None
         """Since when it has all sums, as an aggregator; None while it has not."""
 
     def renew(self, planned: Mapping[str, float]) -> None:
@@ -73,93 +73,95 @@
         Args:
           planned: for each, the planned requests of a window.
         """
-        self._lists.renew(planned)
+        self._codec.renew(planned)
         self._merger.planned = planned
 
     def forget(self, now: float) -> None:
         """Drop what does not count any more."""
         self._merger.forget(now)
 
-    def serialize(self, use: Usage) -> bytes:
-        """Serialize the own use for a heartbeat."""
-        return self._lists.serialize(use)
+    def serialize(self, usage: Usage) -> bytes:
+        """Serialize the own usage for a heartbeat."""
+        return self._codec.serialize(usage)
 
     def record_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
         """Take the report of an entry, if it is of the own failure domain."""
         member = heartbeat.member
-        use = self._lists.parse(heartbeat.use)
-        if use is None or member.domain != self._own.domain:
+        usage = self._codec.parse(heartbeat.use)
+        if usage is None or member.domain != self._own.domain:
             return
         report = UsageReport(
             now,
-            use,
+            usage,
             incarnation=member.incarnation,
             leaves=heartbeat.state == LEAVING,
         )
-        self._merger.take_entry(member.name, report)
+        self._merger.record_entry(member.name, report)
 
-    def take_part(self, digest: Digest, sender: Member, now: float) -> None:
+    def record_partial_sums(self, digest: Digest, sender: Member, now: float) -> None:
         """Take the sums of another failure domain or region."""
-        use = self._lists.parse(digest.use)
-        if use is None:
+        usage = self._codec.parse(digest.use)
+        if usage is None:
             return
         merged_s = digest.merged_ms / 1000
         if digest.scope == DigestScope.DOMAIN:
             entries = self._membership.count_in_domain(sender.domain)
-            report = UsageReport(now, use, merged_s, entries, digest.silent)
-            self._merger.take_domain(sender.domain, report)
+            report = UsageReport(now, usage, merged_s, entries, digest.silent)
+            self._merger.record_domain(sender.domain, report)
         else:
             entries = self._membership.count_in_region(sender.region)
-            report = UsageReport(now, use, merged_s, entries, digest.silent)
-            self._merger.take_region(sender.region, report)
+            report = UsageReport(now, usage, merged_s, entries, digest.silent)
+            self._merger.record_region(sender.region, report)
 
-    def parse_total(self, digest: Digest, own: Usage) -> OthersUse | None:
-        """Return the use of all others; None if the digest's list is not known.
+    def usage_of_others_in(self, digest: Digest, own: Usage) -> OthersUse | None:
+        """Return the usage of all others; None if the digest's list is not known.
 
         Args:
           digest: an aggregator's sums of all entries.
-          own: the own use that is counted in it.
+          own: the own usage that is counted in it.
         """
-        use = self._lists.parse(digest.use)
-        if use is None:
+        usage = self._codec.parse(digest.use)
+        if usage is None:
             return None
-        for name in own.keys() & use.keys():
-            use[name] = max(use[name] - own[name], 0)
+        for name in own.keys() & usage.keys():
+            usage[name] = max(usage[name] - own[name], 0)
         age_s = digest.use_age_ms / 1000
         merged_s = digest.merged_ms / 1000
-        least_reported = self._lists.least_reported(digest.use)
-        return OthersUse(use, age_s, merged_s, least_reported, digest.silent)
+        omission_threshold = self._codec.omission_threshold(digest.use)
+        return OthersUse(usage, age_s, merged_s, omission_threshold, digest.silent)
 
-    def of_others(self, uptime_s: float, now: float) -> OthersUse | None:
-        """Return the use of all others as an aggregator has it.
+    def usage_of_others(self, uptime_s: float, now: float) -> OthersUse | None:
+        """Return the usage of all others as an aggregator has it.
 
         Returns: None while reports of a failure domain or region are missing: this
           entry may just have taken the role.
         """
-        if self._merges_since is None:
-            if not self._merger.knows(self._near(), self._far(), now):
+        if self._complete_since is None:
+            if not self._merger.has_fresh_reports(
+                self._seen_domains(), self._seen_regions(), now
+            ):
                 return None
-            self._merges_since = now
+            self._complete_since = now
         sums = self._merger.sums({}, self._unreported_parts(uptime_s, now), now)
         age_s = self._merger.age_s(now)
-        merged_s = now - self._merges_since
+        merged_s = now - self._complete_since
         return OthersUse(sums.total, age_s, merged_s, 0.0, sums.silent[-1])
 
     def stop_merging(self) -> None:
         """Record that this entry is not an aggregator now."""
-        self._merges_since = None
+        self._complete_since = None
 
     def _unreported_parts(self, uptime_s: float, now: float) -> int:
         """Return what entries of the own domain may take that sent no report here.
 
         In even parts of a quota. After a restart of all, an entry of which nothing
         was received may serve behind a cut, and takes one. Others reported to an
-        aggregator that is gone: see `UNREPORTED_PARTS`.
+        aggregator that is gone: see `UNKNOWN_USAGE_PARTS`.
         """
         domain = self._own.domain
         last_seen = self._membership.last_seen(domain)
-        never = self._membership.count_in_domain(domain) - 1 - len(last_seen)
-        never = max(never, 0) if uptime_s <= HOLD_S else 0
+        never_seen = self._membership.count_in_domain(domain) - 1 - len(last_seen)
+        never_seen = max(never_seen, 0) if uptime_s <= HOLD_S else 0
         unreported = [
             s
             for s in last_seen
@@ -167,9 +169,9 @@
             and s.row.state != LEAVING
             and not self._merger.has_report(self._membership.name(s.row.id))
         ]
-        return never + len(unreported) * UNREPORTED_PARTS
+        return never_seen + len(unreported) * UNKNOWN_USAGE_PARTS
 
-    def _near(self) -> set[str]:
+    def _seen_domains(self) -> set[str]:
         """Return the region's other failure domains of which any entry was seen."""
         return {
             domain
@@ -177,7 +179,7 @@
             if domain != self._own.domain and self._membership.last_seen(domain)
         }
 
-    def _far(self) -> set[str]:
+    def _seen_regions(self) -> set[str]:
         """Return the other regions of which any entry was seen."""
         return {
             region
@@ -186,18 +188,20 @@
             if self._membership.last_seen(domain)
         }
 
-    def summary(self, own: Usage, uptime_s: float, now: float) -> DigestUsage:
-        """Return the use for an aggregator's digests of a round."""
+    def build_digest_usage(
+        self, own: Usage, uptime_s: float, now: float
+    ) -> DigestUsage:
+        """Return the usage for an aggregator's digests of a round."""
         sums = self._merger.sums(own, self._unreported_parts(uptime_s, now), now)
-        part = LEAST_PART_REPORTED // len(self._membership.all_domains())
+        min_percent = OMITTED_QUOTA_PERCENT // len(self._membership.all_domains())
         by_scope = {
-            DigestScope.DOMAIN: self._lists.serialize(sums.domain, part),
-            DigestScope.REGION: self._lists.serialize(sums.region, part),
-            DigestScope.ALL: self._lists.serialize(sums.total, LEAST_REPORTED),
+            DigestScope.DOMAIN: self._codec.serialize(sums.domain, min_percent),
+            DigestScope.REGION: self._codec.serialize(sums.region, min_percent),
+            DigestScope.ALL: self._codec.serialize(sums.total, TOTAL_OMITTED_PERCENT),
         }
         scopes = (DigestScope.DOMAIN, DigestScope.REGION, DigestScope.ALL)
         silent = dict(zip(scopes, sums.silent, strict=True))
         age_ms = round(self._merger.age_s(now) * 1000)
-        since = now if self._merges_since is None else self._merges_since
+        since = now if self._complete_since is None else self._complete_since
         merged_ms = round((now - since) * 1000)
         return DigestUsage(by_scope, silent, age_ms, merged_ms)
--- a/leverdoor/entry/exchange/usage_merging.py
+++ b/leverdoor/entry/exchange/usage_merging.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from leverdoor.entry.exchange.usage_encoding import Usage, summed
+from leverdoor.entry.exchange.usage_encoding import Usage, sum_usage
 from leverdoor.workspaces.allowance import EVEN_PART
 from leverdoor.workspaces.isolation import HOLD_S, stretch
 
@@ -31,9 +31,9 @@
 """
 FAR_FRESH_S = 1.2
 """The same for another region, whose digests are up to 0.79 s old (p99), in s."""
-KEPT_TOTALS = 16
+MAX_TOTALS = 16
 """Sums of all entries that are kept: two a round, for longer than `FAR_FRESH_S`."""
-FORMER_S = 5.0
+ENDED_USAGE_S = 5.0
 """How long the use of a former incarnation counts, in s: the window of quotas."""
 
 
@@ -43,7 +43,7 @@
     at: float
     """When it came: monotonic time in seconds."""
     use: Usage
-    merged_s: float = FORMER_S
+    merged_s: float = ENDED_USAGE_S
     """For how long its sender has merged the sums. Incarnations that ended before are
     missing."""
     entries: int = 1
@@ -53,7 +53,7 @@
     incarnation: int = 0
     leaves: bool = False
     """Whether the entry takes no new requests."""
-    older: "UsageReport | None" = None
+    previous: "UsageReport | None" = None
     """The part of an earlier report, of a sender that had merged for long, that this
     one lacks."""
     reserved: Usage | None = None
@@ -79,33 +79,35 @@
         self.planned: Mapping[str, float] = {}
         """For each workspace with a quota, the planned requests of a window."""
         self._entries: dict[str, UsageReport] = {}
-        self._former: list[UsageReport] = []
+        self._ended: list[UsageReport] = []
         """The last reports of incarnations that ended."""
         self._domains: dict[str, UsageReport] = {}
         self._regions: dict[str, UsageReport] = {}
-        self._totals: deque[tuple[float, Usage]] = deque(maxlen=KEPT_TOTALS)
+        self._totals: deque[tuple[float, Usage]] = deque(maxlen=MAX_TOTALS)
         """When sums of all entries were made, and these."""
 
-    def take_entry(self, name: str, report: UsageReport) -> None:
+    def record_entry(self, name: str, report: UsageReport) -> None:
         """Take the report of an entry of the own failure domain."""
-        before = self._entries.get(name)
-        if before is not None and before.incarnation != report.incarnation:
-            self._former.append(before)
+        last_report = self._entries.get(name)
+        if last_report is not None and last_report.incarnation != report.incarnation:
+            self._ended.append(last_report)
         self._entries[name] = report
 
-    def take_domain(self, domain: str, report: UsageReport) -> None:
+    def record_domain(self, domain: str, report: UsageReport) -> None:
         """Take the sums of another failure domain of the region."""
-        _take_part(self._domains, domain, report, FRESH_S)
+        _record_part(self._domains, domain, report, FRESH_S)
 
-    def take_region(self, region: str, report: UsageReport) -> None:
+    def record_region(self, region: str, report: UsageReport) -> None:
         """Take the sums of another region."""
-        _take_part(self._regions, region, report, FAR_FRESH_S)
+        _record_part(self._regions, region, report, FAR_FRESH_S)
 
     def has_report(self, name: str) -> bool:
         """Return whether an entry of the own failure domain reported its use here."""
         return name in self._entries
 
-    def knows(self, domains: set[str], regions: set[str], now: float) -> bool:
+    def has_fresh_reports(
+        self, domains: set[str], regions: set[str], now: float
+    ) -> bool:
         """Return whether reports of some failure domains and regions are fresh."""
         near = _fresh(self._domains, FRESH_S, now)
         far = _fresh(self._regions, FAR_FRESH_S, now)
@@ -113,7 +115,7 @@
 
     def forget(self, now: float) -> None:
         """Drop what does not count any more."""
-        self._former = [r for r in self._former if now - r.at <= FORMER_S]
+        self._ended = [r for r in self._ended if now - r.at <= ENDED_USAGE_S]
         self._entries = {
             name: report
             for name, report in self._entries.items()
@@ -128,15 +130,17 @@
           unreported: even parts that entries of the domain without a report may take.
           now: monotonic time in seconds.
         """
-        former = [r.use for r in self._former if now - r.at <= FORMER_S]
-        domain = summed(own, *former, *self._held(self._entries, FRESH_S, now))
-        region = summed(domain, *self._held(self._domains, FRESH_S, now))
-        total = summed(region, *self._held(self._regions, FAR_FRESH_S, now))
+        ended_usage = [r.use for r in self._ended if now - r.at <= ENDED_USAGE_S]
+        domain = sum_usage(
+            own, *ended_usage, *self._counted_usage(self._entries, FRESH_S, now)
+        )
+        region = sum_usage(domain, *self._counted_usage(self._domains, FRESH_S, now))
+        total = sum_usage(region, *self._counted_usage(self._regions, FAR_FRESH_S, now))
         self._totals.append((now, total))
-        near = unreported + _silent(self._entries, FRESH_S, now)
-        with_domains = near + _silent(self._domains, FRESH_S, now)
-        with_regions = with_domains + _silent(self._regions, FAR_FRESH_S, now)
-        silent = (near, with_domains, with_regions)
+        domain_silent = unreported + _count_silent(self._entries, FRESH_S, now)
+        region_silent = domain_silent + _count_silent(self._domains, FRESH_S, now)
+        total_silent = region_silent + _count_silent(self._regions, FAR_FRESH_S, now)
+        silent = (domain_silent, region_silent, total_silent)
         return UsageSums(domain, region, total, silent)
 
     def age_s(self, now: float) -> float:
@@ -148,66 +152,77 @@
         ]
         return max((now - report.at for report in fresh), default=0.0)
 
-    def _held(
+    def _counted_usage(
         self, parts: Mapping[str, UsageReport], fresh_s: float, now: float
     ) -> list[Usage]:
-        found = [self._use(report, fresh_s, now) for report in parts.values()]
-        older = [r.older for r in parts.values() if r.older is not None]
-        return found + [o.use for o in older if now - o.at <= FORMER_S]
+        current_usage = [
+            self._reported_or_reserved(report, fresh_s, now)
+            for report in parts.values()
+        ]
+        previous = [r.previous for r in parts.values() if r.previous is not None]
+        return current_usage + [o.use for o in previous if now - o.at <= ENDED_USAGE_S]
 
-    def _use(self, report: UsageReport, fresh_s: float, now: float) -> Usage:
+    def _reported_or_reserved(
+        self, report: UsageReport, fresh_s: float, now: float
+    ) -> Usage:
         """Return a use as it was reported; what it may become once it is not fresh."""
         age_s = now - report.at
         if age_s <= fresh_s:
             return report.use
         if report.leaves:
-            return report.use if age_s <= FORMER_S else {}
+            return report.use if age_s <= ENDED_USAGE_S else {}
         if age_s > HOLD_S:
             return {}
         if report.reserved is None:
-            report.reserved = self._reserve(report)
+            report.reserved = self._reservation(report)
         return report.reserved
 
-    def _reserve(self, report: UsageReport) -> Usage:
+    def _reservation(self, report: UsageReport) -> Usage:
         """Return what the silent entries of a report may take by their use.
 
         It goes by the total when the report came, as they themselves reckon while they
         receive nothing. The rest of what they may take goes by their number.
         """
-        then = next((total for at, total in self._totals if at >= report.at), {})
-        found = {}
+        total_then = next((total for at, total in self._totals if at >= report.at), {})
+        reserved_usage = {}
         for name, count in report.use.items():
-            total = max(then.get(name, 0), count)
-            times = stretch(self.planned.get(name, 0.0), total)
-            found[name] = math.ceil((1 - EVEN_PART) * count * times)
-        return found
+            total = max(total_then.get(name, 0), count)
+            factor = stretch(self.planned.get(name, 0.0), total)
+            reserved_usage[name] = math.ceil((1 - EVEN_PART) * count * factor)
+        return reserved_usage
 
 
 def _fresh(
     reports: Mapping[str, UsageReport], fresh_s: float, now: float
 ) -> dict[str, UsageReport]:
-    return {name: one for name, one in reports.items() if now - one.at <= fresh_s}
+    return {
+        name: report for name, report in reports.items() if now - report.at <= fresh_s
+    }
 
 
-def _silent(reports: Mapping[str, UsageReport], fresh_s: float, now: float) -> int:
+def _count_silent(
+    reports: Mapping[str, UsageReport], fresh_s: float, now: float
+) -> int:
     """Count the entries that are silent, and still may serve."""
-    found = 0
-    for one in reports.values():
-        age_s = now - one.at
+    count = 0
+    for report in reports.values():
+        age_s = now - report.at
         if age_s <= fresh_s:
-            found += one.silent
-        elif age_s <= HOLD_S and not one.leaves:
-            found += one.entries
-    return found
+            count += report.silent
+        elif age_s <= HOLD_S and not report.leaves:
+            count += report.entries
+    return count
 
 
-def _without(report: UsageReport, use: Usage) -> UsageReport:
+def _subtract(report: UsageReport, use: Usage) -> UsageReport:
     """Return a report without what a later one has as well."""
-    rest = {name: count - use.get(name, 0) for name, count in report.use.items()}
-    return UsageReport(report.at, {n: count for n, count in rest.items() if count > 0})
+    remaining = {name: count - use.get(name, 0) for name, count in report.use.items()}
+    return UsageReport(
+        report.at, {n: count for n, count in remaining.items() if count > 0}
+    )
 
 
-def _take_part(
+def _record_part(
     parts: dict[str, UsageReport], name: str, report: UsageReport, fresh_s: float
 ) -> None:
     """Take the sums of a part, from one of its two aggregators.
@@ -216,10 +231,12 @@
     ended: after a kill of both aggregators and others, what these took would be
     forgotten. The last sums of one that had them are kept beside it for that time.
     """
-    before = parts.get(name)
-    if before is not None and report.merged_s < FORMER_S:
-        complete = before.merged_s >= FORMER_S
-        if complete and report.at - before.at <= fresh_s:
+    last_report = parts.get(name)
+    if last_report is not None and report.merged_s < ENDED_USAGE_S:
+        is_complete = last_report.merged_s >= ENDED_USAGE_S
+        if is_complete and report.at - last_report.at <= fresh_s:
             return
-        report.older = _without(before, report.use) if complete else before.older
+        report.previous = (
+            _subtract(last_report, report.use) if is_complete else last_report.previous
+        )
     parts[name] = report
--- a/leverdoor/entry/exchange/warm_key_relay.py
+++ b/leverdoor/entry/exchange/warm_key_relay.py
@@ -14,21 +14,21 @@
 
 __all__ = ["WarmKeyRelay"]
 
-RESENT_S = 0.5
+RESEND_S = 0.5
 """How long news of a warm key are sent again, in seconds.
 
 Two rounds and a half, since a digest may be lost. Longer costs 4 bytes a key in each
 further round.
 """
-SPACING_S = 1.0
+DEDUPLICATION_S = 1.0
 """Time within which the same news are passed on once, in seconds.
 
-Twice `RESENT_S`. Heartbeats and digests carry the same news for several rounds; shorter
+Twice `RESEND_S`. Heartbeats and digests carry the same news for several rounds; shorter
 than that, each copy would start the news again.
 """
-MOST_SENT = 128
+MAX_KEYS_PER_DIGEST = 128
 """RevisionAnnouncement in one digest at most: 512 bytes, a third of a packet."""
-MOST_SEEN = 4_096
+MAX_REMEMBERED_KEYS = 4_096
 """RevisionAnnouncement remembered as passed on: 32 digests full of them bound the memory."""
 
 
@@ -37,41 +37,41 @@
 
     def __init__(self) -> None:
         """Create it without any."""
-        self._domain: deque[tuple[float, int]] = deque(maxlen=MOST_SENT)
-        self._region: deque[tuple[float, int]] = deque(maxlen=MOST_SENT)
-        self._seen: OrderedDict[int, float] = OrderedDict()
+        self._domain: deque[tuple[float, int]] = deque(maxlen=MAX_KEYS_PER_DIGEST)
+        self._region: deque[tuple[float, int]] = deque(maxlen=MAX_KEYS_PER_DIGEST)
+        self._relayed: OrderedDict[int, float] = OrderedDict()
 
-    def take_from_domain(self, news: Iterable[int], now: float) -> None:
+    def record_domain_keys(self, keys: Iterable[int], now: float) -> None:
         """Take news of an entry of the own failure domain."""
-        self._take(news, self._domain, now)
+        self._enqueue(keys, self._domain, now)
 
-    def take_from_region(self, news: Iterable[int], now: float) -> None:
+    def record_region_keys(self, keys: Iterable[int], now: float) -> None:
         """Take news of another failure domain's aggregator."""
-        self._take(news, self._region, now)
+        self._enqueue(keys, self._region, now)
 
-    def _take(
-        self, news: Iterable[int], into: deque[tuple[float, int]], now: float
+    def _enqueue(
+        self, keys: Iterable[int], queue: deque[tuple[float, int]], now: float
     ) -> None:
-        for key in news:
-            if now - self._seen.get(key, -SPACING_S) >= SPACING_S:
-                into.append((now, key))
-                self._seen[key] = now
-                self._seen.move_to_end(key)
-        while len(self._seen) > MOST_SEEN:
-            self._seen.popitem(last=False)
-
-    def for_region(self, own: Iterable[int], now: float) -> list[int]:
+        for key_hash in keys:
+            if now - self._relayed.get(key_hash, -DEDUPLICATION_S) >= DEDUPLICATION_S:
+                queue.append((now, key_hash))
+                self._relayed[key_hash] = now
+                self._relayed.move_to_end(key_hash)
+        while len(self._relayed) > MAX_REMEMBERED_KEYS:
+            self._relayed.popitem(last=False)
+
+    def keys_for_region(self, own: Iterable[int], now: float) -> list[int]:
         """Return the news for the region's other aggregators; `own`: this entry's."""
-        return _recent(own, self._domain, now)
+        return _recent_keys(own, self._domain, now)
 
-    def for_domain(self, own: Iterable[int], now: float) -> list[int]:
+    def keys_for_domain(self, own: Iterable[int], now: float) -> list[int]:
         """Return the news for the own failure domain; `own` is this entry's."""
-        return _recent(own, [*self._domain, *self._region], now)
+        return _recent_keys(own, [*self._domain, *self._region], now)
 
 
-def _recent(
+def _recent_keys(
     own: Iterable[int], received: Iterable[tuple[float, int]], now: float
 ) -> list[int]:
     """Return the newest news, each once."""
-    found = [key for at, key in received if now - at <= RESENT_S]
-    return list(dict.fromkeys([*own, *found]))[-MOST_SENT:]
+    found = [key_hash for at, key_hash in received if now - at <= RESEND_S]
+    return list(dict.fromkeys([*own, *found]))[-MAX_KEYS_PER_DIGEST:]
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -281,7 +281,7 @@
         steps += 1
         heard: set[str] = set()
         for name in sorted(newly):
-            for sending in s.exchanges[name].news(9, NO_ANSWER, s.now):
+            for sending in s.exchanges[name].announce_revision(9, NO_ANSWER, s.now):
                 assert isinstance(sending.message, RevisionAnnouncement)
                 heard |= {to.removeprefix("g/") for to in sending.destinations}
         newly = heard - reached
--- a/tests/test_entry_use.py
+++ b/tests/test_entry_use.py
@@ -5,11 +5,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from leverdoor.entry.exchange.usage_encoding import FEW_PAIRS, UsageCodec, summed
+from leverdoor.entry.exchange.usage_encoding import (
+    MAX_UNFILTERED_PAIRS,
+    UsageCodec,
+    sum_usage,
+)
 from leverdoor.entry.exchange.usage_merging import UsageMerger, UsageReport
 from leverdoor.workspaces.isolation import HOLD_S
 
-NAMES = [f"w{i}" for i in range(FEW_PAIRS + 50)]
+NAMES = [f"w{i}" for i in range(MAX_UNFILTERED_PAIRS + 50)]
 
 
 def lists(names: list[str]) -> UsageCodec:
@@ -43,14 +47,14 @@
     use = dict.fromkeys(NAMES, 1) | {"w7": 90}
     data = sender.serialize(use, 20)
     assert sender.parse(data) == {"w7": 90}
-    assert sender.least_reported(data) == 0.2
+    assert sender.omission_threshold(data) == 0.2
     few = sender.serialize({"w1": 1}, 20)
     assert sender.parse(few) == {"w1": 1}
-    assert sender.least_reported(few) == 0.0
+    assert sender.omission_threshold(few) == 0.0
 
 
 def test_sums() -> None:
-    assert summed({"a": 1}, {}, {"a": 2, "b": 3}) == {"a": 3, "b": 3}
+    assert sum_usage({"a": 1}, {}, {"a": 2, "b": 3}) == {"a": 3, "b": 3}
 
 
 def merger() -> UsageMerger:
@@ -61,9 +65,9 @@
 
 def test_sums_by_domain_region_and_all() -> None:
     m = merger()
-    m.take_entry("e1", UsageReport(10.0, {"w": 2}))
-    m.take_domain("d2", UsageReport(10.0, {"w": 3}, entries=4))
-    m.take_region("r2", UsageReport(10.0, {"w": 4}, entries=9))
+    m.record_entry("e1", UsageReport(10.0, {"w": 2}))
+    m.record_domain("d2", UsageReport(10.0, {"w": 3}, entries=4))
+    m.record_region("r2", UsageReport(10.0, {"w": 4}, entries=9))
     sums = m.sums({"w": 1}, 0, 10.1)
     assert (sums.domain, sums.region, sums.total) == ({"w": 3}, {"w": 6}, {"w": 10})
     assert sums.silent == (0, 0, 0)
@@ -72,7 +76,7 @@
 def test_a_silent_entry_keeps_its_part_of_a_quota() -> None:
     """It may serve behind a cut: half by its use, half by the number of entries."""
     m = merger()
-    m.take_entry("e1", UsageReport(10.0, {"w": 10}))
+    m.record_entry("e1", UsageReport(10.0, {"w": 10}))
     assert m.sums({"w": 15}, 0, 10.1).total == {"w": 25}
     later = m.sums({"w": 15}, 0, 13.0)
     assert later.total == {"w": 15 + 20}
@@ -84,39 +88,39 @@
 
 def test_the_use_of_a_former_life_counts_until_the_window_has_passed() -> None:
     m = merger()
-    m.take_entry("e1", UsageReport(10.0, {"w": 10}, incarnation=1))
-    m.take_entry("e1", UsageReport(11.0, {"w": 1}, incarnation=2))
+    m.record_entry("e1", UsageReport(10.0, {"w": 10}, incarnation=1))
+    m.record_entry("e1", UsageReport(11.0, {"w": 1}, incarnation=2))
     assert m.sums({}, 0, 11.0).total == {"w": 11}
-    m.take_entry("e1", UsageReport(16.0, {"w": 1}, incarnation=2))
+    m.record_entry("e1", UsageReport(16.0, {"w": 1}, incarnation=2))
     assert m.sums({}, 0, 16.0).total == {"w": 1}
 
 
 def test_one_that_left_reserves_nothing() -> None:
     m = merger()
-    m.take_entry("e1", UsageReport(10.0, {"w": 10}, leaves=True))
+    m.record_entry("e1", UsageReport(10.0, {"w": 10}, leaves=True))
     assert m.sums({}, 0, 12.0).total == {"w": 10}
     assert m.sums({}, 0, 16.0).total == {}
 
 
 def test_all_parts_are_known_before_sums_are_trusted() -> None:
     m = merger()
-    assert not m.knows({"d2"}, {"r2"}, 10.0)
-    m.take_domain("d2", UsageReport(10.0, {}))
-    m.take_region("r2", UsageReport(10.0, {}))
-    assert m.knows({"d2"}, {"r2"}, 10.2)
-    assert not m.knows({"d2"}, {"r2"}, 20.0)
+    assert not m.has_fresh_reports({"d2"}, {"r2"}, 10.0)
+    m.record_domain("d2", UsageReport(10.0, {}))
+    m.record_region("r2", UsageReport(10.0, {}))
+    assert m.has_fresh_reports({"d2"}, {"r2"}, 10.2)
+    assert not m.has_fresh_reports({"d2"}, {"r2"}, 20.0)
     assert m.age_s(10.5) == 0.5
 
 
 def test_what_an_aggregator_that_is_gone_had_merged_counts_until_it_has_left() -> None:
     """Both aggregators of a domain and others were killed: their sums are kept."""
     m = merger()
-    m.take_domain("d2", UsageReport(10.0, {"w": 40}))
-    m.take_domain("d2", UsageReport(10.2, {"w": 3}, merged_s=0.1))
+    m.record_domain("d2", UsageReport(10.0, {"w": 40}))
+    m.record_domain("d2", UsageReport(10.2, {"w": 3}, merged_s=0.1))
     assert m.sums({}, 0, 10.3).total == {"w": 40}
-    m.take_domain("d2", UsageReport(11.5, {"w": 3}, merged_s=0.4))
+    m.record_domain("d2", UsageReport(11.5, {"w": 3}, merged_s=0.4))
     assert m.sums({}, 0, 11.6).total == {"w": 40}
-    m.take_domain("d2", UsageReport(14.9, {"w": 5}, merged_s=3.8))
+    m.record_domain("d2", UsageReport(14.9, {"w": 5}, merged_s=3.8))
     assert m.sums({}, 0, 14.9).total == {"w": 42}
-    m.take_domain("d2", UsageReport(15.2, {"w": 5}, merged_s=4.1))
+    m.record_domain("d2", UsageReport(15.2, {"w": 5}, merged_s=4.1))
     assert m.sums({}, 0, 15.3).total == {"w": 5}
--- a/tests/test_limit_exchange.py
+++ b/tests/test_limit_exchange.py
@@ -6,7 +6,10 @@
 from hypothesis import strategies as st
 
 from leverdoor.entry.exchange.exchange_types import PeerUpdate
-from leverdoor.entry.exchange.limit_exchange import MOST_TOLD, LimitExchange
+from leverdoor.entry.exchange.limit_exchange import (
+    MAX_REPORTS_PER_MESSAGE,
+    LimitExchange,
+)
 from leverdoor.entry.exchange.messages import OWN_SCOPE, DigestScope, LimitUpdate
 from leverdoor.limits.named import LimitBook, LimitWord
 from leverdoor.limits.rows import parse_words, serialize_words
@@ -55,38 +58,40 @@
 def test_what_is_not_new_is_told_again_each_second() -> None:
     """Whoever starts, or was cut off, learns it."""
     exchange = LimitExchange("n1")
-    exchange.note_own([LimitWord(7, 3.5, 0.0)], 0.0)
+    exchange.record_own([LimitWord(7, 3.5, 0.0)], 0.0)
     sent = [
-        exchange.news(OWN_SCOPE, round_number, round_number * 0.2)
+        exchange.build_update(OWN_SCOPE, round_number, round_number * 0.2)
         for round_number in range(1, 21)
     ]
     assert sum(news is not None for news in sent) == 3 + 4
     exchange.forget(61.0)
-    assert exchange.news(OWN_SCOPE, 5, 61.0) is None
+    assert exchange.build_update(OWN_SCOPE, 5, 61.0) is None
 
 
 def test_a_word_is_not_told_back_to_where_it_came_from() -> None:
     exchange = LimitExchange("n1")
     words = serialize_words([LimitWord(7, 3.5, 0.0)], 0.0)
-    exchange.take(LimitUpdate("n2", DigestScope.REGION, words), 0.0)
-    assert exchange.news(DigestScope.DOMAIN, 5, 0.1) is None
-    assert exchange.news(DigestScope.REGION, 5, 0.1) is not None
+    exchange.receive(LimitUpdate("n2", DigestScope.REGION, words), 0.0)
+    assert exchange.build_update(DigestScope.DOMAIN, 5, 0.1) is None
+    assert exchange.build_update(DigestScope.REGION, 5, 0.1) is not None
     exchange = LimitExchange("n1")
-    exchange.take(LimitUpdate("n2", DigestScope.ALL, words), 0.0)
-    assert exchange.news(DigestScope.REGION, 5, 0.1) is None
+    exchange.receive(LimitUpdate("n2", DigestScope.ALL, words), 0.0)
+    assert exchange.build_update(DigestScope.REGION, 5, 0.1) is None
 
 
 def test_of_many_limits_each_is_told_within_some_turns() -> None:
     exchange = LimitExchange("n1")
-    exchange.note_own([LimitWord(i, 1.0, 0.0) for i in range(3 * MOST_TOLD)], 0.0)
+    exchange.record_own(
+        [LimitWord(i, 1.0, 0.0) for i in range(3 * MAX_REPORTS_PER_MESSAGE)], 0.0
+    )
     seen: set[int] = set()
     for round_number in range(10, 30):
-        news = exchange.news(OWN_SCOPE, round_number, round_number * 0.2)
+        news = exchange.build_update(OWN_SCOPE, round_number, round_number * 0.2)
         if news is not None:
-            words = parse_words(news.words, 0.0)
-            assert len(words) <= MOST_TOLD
+            words = parse_words(news.reports, 0.0)
+            assert len(words) <= MAX_REPORTS_PER_MESSAGE
             seen |= {w.target for w in words}
-    assert len(seen) == 3 * MOST_TOLD
+    assert len(seen) == 3 * MAX_REPORTS_PER_MESSAGE
 
 
 @given(st.binary(max_size=200))
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -380,7 +380,7 @@
     )
     assert encoding.serialize_rows(samples.ROWS) == data
     assert encoding.parse_rows(data) == samples.ROWS
-    assert encoding.rows_hash(data) == 1953574800
+    assert encoding.hash_rows(data) == 1953574800
 
 
 def test_ages_of_entries() -> None:
