--- a/leverdoor/entry/exchange/__init__.py
+++ b/leverdoor/entry/exchange/__init__.py
@@ -1,3 +1,3 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What entries exchange: heartbeats, digests, news of the state, use of quotas."""
+"""Exchange of heartbeats, digests, announcements and quota usage among entries."""
--- a/leverdoor/entry/exchange/digest_builder.py
+++ b/leverdoor/entry/exchange/digest_builder.py
@@ -2,14 +2,15 @@
 # SPDX-License-Identifier: Apache-2.0
 """The three digests that an aggregator sends in a round.
 
-| scope | counts | goes to |
+| scope | counted entries | recipients |
 | --- | --- | --- |
-| DOMAIN | its failure domain | aggregators of the region's other failure domains |
-| REGION | its region | aggregators of other regions |
-| ALL | all entries | the entries of its failure domain |
+| DOMAIN | own failure domain | aggregators of the region's other failure domains |
+| REGION | own region | aggregators of other regions |
+| ALL | all entries | entries of the own failure domain |
 
-Owns no state but what its parts keep. Relies on `Merger` for counts and shares, on
-`DomainViews` for who there is and on `WarmKeyRelay`; decides nothing about recipients.
+Owns no state. Relies on `Merger` for counts and shares, on `DomainViews` for the
+entries, on `WarmKeyRelay` for warm keys, and on `Recipients` for the selection of
+recipients by the caller.
 """
 
 from collections.abc import Iterable, Mapping
@@ -36,34 +37,34 @@
 __all__ = ["SHARES_INTERVAL_ROUNDS", "DigestRound", "DigestBuilder"]
 
 SHARES_INTERVAL_ROUNDS = 5
-"""Rounds between two that carry the regions' shares, to save bytes.
+"""Interval at which messages carry the regions' shares, in rounds.
 
-Once a second, since shares move in seconds.
+Once a second saves bytes and suffices, because shares change over seconds.
 """
 MAX_OTHER_REGIONS = 9
-"""Other regions whose counts one digest carries at most.
+"""Maximum number of other regions whose counts a digest carries.
 
-27 regions are all covered within 0.6 s; more make the digest larger.
+Covers 27 regions within 0.6 s. If greater, digests grow.
 """
 MAX_OTHER_REGION_DOMAINS = 18
-"""Failure domains of other regions in one digest at most: two a region."""
+"""Maximum number of other regions' failure domains in a digest: two per region."""
 
 
 class DigestRound(msgspec.Struct, frozen=True):
-    """One round of this entry as an aggregator."""
+    """Inputs of the digests of a round."""
 
     status: EntryStatus
     round_number: int
     """Number of the round."""
     seq: int
-    """Number of this entry's newest heartbeat."""
+    """Sequence number of this entry's newest heartbeat."""
     use: DigestUsage
     now: float
     """Monotonic time in seconds."""
 
 
 class DigestBuilder:
-    """Makes an aggregator's digests."""
+    """Builds an aggregator's digests."""
 
     def __init__(
         self,
@@ -74,7 +75,7 @@
         relay: WarmKeyRelay,
         unserved: UnservedEntries,
     ) -> None:
-        """Create it around what it reads."""
+        """Create the builder from the sources of the digests' contents."""
         self._membership = membership
         self._own = membership.own
         self._target_count_codec = target_count_codec
@@ -84,7 +85,7 @@
         self._unserved = unserved
 
     def build(self, digest_round: DigestRound) -> dict[DigestScope, Digest]:
-        """Return the digests of a round by their scope."""
+        """Return the digests of a round by scope."""
         domain = self._merger.domain_counts(
             digest_round.status.in_flight, digest_round.now
         )
@@ -226,7 +227,7 @@
         mean: MeanShares,
         warm_hashes: list[int],
     ) -> Digest:
-        """Return a digest with shares, in some rounds, and with news of warm keys."""
+        """Return a copy of a digest with warm keys and, in some rounds, shares."""
         has_shares = digest_round.round_number % SHARES_INTERVAL_ROUNDS < 2
         return msgspec.structs.replace(
             digest,
--- a/leverdoor/entry/exchange/domain_views.py
+++ b/leverdoor/entry/exchange/domain_views.py
@@ -1,12 +1,14 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""DomainViews of failure domains in digests: which entries there are, and how old their news.
+"""Encoding of a failure domain's entries and of their heartbeat ages in digests.
 
-Rows (incarnation and state) change seldom, ages in each round. So rows are sent when
-they changed and in turn, and ages, a byte each, refer to rows by their hash.
+Rows (id, incarnation and state) seldom change, while ages change in each round. Rows
+are therefore sent when they changed and in rotation. Ages take one byte each and refer
+to the rows by a hash.
 
-Owns the rows received lately and since when the own rows are unchanged, both lost with
-the process. Relies on `Membership` for the records, which it reads and updates.
+Owns the recently received rows and the time of the last change of the rows sent, both
+lost with the process. Relies on `Membership` for the records, which it reads and
+updates.
 """
 
 from collections import OrderedDict
@@ -28,36 +30,37 @@
 __all__ = ["DomainViews"]
 
 ROWS_RESEND_S = 0.7
-"""How long changed rows are sent again in digests, in seconds.
+"""Time for which changed rows are sent in each digest, in seconds.
 
-Three rounds, since some may be lost. Shorter, a receiver that misses them cannot use
-the ages until the domain's turn; longer costs 13 bytes an entry a round.
+Three rounds, since datagrams may be lost. If shorter, a receiver that misses the rows
+cannot use the ages until the rotation selects the failure domain; if longer, it costs
+13 bytes for each entry and round.
 """
 MAX_ROW_LISTS = 512
-"""Rows kept by hash.
+"""Maximum number of retained lists of rows.
 
-Some versions for each of the 56 failure domains that leverdoor is built for. Fewer than
-there are failure domains, and ages of some are dropped.
+Several versions for each of the 56 failure domains for which leverdoor is designed.
+With fewer lists than failure domains, some ages are discarded.
 """
 
 
 class DomainViews:
-    """Makes and takes the views of failure domains that digests carry."""
+    """Builds and evaluates the views of failure domains in digests."""
 
     def __init__(self, membership: Membership) -> None:
-        """Create it around what is known of the entries."""
+        """Create the views of a membership."""
         self._membership = membership
         self._own = membership.own
         self._own_id = member_id(self._own.name)
         self._rows: OrderedDict[int, list[MemberRow]] = OrderedDict()
-        """Rows received, by their hash."""
+        """Received rows by their hash."""
         self._row_changes: dict[str, tuple[int, float]] = {}
-        """By failure domain, the hash of its rows here and since when it holds."""
+        """By failure domain: hash of the rows sent, and time of their last change."""
 
     def record(self, view: DomainView, now: float) -> None:
         """Update the records of a failure domain's entries.
 
-        Ages whose rows are not known, or that say `MAX_AGE_STEPS`, are left out.
+        Ages of `MAX_AGE_STEPS` and ages that refer to unknown rows are ignored.
         """
         if view.rows:
             self._rows[hash_rows(view.rows)] = parse_rows(view.rows)
@@ -73,9 +76,9 @@
                 self._membership.observe(LastSeen(row, at), now)
 
     def own_heartbeat_seq(self, views: list[DomainView]) -> int:
-        """Return the number of the own heartbeat that views rest on, modulo 256.
+        """Return the number, modulo 256, of the own heartbeat that the views include.
 
-        Returns: -1 if they do not have it.
+        Returns: -1 if they include none.
         """
         for view in views:
             if view.seqs and view.domain == self._own.domain:
@@ -96,10 +99,11 @@
         """Return the view of a failure domain.
 
         Args:
-          domain: which one.
-          state: of this entry.
-          seq: returns the number of an entry's newest heartbeat, by its name.
-          turn: the round, in which one domain's rows are sent unchanged.
+          domain: name of the failure domain.
+          state: state of this entry.
+          seq: returns the number of an entry's newest heartbeat, given its name.
+          round_number: number of the round, which selects the failure domain whose
+            unchanged rows are sent.
           now: monotonic time in seconds.
         """
         last_seen = self._membership.last_seen(domain)
@@ -120,7 +124,7 @@
     def _must_send_rows(
         self, domain: str, row_hash: int, round_number: int, now: float
     ) -> bool:
-        """Return whether a view carries its rows: lately changed, or in turn."""
+        """Return whether the rows changed recently or the rotation selects them."""
         last_change = self._row_changes.get(domain)
         if last_change is None or last_change[0] != row_hash:
             last_change = self._row_changes[domain] = (row_hash, now)
--- a/leverdoor/entry/exchange/encoding.py
+++ b/leverdoor/entry/exchange/encoding.py
@@ -1,8 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Bytes of rows of entries, of their ages and of 32-bit hashes in messages; pure.
+"""Binary encoding of member rows, heartbeat ages and 32-bit hashes.
 
-A byte an age and 13 bytes a row keep a digest of hundreds of entries in few packets.
+An age takes one byte and a row 13 bytes, so that a digest of hundreds of entries fits
+into few packets. Owns no state.
 """
 
 import struct
@@ -24,47 +25,48 @@
 ]
 
 AGE_STEP_S = 0.02
-"""Unit of an age in a digest, in seconds: a tenth of a round.
+"""Resolution of an age in a digest, in seconds: a tenth of a round.
 
-One byte then reaches 5.1 s, beyond each silence that counts. Smaller, far entries would
-be off the scale; greater, ages are rounded up by more.
+One byte covers 5.1 s, which is longer than every timeout for silent entries. With a
+smaller step, ages of entries in other regions exceed the range; a greater step rounds
+ages up by more.
 """
 MAX_AGE_STEPS = 255
-"""Greatest age in steps that a byte holds; it means that or older."""
+"""Largest encodable age, in steps. It stands for this age or any greater one."""
 ROW = struct.Struct("<IQB")
-"""Identity, incarnation and state of an entry."""
+"""Member id, incarnation and state of an entry."""
 ID = struct.Struct("<I")
-"""One hash of 32 bits."""
+"""A 32-bit hash."""
 
 
 def serialize_rows(rows: Iterable[MemberRow]) -> bytes:
-    """Serialize the incarnations and states of entries."""
+    """Serialize the ids, incarnations and states of entries."""
     return b"".join(ROW.pack(r.id, r.incarnation, r.state) for r in rows)
 
 
 def parse_rows(data: bytes) -> list[MemberRow]:
-    """Parse the incarnations and states of entries; a row cut short is left out."""
+    """Parse the ids, incarnations and states of entries; ignore a truncated row."""
     complete_length = len(data) - len(data) % ROW.size
     return [MemberRow(*fields) for fields in ROW.iter_unpack(data[:complete_length])]
 
 
 def hash_rows(data: bytes) -> int:
-    """Return the hash by which ages refer to serialized rows."""
+    """Return the hash that identifies serialized rows in a `DomainView`."""
     return xxhash.xxh32_intdigest(data)
 
 
 def serialize_ages(ages_s: Iterable[float]) -> bytes:
-    """Serialize ages in seconds, rounded up to whole steps."""
+    """Serialize ages in seconds, each rounded up to a whole number of steps."""
     steps = (-int(-max(age, 0.0) // AGE_STEP_S) for age in ages_s)
     return bytes(min(step, MAX_AGE_STEPS) for step in steps)
 
 
 def serialize_ids(ids: Iterable[int]) -> bytes:
-    """Serialize hashes of 32 bits."""
+    """Serialize 32-bit hashes."""
     return b"".join(ID.pack(i) for i in ids)
 
 
 def parse_ids(data: bytes) -> list[int]:
-    """Parse hashes of 32 bits; one cut short is left out."""
+    """Parse 32-bit hashes; ignore a truncated one."""
     complete_length = len(data) - len(data) % ID.size
     return [i for (i,) in ID.iter_unpack(data[:complete_length])]
--- a/leverdoor/entry/exchange/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -1,19 +1,22 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What entries report to each other, at any number of entries.
-
-Each round an entry sends a heartbeat to the aggregators of its failure domain: the
-two entries there with the widest links. Aggregators exchange digests of their
-domains within the region, and digests of their regions with other regions, and
-return one digest of everything to the entries of their domain in turn. What an
-entry knows is therefore at most a few rounds old, at bytes and work that do not
-grow with the number of entries but by a byte for each entry and target. There is
-no agreement: two that both take themselves for an aggregator only cost bytes.
-
-Owns what came in digests (sums of others by region, shares, the newest round of each
-sender) and the counts of the own last heartbeats, all lost with the process and
-complete again after a few rounds. Opens no socket and reads no clock: messages to send
-are returned, the time is passed in. Relies on `Roles` for who aggregates.
+"""The protocol by which entries exchange their status.
+
+In each round an entry sends a heartbeat to the aggregators of its failure domain: the
+two entries there with the fastest links. An aggregator merges these heartbeats into
+digests. It sends a digest of its failure domain to the aggregators of the region's
+other failure domains, a digest of its region to aggregators of other regions, and a
+digest of all entries to the entries of its failure domain, which take turns. Each
+entry's knowledge is therefore at most a few rounds old. The bytes and CPU time per
+entry do not grow with the number of entries, except for one byte for each entry and
+target. The protocol needs no consensus: if two entries disagree on who aggregates, the
+only cost is additional bytes.
+
+Owns the contents of received digests (sums of others by region, shares, the newest
+round of each sender) and the counts of this entry's recent heartbeats. All of it is
+lost with the process and complete again after a few rounds. Opens no socket and reads
+no clock: methods return the messages to send and take the time as an argument. Relies
+on `Roles` for which entries aggregate.
 """
 
 from collections import OrderedDict
@@ -66,35 +69,38 @@
 __all__ = ["Exchange"]
 
 SEQ_MODULUS = 256
-"""Numbers of heartbeats that digests tell apart: one byte."""
+"""Digests carry heartbeat sequence numbers modulo this, in one byte."""
 MAX_REPORTED_COUNTS = 32
-"""Own heartbeats whose counts are kept, to subtract them from what comes back.
+"""Own heartbeats whose counts are retained to subtract them from received sums.
 
-6.4 s of heartbeats, longer than sums are used. With fewer, own requests in a late
-digest would count as those of others.
+They cover 6.4 s, which is longer than sums are used. With fewer, requests of this entry
+in a late digest would count as requests of others.
 """
 INITIAL_ROUND_MODULUS = 1_000
-"""Entries count rounds from one of so many numbers, which spreads their rotations."""
+"""The initial round number is the member id modulo this.
+
+Different initial numbers spread the rotations of the entries.
+"""
 
 
 class _ReportedCounts(msgspec.Struct, frozen=True):
-    """What one of the own heartbeats counted."""
+    """The counts that one heartbeat of this entry reported."""
 
     in_flight: dict[str, int]
     use: Usage
 
 
 class Exchange:
-    """The messages of this entry, and what it learns from those of others."""
+    """Builds this entry's messages and evaluates those of other entries."""
 
     def __init__(self, membership: Membership, roles: Roles) -> None:
-        """Create it around the entries known and their roles."""
+        """Create the exchange for a membership and the roles of its entries."""
         self._membership = membership
         self._roles = roles
         self._own = membership.own
         self.target_count_codec = TargetCountCodec()
         self._round_number = member_id(self._own.name) % INITIAL_ROUND_MODULUS
-        """Counts rounds."""
+        """Number of the current round; it starts at a hash of the name."""
         self._seq = 0
         self._reported_counts: OrderedDict[int, _ReportedCounts] = OrderedDict()
         self._merger = Merger(self._own.domain)
@@ -113,20 +119,21 @@
             self.unserved,
         )
         self._totals: dict[str, tuple[float, dict[str, int]]] = {}
-        """By region, when a digest brought the requests of all others at its targets,
-        and these. Counts of an unknown list of targets change nothing."""
+        """By region: the time of the last digest with sums of its targets, and these
+        sums without the own requests. Counts for an unknown list of targets leave it
+        unchanged."""
         self._region_shares: Shares = {}
         self._last_rounds: dict[tuple[str, DigestScope], tuple[int, int]] = {}
-        """By sender and scope, its incarnation and round."""
+        """By sender and scope: incarnation and round number of its newest digest."""
 
-    # Messages of others.
+    # Received messages.
 
     def take(self, message: ExchangeMessage, revision: int, now: float) -> PeerUpdate:
-        """Take a message.
+        """Process a message of another entry and return what it reports.
 
         Args:
-          message: what came.
-          revision: the revision in force here.
+          message: the received message.
+          revision: the revision in force at this entry.
           now: monotonic time in seconds.
         """
         if isinstance(message, RevisionAnnouncement):
@@ -192,7 +199,7 @@
         return update
 
     def _is_newer(self, digest: Digest) -> bool:
-        """Return whether a digest is newer than the last one of its sender."""
+        """Return whether a digest is newer than all earlier ones of its kind."""
         sender_scope = (digest.sender, digest.scope)
         incarnation, round_number = self._last_rounds.get(sender_scope, (0, 0))
         if digest.incarnation == incarnation and digest.round_number <= round_number:
@@ -203,7 +210,7 @@
     def _record_partial_sums(
         self, digest: Digest, sender: Member, warm: list[int], now: float
     ) -> None:
-        """Take the sums of another failure domain or region."""
+        """Record the sums of another failure domain or region."""
         if digest.scope == DigestScope.DOMAIN:
             shares = MeanShares(digest.entries, digest.shares)
             counts = self._parse_counts(digest)
@@ -215,7 +222,7 @@
             self.use.record_partial_sums(digest, sender, now)
 
     def _parse_counts(self, digest: Digest) -> dict[str, dict[str, int]]:
-        """Return the counts of a digest by region, as far as their lists are known."""
+        """Return a digest's counts by region, without those of unknown target lists."""
         parsed = {
             loads.region: self.target_count_codec.parse(loads) for loads in digest.loads
         }
@@ -224,9 +231,9 @@
     def _record_total(
         self, digest: Digest, sender: Member, update: PeerUpdate, now: float
     ) -> PeerUpdate:
-        """Take the sums of all entries, and subtract the own counts from them.
+        """Record the sums of all entries and subtract the own counts from them.
 
-        An aggregator does not use them: it makes such sums itself.
+        An aggregator ignores them, since it computes these sums itself.
         """
         if sender.domain != self._own.domain:
             return update
@@ -254,10 +261,10 @@
         seq = self._views.own_heartbeat_seq(digest.views)
         return self._reported_counts.get(seq, _ReportedCounts({}, {}))
 
-    # Messages of this entry.
+    # Sent messages.
 
     def heartbeat(self, status: EntryStatus) -> EntryHeartbeat:
-        """Return the next heartbeat, and keep its counts."""
+        """Create the next heartbeat and retain its counts."""
         self._seq += 1
         self._reported_counts[self._seq % SEQ_MODULUS] = _ReportedCounts(
             status.in_flight, status.use
@@ -280,27 +287,31 @@
         )
 
     def announce(self, status: EntryStatus, now: float) -> list[OutgoingMessage]:
-        """Return a heartbeat for the aggregators, also between two rounds."""
+        """Return a heartbeat to the aggregators. May be called between two rounds."""
         return [
             OutgoingMessage(self.heartbeat(status), self._recipients.aggregators(now))
         ]
 
     def announce_leave(self, status: EntryStatus) -> list[OutgoingMessage]:
-        """Return a heartbeat for the whole region: this entry must not be named."""
+        """Return a heartbeat to all entries of the region.
+
+        It tells them at once to stop naming this entry to clients.
+        """
         addresses = [m.gossip for m in self._membership.in_own_region()]
         return [OutgoingMessage(self.heartbeat(status), addresses)]
 
     def announce_revision(
         self, revision: int, answer: ToldAnswer, now: float
     ) -> list[OutgoingMessage]:
-        """Return the news of a newer state, or of an answer that confirms it.
+        """Return the announcement of a newer revision or of a newer confirmation.
 
-        They go to the aggregators of the own failure domain; from an aggregator, to
-        its whole failure domain and to the other aggregators.
+        An ordinary entry sends it to the aggregators of its failure domain. An
+        aggregator sends it to all entries of its failure domain and to other
+        aggregators.
 
         Args:
-          revision: the one in force here.
-          answer: the store's newest answer that it rests on.
+          revision: the revision in force at this entry.
+          answer: the newest answer of the store that confirms the revision.
           now: monotonic time in seconds.
         """
         announcement = RevisionAnnouncement(
@@ -309,7 +320,7 @@
         return [OutgoingMessage(announcement, self._announcement_recipients(now))]
 
     def _announcement_recipients(self, now: float) -> list[str]:
-        """Return the addresses that get news from this entry first."""
+        """Return the addresses to which this entry sends announcements."""
         if not self._roles.is_aggregator(now):
             return self._recipients.aggregators(now)
         live, silent = self._membership.own_domain_by_liveness(now)
@@ -324,7 +335,7 @@
     def round(
         self, status: EntryStatus, now: float
     ) -> tuple[list[OutgoingMessage], PeerUpdate]:
-        """Return what to send this round and, of an aggregator, the sums of others."""
+        """Return the messages of a round and, at an aggregator, the sums of others."""
         self._round_number += 1
         outgoing = self.announce(status, now)
         if status.notices:
@@ -342,9 +353,10 @@
         return outgoing + self._build_digests(status, now), update
 
     def _quarantine_message(self, status: EntryStatus, now: float) -> OutgoingMessage:
-        """Return what to tell of requests that end targets, and to whom.
+        """Return the message with notices of requests that terminate targets.
 
-        It goes the way of news of the state; whoever it is new to passes it on.
+        It goes to the recipients of announcements; each entry forwards notices that are
+        new to it.
         """
         message = QuarantineUpdate(self._own.name, serialize_notices(status.notices))
         return OutgoingMessage(message, self._announcement_recipients(now))
@@ -352,9 +364,10 @@
     def _limit_messages(
         self, status: EntryStatus, is_aggregator: bool, now: float
     ) -> list[OutgoingMessage]:
-        """Return what to tell of targets' limits, and to whom: the way of digests.
+        """Return the messages with targets' limits; they take the same path as digests.
 
-        Recipients are chosen only for what there is to tell, since that draws chance.
+        Selects recipients only for scopes that have limits to report, because the
+        selection consumes random numbers.
         """
         self._limits.record_own(status.limits, now)
         scopes = DigestScope if is_aggregator else (OWN_SCOPE,)
@@ -382,7 +395,7 @@
         return [m.gossip for m in self._membership.in_own_domain()]
 
     def _build_digests(self, status: EntryStatus, now: float) -> list[OutgoingMessage]:
-        """Return an aggregator's digests of a round, with their recipients."""
+        """Return an aggregator's digests of a round with their recipients."""
         digest_usage = self.use.build_digest_usage(status.use, status.uptime_s, now)
         digests = self._digest_builder.build(
             DigestRound(status, self._round_number, self._seq, digest_usage, now)
@@ -401,17 +414,17 @@
         return [s for s in outgoing if s.destinations]
 
     def region_shares(self) -> Shares:
-        """Return the mean of the region's entries' shares, as last known."""
+        """Return the last known mean of the shares over the entries of the region."""
         return self._region_shares
 
     def forget(self, now: float) -> None:
-        """Drop what is too old to be used."""
+        """Remove expired data."""
         self._merger.forget(now)
         self.use.forget(now)
         self._limits.forget(now)
 
 
 def _subtract(own: dict[str, int], counts: dict[str, int]) -> None:
-    """Subtract own counts from sums, in place; a sum does not go below 0."""
+    """Subtract own counts from sums in place; a sum does not become negative."""
     for name in own.keys() & counts.keys():
         counts[name] = max(counts[name] - own[name], 0)
--- a/leverdoor/entry/exchange/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What goes into the exchange among entries and what comes out of it.
+"""Input and output of the exchange among entries.
 
-`EntryStatus` is the input of a round. `OutgoingMessage` is what destinations send destinations whom, `PeerUpdate`
-what was learned for the other parts of this entry. Owns no state.
+`EntryStatus` is the input of a round. `OutgoingMessage` is a message with its
+recipients, and `PeerUpdate` is the information for other components of this entry. Owns
+no state.
 """
 
 import msgspec
@@ -24,49 +25,49 @@
 
     state: EntryState
     revision: int
-    """Of the store's copy that is in force."""
+    """Revision of the configuration in force."""
     in_flight: dict[str, int]
-    """Own requests at each target, by its name."""
+    """Requests of this entry in flight, by name of the target."""
     shares: Shares
     outage_ms: int
-    """How long ago the store was last unavailable; -1 if not lately."""
+    """Time since the store was last unavailable, in ms; -1 if not recently."""
     warm_keys: list[int]
-    """Hashes of keys that other targets than their first answered lately."""
+    """Hashes of keys that targets other than the first choice served recently."""
     use: Usage = {}
-    """Own requests of workspaces in the window of their quotas."""
+    """Requests of each workspace at this entry in the current quota window."""
     uptime_s: float = 0.0
-    """Since the start of this process."""
+    """Time since the start of this process, in seconds."""
     answer: ToldAnswer = NO_ANSWER
-    """The store's newest answer that `revision` rests on."""
+    """The newest answer of the store that confirms `revision`."""
     unserved: bool = False
-    """Whether the store does not answer this entry."""
+    """Whether the store does not answer requests of this entry."""
     limits: list[LimitWord] = []
-    """What targets named as limits in answers to this entry."""
+    """Limits that targets reported in responses to this entry."""
     notices: list[Notice] = []
-    """What to tell of requests that end targets."""
+    """Notices to send about requests that terminate targets."""
 
 
 class OutgoingMessage(msgspec.Struct, frozen=True):
-    """A message, and the addresses that get it, as `ip:port`."""
+    """A message and the addresses of its recipients, as `ip:port`."""
 
     message: ExchangeMessage
     destinations: list[str]
 
 
 class PeerUpdate(msgspec.Struct, frozen=True):
-    """What a message or a round has for the other parts of this entry."""
+    """Information from a message or a round for other components of this entry."""
 
     others_in_flight: dict[str, int] | None = None
-    """Requests of all other entries at each target; None if there is no new sum."""
+    """Requests in flight of all other entries, by target; None if unchanged."""
     warm_keys: list[int] = []
     outage_ms: int = -1
     source: str = ""
-    """Where a newer state can be fetched, as `ip:port`; empty if there is none."""
+    """Address where a newer state can be fetched, as `ip:port`; empty if none."""
     answer: ToldAnswer = NO_ANSWER
-    """The store's newest answer that the sender's revision rests on."""
+    """The newest answer of the store that confirms the sender's revision."""
     use: OthersUse | None = None
-    """Requests of workspaces by all other entries; None if there is no new sum."""
+    """Workspace usage of all other entries; None if unchanged."""
     limits: list[LimitWord] = []
-    """What targets named as limits in answers to other entries."""
+    """Limits that targets reported to other entries."""
     notices: list[Notice] = []
-    """What another entry told of requests that end targets."""
+    """Notices of another entry about requests that terminate targets."""
--- a/leverdoor/entry/exchange/limit_exchange.py
+++ b/leverdoor/entry/exchange/limit_exchange.py
@@ -1,14 +1,15 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What targets named as limits, told among entries along the way of digests.
+"""Exchange of the limits that targets report, along the path of digests.
 
-An entry tells the aggregators of its failure domain what it received itself; these tell
-the domain's to the region's other aggregators, the region's to other regions, and all
-to the entries of their domain. A report so never comes back to whom it came from, and
-within a second all know it. What is new is told in each round for a while, the rest in
-turn, so that whoever starts or was cut off learns it.
+An entry sends the limits that it received itself to the aggregators of its failure
+domain. These send the limits of their failure domain to the region's other aggregators,
+those of the region to other regions, and all limits to the entries of their failure
+domain. A report therefore never returns to its sender, and reaches all entries within a
+second. A changed limit is sent in each round for a while. All limits are repeated
+periodically, so that entries that start or were partitioned learn them.
 
-Owns the newest words by whose they are, and when they were last new; lost with the
+Owns the newest reports by scope and the times of their last change, both lost with the
 process. Relies on the caller for recipients and time.
 """
 
@@ -23,27 +24,31 @@
 __all__ = ["LimitExchange"]
 
 RESEND_S = 0.7
-"""How long a word that is new is told in each round, in seconds: three rounds, since
-datagrams are lost."""
+"""Time for which a changed limit is sent in each round, in seconds.
+
+Three rounds, since datagrams may be lost.
+"""
 FULL_RESEND_ROUNDS = 5
-"""Rounds between two that tell all words, a second."""
+"""Interval at which all limits are sent, in rounds: a second."""
 MAX_REPORTS_PER_MESSAGE = 64
-"""Words of one message: 768 bytes, which fit one packet. Of more, others in each
-turn."""
+"""Maximum number of reports in a message: 768 bytes, which fit into one packet.
+
+If there are more, successive full rounds send different ones.
+"""
 
 
 class _KnownLimit(msgspec.Struct):
-    """A word, and since when it is news."""
+    """The newest report of a target and the time of the limit's last change."""
 
     report: LimitWord
     changed_at: float
 
 
 class LimitExchange:
-    """The words of targets that this entry tells, and whose they are."""
+    """The reports to forward, by the scope of their origin."""
 
     def __init__(self, own: str) -> None:
-        """Create it for an entry, by its name."""
+        """Create the exchange for the entry with this name."""
         self._own = own
         self._known: dict[int, dict[int, _KnownLimit]] = {
             scope: {} for scope in (OWN_SCOPE, DigestScope.DOMAIN, DigestScope.REGION)
@@ -51,14 +56,14 @@
         """By scope and target."""
 
     def receive(self, update: LimitUpdate, now: float) -> list[LimitWord]:
-        """Take what another entry tells; return it for the other parts."""
+        """Record the reports of another entry and return them."""
         reports = parse_words(update.reports, now)
         if update.scope != DigestScope.ALL:
             self._record(update.scope, reports, now)
         return reports
 
     def record_own(self, reports: Iterable[LimitWord], now: float) -> None:
-        """Take the newest words that this entry received itself."""
+        """Record the newest reports that this entry received from targets."""
         self._record(OWN_SCOPE, reports, now)
 
     def _record(self, scope: int, reports: Iterable[LimitWord], now: float) -> None:
@@ -73,7 +78,7 @@
                 known[report.target] = _KnownLimit(report, now)
 
     def forget(self, now: float) -> None:
-        """Drop words that nothing renewed."""
+        """Remove reports that were not renewed for `KEPT_S`."""
         for scope, known in self._known.items():
             self._known[scope] = {
                 target: limit
@@ -84,11 +89,11 @@
     def build_update(
         self, scope: int, round_number: int, now: float
     ) -> LimitUpdate | None:
-        """Return what to tell in a round; None if there is nothing.
+        """Return the message of a round; None if there is nothing to send.
 
         Args:
-          scope: whose words: all up to this one.
-          turn: number of the round.
+          scope: include reports of this scope and of narrower ones.
+          round_number: number of the round.
           now: monotonic time in seconds.
         """
         newest: dict[int, _KnownLimit] = {}
--- a/leverdoor/entry/exchange/merging.py
+++ b/leverdoor/entry/exchange/merging.py
@@ -2,12 +2,12 @@
 # SPDX-License-Identifier: Apache-2.0
 """Sums of the requests in flight at targets, and means of the regions' shares.
 
-An aggregator has the heartbeats of its failure domain one by one, and other failure
-domains and regions as the sums that their aggregators made. Counts of an entry that
-falls silent are dropped after a moment, so that those of a dead one free their slots.
+An aggregator receives heartbeats from each entry of its failure domain, and for other
+failure domains and regions the sums that their aggregators computed. Counts of a silent
+entry expire, so that requests of a failed entry do not occupy slots.
 
 Owns the newest heartbeats and sums, lost with the process and complete again after a
-few rounds. Relies on the caller for the time, and for keeping old digests out.
+few rounds. Relies on the caller for the time and for discarding outdated digests.
 """
 
 from collections import Counter
@@ -22,73 +22,73 @@
 __all__ = ["SUM_MAX_AGE_S", "MeanShares", "Merger", "sum_counts"]
 
 HEARTBEAT_MAX_AGE_S = 1.0
-"""Age up to which an entry's own counts are summed, in seconds.
+"""Maximum age of an entry's heartbeat for its counts to be summed, in seconds.
 
-Five heartbeats. Shorter, lost datagrams make targets look idle, and more is sent to
-them than they have slots for; longer, requests of a dead entry keep slots.
+Five heartbeats. If shorter, lost datagrams make targets appear idle, and they receive
+more requests than they have slots; if longer, requests of a failed entry occupy slots.
 """
 SUM_MAX_AGE_S = 2.5
-"""Age up to which the sums of another domain or region are used, in seconds.
+"""Maximum age of the sums of another failure domain or region, in seconds.
 
-As long as a count of other entries counts at a target (`PEER_TRUST_S` of the fleet).
-Shorter, a region whose digests are late passes for idle; longer, requests that ended
-keep slots.
+Equal to the time for which a target's load includes the counts of other entries
+(`PEER_TRUST_S` of the fleet). If shorter, a region with late digests appears idle; if
+longer, finished requests occupy slots.
 """
 
 
 class MeanShares(msgspec.Struct, frozen=True):
-    """The mean of some entries' shares."""
+    """The mean of the shares of several entries."""
 
     entries: int
-    """How many entries it is the mean of."""
+    """Number of entries averaged."""
     shares: Shares
 
 
 EMPTY_SHARES = MeanShares(0, {})
 
 Counts: TypeAlias = dict[str, int]
-"""Requests at each target, by its name."""
+"""Requests in flight, by name of the target."""
 
 
 class _PartialSums(msgspec.Struct):
-    """The sums of a failure domain or region, from its aggregators' digests."""
+    """The sums of a failure domain or region from its aggregators' digests."""
 
     at: float = NEVER
     counts: dict[str, tuple[float, Counts]] = {}
-    """By the targets' region: when its sums came, and these."""
+    """By region of the targets: the time of receipt and the sums."""
     shares: MeanShares = EMPTY_SHARES
 
     def record(self, counts: Mapping[str, Counts], now: float) -> None:
-        """Take sums by region; those of regions left out stay, and grow old."""
+        """Record sums by region; sums of omitted regions stay until they expire."""
         self.at = now
         self.counts |= {region: (now, sums) for region, sums in counts.items()}
 
 
 class Merger:
-    """Requests in flight and shares by entry, failure domain and region."""
+    """Merges requests in flight and shares by failure domain and region."""
 
     def __init__(self, domain: str) -> None:
-        """Create it knowing nothing.
+        """Create an empty merger.
 
         Args:
-          domain: the failure domain whose heartbeats are merged here.
+          domain: the failure domain of this entry.
         """
         self._domain = domain
         self._heartbeats: dict[str, tuple[float, EntryHeartbeat]] = {}
         self._shares: dict[str, Shares] = {}
-        """By entry of the own domain; only some heartbeats carry them."""
+        """By entry of the own failure domain. Only some heartbeats carry shares."""
         self._domains: dict[str, _PartialSums] = {}
         self._regions: dict[str, _PartialSums] = {}
 
     def is_outdated(self, heartbeat: EntryHeartbeat) -> bool:
-        """Return whether a later heartbeat of the same incarnation came before."""
+        """Return whether this or a later heartbeat of the incarnation arrived."""
         last = self._last(heartbeat.member.name)
         if last is None or last.member.incarnation != heartbeat.member.incarnation:
             return False
         return heartbeat.seq <= last.seq
 
     def seq(self, name: str) -> int:
-        """Return the number of an entry's newest heartbeat; 0 if none came here."""
+        """Return the number of an entry's newest heartbeat; 0 if none arrived."""
         last = self._last(name)
         return last.seq if last is not None else 0
 
@@ -97,7 +97,7 @@
         return last
 
     def record_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
-        """Take the counts and shares of an entry."""
+        """Record the counts and shares of an entry."""
         name = heartbeat.member.name
         self._heartbeats[name] = (now, heartbeat)
         if heartbeat.shares:
@@ -110,11 +110,12 @@
         shares: MeanShares,
         now: float,
     ) -> None:
-        """Take the sums of another failure domain.
+        """Record the sums of another failure domain.
 
         Args:
-          domain: which one.
-          counts: its requests by the targets' region, without those of unknown lists.
+          domain: name of the failure domain.
+          counts: its requests in flight by region of the targets, without unknown
+            target lists.
           shares: the mean of its entries' shares; empty if the digest has none.
           now: monotonic time in seconds.
         """
@@ -126,11 +127,11 @@
     def record_region(
         self, region: str, counts: Mapping[str, Counts], now: float
     ) -> None:
-        """Take the sums of another region, by the targets' region."""
+        """Record the sums of another region, by region of the targets."""
         self._regions.setdefault(region, _PartialSums()).record(counts, now)
 
     def forget(self, now: float) -> None:
-        """Drop what is too old to be used."""
+        """Remove expired heartbeats and sums."""
         self._heartbeats = {
             name: (at, heartbeat)
             for name, (at, heartbeat) in self._heartbeats.items()
@@ -140,27 +141,27 @@
         self._domains = _without_expired(self._domains, now)
         self._regions = _without_expired(self._regions, now)
 
-    # Requests at each target, by its name.
+    # Requests in flight, by name of the target.
 
     def domain_counts(self, own: Mapping[str, int], now: float) -> dict[str, int]:
-        """Return the requests of the own failure domain.
+        """Return the requests in flight of the own failure domain.
 
         Args:
-          own: those of this entry.
+          own: the requests of this entry.
           now: monotonic time in seconds.
         """
         return sum_counts([own, *self._domain_heartbeat_counts(now)])
 
     def region_counts(self, domain: Mapping[str, int], now: float) -> dict[str, int]:
-        """Return the requests of the region, from those of the own failure domain."""
+        """Return the region's requests in flight, from those of the failure domain."""
         return sum_counts([domain, *_recent_counts(self._domains, now)])
 
     def total_counts(self, region: Mapping[str, int], now: float) -> dict[str, int]:
-        """Return the requests of all entries, from those of the own region."""
+        """Return the requests in flight of all entries, from those of the region."""
         return sum_counts([region, *_recent_counts(self._regions, now)])
 
     def counts_of_others(self, now: float) -> dict[str, int]:
-        """Return the requests of all entries but this one."""
+        """Return the requests in flight of all other entries."""
         region = self.region_counts(self.domain_counts({}, now), now)
         return self.total_counts(region, now)
 
@@ -175,18 +176,18 @@
     # Shares.
 
     def domain_shares(self, own: Shares) -> MeanShares:
-        """Return the mean of the own failure domain's entries."""
+        """Return the mean over the entries of the own failure domain."""
         domain_entries = [MeanShares(1, s) for s in self._shares.values()]
         return _weighted_mean([MeanShares(1, own), *domain_entries])
 
     def region_shares(self, own: Shares) -> MeanShares:
-        """Return the mean of the own region's entries."""
+        """Return the mean over the entries of the own region."""
         domains = [partial.shares for partial in self._domains.values()]
         return _weighted_mean([self.domain_shares(own), *domains])
 
 
 def sum_counts(counts: Iterable[Mapping[str, int]]) -> dict[str, int]:
-    """Return the sums of several counts."""
+    """Return the sums of several counts by name."""
     total: dict[str, int] = {}
     for summand in counts:
         if not total:
@@ -213,7 +214,7 @@
 
 
 def _weighted_mean(partials: Iterable[MeanShares]) -> MeanShares:
-    """Return the mean of shares, each weighted by its number of entries."""
+    """Return the mean of shares, weighted by the number of entries."""
     entries = 0
     sums: dict[str, dict[str, float]] = {}
     weights: Counter[str] = Counter()
--- a/leverdoor/entry/exchange/messages.py
+++ b/leverdoor/entry/exchange/messages.py
@@ -1,12 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Messages among entries: heartbeats, digests that merge heartbeats, and news.
+"""Messages among entries: heartbeats, digests, announcements and permit requests.
 
 Owns no state. The structs are encoded by the position of their fields and by the tag of
-their class (`h`, `d`, `n`, `q`, `l`, `r`, `g`): a new field goes to the end, with a
-default, so that entries of two releases understand each other. Counts at targets, rows
-of entries and use of quotas are packed into bytes by `target_counts`, `encoding` and
-`use_lists`, what is known of requests by `quarantine.notices`.
+their class (`h`, `d`, `n`, `q`, `l`, `r`, `g`). A new field is appended with a default,
+so that entries of two releases understand each other. `target_counts`, `encoding` and
+`usage_encoding` define the binary encoding of target counts, member rows and workspace
+usage; `quarantine.notices` defines that of quarantine notices.
 """
 
 from enum import IntEnum
@@ -36,34 +36,35 @@
 
 
 Shares: TypeAlias = dict[str, dict[str, float]]
-"""By service, then by the targets' region: the share of one region's keys there."""
+"""By service and region of the targets: the share of one region's keys that go there.
+"""
 
 
 class EntryHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """An entry's own report to the aggregators of its failure domain, each round."""
+    """The status that an entry reports to its aggregators in each round."""
 
     member: Member
     seq: int
-    """Counts the heartbeats of this incarnation, from 1."""
+    """Sequence number of the heartbeat within this incarnation, from 1."""
     state: EntryState
     revision: int
-    """Revision of the store that the entry has in force."""
+    """Revision of the configuration in force at the entry."""
     in_flight: dict[str, int] = {}
-    """Requests at each target, by its name."""
+    """Requests in flight, by name of the target."""
     shares: Shares = {}
-    """Empty in most rounds, to save bytes."""
+    """Empty in most rounds to save bytes."""
     outage_ms: int = -1
-    """How long ago the store was last unavailable, in ms; -1 if not lately."""
+    """Time since the store was last unavailable, in ms; -1 if not recently."""
     warm_keys: bytes = b""
-    """Hashes of keys that other targets than their first answered lately."""
+    """Hashes of keys that targets other than the first choice served recently."""
     use: bytes = b""
-    """Requests of workspaces in the window of their quotas; see `use_lists`."""
+    """Requests of workspaces in the current quota window; see `usage_encoding`."""
     confirmed_ms: int = -1
-    """Age in ms of the store's newest answer that `revision` rests on; -1 for none."""
+    """Age in ms of the store's newest answer that confirms `revision`; -1 if none."""
     answer: int = 0
     """Number of that answer; see `configuration.confirmation`."""
     unserved: bool = False
-    """Whether the store does not answer this entry."""
+    """Whether the store does not answer requests of this entry."""
 
 
 class DomainView(msgspec.Struct, frozen=True, array_like=True):
@@ -71,13 +72,15 @@
 
     domain: str
     hash: int
-    """Of the rows; ages refer to the rows with this hash."""
+    """Hash of the rows to which the ages refer."""
     rows: bytes
-    """Incarnations and states; empty unless changed lately or this domain's turn."""
+    """Ids, incarnations and states. Empty unless they changed recently or the rotation
+    selects this failure domain."""
     ages: bytes
-    """Of the newest heartbeat of each row's entry, in steps of `AGE_STEP_S`."""
+    """Age of each entry's newest heartbeat, in steps of `AGE_STEP_S`."""
     seqs: bytes = b""
-    """Numbers of these heartbeats, modulo 256; for the receivers' own domain only."""
+    """Sequence numbers of these heartbeats modulo 256. Only for recipients in this
+    failure domain."""
 
 
 class RegionCounts(msgspec.Struct, frozen=True, array_like=True):
@@ -85,127 +88,132 @@
 
     region: str
     hash: int
-    """Of the list of targets that the counts refer to; see `target_counts`."""
+    """Hash of the list of targets to which the counts refer; see `target_counts`."""
     counts: bytes
 
 
 class DigestScope(IntEnum):
-    """Whose requests a digest counts."""
+    """The entries whose requests a digest counts."""
 
     DOMAIN = 0
-    """Those of the entries of the sender's failure domain."""
+    """Entries of the sender's failure domain."""
     REGION = 1
-    """Those of the entries of the sender's region."""
+    """Entries of the sender's region."""
     ALL = 2
-    """Those of all entries."""
+    """All entries."""
 
 
 OWN_SCOPE = -1
-"""Scope of what an entry received itself."""
+"""Scope of the limits that targets reported to the sender itself."""
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag="d"):
-    """What an aggregator sends in one round to one group of entries."""
+    """Merged status that an aggregator sends to one group of entries in a round."""
 
     sender: str
     scope: DigestScope
-    """Whose requests are counted."""
+    """The entries whose requests are counted."""
     round_number: int
-    """Counts the rounds of the sender; its recipients alternate with it."""
+    """Number of the sender's round, by which its recipients rotate."""
     incarnation: int
-    """Of the sender."""
+    """Incarnation of the sender."""
     revision: int
     pull: str
-    """Where the sender's state can be fetched, also by entries that know no other."""
+    """Address where the sender's state can be fetched, also by entries that know no
+    other entry."""
     views: list[DomainView]
     loads: list[RegionCounts]
     entries: int = 1
-    """How many entries the shares are the mean of."""
+    """Number of entries over which the shares are averaged."""
     shares: Shares = {}
     outage_ms: int = -1
     warm_keys: bytes = b""
     use: bytes = b""
-    """Requests of workspaces by the entries that `scope` covers; see `use_lists`."""
+    """Workspace usage of the entries in `scope`; see `usage_encoding`."""
     use_age_ms: int = 0
-    """Age of the oldest report in `use`."""
+    """Age of the oldest report in `use`, in ms."""
     merged_ms: int = 0
-    """For how long the sender has merged all use. Incarnations that ended before are
-    missing from its sums."""
+    """Time for which the sender has merged the usage of all entries, in ms. Its sums
+    lack incarnations that ended before."""
     silent: int = 0
-    """How many of the entries covered are silent: they may serve behind a cut."""
+    """Number of silent entries in `scope`, which may still serve behind a network
+    partition."""
     confirmed_ms: int = -1
-    """As in heartbeats."""
+    """As in `EntryHeartbeat`."""
     answer: int = 0
-    """As in heartbeats."""
+    """As in `EntryHeartbeat`."""
     unserved: bytes = b""
-    """Entries that the store does not answer: of the sender's failure domain in scope
-    DOMAIN, of its region in scope ALL; see `encoding.parse_ids`."""
+    """Entries whose requests the store does not answer, encoded by `serialize_ids`:
+    those of the sender's failure domain with scope DOMAIN, those of its region with
+    scope ALL."""
 
 
 class RevisionAnnouncement(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    """Announces a newer state of the store's copy, at once and in few bytes."""
+    """Announces a newer revision without waiting for the next round."""
 
     revision: int
     pull: str
-    """Where it can be fetched, by HTTP."""
+    """Address where the state can be fetched by HTTP."""
     answer: int = 0
-    """As in heartbeats: entries that lack a recent answer need not ask for one."""
+    """As in `EntryHeartbeat`. It saves entries without a recent answer a request to the
+    store."""
     confirmed_ms: int = -1
 
 
 class QuarantineUpdate(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """What is known of requests that end targets; sent only if there is something.
+    """Notices of requests that terminate targets; sent only if there are any.
 
-    A message of its own, since nearly all rounds have none.
+    A separate message, since most rounds have none.
     """
 
     sender: str
     notices: bytes
-    """See `quarantine.notices`."""
+    """Encoded by `quarantine.notices`."""
 
 
 class LimitUpdate(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """What targets named as their limits; sent only if there is something."""
+    """Limits that targets reported; sent only if there are any."""
 
     sender: str
     scope: int
-    """Whose words these are: a `DigestScope`, or `OWN_SCOPE` for the sender's own."""
+    """Origin of the reports: a `DigestScope`, or `OWN_SCOPE` for the sender's own."""
     reports: bytes
-    """See `limits.rows`."""
+    """Encoded by `limits.rows`."""
 
 
 class PermitRequest(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """Asks a target's limiter whether one request may be sent there."""
+    """Asks the limiter of a target for permission to send it one request."""
 
     sender: str
-    """Where the answer goes, as `ip:port`."""
+    """Address for the response, as `ip:port`."""
     request_number: int
-    """Of the question; the sender uses none twice."""
+    """Number of the permit request, unique for the sender."""
     target: int
-    """See `target_id`."""
+    """Hash of the target's name; see `target_id`."""
     per_s: float
-    """The target's limit, as the sender knows it."""
+    """The target's limit as known to the sender, in requests per second."""
     priority: int
-    """Of the request; smaller is more urgent."""
+    """Priority of the request; a smaller number is more urgent."""
     suppressed: int
-    """Requests of that priority which the sender kept from asking before it."""
+    """Number of requests of that priority without a permit request since the sender's
+    previous one."""
 
 
 class PermitResponse(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """Answers a `PermitRequest`."""
+    """Grants or rejects a `PermitRequest`."""
 
     request_number: int
     granted: bool
     retry_after_ms: int
-    """If not granted: how long the sender need not ask again for such a request."""
+    """If rejected: time until the sender should ask again for such a request, in ms."""
     permit_expected_ms: int
-    """If not granted: when there should be room for it."""
+    """If rejected: expected time until a permit is available, in ms."""
 
 
 ExchangeMessage: TypeAlias = (
     EntryHeartbeat | Digest | RevisionAnnouncement | QuarantineUpdate | LimitUpdate
 )
-"""What entries report to each other in rounds."""
+"""Messages by which entries exchange their status."""
 PermitMessage: TypeAlias = PermitRequest | PermitResponse
-"""A question on a request's path, and its answer."""
+"""Messages that are exchanged while a request waits for a permit."""
 Message: TypeAlias = ExchangeMessage | PermitMessage
--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Messages to and from the other entries, and fetches of newer states.
+"""Sends and receives messages among entries, and fetches newer states.
 
-Owns when news of a newer state were sent last; lost with the process. Relies on
-`Exchange` for what destinations send, on a `PeerNetwork` for the way to other entries, on
-`PeerFollower` for fetches, and on the loop's clock. A datagram that is lost is not sent
-again: the next round's replaces it.
+Owns the time of the last announcement, lost with the process. Relies on `Exchange` for
+messages and recipients, on `PeerNetwork` for transport, on `PeerFollower` for fetches,
+and on the clock of the event loop. Lost datagrams are not retransmitted; the next round
+replaces them.
 """
 
 import asyncio
@@ -34,35 +34,34 @@
 __all__ = ["PeerLink", "PermitMessageHandler", "PeerUpdateHandler"]
 
 ANNOUNCEMENT_DELAY_S = 0.03
-"""Pause before news are sent, in seconds.
+"""Delay before an announcement, in seconds; changes within it are announced together.
 
-Changes in a row are then sent once. Greater, each change is later everywhere by as
-much, at each of three steps.
+If greater, each change arrives later by as much at each of three hops.
 """
 MIN_ANNOUNCEMENT_INTERVAL_S = 0.15
-"""Least time between two news, in seconds.
+"""Minimum interval between two announcements, in seconds.
 
-A change takes an entry 1.9 ms with 541 targets and 195 entries, and a fetch from a peer
-about as much. Followers that get the same changes at different moments would have all
-entries do that up to thirty times a second. Greater, changes are later: over the three
-steps to the last entry it adds 0.45 s at most, of a bound of 2.5 s.
+A change costs an entry 1.9 ms with 541 targets and 195 entries, and a fetch from
+another entry about as much. Without this interval, followers that receive the same
+changes at different times would cause this work at all entries up to thirty times per
+second. If greater, changes arrive later: over the three hops to the last entry it adds
+up to 0.45 s, of a bound of 2.5 s.
 """
 
 SLOW_FETCH_S = 0.3
-"""Time of a fetch from which on it is logged, in seconds: several round trips between
-regions."""
+"""Minimum duration of fetches to log, in seconds: several inter-region round trips."""
 
 PermitMessageHandler: TypeAlias = Callable[
     [PermitMessage, float], PermitResponse | None
 ]
-"""Called with a question for room or an answer, and the monotonic time in seconds;
-returns the answer to a question that another entry asked."""
+"""Called with a permit request or response and the monotonic time in seconds. Returns
+the response to a permit request of another entry."""
 PeerUpdateHandler: TypeAlias = Callable[[PeerUpdate, float], None]
-"""Called with what was learned, and the monotonic time in seconds."""
+"""Called with information from other entries and the monotonic time in seconds."""
 
 
 class PeerLink:
-    """The connection of this entry to the others."""
+    """The connection of this entry to the other entries."""
 
     def __init__(
         self,
@@ -75,17 +74,17 @@
         on_update: PeerUpdateHandler,
         on_permit_message: PermitMessageHandler,
     ) -> None:
-        """Create it; nothing is opened yet.
+        """Create the link without opening a socket.
 
         Args:
-          exchange: decides what to send to whom, and what is learned.
-          network: the way to the other entries.
-          state: the copy of the store in force here.
-          keeper: gets the source of a newer state.
-          events: the entry's log.
+          exchange: builds messages and evaluates received ones.
+          network: the transport to other entries.
+          state: the local copy of the store.
+          keeper: records the source of a newer state.
+          events: the entry's event log.
           status: returns the status of this entry.
-          take: passes what was learned on to the other parts.
-          on_permit_message: takes questions for room at targets, and answers to own ones.
+          on_update: handles information from other entries.
+          on_permit_message: handles permit requests and responses.
         """
         self._exchange = exchange
         self._network = network
@@ -100,11 +99,11 @@
         self._announced_at = 0.0
 
     async def open(self, listen: Address) -> None:
-        """Bind the address that datagrams reach."""
+        """Open the transport and receive messages at this address."""
         await self._network.open(listen, self._handle_message)
 
     async def close(self) -> None:
-        """Close the ways to other entries."""
+        """Close the transport."""
         await self._network.close()
 
     def round(self, now: float) -> None:
@@ -114,19 +113,19 @@
         self._apply_update(update, now)
 
     def announce(self) -> None:
-        """Send a heartbeat at once, since this entry's state changed."""
+        """Send a heartbeat at once, because the state of this entry changed."""
         now = asyncio.get_running_loop().time()
         self._send(self._exchange.announce(self._status(), now))
 
     def announce_leave(self) -> None:
-        """Send a heartbeat to the whole region: this entry leaves."""
+        """Announce to the whole region that this entry leaves."""
         self._send(self._exchange.announce_leave(self._status()))
 
     def schedule_announcement(self) -> None:
-        """Announce a newer state soon, once for several changes.
+        """Schedule the announcement of a newer revision, once for several changes.
 
-        Aggregators pass it on at once; with digests alone the last entries would
-        have it after three rounds.
+        Aggregators forward it at once. With digests alone, the last entries would
+        receive the revision only after three rounds.
         """
         if not self._announcement_scheduled:
             self._announcement_scheduled = True
@@ -150,7 +149,7 @@
             self._network.send_all(item.message, item.destinations)
 
     def send_permit_request(self, request: PermitRequest, address: str) -> None:
-        """Send a question for room at a target to the entry that limits it."""
+        """Send a permit request to the limiter of a target."""
         self._network.send_all(request, [address])
 
     def _handle_message(self, message: Message) -> None:
@@ -172,7 +171,7 @@
             asyncio.ensure_future(self._fetch_state(update.source))
 
     async def _fetch_state(self, address: str) -> None:
-        """Fetch what another entry has and this one lacks."""
+        """Fetch newer state from another entry and apply it."""
         loop = asyncio.get_running_loop()
         started_at, old_revision = loop.time(), self._state.revision
         if not self.peer_follower.may_pull(address, started_at):
--- a/leverdoor/entry/exchange/peer_network.py
+++ b/leverdoor/entry/exchange/peer_network.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How messages and fetches reach other entries: over UDP and HTTP, or in memory.
+"""Transport of messages and fetches among entries.
 
-`PeerNetwork` is the interface; `SocketNetwork` owns the datagram socket and the client
-that fetches. Nothing is sent again here.
+`PeerNetwork` is the interface. `SocketNetwork` implements it with UDP and HTTP and owns
+the datagram socket and the HTTP client. Nothing is retransmitted here.
 """
 
 from abc import abstractmethod
@@ -19,50 +19,50 @@
 
 
 class PeerNetwork(DeltaSource):
-    """The way to the other entries."""
+    """Interface of the transport to other entries."""
 
     @abstractmethod
     async def open(
         self, listen: Address, on_message: Callable[[Message], None]
     ) -> None:
-        """Receive messages from now on.
+        """Start to receive messages.
 
         Args:
-          listen: the address that they reach.
-          take: called with each.
+          listen: the local address.
+          on_message: called with each received message.
         """
 
     @abstractmethod
     def send_all(self, message: Message, addresses: Iterable[str]) -> None:
-        """Send one message to several addresses; any of them may be lost."""
+        """Send a message to several addresses, each without guaranteed delivery."""
 
 
 class SocketNetwork(PeerNetwork):
-    """Datagrams for messages, HTTP for fetches."""
+    """Sends messages by UDP and fetches states by HTTP."""
 
     def __init__(self) -> None:
-        """Create it; nothing is opened yet."""
+        """Create the network without opening a socket."""
         self._socket: GossipSocket[Message] | None = None
         self._deltas = HttpDeltaSource()
 
     async def open(
         self, listen: Address, on_message: Callable[[Message], None]
     ) -> None:
-        """Bind the address that datagrams reach."""
+        """Bind the datagram socket to this address."""
         self._socket = GossipSocket(Message, on_message)
         await self._socket.open(listen)
 
     def send_all(self, message: Message, addresses: Iterable[str]) -> None:
-        """Send one datagram to each address; none before the socket is open."""
+        """Send one datagram to each address; do nothing until the socket is open."""
         if self._socket is not None:
             self._socket.send_all(message, addresses)
 
     async def fetch(self, address: str, since: int) -> Delta:
-        """Fetch what an entry has beyond a revision."""
+        """Fetch the changes after a revision from another entry."""
         return await self._deltas.fetch(address, since)
 
     async def close(self) -> None:
-        """Close the socket and the connections."""
+        """Close the datagram socket and the HTTP connections."""
         if self._socket is not None:
             self._socket.close()
         await self._deltas.close()
--- a/leverdoor/entry/exchange/recipients.py
+++ b/leverdoor/entry/exchange/recipients.py
@@ -1,13 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Who gets an entry's messages of a round.
+"""Selects the recipients of an entry's messages in a round.
 
-An ordinary entry sends to the aggregators of its failure domain. An aggregator sends
-also to those of the region's other failure domains (near), to one or two of each other
-region (far), and to its own failure domain.
+An ordinary entry sends to the aggregators of its failure domain. An aggregator also
+sends to the aggregators of the region's other failure domains, to one or two
+aggregators of each other region, and to the entries of its own failure domain.
 
-Owns the last round of the failure domain's other aggregator, lost with the process.
-Relies on `Roles` for who aggregates.
+Owns the last known round of the failure domain's other aggregator, lost with the
+process. Relies on `Roles` for which entries aggregate.
 """
 
 from typing import TypeVar
@@ -21,39 +21,40 @@
 __all__ = ["Recipients", "rotate"]
 
 SILENT_INTERVAL_ROUNDS = 5
-"""Rounds between two digests to entries that are silent.
+"""Interval between two digests to silent entries, in rounds: a second.
 
-Once a second. Without them, two sides of a cut would not notice that it is repaired;
-more often, digests go to VMs that are gone.
+Without these digests, the two sides of a network partition would not notice its end; if
+sent more often, they go to failed VMs in vain.
 """
 MAX_RECIPIENTS_PER_REGION = 2
-"""Aggregators of another region that get a digest in one round at most.
+"""Maximum number of aggregators of another region that get a digest in a round.
 
-Bounds the bytes between regions where the other region has more aggregators.
+Bounds the bytes between regions if the other region has more aggregators.
 """
 UNPAIRED_INTERVAL_ROUNDS = 3
-"""One round in so many goes to another aggregator than the paired one.
+"""Every so many rounds, the digest goes to another aggregator than the paired one.
 
-Two sides that see different aggregators reach each other within a second. Lower, the
-paired ones wait for longer than a round more often.
+Two regions that disagree on the aggregators thereby reach each other within a second.
+If smaller, paired aggregators more often wait for more than a round.
 """
 
 T = TypeVar("T")
 
 
 class Recipients:
-    """Chooses who gets the messages of one entry."""
+    """Selects the recipients of this entry's messages."""
 
     def __init__(self, membership: Membership, roles: Roles) -> None:
-        """Create it around the entries known and their roles."""
+        """Create the selection for a membership and the roles of its entries."""
         self._membership = membership
         self._roles = roles
         self._own = membership.own
         self._other_aggregator_round: tuple[float, int] = (NEVER, 0)
-        """When a digest of the domain's other aggregator came, and its round then."""
+        """Time of the last digest from the failure domain's other aggregator, and its
+        round number."""
 
     def record_other_aggregator(self, round_number: int, now: float) -> None:
-        """Record the round of a digest of the failure domain's other aggregator."""
+        """Record the round of a digest from the failure domain's other aggregator."""
         self._other_aggregator_round = (now, round_number)
 
     def aggregators(self, now: float) -> list[str]:
@@ -70,12 +71,12 @@
         ]
 
     def remote_aggregators(self, round_number: int, now: float) -> list[Member]:
-        """Choose the aggregators of the other regions that get a digest.
+        """Select the aggregators of other regions that get a digest.
 
-        The aggregators of two regions are paired by their places, so that each gets a
-        digest of each region once a round; in turn alone, some would wait for a
-        second. Every third round goes to another in turn, since two sides that see
-        different aggregators would otherwise keep missing each other.
+        The aggregators of two regions are paired by their index, so that each receives
+        a digest of each region once a round. With rotation alone, some would wait for a
+        second. Every third round goes to a different aggregator in rotation: two
+        regions that disagree on the aggregators would otherwise never reach each other.
         """
         senders = [
             member.name
@@ -100,10 +101,11 @@
         ]
 
     def domain_entries(self, round_number: int, now: float) -> list[Member]:
-        """Choose the entries of the own failure domain that get this round's digest.
+        """Select the entries of the own failure domain that get this round's digest.
 
-        Each of two aggregators sends to every other entry, so that all get a digest
-        about once a round. The other aggregator gets each, silent entries few.
+        Each of two aggregators sends to every second entry, so that every entry
+        receives a digest about once a round. The other aggregator receives every
+        digest. Silent entries receive one every `SILENT_INTERVAL_ROUNDS`.
         """
         domain_aggregators = self._roles.aggregators(self._own.domain, now)
         own_index, count = domain_aggregators.index(self._own), len(domain_aggregators)
@@ -123,11 +125,12 @@
         return chosen + (silent if round_number % SILENT_INTERVAL_ROUNDS == 0 else [])
 
     def _complementary_round(self, own_round: int, now: float) -> int:
-        """Return the turn of a second aggregator, so that it fills the first's gaps.
+        """Return the round number by which the second aggregator selects entries.
 
-        If the first has just sent to one half, the second sends to the other half; if
-        the first is about to, to the same half. No entry then waits longer than one
-        and a half rounds; with turns of its own it would wait up to two.
+        If the first aggregator has just sent to one half of the entries, the second
+        sends to the other half. If the first is about to send, the second sends to the
+        same half. No entry then waits for more than one and a half rounds; with
+        independent round numbers it would wait for up to two.
         """
         at, first_round = self._other_aggregator_round
         if now - at > 2 * HEARTBEAT_S:
@@ -139,13 +142,13 @@
 def _paired_recipients(
     members: list[Member], own_index: int, senders: int, round_number: int
 ) -> list[Member]:
-    """Choose the recipients of a region that are paired with a sender.
+    """Select the recipients of a region that are paired with a sender.
 
     Args:
-      members: of the region; not empty.
-      own_index: of the sender among its own region's aggregators.
-      senders: how many these are.
-      turn: number of the round.
+      members: candidates of the region; not empty.
+      own_index: index of the sender among the aggregators of its region.
+      senders: number of these aggregators.
+      round_number: number of the round.
     """
     if round_number % UNPAIRED_INTERVAL_ROUNDS == 0:
         return [members[round_number // UNPAIRED_INTERVAL_ROUNDS % len(members)]]
@@ -155,7 +158,7 @@
 
 
 def rotate(items: list[T], limit: int, round_number: int) -> list[T]:
-    """Choose some of many, others in each round, all after a few."""
+    """Select up to `limit` items, beginning where the previous round ended."""
     if len(items) <= limit:
         return items
     start = round_number * limit % len(items)
--- a/leverdoor/entry/exchange/target_counts.py
+++ b/leverdoor/entry/exchange/target_counts.py
@@ -1,12 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Counts of requests at targets as one byte each, in the order of the targets' names.
+"""Encoding of request counts as one byte per target, ordered by target name.
 
-A digest of hundreds of targets so fits one packet. Both sides need the same list of
-names, which a hash of it shows; counts of a list that is not known are dropped.
+A digest of hundreds of targets thereby fits into one packet. Sender and receiver need
+the same list of names, which is identified by its hash; counts for an unknown list are
+discarded.
 
-Owns the lists of the newest configurations, lost with the process and made again from
-the next one.
+Owns the lists of recent configurations. They are lost with the process and rebuilt from
+the next configuration.
 """
 
 from collections import OrderedDict
@@ -19,25 +20,30 @@
 __all__ = ["TargetCountCodec"]
 
 MAX_COUNT = 255
-"""Greatest count of requests at a target that a byte holds."""
+"""Largest encodable count of requests at a target."""
 MAX_LISTS = 8
-"""Lists of a region's targets that are kept.
+"""Maximum number of retained target lists per region.
 
-For messages of entries that have not yet, or already, taken a change: about one
-change each 0.1 s for 0.8 s. With fewer, counts are dropped while changes spread.
+Older and newer lists decode messages of entries with another configuration. The number
+covers about one change each 0.1 s for 0.8 s. With fewer, counts are discarded while
+changes propagate.
 """
 
 
 class TargetCountCodec:
-    """The names of each region's targets, in the order of their counts."""
+    """Serializes and parses counts by the target list of each region."""
 
     def __init__(self) -> None:
-        """Create it without any target."""
+        """Create the codec without any target."""
         self._current: dict[str, tuple[int, tuple[str, ...]]] = {}
         self._recent: OrderedDict[tuple[str, int], tuple[str, ...]] = OrderedDict()
 
     def renew(self, names: Mapping[str, Iterable[str]]) -> None:
-        """Take the targets' names of a new configuration, by region."""
+        """Replace the current target lists by those of a new configuration.
+
+        Args:
+          names: names of the targets by region.
+        """
         self._current = {}
         for region, region_names in names.items():
             ordered = tuple(sorted(region_names))
@@ -49,7 +55,7 @@
             self._recent.popitem(last=False)
 
     def regions(self) -> list[str]:
-        """Return the regions that have targets, by name."""
+        """Return the sorted names of the regions that have targets."""
         return sorted(self._current)
 
     def serialize(self, region: str, counts: Mapping[str, int]) -> RegionCounts:
@@ -64,7 +70,7 @@
         return RegionCounts(region, list_hash, bytes(region_counts))
 
     def parse(self, loads: RegionCounts) -> dict[str, int] | None:
-        """Return counts by target, zeros left out; None if their list is not known."""
+        """Return the nonzero counts by target; None if their target list is unknown."""
         names = self._recent.get((loads.region, loads.hash))
         if names is None or len(names) != len(loads.counts):
             return None
--- a/leverdoor/entry/exchange/unserved.py
+++ b/leverdoor/entry/exchange/unserved.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which entries of the region say that the store does not answer them.
+"""Tracks the region's entries whose requests the store does not answer.
 
-An entry says so in its heartbeats; the aggregators of its failure domain tell the
-region's others, and each aggregator its own failure domain. Owns what was told lately;
-lost with the process and told again each round. Opens no socket and reads no clock.
+An entry reports this in its heartbeats. The aggregators of its failure domain forward
+it to the region's other aggregators, and each aggregator to its own failure domain.
+Owns the recent reports, lost with the process and repeated in each round. Opens no
+socket and reads no clock.
 """
 
 from leverdoor.entry.exchange.encoding import parse_ids
@@ -14,31 +15,36 @@
 __all__ = ["UnservedEntries"]
 
 REPORT_MAX_AGE_S = 1.5
-"""How long what was told counts, in seconds: seven rounds.
+"""Maximum age of a report, in seconds: seven rounds.
 
-Longer, an entry that is served again is passed over for longer; shorter, some lost
-datagrams give it a role that it can't fill.
+If greater, an entry that the store answers again remains excluded from the role for
+longer; if smaller, a few lost datagrams assign the role to an entry that cannot fulfil
+it.
 """
 MAX_IDS = 64
-"""Entries that a digest names at most: 256 bytes. While the store answers nobody all
-are unserved, which changes nothing that entries do."""
+"""Maximum number of entries in a digest: 256 bytes.
+
+While the store answers no entry, all are unserved, and the list makes no difference to
+what they do.
+"""
 
 
 class UnservedEntries:
-    """The region's entries that the store does not answer."""
+    """The region's entries whose requests the store does not answer."""
 
     def __init__(self, own: Member) -> None:
-        """Create it for an entry that was told nothing yet."""
+        """Create an empty record for this entry."""
         self._own = own
         self._domain_reports: dict[int, float] = {}
-        """By `member_id` of entries of the own failure domain, when one said so."""
+        """By `member_id` in the own failure domain: time of the last report."""
         self._other_domain_reports: dict[str, tuple[float, frozenset[int]]] = {}
-        """By other failure domain, when its aggregators told, and what."""
+        """By other failure domain: time and entries of its aggregators' last report."""
         self._region_report: tuple[float, frozenset[int]] = (0.0, frozenset())
-        """The same for the whole region, from an aggregator of the own one."""
+        """Time and entries of the last report for the region, from an aggregator of the
+        own failure domain."""
 
     def record_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
-        """Take whether an entry of the own failure domain is unserved."""
+        """Record whether an entry of the own failure domain is unserved."""
         entry_id = member_id(heartbeat.member.name)
         if heartbeat.unserved:
             self._domain_reports[entry_id] = now
@@ -46,7 +52,7 @@
             self._domain_reports.pop(entry_id, None)
 
     def record_digest(self, digest: Digest, sender: Member, now: float) -> None:
-        """Take what an aggregator of the region tells."""
+        """Record the unserved entries in a digest of an aggregator of the region."""
         reported = frozenset(parse_ids(digest.unserved))
         if digest.scope == DigestScope.DOMAIN:
             self._other_domain_reports[sender.domain] = (now, reported)
@@ -57,7 +63,7 @@
         """Return the unserved entries of the own failure domain.
 
         Args:
-          own: whether this entry is one.
+          own: whether this entry is unserved.
           now: monotonic time in seconds.
         """
         unserved = [
@@ -69,7 +75,12 @@
         return sorted(unserved)[:MAX_IDS]
 
     def of_region(self, own: bool, now: float) -> list[int]:
-        """Return those of the region, as an aggregator was told them."""
+        """Return the unserved entries of the region, as reported to this aggregator.
+
+        Args:
+          own: whether this entry is unserved.
+          now: monotonic time in seconds.
+        """
         others = [
             ids
             for at, ids in self._other_domain_reports.values()
@@ -79,7 +90,7 @@
         return sorted(unserved)[:MAX_IDS]
 
     def unserved_others(self, now: float) -> frozenset[int]:
-        """Return all others of the region that are known to be unserved."""
+        """Return all other entries of the region that are known to be unserved."""
         at, reported = self._region_report
         known = frozenset(self.of_region(False, now))
         return known | reported if now - at <= REPORT_MAX_AGE_S else known
--- a/leverdoor/entry/exchange/usage_encoding.py
+++ b/leverdoor/entry/exchange/usage_encoding.py
@@ -1,13 +1,14 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Usage of workspaces in messages: pairs of place and count, as far as they matter.
+"""Encoding of workspace usage as pairs of workspace index and request count.
 
-A place is the index in the sorted names of the workspaces that have a quota. Both
-sides need the same list of names, which a hash of it shows; usage by a list that is not
-known is dropped.
+The index refers to the sorted names of the workspaces that have a quota. Sender and
+receiver need the same list of names, which is identified by its hash; usage for an
+unknown list is discarded. If there are many workspaces, messages omit those with little
+usage.
 
-Owns the lists of the newest configurations, lost with the process and made again from
-the next one.
+Owns the lists of recent configurations. They are lost with the process and rebuilt from
+the next configuration.
 """
 
 import struct
@@ -20,44 +21,46 @@
 __all__ = ["Usage", "UsageCodec", "sum_usage"]
 
 Usage = dict[str, int]
-"""Requests in the window of quotas, by workspace."""
+"""Requests in the quota window, by workspace."""
 
 HEADER = struct.Struct("<IB")
-"""Hash of the list; percentage of a quota below which its usage is left out."""
+"""Hash of the list, and percentage of a quota up to which usage is omitted."""
 PAIR = struct.Struct("<HH")
-"""Place of a workspace, and its requests."""
+"""Index of a workspace, and its requests."""
 MAX_COUNT = 65_535
-"""Greatest count, and greatest place, that a pair holds."""
+"""Largest encodable count and index."""
 MAX_UNFILTERED_PAIRS = 300
-"""Pairs up to which none is left out: 1.2 kB, which fit one packet."""
+"""Number of pairs up to which none is omitted: 1.2 kB, which fit into one packet."""
 MAX_PAIRS = 2_000
-"""Pairs of a message at most: those with the greatest part of their quota.
+"""Maximum number of pairs in a message: 8 kB.
 
-8 kB. Fewer, and quotas that are nearly used up are left out; more, and large datagrams
-are lost more often.
+If there are more, those with the highest usage relative to their quota are sent. With a
+smaller maximum, quotas that are nearly used up are omitted; with a greater one,
+datagrams grow and are lost more often.
 """
 MAX_LISTS = 4
-"""Lists kept for messages of entries that have not yet, or already, taken a change.
+"""Maximum number of retained lists of workspaces.
 
-A few changes in a row. Fewer, and usage is dropped while changes spread.
+Older and newer lists decode messages of entries with another configuration. The number
+covers a few successive changes. With fewer, usage is discarded while changes propagate.
 """
 
 
 class UsageCodec:
-    """The names of the workspaces with quotas, in the order of their places."""
+    """Serializes and parses usage by the list of workspaces with quotas."""
 
     def __init__(self) -> None:
-        """Create it without any workspace."""
+        """Create the codec without any workspace."""
         self._planned: Mapping[str, float] = {}
         self._hash = 0
         self._indexes: dict[str, int] = {}
         self._recent: OrderedDict[int, tuple[str, ...]] = OrderedDict()
 
     def renew(self, planned: Mapping[str, float]) -> None:
-        """Take the workspaces with quotas of a new configuration.
+        """Replace the workspaces with quotas by those of a new configuration.
 
         Args:
-          planned: for each, the planned requests of a window.
+          planned: planned requests of a window, by workspace.
         """
         names = tuple(sorted(planned))
         self._planned = planned
@@ -73,8 +76,8 @@
 
         Args:
           usage: requests by workspace.
-          min_percent: of a quota, below which its usage is left out if there are
-            many workspaces.
+          min_percent: percentage of a quota up to which its usage is omitted if there
+            are many workspaces.
         """
         if not self._indexes:
             return b""
@@ -92,20 +95,20 @@
         return HEADER.pack(self._hash, min_percent) + data
 
     def _most_used(self, pairs: list[tuple[int, int]]) -> list[tuple[int, int]]:
-        """Return the pairs with the greatest parts of their quotas."""
+        """Return the pairs with the highest usage relative to their quotas."""
         names = self._recent[self._hash]
         pairs.sort(key=lambda pair: -pair[1] / self._planned[names[pair[0]]])
         return pairs[:MAX_PAIRS]
 
     def omission_threshold(self, data: bytes) -> float:
-        """Return the part of a quota below which a message leaves out its usage."""
+        """Return the fraction of a quota up to which a message omits its usage."""
         if len(data) < HEADER.size:
             return 0.0
         _, min_percent = HEADER.unpack_from(data)
         return float(min_percent) / 100
 
     def parse(self, data: bytes) -> Usage | None:
-        """Parse the usage of workspaces; None if it refers to an unknown list."""
+        """Parse the usage of workspaces; None if the list of workspaces is unknown."""
         if len(data) < HEADER.size:
             return {}
         list_hash, _ = HEADER.unpack_from(data)
@@ -119,7 +122,7 @@
 
 
 def sum_usage(*usages: Mapping[str, int]) -> Usage:
-    """Return the sums of several uses."""
+    """Return the sums of several usages by workspace."""
     total: Usage = {}
     for name, count in chain.from_iterable(usage.items() for usage in usages):
         total[name] = total.get(name, 0) + count
--- a/leverdoor/entry/exchange/usage_exchange.py
+++ b/leverdoor/entry/exchange/usage_exchange.py
@@ -1,13 +1,15 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The usage of workspaces in heartbeats and digests, sent and received.
+"""Exchange of workspace usage in heartbeats and digests.
 
-An ordinary entry reports its own usage and gets the sums of all in a digest. An
-aggregator merges reports (`UsageMerger`) and adds what silent entries may take.
+An ordinary entry reports its own usage and receives the sums of all entries in a
+digest. An aggregator merges reports (`UsageMerger`) and adds the usage that silent
+entries may reach.
 
-Owns since when this entry merges all sums, lost with the process; until it has reports
-of all failure domains and regions it gives no sum. Relies on `Membership` for who is
-silent, and on `workspaces.quota` for how long a silent entry may usage what it had.
+Owns the time since when this entry has merged reports of all failure domains and
+regions; it is lost with the process, and no sum is available until the reports are
+complete again. Relies on `Membership` for silent entries, and on `workspaces.isolation`
+for the time for which a silent entry may use its part of a quota.
 """
 
 from collections.abc import Mapping
@@ -25,59 +27,62 @@
 __all__ = ["DigestUsage", "UsageExchange"]
 
 OMITTED_QUOTA_PERCENT = 6
-"""Percentage of a quota that all failure domains together may leave out of digests.
+"""Percentage of a quota that all failure domains together may omit from digests.
 
-Where there are many workspaces. Greater, more of a quota can be used unseen; smaller,
-digests are larger.
+Applies if there are many workspaces. If greater, more usage of a quota is unknown to
+other entries; if smaller, digests grow.
 """
 TOTAL_OMITTED_PERCENT = 20
-"""Percentage of a quota below which digests of all entries leave out its usage.
+"""Percentage of a quota up to which digests of all entries omit its usage.
 
-Where there are many workspaces. Enough of the quota is left, and receivers take the usage
-to be this much. Greater, they admit less than they could; smaller, digests are larger.
+Applies if there are many workspaces. Enough of the quota is left, and receivers assume
+this usage for an omitted workspace. If greater, they admit less than they could; if
+smaller, digests grow.
 """
 UNKNOWN_USAGE_PARTS = 2
-"""Even parts of a quota that a silent entry may take whose usage is not known.
+"""Equal parts of a quota that a silent entry with unknown usage may take.
 
-One by the number of entries, one by its usage, which is taken to be the mean.
+One part accounts for the number of entries and one for its usage, which is assumed to
+be the mean.
 """
 
 
 class DigestUsage(msgspec.Struct, frozen=True):
-    """The usage in the digests of a round, by the entries that they cover."""
+    """Encoded usage for the digests of a round, by scope."""
 
     by_scope: dict[DigestScope, bytes]
     silent: dict[DigestScope, int]
-    """How many of the entries covered are silent."""
+    """Number of silent entries in each scope."""
     age_ms: int
-    """Of the oldest report that is summed as it is."""
+    """Age of the oldest report that is summed without a reservation, in ms."""
     merged_ms: int
-    """For how long this entry has merged all sums."""
+    """Time for which this entry has merged the usage of all entries, in ms."""
 
 
 class UsageExchange:
-    """The usage of workspaces that this entry reports, receives and merges."""
+    """Reports, receives and merges workspace usage."""
 
     def __init__(self, membership: Membership) -> None:
-        """Create it around what is known of the entries."""
+        """Create the exchange for a membership."""
         self._membership = membership
         self._own = membership.own
         self._codec = UsageCodec()
         self._merger = UsageMerger()
         self._complete_since: float | None = None
-        """Since when it has all sums, as an aggregator; None while it has not."""
+        """Time since when this aggregator has reports of all failure domains and
+        regions; None if they are incomplete or it is no aggregator."""
 
     def renew(self, planned: Mapping[str, float]) -> None:
-        """Take the workspaces with quotas of a new configuration.
+        """Replace the workspaces with quotas by those of a new configuration.
 
         Args:
-          planned: for each, the planned requests of a window.
+          planned: planned requests of a window, by workspace.
         """
         self._codec.renew(planned)
         self._merger.planned = planned
 
     def forget(self, now: float) -> None:
-        """Drop what does not count any more."""
+        """Remove expired reports."""
         self._merger.forget(now)
 
     def serialize(self, usage: Usage) -> bytes:
@@ -85,7 +90,7 @@
         return self._codec.serialize(usage)
 
     def record_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
-        """Take the report of an entry, if it is of the own failure domain."""
+        """Record the report of an entry of the own failure domain; ignore others."""
         member = heartbeat.member
         usage = self._codec.parse(heartbeat.use)
         if usage is None or member.domain != self._own.domain:
@@ -99,7 +104,7 @@
         self._merger.record_entry(member.name, report)
 
     def record_partial_sums(self, digest: Digest, sender: Member, now: float) -> None:
-        """Take the sums of another failure domain or region."""
+        """Record the sums of another failure domain or region."""
         usage = self._codec.parse(digest.use)
         if usage is None:
             return
@@ -114,11 +119,11 @@
             self._merger.record_region(sender.region, report)
 
     def usage_of_others_in(self, digest: Digest, own: Usage) -> OthersUse | None:
-        """Return the usage of all others; None if the digest's list is not known.
+        """Return the usage of others in a digest; None if its list is unknown.
 
         Args:
           digest: an aggregator's sums of all entries.
-          own: the own usage that is counted in it.
+          own: the own usage that the digest includes.
         """
         usage = self._codec.parse(digest.use)
         if usage is None:
@@ -131,10 +136,10 @@
         return OthersUse(usage, age_s, merged_s, omission_threshold, digest.silent)
 
     def usage_of_others(self, uptime_s: float, now: float) -> OthersUse | None:
-        """Return the usage of all others as an aggregator has it.
+        """Return the usage of all other entries as merged by this aggregator.
 
-        Returns: None while reports of a failure domain or region are missing: this
-          entry may just have taken the role.
+        Returns: None while reports of a failure domain or region are missing, as after
+          this entry has taken the role.
         """
         if self._complete_since is None:
             if not self._merger.has_fresh_reports(
@@ -148,15 +153,15 @@
         return OthersUse(sums.total, age_s, merged_s, 0.0, sums.silent[-1])
 
     def stop_merging(self) -> None:
-        """Record that this entry is not an aggregator now."""
+        """Record that this entry is not an aggregator."""
         self._complete_since = None
 
     def _unreported_parts(self, uptime_s: float, now: float) -> int:
-        """Return what entries of the own domain may take that sent no report here.
+        """Return the equal parts of a quota to reserve for entries without a report.
 
-        In even parts of a quota. After a restart of all, an entry of which nothing
-        was received may serve behind a cut, and takes one. Others reported to an
-        aggregator that is gone: see `UNKNOWN_USAGE_PARTS`.
+        After a restart of all entries, an entry that was never seen may serve behind a
+        network partition and takes one part. An entry that was seen may have reported
+        to a former aggregator; see `UNKNOWN_USAGE_PARTS`.
         """
         domain = self._own.domain
         last_seen = self._membership.last_seen(domain)
@@ -172,7 +177,7 @@
         return never_seen + len(unreported) * UNKNOWN_USAGE_PARTS
 
     def _seen_domains(self) -> set[str]:
-        """Return the region's other failure domains of which any entry was seen."""
+        """Return the region's other failure domains with at least one entry seen."""
         return {
             domain
             for domain in self._membership.domains(self._own.region)
@@ -180,7 +185,7 @@
         }
 
     def _seen_regions(self) -> set[str]:
-        """Return the other regions of which any entry was seen."""
+        """Return the other regions with at least one entry seen."""
         return {
             region
             for region in self._membership.other_regions()
--- a/leverdoor/entry/exchange/usage_merging.py
+++ b/leverdoor/entry/exchange/usage_merging.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Sums of the use of workspaces, and what silent entries may still take of quotas.
+"""Sums of workspace usage, including the usage that silent entries may reach.
 
-Counts of requests in flight are dropped when an entry falls silent. Usage is not: a
-silent entry may be cut off and still serve, and the use of a former incarnation
-counts until the window of quotas has passed.
+Counts of requests in flight expire when an entry falls silent. Usage does not: a silent
+entry may be partitioned and still serve, and the usage of an ended incarnation counts
+until the end of the quota window.
 
 Owns the newest reports by entry, failure domain and region, lost with the process.
 Relies on the caller for the time.
@@ -23,98 +23,100 @@
 __all__ = ["FRESH_S", "UsageReport", "UsageMerger", "UsageSums"]
 
 FRESH_S = 0.7
-"""Age up to which the report of an entry or failure domain is summed as it is, in s.
+"""Maximum age at which a report counts unchanged, in seconds.
 
-Three rounds of heartbeats or digests. Shorter, lost datagrams make entries reserve for
-live ones, which costs some room of the quota; longer, a cut-off entry and the others
-use the same room.
+Applies to reports of entries and failure domains: three rounds of heartbeats or
+digests. If shorter, lost datagrams cause reservations for live entries, which waste
+part of the quota; if longer, a partitioned entry and the others use the same part of
+the quota.
 """
 FAR_FRESH_S = 1.2
-"""The same for another region, whose digests are up to 0.79 s old (p99), in s."""
+"""The same for another region, in seconds; its digests are up to 0.79 s old (p99)."""
 MAX_TOTALS = 16
-"""Sums of all entries that are kept: two a round, for longer than `FAR_FRESH_S`."""
+"""Retained sums of all entries: two for each round, for longer than `FAR_FRESH_S`."""
 ENDED_USAGE_S = 5.0
-"""How long the use of a former incarnation counts, in s: the window of quotas."""
+"""Time for which the usage of an ended incarnation counts, in seconds: the quota
+window."""
 
 
 class UsageReport(msgspec.Struct):
-    """The use that one entry reported, or an aggregator for many."""
+    """Usage reported by an entry, or by an aggregator for a group of entries."""
 
     at: float
-    """When it came: monotonic time in seconds."""
+    """Time of receipt: monotonic time in seconds."""
     use: Usage
     merged_s: float = ENDED_USAGE_S
-    """For how long its sender has merged the sums. Incarnations that ended before are
-    missing."""
+    """Time for which the sender has merged the sums, in seconds. They lack incarnations
+    that ended before."""
     entries: int = 1
-    """How many entries it is the use of."""
+    """Number of entries whose usage it contains."""
     silent: int = 0
-    """How many of them were silent."""
+    """Number of these entries that were silent."""
     incarnation: int = 0
     leaves: bool = False
-    """Whether the entry takes no new requests."""
+    """Whether the entry accepts no new requests."""
     previous: "UsageReport | None" = None
-    """The part of an earlier report, of a sender that had merged for long, that this
-    one lacks."""
+    """Usage that only an earlier report contains, whose sender had merged for the full
+    window."""
     reserved: Usage | None = None
-    """What its entries may take since they are silent; None while they are not."""
+    """Usage reserved for the entries while they are silent; None otherwise."""
 
 
 class UsageSums(msgspec.Struct, frozen=True):
-    """The use of workspaces by the own failure domain, its region, and all."""
+    """Workspace usage of the own failure domain, of its region and of all entries."""
 
     domain: Usage
     region: Usage
     total: Usage
     silent: tuple[int, int, int]
-    """Entries of the domain, of the region and of all that are silent: they may take
-    part of each quota whatever their use was."""
+    """Number of silent entries in the failure domain, in the region and in total. Each
+    may take a part of every quota, whatever its usage was."""
 
 
 class UsageMerger:
-    """The use of workspaces by entry, failure domain and region."""
+    """Merges workspace usage by entry, failure domain and region."""
 
     def __init__(self) -> None:
-        """Create it knowing nothing."""
+        """Create an empty merger."""
         self.planned: Mapping[str, float] = {}
-        """For each workspace with a quota, the planned requests of a window."""
+        """Planned requests of a window, by workspace with a quota."""
         self._entries: dict[str, UsageReport] = {}
         self._ended: list[UsageReport] = []
-        """The last reports of incarnations that ended."""
+        """The last reports of ended incarnations."""
         self._domains: dict[str, UsageReport] = {}
         self._regions: dict[str, UsageReport] = {}
         self._totals: deque[tuple[float, Usage]] = deque(maxlen=MAX_TOTALS)
-        """When sums of all entries were made, and these."""
+        """Recent sums of all entries, with the times of their computation."""
 
     def record_entry(self, name: str, report: UsageReport) -> None:
-        """Take the report of an entry of the own failure domain."""
+        """Record the report of an entry of the own failure domain."""
         last_report = self._entries.get(name)
         if last_report is not None and last_report.incarnation != report.incarnation:
             self._ended.append(last_report)
         self._entries[name] = report
 
     def record_domain(self, domain: str, report: UsageReport) -> None:
-        """Take the sums of another failure domain of the region."""
+        """Record the sums of another failure domain of the region."""
         _record_part(self._domains, domain, report, FRESH_S)
 
     def record_region(self, region: str, report: UsageReport) -> None:
-        """Take the sums of another region."""
+        """Record the sums of another region."""
         _record_part(self._regions, region, report, FAR_FRESH_S)
 
     def has_report(self, name: str) -> bool:
-        """Return whether an entry of the own failure domain reported its use here."""
+        """Return whether an entry of the own failure domain reported its usage here."""
         return name in self._entries
 
     def has_fresh_reports(
         self, domains: set[str], regions: set[str], now: float
     ) -> bool:
-        """Return whether reports of some failure domains and regions are fresh."""
+        """Return whether the reports of these failure domains and regions are fresh."""
         near = _fresh(self._domains, FRESH_S, now)
         far = _fresh(self._regions, FAR_FRESH_S, now)
         return domains <= near.keys() and regions <= far.keys()
 
     def forget(self, now: float) -> None:
-        """Drop what does not count any more."""
+        """Remove expired reports."""
         self._ended = [r for r in self._ended if now - r.at <= ENDED_USAGE_S]
         self._entries = {
             name: report
@@ -126,8 +128,9 @@
         """Return the sums for an aggregator's digests.
 
         Args:
-          own: the use of this entry.
-          unreported: even parts that entries of the domain without a report may take.
+          own: the usage of this entry.
+          unreported: equal parts of a quota that the failure domain's entries without a
+            report may take.
           now: monotonic time in seconds.
         """
         ended_usage = [r.use for r in self._ended if now - r.at <= ENDED_USAGE_S]
@@ -144,7 +147,7 @@
         return UsageSums(domain, region, total, silent)
 
     def age_s(self, now: float) -> float:
-        """Return the age of the oldest report that is taken as it is, in seconds."""
+        """Return the age of the oldest report that counts unchanged, in seconds."""
         fresh = [
             *_fresh(self._entries, FRESH_S, now).values(),
             *_fresh(self._domains, FRESH_S, now).values(),
@@ -165,7 +168,7 @@
     def _reported_or_reserved(
         self, report: UsageReport, fresh_s: float, now: float
     ) -> Usage:
-        """Return a use as it was reported; what it may become once it is not fresh."""
+        """Return the reported usage if it is fresh, otherwise the reserved usage."""
         age_s = now - report.at
         if age_s <= fresh_s:
             return report.use
@@ -178,10 +181,11 @@
         return report.reserved
 
     def _reservation(self, report: UsageReport) -> Usage:
-        """Return what the silent entries of a report may take by their use.
+        """Return the usage to reserve for a report's silent entries by their usage.
 
-        It goes by the total when the report came, as they themselves reckon while they
-        receive nothing. The rest of what they may take goes by their number.
+        It is based on the total when the report arrived, like the computation of an
+        entry that receives no digests. The remaining reservation depends on the number
+        of silent entries.
         """
         total_then = next((total for at, total in self._totals if at >= report.at), {})
         reserved_usage = {}
@@ -203,7 +207,7 @@
 def _count_silent(
     reports: Mapping[str, UsageReport], fresh_s: float, now: float
 ) -> int:
-    """Count the entries that are silent, and still may serve."""
+    """Count the silent entries that may still serve."""
     count = 0
     for report in reports.values():
         age_s = now - report.at
@@ -215,7 +219,7 @@
 
 
 def _subtract(report: UsageReport, use: Usage) -> UsageReport:
-    """Return a report without what a later one has as well."""
+    """Return an earlier report's usage that exceeds the usage in a later report."""
     remaining = {name: count - use.get(name, 0) for name, count in report.use.items()}
     return UsageReport(
         report.at, {n: count for n, count in remaining.items() if count > 0}
@@ -225,11 +229,12 @@
 def _record_part(
     parts: dict[str, UsageReport], name: str, report: UsageReport, fresh_s: float
 ) -> None:
-    """Take the sums of a part, from one of its two aggregators.
+    """Record sums from one of the two aggregators of a failure domain or region.
 
-    One that has not merged for as long as requests count may lack incarnations that
-    ended: after a kill of both aggregators and others, what these took would be
-    forgotten. The last sums of one that had them are kept beside it for that time.
+    The sums of an aggregator that has merged for less than `ENDED_USAGE_S` may lack
+    ended incarnations. After a crash of both aggregators and of other entries, the
+    usage of these entries would be lost. The last complete sums are therefore retained
+    in addition for that time.
     """
     last_report = parts.get(name)
     if last_report is not None and report.merged_s < ENDED_USAGE_S:
--- a/leverdoor/entry/exchange/warm_key_relay.py
+++ b/leverdoor/entry/exchange/warm_key_relay.py
@@ -1,12 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""RevisionAnnouncement of warm keys, which an aggregator passes on within its region.
+"""Relay of recently warmed keys through an aggregator within its region.
 
-RevisionAnnouncement are the 32-bit hashes of `SharedWarmth`, of keys that other targets than their
-first answered lately and may have in their caches.
+A warm key is one that a target other than the first choice served recently and may have
+cached. Keys are represented by the 32-bit hashes of `SharedWarmth`.
 
-Owns the news of the last moments, lost with the process: entries then find keys cold
-that are warm. Relies on the caller for the time.
+Owns the recently received keys. They are lost with the process; entries then treat warm
+keys as cold. Relies on the caller for the time.
 """
 
 from collections import OrderedDict, deque
@@ -15,38 +15,41 @@
 __all__ = ["WarmKeyRelay"]
 
 RESEND_S = 0.5
-"""How long news of a warm key are sent again, in seconds.
+"""Time for which a warm key is sent in each digest, in seconds.
 
-Two rounds and a half, since a digest may be lost. Longer costs 4 bytes a key in each
-further round.
+Two and a half rounds, since a digest may be lost. If longer, it costs 4 bytes for each
+key and further round.
 """
 DEDUPLICATION_S = 1.0
-"""Time within which the same news are passed on once, in seconds.
+"""Time within which a repeated key is ignored, in seconds.
 
-Twice `RESEND_S`. Heartbeats and digests carry the same news for several rounds; shorter
-than that, each copy would start the news again.
+Twice `RESEND_S`. Heartbeats and digests carry the same key for several rounds; if
+shorter, each copy would restart the relay.
 """
 MAX_KEYS_PER_DIGEST = 128
-"""RevisionAnnouncement in one digest at most: 512 bytes, a third of a packet."""
+"""Maximum number of keys in a digest: 512 bytes, a third of a packet."""
 MAX_REMEMBERED_KEYS = 4_096
-"""RevisionAnnouncement remembered as passed on: 32 digests full of them bound the memory."""
+"""Maximum number of keys remembered as relayed; it bounds the memory.
+
+32 digests with the maximum number of keys.
+"""
 
 
 class WarmKeyRelay:
-    """RevisionAnnouncement of warm keys, from the failure domain and from the rest of the region."""
+    """Warm keys received from the failure domain and from the rest of the region."""
 
     def __init__(self) -> None:
-        """Create it without any."""
+        """Create an empty relay."""
         self._domain: deque[tuple[float, int]] = deque(maxlen=MAX_KEYS_PER_DIGEST)
         self._region: deque[tuple[float, int]] = deque(maxlen=MAX_KEYS_PER_DIGEST)
         self._relayed: OrderedDict[int, float] = OrderedDict()
 
     def record_domain_keys(self, keys: Iterable[int], now: float) -> None:
-        """Take news of an entry of the own failure domain."""
+        """Record warm keys of an entry of the own failure domain."""
         self._enqueue(keys, self._domain, now)
 
     def record_region_keys(self, keys: Iterable[int], now: float) -> None:
-        """Take news of another failure domain's aggregator."""
+        """Record warm keys from an aggregator of another failure domain."""
         self._enqueue(keys, self._region, now)
 
     def _enqueue(
@@ -61,17 +64,27 @@
             self._relayed.popitem(last=False)
 
     def keys_for_region(self, own: Iterable[int], now: float) -> list[int]:
-        """Return the news for the region's other aggregators; `own`: this entry's."""
+        """Return the keys for the region's other aggregators.
+
+        Args:
+          own: the keys of this entry.
+          now: monotonic time in seconds.
+        """
         return _recent_keys(own, self._domain, now)
 
     def keys_for_domain(self, own: Iterable[int], now: float) -> list[int]:
-        """Return the news for the own failure domain; `own` is this entry's."""
+        """Return the keys for the own failure domain.
+
+        Args:
+          own: the keys of this entry.
+          now: monotonic time in seconds.
+        """
         return _recent_keys(own, [*self._domain, *self._region], now)
 
 
 def _recent_keys(
     own: Iterable[int], received: Iterable[tuple[float, int]], now: float
 ) -> list[int]:
-    """Return the newest news, each once."""
+    """Return the most recent keys without duplicates."""
     found = [key_hash for at, key_hash in received if now - at <= RESEND_S]
     return list(dict.fromkeys([*own, *found]))[-MAX_KEYS_PER_DIGEST:]
