--- a/tests/test_entry_digests.py
+++ b/tests/test_entry_digests.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How heartbeats and digests are packed."""
+"""Encoding of heartbeats and digests."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -41,25 +41,25 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(ROWS, max_size=40))
-def test_rows_come_back(rows: list[MemberRow]) -> None:
+def test_serialized_rows_parse_to_the_same_rows(rows: list[MemberRow]) -> None:
     assert parse_rows(serialize_rows(rows)) == rows
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.integers(0, 2**32 - 1), max_size=40), st.binary(max_size=3))
-def test_ids_come_back_and_what_is_cut_short_is_left_out(
-    ids: list[int], cut: bytes
+def test_serialized_ids_parse_to_the_same_ids_without_a_truncated_one(
+    ids: list[int], truncated: bytes
 ) -> None:
-    assert parse_ids(serialize_ids(ids) + cut) == ids
+    assert parse_ids(serialize_ids(ids) + truncated) == ids
 
 
 def test_ages_are_rounded_up_and_bounded() -> None:
-    """An age that is told too low would keep a dead entry named for longer."""
-    told = serialize_ages([-0.1, 0.0, AGE_STEP_S * 1.1, 1e9])
-    assert list(told) == [0, 0, 2, MAX_AGE_STEPS]
+    """If an age is too low, a failed entry is named to clients for longer."""
+    encoded = serialize_ages([-0.1, 0.0, AGE_STEP_S * 1.1, 1e9])
+    assert list(encoded) == [0, 0, 2, MAX_AGE_STEPS]
 
 
-def test_messages_come_back_by_their_tags() -> None:
+def test_messages_decode_by_their_tags() -> None:
     member = Member("e", "a", "a1", "f", "g", "p", 7)
     view = DomainView("a1", 1, b"", b"\x00")
     digest = Digest(
@@ -74,31 +74,31 @@
         assert unpack(pack(message), Message) == message  # type: ignore[arg-type]
 
 
-def test_counts_come_back_by_name() -> None:
-    lists = TargetCountCodec()
-    lists.renew({"a": ["t2", "t1"], "b": ["u"]})
-    told = lists.serialize("a", {"t1": 3, "t2": 0, "u": 5})
-    assert told.counts == b"\x03\x00"
-    assert lists.parse(told) == {"t1": 3}
+def test_nonzero_counts_parse_by_target_name() -> None:
+    counts_codec = TargetCountCodec()
+    counts_codec.renew({"a": ["t2", "t1"], "b": ["u"]})
+    encoded = counts_codec.serialize("a", {"t1": 3, "t2": 0, "u": 5})
+    assert encoded.counts == b"\x03\x00"
+    assert counts_codec.parse(encoded) == {"t1": 3}
 
 
-def test_a_count_beyond_a_byte_is_told_as_the_most() -> None:
-    lists = TargetCountCodec()
-    lists.renew({"a": ["t"]})
-    told = lists.serialize("a", {"t": 1_000})
-    assert lists.parse(told) == {"t": MAX_COUNT}
-    assert lists.parse(lists.serialize("a", {"t": -1})) == {}
+def test_counts_outside_a_byte_are_clamped() -> None:
+    counts_codec = TargetCountCodec()
+    counts_codec.renew({"a": ["t"]})
+    encoded = counts_codec.serialize("a", {"t": 1_000})
+    assert counts_codec.parse(encoded) == {"t": MAX_COUNT}
+    assert counts_codec.parse(counts_codec.serialize("a", {"t": -1})) == {}
 
 
-def test_counts_of_a_recent_list_are_understood_and_of_others_not() -> None:
-    """Entries take a change of the targets one after the other."""
-    one, other = TargetCountCodec(), TargetCountCodec()
-    one.renew({"a": ["t1"]})
-    other.renew({"a": ["t1"]})
-    before = one.serialize("a", {"t1": 1})
-    one.renew({"a": ["t1", "t2"]})
-    assert one.parse(before) == {"t1": 1}
-    assert other.parse(one.serialize("a", {"t2": 1})) is None
+def test_counts_parse_only_for_recent_target_lists() -> None:
+    """A change of the targets reaches entries at different times."""
+    sender, receiver = TargetCountCodec(), TargetCountCodec()
+    sender.renew({"a": ["t1"]})
+    receiver.renew({"a": ["t1"]})
+    older_counts = sender.serialize("a", {"t1": 1})
+    sender.renew({"a": ["t1", "t2"]})
+    assert sender.parse(older_counts) == {"t1": 1}
+    assert receiver.parse(sender.serialize("a", {"t2": 1})) is None
     for i in range(MAX_LISTS + 1):
-        one.renew({"a": [f"v{i}"]})
-    assert one.parse(before) is None
+        sender.renew({"a": [f"v{i}"]})
+    assert sender.parse(older_counts) is None
--- a/tests/test_entry_use.py
+++ b/tests/test_entry_use.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What entries tell each other of the use of workspaces."""
+"""Encoding and merging of workspace usage."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -16,36 +16,36 @@
 NAMES = [f"w{i}" for i in range(MAX_UNFILTERED_PAIRS + 50)]
 
 
-def lists(names: list[str]) -> UsageCodec:
-    made = UsageCodec()
-    made.renew(dict.fromkeys(names, 100.0))
-    return made
+def create_codec(names: list[str]) -> UsageCodec:
+    codec = UsageCodec()
+    codec.renew(dict.fromkeys(names, 100.0))
+    return codec
 
 
 @settings(derandomize=True, max_examples=100)
 @given(st.dictionaries(st.sampled_from(NAMES[:20]), st.integers(1, 60_000)))
-def test_use_is_told_and_understood(use: dict[str, int]) -> None:
-    sender, receiver = lists(NAMES[:20]), lists(NAMES[:20])
-    assert receiver.parse(sender.serialize(use)) == use
+def test_serialized_usage_parses_to_the_same_usage(usage: dict[str, int]) -> None:
+    sender, receiver = create_codec(NAMES[:20]), create_codec(NAMES[:20])
+    assert receiver.parse(sender.serialize(usage)) == usage
 
 
-def test_a_list_that_is_not_known_tells_nothing() -> None:
-    data = lists(NAMES[:3]).serialize({"w1": 4})
-    assert lists(NAMES[:2]).parse(data) is None
-    assert lists(NAMES[:2]).parse(b"") == {}
+def test_usage_for_an_unknown_list_is_discarded() -> None:
+    data = create_codec(NAMES[:3]).serialize({"w1": 4})
+    assert create_codec(NAMES[:2]).parse(data) is None
+    assert create_codec(NAMES[:2]).parse(b"") == {}
 
 
-def test_lists_of_the_last_changes_are_still_understood() -> None:
-    receiver = lists(NAMES[:3])
-    data = lists(NAMES[:3]).serialize({"w1": 4})
+def test_usage_for_a_recent_list_is_parsed() -> None:
+    receiver = create_codec(NAMES[:3])
+    data = create_codec(NAMES[:3]).serialize({"w1": 4})
     receiver.renew(dict.fromkeys(NAMES[:4], 100.0))
     assert receiver.parse(data) == {"w1": 4}
 
 
-def test_of_many_workspaces_only_what_matters_is_told() -> None:
-    sender = lists(NAMES)
-    use = dict.fromkeys(NAMES, 1) | {"w7": 90}
-    data = sender.serialize(use, 20)
+def test_usage_of_many_workspaces_omits_small_fractions_of_quotas() -> None:
+    sender = create_codec(NAMES)
+    usage = dict.fromkeys(NAMES, 1) | {"w7": 90}
+    data = sender.serialize(usage, 20)
     assert sender.parse(data) == {"w7": 90}
     assert sender.omission_threshold(data) == 0.2
     few = sender.serialize({"w1": 1}, 20)
@@ -53,74 +53,77 @@
     assert sender.omission_threshold(few) == 0.0
 
 
-def test_sums() -> None:
+def test_sum_usage_adds_by_workspace() -> None:
     assert sum_usage({"a": 1}, {}, {"a": 2, "b": 3}) == {"a": 3, "b": 3}
 
 
-def merger() -> UsageMerger:
-    made = UsageMerger()
-    made.planned = {"w": 100.0}
-    return made
+def create_merger() -> UsageMerger:
+    merger = UsageMerger()
+    merger.planned = {"w": 100.0}
+    return merger
 
 
-def test_sums_by_domain_region_and_all() -> None:
-    m = merger()
-    m.record_entry("e1", UsageReport(10.0, {"w": 2}))
-    m.record_domain("d2", UsageReport(10.0, {"w": 3}, entries=4))
-    m.record_region("r2", UsageReport(10.0, {"w": 4}, entries=9))
-    sums = m.sums({"w": 1}, 0, 10.1)
+def test_sums_cover_domain_region_and_all_entries() -> None:
+    merger = create_merger()
+    merger.record_entry("e1", UsageReport(10.0, {"w": 2}))
+    merger.record_domain("d2", UsageReport(10.0, {"w": 3}, entries=4))
+    merger.record_region("r2", UsageReport(10.0, {"w": 4}, entries=9))
+    sums = merger.sums({"w": 1}, 0, 10.1)
     assert (sums.domain, sums.region, sums.total) == ({"w": 3}, {"w": 6}, {"w": 10})
     assert sums.silent == (0, 0, 0)
 
 
-def test_a_silent_entry_keeps_its_part_of_a_quota() -> None:
-    """It may serve behind a cut: half by its use, half by the number of entries."""
-    m = merger()
-    m.record_entry("e1", UsageReport(10.0, {"w": 10}))
-    assert m.sums({"w": 15}, 0, 10.1).total == {"w": 25}
-    later = m.sums({"w": 15}, 0, 13.0)
+def test_part_of_a_quota_is_reserved_for_a_silent_entry() -> None:
+    """It may serve behind a network partition.
+
+    Half of the reservation depends on its usage, half on the number of entries.
+    """
+    merger = create_merger()
+    merger.record_entry("e1", UsageReport(10.0, {"w": 10}))
+    assert merger.sums({"w": 15}, 0, 10.1).total == {"w": 25}
+    later = merger.sums({"w": 15}, 0, 13.0)
     assert later.total == {"w": 15 + 20}
     assert later.silent == (1, 1, 1)
-    m.forget(10.0 + HOLD_S + 1)
-    gone = m.sums({"w": 15}, 0, 10.0 + HOLD_S + 1)
-    assert (gone.total, gone.silent) == ({"w": 15}, (0, 0, 0))
-
-
-def test_the_use_of_a_former_life_counts_until_the_window_has_passed() -> None:
-    m = merger()
-    m.record_entry("e1", UsageReport(10.0, {"w": 10}, incarnation=1))
-    m.record_entry("e1", UsageReport(11.0, {"w": 1}, incarnation=2))
-    assert m.sums({}, 0, 11.0).total == {"w": 11}
-    m.record_entry("e1", UsageReport(16.0, {"w": 1}, incarnation=2))
-    assert m.sums({}, 0, 16.0).total == {"w": 1}
-
-
-def test_one_that_left_reserves_nothing() -> None:
-    m = merger()
-    m.record_entry("e1", UsageReport(10.0, {"w": 10}, leaves=True))
-    assert m.sums({}, 0, 12.0).total == {"w": 10}
-    assert m.sums({}, 0, 16.0).total == {}
-
-
-def test_all_parts_are_known_before_sums_are_trusted() -> None:
-    m = merger()
-    assert not m.has_fresh_reports({"d2"}, {"r2"}, 10.0)
-    m.record_domain("d2", UsageReport(10.0, {}))
-    m.record_region("r2", UsageReport(10.0, {}))
-    assert m.has_fresh_reports({"d2"}, {"r2"}, 10.2)
-    assert not m.has_fresh_reports({"d2"}, {"r2"}, 20.0)
-    assert m.age_s(10.5) == 0.5
-
-
-def test_what_an_aggregator_that_is_gone_had_merged_counts_until_it_has_left() -> None:
-    """Both aggregators of a domain and others were killed: their sums are kept."""
-    m = merger()
-    m.record_domain("d2", UsageReport(10.0, {"w": 40}))
-    m.record_domain("d2", UsageReport(10.2, {"w": 3}, merged_s=0.1))
-    assert m.sums({}, 0, 10.3).total == {"w": 40}
-    m.record_domain("d2", UsageReport(11.5, {"w": 3}, merged_s=0.4))
-    assert m.sums({}, 0, 11.6).total == {"w": 40}
-    m.record_domain("d2", UsageReport(14.9, {"w": 5}, merged_s=3.8))
-    assert m.sums({}, 0, 14.9).total == {"w": 42}
-    m.record_domain("d2", UsageReport(15.2, {"w": 5}, merged_s=4.1))
-    assert m.sums({}, 0, 15.3).total == {"w": 5}
+    merger.forget(10.0 + HOLD_S + 1)
+    expired = merger.sums({"w": 15}, 0, 10.0 + HOLD_S + 1)
+    assert (expired.total, expired.silent) == ({"w": 15}, (0, 0, 0))
+
+
+def test_usage_of_an_ended_incarnation_counts_for_a_window() -> None:
+    merger = create_merger()
+    merger.record_entry("e1", UsageReport(10.0, {"w": 10}, incarnation=1))
+    merger.record_entry("e1", UsageReport(11.0, {"w": 1}, incarnation=2))
+    assert merger.sums({}, 0, 11.0).total == {"w": 11}
+    merger.record_entry("e1", UsageReport(16.0, {"w": 1}, incarnation=2))
+    assert merger.sums({}, 0, 16.0).total == {"w": 1}
+
+
+def test_nothing_is_reserved_for_an_entry_that_left() -> None:
+    merger = create_merger()
+    merger.record_entry("e1", UsageReport(10.0, {"w": 10}, leaves=True))
+    assert merger.sums({}, 0, 12.0).total == {"w": 10}
+    assert merger.sums({}, 0, 16.0).total == {}
+
+
+def test_reports_are_complete_only_while_all_parts_are_fresh() -> None:
+    merger = create_merger()
+    assert not merger.has_fresh_reports({"d2"}, {"r2"}, 10.0)
+    merger.record_domain("d2", UsageReport(10.0, {}))
+    merger.record_region("r2", UsageReport(10.0, {}))
+    assert merger.has_fresh_reports({"d2"}, {"r2"}, 10.2)
+    assert not merger.has_fresh_reports({"d2"}, {"r2"}, 20.0)
+    assert merger.age_s(10.5) == 0.5
+
+
+def test_sums_of_a_failed_aggregator_count_for_a_window() -> None:
+    """Guards against lost usage when both aggregators and other entries fail."""
+    merger = create_merger()
+    merger.record_domain("d2", UsageReport(10.0, {"w": 40}))
+    merger.record_domain("d2", UsageReport(10.2, {"w": 3}, merged_s=0.1))
+    assert merger.sums({}, 0, 10.3).total == {"w": 40}
+    merger.record_domain("d2", UsageReport(11.5, {"w": 3}, merged_s=0.4))
+    assert merger.sums({}, 0, 11.6).total == {"w": 40}
+    merger.record_domain("d2", UsageReport(14.9, {"w": 5}, merged_s=3.8))
+    assert merger.sums({}, 0, 14.9).total == {"w": 42}
+    merger.record_domain("d2", UsageReport(15.2, {"w": 5}, merged_s=4.1))
+    assert merger.sums({}, 0, 15.3).total == {"w": 5}
