--- a/benchmarks/emulated_following.py
+++ b/benchmarks/emulated_following.py
@@ -213,7 +213,7 @@
         self.membership.add_registered(configured.peers, now)
 
     def _take_update(self, update: PeerUpdate, now: float) -> None:
-        self.keeper.outage.peer_reported(update.outage_ms, now)
+        self.keeper.outage.peer_reported(update.outage_age_ms, now)
         self.control.take_answer(update.answer, now)
 
     def _status(self) -> EntryStatus:
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -297,7 +297,7 @@
     def _take_update(self, update: PeerUpdate, now: float) -> None:
         """Give the other parts what other entries reported."""
         self._data.receive(update, now)
-        self._keeper.outage.peer_reported(update.outage_ms, now)
+        self._keeper.outage.peer_reported(update.outage_age_ms, now)
         self._control.take_answer(update.answer, now)
 
     def _status(self) -> EntryStatus:
--- a/leverdoor/entry/exchange/digest_builder.py
+++ b/leverdoor/entry/exchange/digest_builder.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from leverdoor.entry.exchange.domain_views import DomainViews
-from leverdoor.entry.exchange.encoding import serialize_ids
+from leverdoor.entry.exchange.encoding import serialize_hashes
 from leverdoor.entry.exchange.exchange_types import EntryStatus
 from leverdoor.entry.exchange.merging import MeanShares, Merger
 from leverdoor.entry.exchange.messages import (
@@ -110,10 +110,10 @@
         digest = self._create_digest(
             digest_round, DigestScope.DOMAIN, region_views, loads
         )
-        unserved = self._unserved.of_domain(
+        unserved = self._unserved.unserved_in_domain(
             digest_round.status.unserved, digest_round.now
         )
-        digest = msgspec.structs.replace(digest, unserved=serialize_ids(unserved))
+        digest = msgspec.structs.replace(digest, unserved=serialize_hashes(unserved))
         mean = self._merger.domain_shares(digest_round.status.shares)
         warm_hashes = self._warm_key_relay.keys_for_region(
             digest_round.status.warm_keys, digest_round.now
@@ -149,10 +149,10 @@
         ]
         loads = self._serialize_counts(counts, regions)
         digest = self._create_digest(digest_round, DigestScope.ALL, views, loads)
-        unserved = self._unserved.of_region(
+        unserved = self._unserved.unserved_in_region(
             digest_round.status.unserved, digest_round.now
         )
-        digest = msgspec.structs.replace(digest, unserved=serialize_ids(unserved))
+        digest = msgspec.structs.replace(digest, unserved=serialize_hashes(unserved))
         mean = self._merger.region_shares(digest_round.status.shares)
         warm_hashes = self._warm_key_relay.keys_for_domain(
             digest_round.status.warm_keys, digest_round.now
@@ -211,7 +211,7 @@
             self._own.pull,
             views,
             loads,
-            outage_ms=digest_round.status.outage_ms,
+            outage_age_ms=digest_round.status.outage_age_ms,
             use=digest_round.use.by_scope[scope],
             use_age_ms=digest_round.use.age_ms,
             silent=digest_round.use.silent[scope],
@@ -233,5 +233,5 @@
             digest,
             entries=mean.entries,
             shares=mean.shares if has_shares else {},
-            warm_keys=serialize_ids(warm_hashes),
+            warm_keys=serialize_hashes(warm_hashes),
         )
--- a/leverdoor/entry/exchange/encoding.py
+++ b/leverdoor/entry/exchange/encoding.py
@@ -16,11 +16,11 @@
 __all__ = [
     "AGE_STEP_S",
     "MAX_AGE_STEPS",
-    "parse_ids",
+    "parse_hashes",
     "parse_rows",
     "hash_rows",
     "serialize_ages",
-    "serialize_ids",
+    "serialize_hashes",
     "serialize_rows",
 ]
 
@@ -61,12 +61,12 @@
     return bytes(min(step, MAX_AGE_STEPS) for step in steps)
 
 
-def serialize_ids(ids: Iterable[int]) -> bytes:
+def serialize_hashes(ids: Iterable[int]) -> bytes:
     """Serialize 32-bit hashes."""
     return b"".join(ID.pack(i) for i in ids)
 
 
-def parse_ids(data: bytes) -> list[int]:
+def parse_hashes(data: bytes) -> list[int]:
     """Parse 32-bit hashes; ignore a truncated one."""
     complete_length = len(data) - len(data) % ID.size
     return [i for (i,) in ID.iter_unpack(data[:complete_length])]
--- a/leverdoor/entry/exchange/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -30,7 +30,7 @@
     DigestRound,
 )
 from leverdoor.entry.exchange.domain_views import DomainViews
-from leverdoor.entry.exchange.encoding import parse_ids, serialize_ids
+from leverdoor.entry.exchange.encoding import parse_hashes, serialize_hashes
 from leverdoor.entry.exchange.exchange_types import (
     EntryStatus,
     OutgoingMessage,
@@ -166,11 +166,11 @@
         self._merger.record_heartbeat(heartbeat, now)
         self.use.record_heartbeat(heartbeat, now)
         self.unserved.record_heartbeat(heartbeat, now)
-        warm = parse_ids(heartbeat.warm_keys)
+        warm = parse_hashes(heartbeat.warm_keys)
         self._warm_key_relay.record_domain_keys(warm, now)
         return PeerUpdate(
             warm_keys=warm,
-            outage_ms=heartbeat.outage_ms,
+            outage_age_ms=heartbeat.outage_age_ms,
             source=member.pull if heartbeat.revision > revision else "",
             answer=ToldAnswer(
                 heartbeat.revision, heartbeat.answer, heartbeat.confirmed_ms
@@ -186,8 +186,8 @@
         if sender is None or not self._is_newer(digest):
             return PeerUpdate(source=source)
         update = PeerUpdate(
-            warm_keys=parse_ids(digest.warm_keys),
-            outage_ms=digest.outage_ms,
+            warm_keys=parse_hashes(digest.warm_keys),
+            outage_age_ms=digest.outage_age_ms,
             source=source,
             answer=ToldAnswer(digest.revision, digest.answer, digest.confirmed_ms),
         )
@@ -278,8 +278,8 @@
             status.revision,
             status.in_flight,
             status.shares if self._seq % SHARES_INTERVAL_ROUNDS == 1 else {},
-            status.outage_ms,
-            serialize_ids(status.warm_keys),
+            status.outage_age_ms,
+            serialize_hashes(status.warm_keys),
             self.use.serialize(status.use),
             status.answer.age_ms,
             status.answer.number,
--- a/leverdoor/entry/exchange/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -29,7 +29,7 @@
     in_flight: dict[str, int]
     """Requests of this entry in flight, by name of the target."""
     shares: Shares
-    outage_ms: int
+    outage_age_ms: int
     """Time since the store was last unavailable, in ms; -1 if not recently."""
     warm_keys: list[int]
     """Hashes of keys that targets other than the first choice served recently."""
@@ -60,7 +60,7 @@
     others_in_flight: dict[str, int] | None = None
     """Requests in flight of all other entries, by target; None if unchanged."""
     warm_keys: list[int] = []
-    outage_ms: int = -1
+    outage_age_ms: int = -1
     source: str = ""
     """Address where a newer state can be fetched, as `ip:port`; empty if none."""
     answer: ToldAnswer = NO_ANSWER
--- a/leverdoor/entry/exchange/messages.py
+++ b/leverdoor/entry/exchange/messages.py
@@ -53,7 +53,7 @@
     """Requests in flight, by name of the target."""
     shares: Shares = {}
     """Empty in most rounds to save bytes."""
-    outage_ms: int = -1
+    outage_age_ms: int = -1
     """Time since the store was last unavailable, in ms; -1 if not recently."""
     warm_keys: bytes = b""
     """Hashes of keys that targets other than the first choice served recently."""
@@ -126,7 +126,7 @@
     entries: int = 1
     """Number of entries over which the shares are averaged."""
     shares: Shares = {}
-    outage_ms: int = -1
+    outage_age_ms: int = -1
     warm_keys: bytes = b""
     use: bytes = b""
     """Workspace usage of the entries in `scope`; see `usage_encoding`."""
@@ -143,7 +143,7 @@
     answer: int = 0
     """As in `EntryHeartbeat`."""
     unserved: bytes = b""
-    """Entries whose requests the store does not answer, encoded by `serialize_ids`:
+    """Entries whose requests the store does not answer, encoded by `serialize_hashes`:
     those of the sender's failure domain with scope DOMAIN, those of its region with
     scope ALL."""
 
--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -38,7 +38,7 @@
 
 If greater, each change arrives later by as much at each of three hops.
 """
-MIN_ANNOUNCEMENT_INTERVAL_S = 0.15
+ANNOUNCE_PACING_S = 0.15
 """Minimum interval between two announcements, in seconds.
 
 A change costs an entry 1.9 ms with 541 targets and 195 entries, and a fetch from
@@ -132,7 +132,7 @@
             loop = asyncio.get_running_loop()
             at = max(
                 loop.time() + ANNOUNCEMENT_DELAY_S,
-                self._announced_at + MIN_ANNOUNCEMENT_INTERVAL_S,
+                self._announced_at + ANNOUNCE_PACING_S,
             )
             loop.call_at(at, self._announce_revision)
 
--- a/leverdoor/entry/exchange/unserved.py
+++ b/leverdoor/entry/exchange/unserved.py
@@ -8,7 +8,7 @@
 socket and reads no clock.
 """
 
-from leverdoor.entry.exchange.encoding import parse_ids
+from leverdoor.entry.exchange.encoding import parse_hashes
 from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat
 from leverdoor.entry.membership.member import Member, member_id
 
@@ -53,13 +53,13 @@
 
     def record_digest(self, digest: Digest, sender: Member, now: float) -> None:
         """Record the unserved entries in a digest of an aggregator of the region."""
-        reported = frozenset(parse_ids(digest.unserved))
+        reported = frozenset(parse_hashes(digest.unserved))
         if digest.scope == DigestScope.DOMAIN:
             self._other_domain_reports[sender.domain] = (now, reported)
         elif digest.scope == DigestScope.ALL and sender.domain == self._own.domain:
             self._region_report = (now, reported)
 
-    def of_domain(self, own: bool, now: float) -> list[int]:
+    def unserved_in_domain(self, own: bool, now: float) -> list[int]:
         """Return the unserved entries of the own failure domain.
 
         Args:
@@ -74,7 +74,7 @@
         unserved += [member_id(self._own.name)] if own else []
         return sorted(unserved)[:MAX_IDS]
 
-    def of_region(self, own: bool, now: float) -> list[int]:
+    def unserved_in_region(self, own: bool, now: float) -> list[int]:
         """Return the unserved entries of the region, as reported to this aggregator.
 
         Args:
@@ -86,11 +86,11 @@
             for at, ids in self._other_domain_reports.values()
             if now - at <= REPORT_MAX_AGE_S
         ]
-        unserved = frozenset(self.of_domain(own, now)).union(*others)
+        unserved = frozenset(self.unserved_in_domain(own, now)).union(*others)
         return sorted(unserved)[:MAX_IDS]
 
     def unserved_others(self, now: float) -> frozenset[int]:
         """Return all other entries of the region that are known to be unserved."""
         at, reported = self._region_report
-        known = frozenset(self.of_region(False, now))
+        known = frozenset(self.unserved_in_region(False, now))
         return known | reported if now - at <= REPORT_MAX_AGE_S else known
--- a/leverdoor/entry/store_role.py
+++ b/leverdoor/entry/store_role.py
@@ -22,7 +22,7 @@
 | 0.1 | two places in the order of asking, by `ASK_SHARE` |
 | 0.1 | `storage.following.POLL_S`: the age is looked at |
 | 0.2 | a new connection to a store in another region, and the answer |
-| 0.15 | `peer_link.BUSY_NEWS_S`: news to entries that the store does not answer |
+| 0.15 | `peer_link.ANNOUNCE_PACING_S`: news to entries that the store does not answer |
 | 0.15 | their fetch |
 | 2.0 | |
 
--- a/tests/test_entry_digests.py
+++ b/tests/test_entry_digests.py
@@ -9,10 +9,10 @@
 from leverdoor.entry.exchange.encoding import (
     AGE_STEP_S,
     MAX_AGE_STEPS,
-    parse_ids,
+    parse_hashes,
     parse_rows,
     serialize_ages,
-    serialize_ids,
+    serialize_hashes,
     serialize_rows,
 )
 from leverdoor.entry.exchange.messages import (
@@ -50,7 +50,7 @@
 def test_serialized_ids_parse_to_the_same_ids_without_a_truncated_one(
     ids: list[int], truncated: bytes
 ) -> None:
-    assert parse_ids(serialize_ids(ids) + truncated) == ids
+    assert parse_hashes(serialize_hashes(ids) + truncated) == ids
 
 
 def test_ages_are_rounded_up_and_bounded() -> None:
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -83,7 +83,7 @@
             else received.others_in_flight
         )
         warm = [*previous.warm_keys, *received.warm_keys]
-        outage_ms = max(previous.outage_ms, received.outage_ms)
+        outage_ms = max(previous.outage_age_ms, received.outage_age_ms)
         source = received.source or previous.source
         self.updates[name] = PeerUpdate(others, warm, outage_ms, source)
 
@@ -359,7 +359,7 @@
 def test_an_outage_of_the_store_is_forwarded() -> None:
     cluster = Entries(site(["a1", "a2"], 4))
     cluster.round(4)
-    cluster.set_status("a1-0", outage_ms=1_500)
+    cluster.set_status("a1-0", outage_age_ms=1_500)
     cluster.round(2)
-    assert cluster.updates["a1-3"].outage_ms == 1_500
-    assert cluster.updates["a2-0"].outage_ms == 1_500
+    assert cluster.updates["a1-3"].outage_age_ms == 1_500
+    assert cluster.updates["a2-0"].outage_age_ms == 1_500
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -136,14 +136,14 @@
     first, second = UnservedEntries(a1), UnservedEntries(a2)
     beat = EntryHeartbeat(member("a1-1"), 1, SERVING, 1, unserved=True)
     first.record_heartbeat(beat, AT)
-    told = first.of_domain(True, AT)
+    told = first.unserved_in_domain(True, AT)
     assert sorted(told) == sorted(member_id(n) for n in ("a1-0", "a1-1"))
     digest = Digest(
         "a1-0", DigestScope.DOMAIN, 1, 1, 1, "p", [], [], unserved=_ids(told)
     )
     second.record_digest(digest, a1, AT)
-    assert set(second.of_region(False, AT)) == set(told)
-    assert second.of_domain(False, AT) == [], "of the own failure domain only"
+    assert set(second.unserved_in_region(False, AT)) == set(told)
+    assert second.unserved_in_domain(False, AT) == [], "of the own failure domain only"
     other = UnservedEntries(member("a2-1"))
     total = Digest("a2-0", DigestScope.ALL, 1, 1, 1, "p", [], [], unserved=_ids(told))
     other.record_digest(total, a2, AT)
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -391,8 +391,8 @@
 
 def test_ids() -> None:
     data = b"\x01\x00\x00\x00\x04\x03\x02\x01\xfe\xff\xff\xff"
-    assert encoding.serialize_ids(samples.IDS) == data
-    assert encoding.parse_ids(data) == samples.IDS
+    assert encoding.serialize_hashes(samples.IDS) == data
+    assert encoding.parse_hashes(data) == samples.IDS
 
 
 def test_identity_and_order_of_entries() -> None:
