--- a/leverdoor/entry/exchange/digest_builder.py
+++ b/leverdoor/entry/exchange/digest_builder.py
@@ -8,9 +8,8 @@
 | REGION | own region | aggregators of other regions |
 | ALL | all entries | entries of the own failure domain |
 
-Owns no state. Relies on `Merger` for counts and shares, on `DomainViews` for the
-entries, on `WarmKeyRelay` for warm keys, and on `Recipients` for the selection of
-recipients by the caller.
+Owns no state. Relies on `LoadMerger` for counts and shares, on `DomainViews` for the
+entries, and on `WarmKeyRelay` for warm keys. The caller selects the recipients.
 """
 
 from collections.abc import Iterable, Mapping
@@ -20,7 +19,7 @@
 from leverdoor.entry.exchange.domain_views import DomainViews
 from leverdoor.entry.exchange.encoding import serialize_hashes
 from leverdoor.entry.exchange.exchange_types import EntryStatus
-from leverdoor.entry.exchange.merging import MeanShares, Merger
+from leverdoor.entry.exchange.merging import LoadMerger, WeightedShares
 from leverdoor.entry.exchange.messages import (
     Digest,
     DigestScope,
@@ -39,12 +38,14 @@
 SHARES_INTERVAL_ROUNDS = 5
 """Interval at which messages carry the regions' shares, in rounds.
 
-Once a second saves bytes and suffices, because shares change over seconds.
+Once a second saves bytes and suffices, because shares change over seconds. Digests
+carry them in two successive rounds, since an aggregator sends to each ordinary entry in
+every second round.
 """
 MAX_OTHER_REGIONS = 9
 """Maximum number of other regions whose counts a digest carries.
 
-Covers 27 regions within 0.6 s. If greater, digests grow.
+Covers 27 other regions in three rounds (0.6 s). If greater, digests grow.
 """
 MAX_OTHER_REGION_DOMAINS = 18
 """Maximum number of other regions' failure domains in a digest: two per region."""
@@ -58,7 +59,7 @@
     """Number of the round."""
     seq: int
     """Sequence number of this entry's newest heartbeat."""
-    use: DigestUsage
+    usage: DigestUsage
     now: float
     """Monotonic time in seconds."""
 
@@ -70,7 +71,7 @@
         self,
         membership: Membership,
         target_count_codec: TargetCountCodec,
-        merger: Merger,
+        merger: LoadMerger,
         views: DomainViews,
         relay: WarmKeyRelay,
         unserved: UnservedEntries,
@@ -90,25 +91,25 @@
             digest_round.status.in_flight, digest_round.now
         )
         region = self._merger.region_counts(domain, digest_round.now)
-        total = self._merger.total_counts(region, digest_round.now)
+        all_entries = self._merger.all_entries_counts(region, digest_round.now)
         region_domains = self._membership.domains(self._own.region)
         views = [self._view(name, digest_round) for name in region_domains]
         without_seqs = [msgspec.structs.replace(v, seqs=b"") for v in views]
         return {
             DigestScope.DOMAIN: self._domain_digest(digest_round, domain, without_seqs),
             DigestScope.REGION: self._region_digest(digest_round, region, without_seqs),
-            DigestScope.ALL: self._total_digest(digest_round, total, views),
+            DigestScope.ALL: self._all_entries_digest(digest_round, all_entries, views),
         }
 
     def _domain_digest(
         self,
         digest_round: DigestRound,
         counts: Mapping[str, int],
-        region_views: list[DomainView],
+        own_region_views: list[DomainView],
     ) -> Digest:
         loads = self._serialize_counts(counts, self._target_count_codec.regions())
         digest = self._create_digest(
-            digest_round, DigestScope.DOMAIN, region_views, loads
+            digest_round, DigestScope.DOMAIN, own_region_views, loads
         )
         unserved = self._unserved.unserved_in_domain(
             digest_round.status.unserved, digest_round.now
@@ -124,20 +125,20 @@
         self,
         digest_round: DigestRound,
         counts: Mapping[str, int],
-        region_views: list[DomainView],
+        own_region_views: list[DomainView],
     ) -> Digest:
         loads = self._serialize_counts(counts, self._target_count_codec.regions())
         return self._create_digest(
-            digest_round, DigestScope.REGION, region_views, loads
+            digest_round, DigestScope.REGION, own_region_views, loads
         )
 
-    def _total_digest(
+    def _all_entries_digest(
         self,
         digest_round: DigestRound,
         counts: Mapping[str, int],
-        region_views: list[DomainView],
+        own_region_views: list[DomainView],
     ) -> Digest:
-        views = region_views + self._other_region_views(digest_round)
+        views = own_region_views + self._other_region_views(digest_round)
         others = [
             name
             for name in self._target_count_codec.regions()
@@ -175,7 +176,9 @@
     def _view(self, domain: str, digest_round: DigestRound) -> DomainView:
         def newest_seq(name: str) -> int:
             return (
-                digest_round.seq if name == self._own.name else self._merger.seq(name)
+                digest_round.seq
+                if name == self._own.name
+                else self._merger.newest_seq(name)
             )
 
         return self._views.build(
@@ -212,19 +215,19 @@
             views,
             loads,
             outage_age_ms=digest_round.status.outage_age_ms,
-            use=digest_round.use.by_scope[scope],
-            use_age_ms=digest_round.use.age_ms,
-            silent=digest_round.use.silent[scope],
+            use=digest_round.usage.by_scope[scope],
+            use_age_ms=digest_round.usage.age_ms,
+            silent=digest_round.usage.silent[scope],
             confirmed_ms=digest_round.status.answer.age_ms,
             answer=digest_round.status.answer.number,
-            merged_ms=digest_round.use.merged_ms,
+            merged_ms=digest_round.usage.merged_ms,
         )
 
     def _with_shares_and_warm_keys(
         self,
         digest_round: DigestRound,
         digest: Digest,
-        mean: MeanShares,
+        mean: WeightedShares,
         warm_hashes: list[int],
     ) -> Digest:
         """Return a copy of a digest with warm keys and, in some rounds, shares."""
--- a/leverdoor/entry/exchange/domain_views.py
+++ b/leverdoor/entry/exchange/domain_views.py
@@ -6,9 +6,9 @@
 are therefore sent when they changed and in rotation. Ages take one byte each and refer
 to the rows by a hash.
 
-Owns the recently received rows and the time of the last change of the rows sent, both
-lost with the process. Relies on `Membership` for the records, which it reads and
-updates.
+Owns the recently received rows, and for each failure domain the time when its rows last
+changed, both lost with the process. Relies on `Membership` for the records, which it
+reads and updates.
 """
 
 from collections import OrderedDict
@@ -39,8 +39,8 @@
 MAX_ROW_LISTS = 512
 """Maximum number of retained lists of rows.
 
-Several versions for each of the 56 failure domains for which leverdoor is designed.
-With fewer lists than failure domains, some ages are discarded.
+Several lists for each of the 56 failure domains for which leverdoor is designed. With
+fewer lists than failure domains, some ages are discarded.
 """
 
 
@@ -57,7 +57,7 @@
         self._row_changes: dict[str, tuple[int, float]] = {}
         """By failure domain: hash of the rows sent, and time of their last change."""
 
-    def record(self, view: DomainView, now: float) -> None:
+    def apply(self, view: DomainView, now: float) -> None:
         """Update the records of a failure domain's entries.
 
         Ages of `MAX_AGE_STEPS` and ages that refer to unknown rows are ignored.
@@ -76,9 +76,10 @@
                 self._membership.observe(LastSeen(row, at), now)
 
     def own_heartbeat_seq(self, views: list[DomainView]) -> int:
-        """Return the number, modulo 256, of the own heartbeat that the views include.
+        """Return the number, modulo 256, of the newest own heartbeat known to the
+        sender.
 
-        Returns: -1 if they include none.
+        Returns: -1 if the views contain none.
         """
         for view in views:
             if view.seqs and view.domain == self._own.domain:
@@ -92,7 +93,7 @@
         self,
         domain: str,
         state: EntryState,
-        seq: Callable[[str], int],
+        newest_seq: Callable[[str], int],
         round_number: int,
         now: float,
     ) -> DomainView:
@@ -101,7 +102,7 @@
         Args:
           domain: name of the failure domain.
           state: state of this entry.
-          seq: returns the number of an entry's newest heartbeat, given its name.
+          newest_seq: returns the number of an entry's newest heartbeat, given its name.
           round_number: number of the round, which selects the failure domain whose
             unchanged rows are sent.
           now: monotonic time in seconds.
@@ -112,7 +113,8 @@
             own = MemberRow(self._own_id, self._own.incarnation, state)
             last_seen.append(LastSeen(own, now))
             names = [self._membership.name(s.row.id) for s in last_seen]
-            seqs = bytes(seq(name or self._own.name) % 256 for name in names)
+            # `Membership` has no name for the id of this entry.
+            seqs = bytes(newest_seq(name or self._own.name) % 256 for name in names)
         rows = serialize_rows(s.row for s in last_seen)
         row_hash = hash_rows(rows)
         ages = serialize_ages(now - s.at for s in last_seen)
@@ -124,7 +126,11 @@
     def _must_send_rows(
         self, domain: str, row_hash: int, round_number: int, now: float
     ) -> bool:
-        """Return whether the rows changed recently or the rotation selects them."""
+        """Record a change of the rows; return whether to send them.
+
+        Rows are sent if they changed recently or if the rotation selects the failure
+        domain.
+        """
         last_change = self._row_changes.get(domain)
         if last_change is None or last_change[0] != row_hash:
             last_change = self._row_changes[domain] = (row_hash, now)
--- a/leverdoor/entry/exchange/encoding.py
+++ b/leverdoor/entry/exchange/encoding.py
@@ -27,9 +27,9 @@
 AGE_STEP_S = 0.02
 """Resolution of an age in a digest, in seconds: a tenth of a round.
 
-One byte covers 5.1 s, which is longer than every timeout for silent entries. With a
-smaller step, ages of entries in other regions exceed the range; a greater step rounds
-ages up by more.
+One byte covers 5.1 s, which is longer than each time after which an entry counts as
+silent. With a smaller step, ages of entries in other regions exceed the range; a
+greater step rounds ages up by more.
 """
 MAX_AGE_STEPS = 255
 """Largest encodable age, in steps. It stands for this age or any greater one."""
--- a/leverdoor/entry/exchange/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -6,17 +6,17 @@
 two entries there with the fastest links. An aggregator merges these heartbeats into
 digests. It sends a digest of its failure domain to the aggregators of the region's
 other failure domains, a digest of its region to aggregators of other regions, and a
-digest of all entries to the entries of its failure domain, which take turns. Each
-entry's knowledge is therefore at most a few rounds old. The bytes and CPU time per
-entry do not grow with the number of entries, except for one byte for each entry and
-target. The protocol needs no consensus: if two entries disagree on who aggregates, the
-only cost is additional bytes.
+digest of all entries to a part of the entries of its failure domain that rotates with
+each round. Each entry's knowledge is therefore at most a few rounds old. The bytes and
+CPU time per entry do not grow with the number of entries, except for one byte for each
+entry and target. The protocol needs no consensus: if several entries act as the same
+aggregator, the only cost is additional bytes.
 
 Owns the contents of received digests (sums of others by region, shares, the newest
 round of each sender) and the counts of this entry's recent heartbeats. All of it is
 lost with the process and complete again after a few rounds. Opens no socket and reads
 no clock: methods return the messages to send and take the time as an argument. Relies
-on `Roles` for which entries aggregate.
+on `Roles` for the selection of aggregators.
 """
 
 from collections import OrderedDict
@@ -39,8 +39,8 @@
 from leverdoor.entry.exchange.limit_exchange import LimitExchange
 from leverdoor.entry.exchange.merging import (
     SUM_MAX_AGE_S,
-    MeanShares,
-    Merger,
+    LoadMerger,
+    WeightedShares,
     sum_counts,
 )
 from leverdoor.entry.exchange.messages import (
@@ -71,10 +71,11 @@
 SEQ_MODULUS = 256
 """Digests carry heartbeat sequence numbers modulo this, in one byte."""
 MAX_REPORTED_COUNTS = 32
-"""Own heartbeats whose counts are retained to subtract them from received sums.
+"""Maximum number of own heartbeats whose counts are retained.
 
-They cover 6.4 s, which is longer than sums are used. With fewer, requests of this entry
-in a late digest would count as requests of others.
+The counts are subtracted from received sums. They cover 6.4 s, more than
+`SUM_MAX_AGE_S`. With fewer, requests of this entry in a late digest would count as
+requests of others.
 """
 INITIAL_ROUND_MODULUS = 1_000
 """The initial round number is the member id modulo this.
@@ -103,7 +104,7 @@
         """Number of the current round; it starts at a hash of the name."""
         self._seq = 0
         self._reported_counts: OrderedDict[int, _ReportedCounts] = OrderedDict()
-        self._merger = Merger(self._own.domain)
+        self._merger = LoadMerger(self._own.domain)
         self.use = UsageExchange(membership)
         self._views = DomainViews(membership)
         self._warm_key_relay = WarmKeyRelay()
@@ -118,10 +119,9 @@
             self._warm_key_relay,
             self.unserved,
         )
-        self._totals: dict[str, tuple[float, dict[str, int]]] = {}
-        """By region: the time of the last digest with sums of its targets, and these
-        sums without the own requests. Counts for an unknown list of targets leave it
-        unchanged."""
+        self._others_by_region: dict[str, tuple[float, dict[str, int]]] = {}
+        """By region of the targets: time of the last digest with counts for a known
+        target list, and the requests in flight of all other entries."""
         self._region_shares: Shares = {}
         self._last_rounds: dict[tuple[str, DigestScope], tuple[int, int]] = {}
         """By sender and scope: incarnation and round number of its newest digest."""
@@ -180,10 +180,10 @@
     def _handle_digest(self, digest: Digest, revision: int, now: float) -> PeerUpdate:
         self._roles.note_digest(digest.sender, now)
         for view in digest.views:
-            self._views.record(view, now)
+            self._views.apply(view, now)
         sender = self._membership.member(digest.sender)
         source = digest.pull if digest.revision > revision else ""
-        if sender is None or not self._is_newer(digest):
+        if sender is None or not self._accept_round(digest):
             return PeerUpdate(source=source)
         update = PeerUpdate(
             warm_keys=parse_hashes(digest.warm_keys),
@@ -194,12 +194,15 @@
         if sender.region == self._own.region:
             self.unserved.record_digest(digest, sender, now)
         if digest.scope == DigestScope.ALL:
-            return self._record_total(digest, sender, update, now)
+            return self._record_all_entries(digest, sender, update, now)
         self._record_partial_sums(digest, sender, update.warm_keys, now)
         return update
 
-    def _is_newer(self, digest: Digest) -> bool:
-        """Return whether a digest is newer than all earlier ones of its kind."""
+    def _accept_round(self, digest: Digest) -> bool:
+        """Record a digest's round; return whether it is newer than the recorded one.
+
+        A digest of another incarnation of the sender always counts as newer.
+        """
         sender_scope = (digest.sender, digest.scope)
         incarnation, round_number = self._last_rounds.get(sender_scope, (0, 0))
         if digest.incarnation == incarnation and digest.round_number <= round_number:
@@ -210,9 +213,13 @@
     def _record_partial_sums(
         self, digest: Digest, sender: Member, warm: list[int], now: float
     ) -> None:
-        """Record the sums of another failure domain or region."""
+        """Record the sums of another failure domain or region.
+
+        Digests with scope DOMAIN also contain shares and warm keys. Digests with scope
+        REGION from the own region are ignored.
+        """
         if digest.scope == DigestScope.DOMAIN:
-            shares = MeanShares(digest.entries, digest.shares)
+            shares = WeightedShares(digest.entries, digest.shares)
             counts = self._parse_counts(digest)
             self._merger.record_domain(sender.domain, counts, shares, now)
             self._warm_key_relay.record_region_keys(warm, now)
@@ -228,12 +235,15 @@
         }
         return {r: counts for r, counts in parsed.items() if counts is not None}
 
-    def _record_total(
+    def _record_all_entries(
         self, digest: Digest, sender: Member, update: PeerUpdate, now: float
     ) -> PeerUpdate:
-        """Record the sums of all entries and subtract the own counts from them.
+        """Record the shares and, unless this entry aggregates, the sums of all entries.
+
+        Digests of another failure domain are ignored. An aggregator computes the sums
+        itself.
 
-        An aggregator ignores them, since it computes these sums itself.
+        Returns: the update, extended by the counts and usage of all other entries.
         """
         if sender.domain != self._own.domain:
             return update
@@ -247,11 +257,11 @@
             counts = self.target_count_codec.parse(loads)
             if counts is not None:
                 _subtract(own_counts.in_flight, counts)
-                self._totals[loads.region] = (now, counts)
+                self._others_by_region[loads.region] = (now, counts)
         recent_sums = [
-            c for at, c in self._totals.values() if now - at <= SUM_MAX_AGE_S
+            c for at, c in self._others_by_region.values() if now - at <= SUM_MAX_AGE_S
         ]
-        usage = self.use.usage_of_others_in(digest, own_counts.use)
+        usage = self.use.usage_of_others_from_digest(digest, own_counts.use)
         return msgspec.structs.replace(
             update, others_in_flight=sum_counts(recent_sums), use=usage
         )
@@ -286,16 +296,20 @@
             status.unserved,
         )
 
-    def announce(self, status: EntryStatus, now: float) -> list[OutgoingMessage]:
+    def heartbeat_messages(
+        self, status: EntryStatus, now: float
+    ) -> list[OutgoingMessage]:
         """Return a heartbeat to the aggregators. May be called between two rounds."""
         return [
-            OutgoingMessage(self.heartbeat(status), self._recipients.aggregators(now))
+            OutgoingMessage(
+                self.heartbeat(status), self._recipients.own_aggregator_addresses(now)
+            )
         ]
 
-    def announce_leave(self, status: EntryStatus) -> list[OutgoingMessage]:
+    def leave_messages(self, status: EntryStatus) -> list[OutgoingMessage]:
         """Return a heartbeat to all entries of the region.
 
-        It tells them at once to stop naming this entry to clients.
+        Recipients then omit this entry from look-up responses at once.
         """
         addresses = [m.gossip for m in self._membership.in_own_region()]
         return [OutgoingMessage(self.heartbeat(status), addresses)]
@@ -322,13 +336,13 @@
     def _announcement_recipients(self, now: float) -> list[str]:
         """Return the addresses to which this entry sends announcements."""
         if not self._roles.is_aggregator(now):
-            return self._recipients.aggregators(now)
+            return self._recipients.own_aggregator_addresses(now)
         live, silent = self._membership.own_domain_by_liveness(now)
         addresses = [m.gossip for m in (*live, *silent)]
-        addresses += [m.gossip for m in self._recipients.region_aggregators(now)]
+        addresses += [m.gossip for m in self._recipients.other_domain_aggregators(now)]
         addresses += [
             m.gossip
-            for m in self._recipients.remote_aggregators(self._round_number, now)
+            for m in self._recipients.select_remote_aggregators(self._round_number, now)
         ]
         return addresses
 
@@ -337,7 +351,7 @@
     ) -> tuple[list[OutgoingMessage], PeerUpdate]:
         """Return the messages of a round and, at an aggregator, the sums of others."""
         self._round_number += 1
-        outgoing = self.announce(status, now)
+        outgoing = self.heartbeat_messages(status, now)
         if status.notices:
             outgoing.append(self._quarantine_message(status, now))
         is_aggregator = self._roles.is_aggregator(now)
@@ -348,7 +362,7 @@
         self._region_shares = self._merger.region_shares(status.shares).shares
         update = PeerUpdate(
             others_in_flight=self._merger.counts_of_others(now),
-            use=self.use.usage_of_others(status.uptime_s, now),
+            use=self.use.merged_usage_of_others(status.uptime_s, now),
         )
         return outgoing + self._build_digests(status, now), update
 
@@ -366,8 +380,8 @@
     ) -> list[OutgoingMessage]:
         """Return the messages with targets' limits; they take the same path as digests.
 
-        Selects recipients only for scopes that have limits to report, because the
-        selection consumes random numbers.
+        Selects recipients only for scopes that have limits to report. The selection
+        consumes random numbers, so that others would change seeded runs.
         """
         self._limits.record_own(status.limits, now)
         scopes = DigestScope if is_aggregator else (OWN_SCOPE,)
@@ -380,17 +394,19 @@
             for scope, update in updates.items()
             if update is not None
         ]
-        return [s for s in outgoing if s.destinations]
+        return [message for message in outgoing if message.destinations]
 
     def _limit_recipients(self, scope: int, now: float) -> list[str]:
         if scope == OWN_SCOPE:
-            return self._recipients.aggregators(now)
+            return self._recipients.own_aggregator_addresses(now)
         if scope == DigestScope.DOMAIN:
-            return [m.gossip for m in self._recipients.region_aggregators(now)]
+            return [m.gossip for m in self._recipients.other_domain_aggregators(now)]
         if scope == DigestScope.REGION:
             return [
                 m.gossip
-                for m in self._recipients.remote_aggregators(self._round_number, now)
+                for m in self._recipients.select_remote_aggregators(
+                    self._round_number, now
+                )
             ]
         return [m.gossip for m in self._membership.in_own_domain()]
 
@@ -401,17 +417,19 @@
             DigestRound(status, self._round_number, self._seq, digest_usage, now)
         )
         recipients = {
-            DigestScope.DOMAIN: self._recipients.region_aggregators(now),
-            DigestScope.REGION: self._recipients.remote_aggregators(
+            DigestScope.DOMAIN: self._recipients.other_domain_aggregators(now),
+            DigestScope.REGION: self._recipients.select_remote_aggregators(
+                self._round_number, now
+            ),
+            DigestScope.ALL: self._recipients.select_domain_entries(
                 self._round_number, now
             ),
-            DigestScope.ALL: self._recipients.domain_entries(self._round_number, now),
         }
         outgoing = [
             OutgoingMessage(digest, [m.gossip for m in recipients[scope]])
             for scope, digest in digests.items()
         ]
-        return [s for s in outgoing if s.destinations]
+        return [message for message in outgoing if message.destinations]
 
     def region_shares(self) -> Shares:
         """Return the last known mean of the shares over the entries of the region."""
--- a/leverdoor/entry/exchange/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -30,7 +30,8 @@
     """Requests of this entry in flight, by name of the target."""
     shares: Shares
     outage_age_ms: int
-    """Time since the store was last unavailable, in ms; -1 if not recently."""
+    """Time since the end of the store's last outage, in ms; -1 if there was none
+    recently."""
     warm_keys: list[int]
     """Hashes of keys that targets other than the first choice served recently."""
     use: Usage = {}
@@ -55,7 +56,7 @@
 
 
 class PeerUpdate(msgspec.Struct, frozen=True):
-    """Information from a message or a round for other components of this entry."""
+    """Changes from a message or a round for other components of this entry."""
 
     others_in_flight: dict[str, int] | None = None
     """Requests in flight of all other entries, by target; None if unchanged."""
--- a/leverdoor/entry/exchange/limit_exchange.py
+++ b/leverdoor/entry/exchange/limit_exchange.py
@@ -33,7 +33,7 @@
 MAX_REPORTS_PER_MESSAGE = 64
 """Maximum number of reports in a message: 768 bytes, which fit into one packet.
 
-If there are more, successive full rounds send different ones.
+If there are more, successive rounds that send all limits send different parts.
 """
 
 
@@ -45,11 +45,11 @@
 
 
 class LimitExchange:
-    """The reports to forward, by the scope of their origin."""
+    """Records limit reports by scope and builds the messages that forward them."""
 
-    def __init__(self, own: str) -> None:
+    def __init__(self, own_name: str) -> None:
         """Create the exchange for the entry with this name."""
-        self._own = own
+        self._own_name = own_name
         self._known: dict[int, dict[int, _KnownLimit]] = {
             scope: {} for scope in (OWN_SCOPE, DigestScope.DOMAIN, DigestScope.REGION)
         }
@@ -58,6 +58,7 @@
     def receive(self, update: LimitUpdate, now: float) -> list[LimitWord]:
         """Record the reports of another entry and return them."""
         reports = parse_words(update.reports, now)
+        # Reports of scope ALL come from an aggregator and are not forwarded.
         if update.scope != DigestScope.ALL:
             self._record(update.scope, reports, now)
         return reports
@@ -115,7 +116,7 @@
             )
             due = [*due[start:], *due[:start]][:MAX_REPORTS_PER_MESSAGE]
         data = serialize_words((limit.report for limit in due), now)
-        return LimitUpdate(self._own, scope, data)
+        return LimitUpdate(self._own_name, scope, data)
 
 
 def _merge_newer(newest: dict[int, _KnownLimit], known: dict[int, _KnownLimit]) -> None:
--- a/leverdoor/entry/exchange/merging.py
+++ b/leverdoor/entry/exchange/merging.py
@@ -19,7 +19,7 @@
 from leverdoor.entry.exchange.messages import EntryHeartbeat, Shares
 from leverdoor.entry.membership.peer_record import NEVER
 
-__all__ = ["SUM_MAX_AGE_S", "MeanShares", "Merger", "sum_counts"]
+__all__ = ["SUM_MAX_AGE_S", "WeightedShares", "LoadMerger", "sum_counts"]
 
 HEARTBEAT_MAX_AGE_S = 1.0
 """Maximum age of an entry's heartbeat for its counts to be summed, in seconds.
@@ -30,21 +30,21 @@
 SUM_MAX_AGE_S = 2.5
 """Maximum age of the sums of another failure domain or region, in seconds.
 
-Equal to the time for which a target's load includes the counts of other entries
-(`PEER_TRUST_S` of the fleet). If shorter, a region with late digests appears idle; if
-longer, finished requests occupy slots.
+Equal to `placement.load.PEER_TRUST_S`, the time for which a target's load includes the
+counts of other entries. If shorter, a region with late digests appears idle; if longer,
+finished requests occupy slots.
 """
 
 
-class MeanShares(msgspec.Struct, frozen=True):
-    """The mean of the shares of several entries."""
+class WeightedShares(msgspec.Struct, frozen=True):
+    """The mean of the shares of entries, weighted by their number."""
 
     entries: int
     """Number of entries averaged."""
     shares: Shares
 
 
-EMPTY_SHARES = MeanShares(0, {})
+EMPTY_SHARES = WeightedShares(0, {})
 
 Counts: TypeAlias = dict[str, int]
 """Requests in flight, by name of the target."""
@@ -53,18 +53,18 @@
 class _PartialSums(msgspec.Struct):
     """The sums of a failure domain or region from its aggregators' digests."""
 
-    at: float = NEVER
+    updated_at: float = NEVER
     counts: dict[str, tuple[float, Counts]] = {}
     """By region of the targets: the time of receipt and the sums."""
-    shares: MeanShares = EMPTY_SHARES
+    shares: WeightedShares = EMPTY_SHARES
 
     def record(self, counts: Mapping[str, Counts], now: float) -> None:
         """Record sums by region; sums of omitted regions stay until they expire."""
-        self.at = now
+        self.updated_at = now
         self.counts |= {region: (now, sums) for region, sums in counts.items()}
 
 
-class Merger:
+class LoadMerger:
     """Merges requests in flight and shares by failure domain and region."""
 
     def __init__(self, domain: str) -> None:
@@ -82,17 +82,17 @@
 
     def is_outdated(self, heartbeat: EntryHeartbeat) -> bool:
         """Return whether this or a later heartbeat of the incarnation arrived."""
-        last = self._last(heartbeat.member.name)
+        last = self._last_heartbeat(heartbeat.member.name)
         if last is None or last.member.incarnation != heartbeat.member.incarnation:
             return False
         return heartbeat.seq <= last.seq
 
-    def seq(self, name: str) -> int:
+    def newest_seq(self, name: str) -> int:
         """Return the number of an entry's newest heartbeat; 0 if none arrived."""
-        last = self._last(name)
+        last = self._last_heartbeat(name)
         return last.seq if last is not None else 0
 
-    def _last(self, name: str) -> EntryHeartbeat | None:
+    def _last_heartbeat(self, name: str) -> EntryHeartbeat | None:
         _, last = self._heartbeats.get(name, (0.0, None))
         return last
 
@@ -107,7 +107,7 @@
         self,
         domain: str,
         counts: Mapping[str, Counts],
-        shares: MeanShares,
+        shares: WeightedShares,
         now: float,
     ) -> None:
         """Record the sums of another failure domain.
@@ -131,7 +131,11 @@
         self._regions.setdefault(region, _PartialSums()).record(counts, now)
 
     def forget(self, now: float) -> None:
-        """Remove expired heartbeats and sums."""
+        """Remove expired heartbeats and sums.
+
+        Heartbeats remain beyond `HEARTBEAT_MAX_AGE_S` for their sequence numbers and
+        shares.
+        """
         self._heartbeats = {
             name: (at, heartbeat)
             for name, (at, heartbeat) in self._heartbeats.items()
@@ -143,27 +147,33 @@
 
     # Requests in flight, by name of the target.
 
-    def domain_counts(self, own: Mapping[str, int], now: float) -> dict[str, int]:
+    def domain_counts(
+        self, own_counts: Mapping[str, int], now: float
+    ) -> dict[str, int]:
         """Return the requests in flight of the own failure domain.
 
         Args:
-          own: the requests of this entry.
+          own_counts: the requests of this entry.
           now: monotonic time in seconds.
         """
-        return sum_counts([own, *self._domain_heartbeat_counts(now)])
+        return sum_counts([own_counts, *self._domain_heartbeat_counts(now)])
 
-    def region_counts(self, domain: Mapping[str, int], now: float) -> dict[str, int]:
+    def region_counts(
+        self, domain_counts: Mapping[str, int], now: float
+    ) -> dict[str, int]:
         """Return the region's requests in flight, from those of the failure domain."""
-        return sum_counts([domain, *_recent_counts(self._domains, now)])
+        return sum_counts([domain_counts, *_recent_counts(self._domains, now)])
 
-    def total_counts(self, region: Mapping[str, int], now: float) -> dict[str, int]:
+    def all_entries_counts(
+        self, region_counts: Mapping[str, int], now: float
+    ) -> dict[str, int]:
         """Return the requests in flight of all entries, from those of the region."""
-        return sum_counts([region, *_recent_counts(self._regions, now)])
+        return sum_counts([region_counts, *_recent_counts(self._regions, now)])
 
     def counts_of_others(self, now: float) -> dict[str, int]:
         """Return the requests in flight of all other entries."""
         region = self.region_counts(self.domain_counts({}, now), now)
-        return self.total_counts(region, now)
+        return self.all_entries_counts(region, now)
 
     def _domain_heartbeat_counts(self, now: float) -> list[dict[str, int]]:
         return [
@@ -175,15 +185,15 @@
 
     # Shares.
 
-    def domain_shares(self, own: Shares) -> MeanShares:
+    def domain_shares(self, own_shares: Shares) -> WeightedShares:
         """Return the mean over the entries of the own failure domain."""
-        domain_entries = [MeanShares(1, s) for s in self._shares.values()]
-        return _weighted_mean([MeanShares(1, own), *domain_entries])
+        domain_entries = [WeightedShares(1, s) for s in self._shares.values()]
+        return _weighted_mean([WeightedShares(1, own_shares), *domain_entries])
 
-    def region_shares(self, own: Shares) -> MeanShares:
+    def region_shares(self, own_shares: Shares) -> WeightedShares:
         """Return the mean over the entries of the own region."""
         domains = [partial.shares for partial in self._domains.values()]
-        return _weighted_mean([self.domain_shares(own), *domains])
+        return _weighted_mean([self.domain_shares(own_shares), *domains])
 
 
 def sum_counts(counts: Iterable[Mapping[str, int]]) -> dict[str, int]:
@@ -201,7 +211,7 @@
 def _without_expired(
     partials: dict[str, _PartialSums], now: float
 ) -> dict[str, _PartialSums]:
-    return {n: p for n, p in partials.items() if now - p.at <= SUM_MAX_AGE_S}
+    return {n: p for n, p in partials.items() if now - p.updated_at <= SUM_MAX_AGE_S}
 
 
 def _recent_counts(partials: dict[str, _PartialSums], now: float) -> list[Counts]:
@@ -213,7 +223,7 @@
     ]
 
 
-def _weighted_mean(partials: Iterable[MeanShares]) -> MeanShares:
+def _weighted_mean(partials: Iterable[WeightedShares]) -> WeightedShares:
     """Return the mean of shares, weighted by the number of entries."""
     entries = 0
     sums: dict[str, dict[str, float]] = {}
@@ -231,4 +241,4 @@
         service: {r: round(v / weights[service], 4) for r, v in by_region.items()}
         for service, by_region in sums.items()
     }
-    return MeanShares(entries, mean)
+    return WeightedShares(entries, mean)
--- a/leverdoor/entry/exchange/messages.py
+++ b/leverdoor/entry/exchange/messages.py
@@ -36,8 +36,7 @@
 
 
 Shares: TypeAlias = dict[str, dict[str, float]]
-"""By service and region of the targets: the share of one region's keys that go there.
-"""
+"""By service and region of the targets: fraction of a region's keys routed there."""
 
 
 class EntryHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="h"):
@@ -52,9 +51,10 @@
     in_flight: dict[str, int] = {}
     """Requests in flight, by name of the target."""
     shares: Shares = {}
-    """Empty in most rounds to save bytes."""
+    """Shares at the entry; empty in most rounds to save bytes."""
     outage_age_ms: int = -1
-    """Time since the store was last unavailable, in ms; -1 if not recently."""
+    """Time since the end of the store's last outage, in ms; -1 if there was none
+    recently."""
     warm_keys: bytes = b""
     """Hashes of keys that targets other than the first choice served recently."""
     use: bytes = b""
@@ -62,7 +62,8 @@
     confirmed_ms: int = -1
     """Age in ms of the store's newest answer that confirms `revision`; -1 if none."""
     answer: int = 0
-    """Number of that answer; see `configuration.confirmation`."""
+    """Number of the store's answer whose age is `confirmed_ms`; see
+    `configuration.confirmation`."""
     unserved: bool = False
     """Whether the store does not answer requests of this entry."""
 
@@ -93,7 +94,7 @@
 
 
 class DigestScope(IntEnum):
-    """The entries whose requests a digest counts."""
+    """The group of entries that a digest covers."""
 
     DOMAIN = 0
     """Entries of the sender's failure domain."""
@@ -114,13 +115,14 @@
     scope: DigestScope
     """The entries whose requests are counted."""
     round_number: int
-    """Number of the sender's round, by which its recipients rotate."""
+    """Number of the sender's round. It identifies outdated digests and, for the other
+    aggregator, the recipients of this round."""
     incarnation: int
     """Incarnation of the sender."""
     revision: int
     pull: str
-    """Address where the sender's state can be fetched, also by entries that know no
-    other entry."""
+    """Address where the sender's state can be fetched. Each digest contains it, because
+    a new entry may not know the sender."""
     views: list[DomainView]
     loads: list[RegionCounts]
     entries: int = 1
@@ -131,10 +133,10 @@
     use: bytes = b""
     """Workspace usage of the entries in `scope`; see `usage_encoding`."""
     use_age_ms: int = 0
-    """Age of the oldest report in `use`, in ms."""
+    """Age of the oldest fresh report in `use`, in ms."""
     merged_ms: int = 0
-    """Time for which the sender has merged the usage of all entries, in ms. Its sums
-    lack incarnations that ended before."""
+    """Time for which the sender has merged the usage of all entries, in ms. The sums
+    lack the usage of incarnations that ended before that time."""
     silent: int = 0
     """Number of silent entries in `scope`, which may still serve behind a network
     partition."""
@@ -143,19 +145,19 @@
     answer: int = 0
     """As in `EntryHeartbeat`."""
     unserved: bytes = b""
-    """Entries whose requests the store does not answer, encoded by `serialize_hashes`:
-    those of the sender's failure domain with scope DOMAIN, those of its region with
-    scope ALL."""
+    """Entries whose requests the store does not answer, as `member_id` hashes. Scope
+    DOMAIN: those of the sender's failure domain. Scope REGION: none. Scope ALL: those
+    of its region."""
 
 
 class RevisionAnnouncement(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    """Announces a newer revision without waiting for the next round."""
+    """Announces a newer revision or confirmation without waiting for the next round."""
 
     revision: int
     pull: str
     """Address where the state can be fetched by HTTP."""
     answer: int = 0
-    """As in `EntryHeartbeat`. It saves entries without a recent answer a request to the
+    """As in `EntryHeartbeat`. Entries without a recent answer then need not ask the
     store."""
     confirmed_ms: int = -1
 
@@ -195,8 +197,8 @@
     priority: int
     """Priority of the request; a smaller number is more urgent."""
     suppressed: int
-    """Number of requests of that priority without a permit request since the sender's
-    previous one."""
+    """Number of requests of this priority for which the sender omitted a permit request
+    since its previous one of this priority."""
 
 
 class PermitResponse(msgspec.Struct, frozen=True, array_like=True, tag="g"):
@@ -205,9 +207,11 @@
     request_number: int
     granted: bool
     retry_after_ms: int
-    """If rejected: time until the sender should ask again for such a request, in ms."""
+    """If rejected: time for which the sender must not ask again for such requests, in
+    ms."""
     permit_expected_ms: int
-    """If rejected: expected time until a permit is available, in ms."""
+    """If rejected: estimated time until a permit is available, in ms, from which the
+    sender derives the retry delay of its client."""
 
 
 ExchangeMessage: TypeAlias = (
--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -42,10 +42,10 @@
 """Minimum interval between two announcements, in seconds.
 
 A change costs an entry 1.9 ms with 541 targets and 195 entries, and a fetch from
-another entry about as much. Without this interval, followers that receive the same
-changes at different times would cause this work at all entries up to thirty times per
-second. If greater, changes arrive later: over the three hops to the last entry it adds
-up to 0.45 s, of a bound of 2.5 s.
+another entry about as much. Entries that follow the store receive the same changes at
+different times, and without pacing would cause this work at all entries up to thirty
+times per second. If greater, changes arrive later: pacing adds up to 0.45 s over the
+three hops to the last entry, of the permitted 2.5 s.
 """
 
 SLOW_FETCH_S = 0.3
@@ -61,7 +61,7 @@
 
 
 class PeerLink:
-    """The connection of this entry to the other entries."""
+    """Sends and receives messages and fetches states."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         state: State,
         keeper: CatalogKeeper,
         events: Events,
-        status: Callable[[], EntryStatus],
+        get_status: Callable[[], EntryStatus],
         on_update: PeerUpdateHandler,
         on_permit_message: PermitMessageHandler,
     ) -> None:
@@ -80,9 +80,9 @@
           exchange: builds messages and evaluates received ones.
           network: the transport to other entries.
           state: the local copy of the store.
-          keeper: records the source of a newer state.
+          keeper: logs the source of a newer configuration.
           events: the entry's event log.
-          status: returns the status of this entry.
+          get_status: returns the status of this entry.
           on_update: handles information from other entries.
           on_permit_message: handles permit requests and responses.
         """
@@ -91,7 +91,7 @@
         self._state = state
         self._keeper = keeper
         self._events = events
-        self._status = status
+        self._get_status = get_status
         self._on_update = on_update
         self._on_permit_message = on_permit_message
         self.peer_follower = PeerFollower(state, network)
@@ -108,24 +108,24 @@
 
     def round(self, now: float) -> None:
         """Send the heartbeats and digests of a round."""
-        outgoing, update = self._exchange.round(self._status(), now)
+        outgoing, update = self._exchange.round(self._get_status(), now)
         self._send(outgoing)
         self._apply_update(update, now)
 
     def announce(self) -> None:
         """Send a heartbeat at once, because the state of this entry changed."""
         now = asyncio.get_running_loop().time()
-        self._send(self._exchange.announce(self._status(), now))
+        self._send(self._exchange.heartbeat_messages(self._get_status(), now))
 
     def announce_leave(self) -> None:
         """Announce to the whole region that this entry leaves."""
-        self._send(self._exchange.announce_leave(self._status()))
+        self._send(self._exchange.leave_messages(self._get_status()))
 
     def schedule_announcement(self) -> None:
         """Schedule the announcement of a newer revision, once for several changes.
 
-        Aggregators forward it at once. With digests alone, the last entries would
-        receive the revision only after three rounds.
+        Each entry that applies the revision announces it again. With digests alone, the
+        last entries would receive the revision only after three rounds.
         """
         if not self._announcement_scheduled:
             self._announcement_scheduled = True
@@ -160,10 +160,10 @@
         self._apply_update(self._exchange.take(message, self._state.revision, now), now)
 
     def _handle_permit_message(self, message: PermitMessage, now: float) -> None:
-        answer = self._on_permit_message(message, now)
+        response = self._on_permit_message(message, now)
         requester = message.sender if isinstance(message, PermitRequest) else ""
-        if answer is not None and requester:
-            self._network.send_all(answer, [requester])
+        if response is not None and requester:
+            self._network.send_all(response, [requester])
 
     def _apply_update(self, update: PeerUpdate, now: float) -> None:
         self._on_update(update, now)
@@ -177,6 +177,7 @@
         if not self.peer_follower.may_pull(address, started_at):
             return
         delta = await self.peer_follower.fetch(address)
+        # `apply` triggers a log line that contains the source.
         self._keeper.source = address
         applied = delta is not None and self._state.apply(delta)
         self._keeper.source = "store"
--- a/leverdoor/entry/exchange/peer_network.py
+++ b/leverdoor/entry/exchange/peer_network.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Transport of messages and fetches among entries.
+"""Transport of messages, and fetching of states, among entries.
 
 `PeerNetwork` is the interface. `SocketNetwork` implements it with UDP and HTTP and owns
-the datagram socket and the HTTP client. Nothing is retransmitted here.
+the datagram socket and the HTTP client. Lost messages are not retransmitted.
 """
 
 from abc import abstractmethod
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         """Create the network without opening a socket."""
         self._socket: GossipSocket[Message] | None = None
-        self._deltas = HttpDeltaSource()
+        self._delta_source = HttpDeltaSource()
 
     async def open(
         self, listen: Address, on_message: Callable[[Message], None]
@@ -59,10 +59,10 @@
 
     async def fetch(self, address: str, since: int) -> Delta:
         """Fetch the changes after a revision from another entry."""
-        return await self._deltas.fetch(address, since)
+        return await self._delta_source.fetch(address, since)
 
     async def close(self) -> None:
         """Close the datagram socket and the HTTP connections."""
         if self._socket is not None:
             self._socket.close()
-        await self._deltas.close()
+        await self._delta_source.close()
--- a/leverdoor/entry/exchange/recipients.py
+++ b/leverdoor/entry/exchange/recipients.py
@@ -5,9 +5,10 @@
 An ordinary entry sends to the aggregators of its failure domain. An aggregator also
 sends to the aggregators of the region's other failure domains, to one or two
 aggregators of each other region, and to the entries of its own failure domain.
+Recipients include candidates for the aggregator role, see `Roles.recipients`.
 
 Owns the last known round of the failure domain's other aggregator, lost with the
-process. Relies on `Roles` for which entries aggregate.
+process. Relies on `Roles` for the selection of aggregators.
 """
 
 from typing import TypeVar
@@ -20,11 +21,11 @@
 
 __all__ = ["Recipients", "rotate"]
 
-SILENT_INTERVAL_ROUNDS = 5
+SILENT_ENTRY_INTERVAL_ROUNDS = 5
 """Interval between two digests to silent entries, in rounds: a second.
 
 Without these digests, the two sides of a network partition would not notice its end; if
-sent more often, they go to failed VMs in vain.
+sent more often, more of them go to failed VMs.
 """
 MAX_RECIPIENTS_PER_REGION = 2
 """Maximum number of aggregators of another region that get a digest in a round.
@@ -32,10 +33,11 @@
 Bounds the bytes between regions if the other region has more aggregators.
 """
 UNPAIRED_INTERVAL_ROUNDS = 3
-"""Every so many rounds, the digest goes to another aggregator than the paired one.
+"""Interval, in rounds, at which rotation selects the recipient in another region.
 
-Two regions that disagree on the aggregators thereby reach each other within a second.
-If smaller, paired aggregators more often wait for more than a round.
+In other rounds the recipient is the paired aggregator. Two regions that disagree on the
+aggregators thereby reach each other within a second. If smaller, paired aggregators
+more often wait for more than a round.
 """
 
 T = TypeVar("T")
@@ -57,11 +59,11 @@
         """Record the round of a digest from the failure domain's other aggregator."""
         self._other_aggregator_round = (now, round_number)
 
-    def aggregators(self, now: float) -> list[str]:
-        """Return the addresses of the own failure domain's aggregators."""
+    def own_aggregator_addresses(self, now: float) -> list[str]:
+        """Return the addresses of the failure domain's aggregators and candidates."""
         return [m.gossip for m in self._roles.recipients(self._own.domain, now)]
 
-    def region_aggregators(self, now: float) -> list[Member]:
+    def other_domain_aggregators(self, now: float) -> list[Member]:
         """Return the aggregators of the region's other failure domains."""
         return [
             member
@@ -70,13 +72,13 @@
             for member in self._roles.recipients(domain, now)
         ]
 
-    def remote_aggregators(self, round_number: int, now: float) -> list[Member]:
+    def select_remote_aggregators(self, round_number: int, now: float) -> list[Member]:
         """Select the aggregators of other regions that get a digest.
 
         The aggregators of two regions are paired by their index, so that each receives
-        a digest of each region once a round. With rotation alone, some would wait for a
-        second. Every third round goes to a different aggregator in rotation: two
-        regions that disagree on the aggregators would otherwise never reach each other.
+        a digest of each region once a round. With rotation alone, some would receive
+        one only once a second. Every third round uses rotation: two regions that
+        disagree on the aggregators could otherwise never reach each other.
         """
         senders = [
             member.name
@@ -88,7 +90,7 @@
         for region in self._membership.other_regions():
             members = self._region_recipients(region, now)
             if members:
-                selected += _paired_recipients(
+                selected += _select_in_region(
                     members, own_index, len(senders), round_number
                 )
         return selected
@@ -100,12 +102,12 @@
             for member in self._roles.recipients(domain, now)
         ]
 
-    def domain_entries(self, round_number: int, now: float) -> list[Member]:
+    def select_domain_entries(self, round_number: int, now: float) -> list[Member]:
         """Select the entries of the own failure domain that get this round's digest.
 
         Each of two aggregators sends to every second entry, so that every entry
         receives a digest about once a round. The other aggregator receives every
-        digest. Silent entries receive one every `SILENT_INTERVAL_ROUNDS`.
+        digest. Silent entries receive one every `SILENT_ENTRY_INTERVAL_ROUNDS`.
         """
         domain_aggregators = self._roles.aggregators(self._own.domain, now)
         own_index, count = domain_aggregators.index(self._own), len(domain_aggregators)
@@ -122,15 +124,20 @@
             if member is not self._own
             and ((position + offset) % count == 0 or member in domain_aggregators)
         ]
-        return chosen + (silent if round_number % SILENT_INTERVAL_ROUNDS == 0 else [])
+        return chosen + (
+            silent if round_number % SILENT_ENTRY_INTERVAL_ROUNDS == 0 else []
+        )
 
     def _complementary_round(self, own_round: int, now: float) -> int:
         """Return the round number by which the second aggregator selects entries.
 
-        If the first aggregator has just sent to one half of the entries, the second
-        sends to the other half. If the first is about to send, the second sends to the
-        same half. No entry then waits for more than one and a half rounds; with
-        independent round numbers it would wait for up to two.
+        Extrapolates the round number of the first aggregator from its last digest. If
+        less than half a round has passed since the first aggregator sent, the result is
+        increased by one, so that the second sends to the other half of the entries.
+        Otherwise the first will soon send to the other half, and the second sends to
+        the same half as the first did. No entry then waits for more than one and a half
+        rounds; with independent round numbers it would wait for up to two. Returns the
+        own round number if no digest arrived for two rounds.
         """
         at, first_round = self._other_aggregator_round
         if now - at > 2 * HEARTBEAT_S:
@@ -139,20 +146,20 @@
         return first_round + int(rounds) + (since_s < HEARTBEAT_S / 2)
 
 
-def _paired_recipients(
-    members: list[Member], own_index: int, senders: int, round_number: int
+def _select_in_region(
+    members: list[Member], own_index: int, sender_count: int, round_number: int
 ) -> list[Member]:
-    """Select the recipients of a region that are paired with a sender.
+    """Select the paired recipients of a region, or one by rotation.
 
     Args:
       members: candidates of the region; not empty.
       own_index: index of the sender among the aggregators of its region.
-      senders: number of these aggregators.
+      sender_count: number of these aggregators.
       round_number: number of the round.
     """
     if round_number % UNPAIRED_INTERVAL_ROUNDS == 0:
         return [members[round_number // UNPAIRED_INTERVAL_ROUNDS % len(members)]]
-    paired = members[own_index :: max(senders, 1)]
+    paired = members[own_index :: max(sender_count, 1)]
     paired = paired or [members[own_index % len(members)]]
     return rotate(paired, MAX_RECIPIENTS_PER_REGION, round_number)
 
--- a/leverdoor/entry/exchange/target_counts.py
+++ b/leverdoor/entry/exchange/target_counts.py
@@ -22,11 +22,11 @@
 MAX_COUNT = 255
 """Largest encodable count of requests at a target."""
 MAX_LISTS = 8
-"""Maximum number of retained target lists per region.
+"""Maximum number of retained target lists, as an average per region.
 
-Older and newer lists decode messages of entries with another configuration. The number
-covers about one change each 0.1 s for 0.8 s. With fewer, counts are discarded while
-changes propagate.
+Older lists are needed to parse messages of entries with an earlier configuration. The
+number covers about one change each 0.1 s for 0.8 s. With fewer, counts are discarded
+while changes propagate.
 """
 
 
@@ -35,8 +35,10 @@
 
     def __init__(self) -> None:
         """Create the codec without any target."""
-        self._current: dict[str, tuple[int, tuple[str, ...]]] = {}
-        self._recent: OrderedDict[tuple[str, int], tuple[str, ...]] = OrderedDict()
+        self._current_lists: dict[str, tuple[int, tuple[str, ...]]] = {}
+        self._recent_lists: OrderedDict[tuple[str, int], tuple[str, ...]] = (
+            OrderedDict()
+        )
 
     def renew(self, names: Mapping[str, Iterable[str]]) -> None:
         """Replace the current target lists by those of a new configuration.
@@ -44,23 +46,23 @@
         Args:
           names: names of the targets by region.
         """
-        self._current = {}
+        self._current_lists = {}
         for region, region_names in names.items():
             ordered = tuple(sorted(region_names))
             list_hash = xxhash.xxh32_intdigest("\n".join(ordered).encode())
-            self._current[region] = (list_hash, ordered)
-            self._recent[(region, list_hash)] = ordered
-            self._recent.move_to_end((region, list_hash))
-        while len(self._recent) > MAX_LISTS * max(len(names), 1):
-            self._recent.popitem(last=False)
+            self._current_lists[region] = (list_hash, ordered)
+            self._recent_lists[(region, list_hash)] = ordered
+            self._recent_lists.move_to_end((region, list_hash))
+        while len(self._recent_lists) > MAX_LISTS * max(len(names), 1):
+            self._recent_lists.popitem(last=False)
 
     def regions(self) -> list[str]:
         """Return the sorted names of the regions that have targets."""
-        return sorted(self._current)
+        return sorted(self._current_lists)
 
     def serialize(self, region: str, counts: Mapping[str, int]) -> RegionCounts:
         """Serialize the counts at a region's targets."""
-        list_hash, names = self._current[region]
+        list_hash, names = self._current_lists[region]
         region_counts = [counts.get(name, 0) for name in names]
         if (
             region_counts
@@ -71,7 +73,7 @@
 
     def parse(self, loads: RegionCounts) -> dict[str, int] | None:
         """Return the nonzero counts by target; None if their target list is unknown."""
-        names = self._recent.get((loads.region, loads.hash))
+        names = self._recent_lists.get((loads.region, loads.hash))
         if names is None or len(names) != len(loads.counts):
             return None
         return {n: c for n, c in zip(names, loads.counts, strict=True) if c}
--- a/leverdoor/entry/exchange/unserved.py
+++ b/leverdoor/entry/exchange/unserved.py
@@ -17,15 +17,15 @@
 REPORT_MAX_AGE_S = 1.5
 """Maximum age of a report, in seconds: seven rounds.
 
-If greater, an entry that the store answers again remains excluded from the role for
-longer; if smaller, a few lost datagrams assign the role to an entry that cannot fulfil
-it.
+If greater, an entry that the store answers again remains excluded as a store follower
+for longer; if smaller, a few lost datagrams make an entry a store follower although the
+store does not answer it.
 """
 MAX_IDS = 64
 """Maximum number of entries in a digest: 256 bytes.
 
-While the store answers no entry, all are unserved, and the list makes no difference to
-what they do.
+While the store answers no entry, all are unserved. A truncated list then changes no
+decision.
 """
 
 
@@ -44,7 +44,7 @@
         own failure domain."""
 
     def record_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
-        """Record whether an entry of the own failure domain is unserved."""
+        """Record whether the sender of a heartbeat is unserved."""
         entry_id = member_id(heartbeat.member.name)
         if heartbeat.unserved:
             self._domain_reports[entry_id] = now
@@ -59,11 +59,11 @@
         elif digest.scope == DigestScope.ALL and sender.domain == self._own.domain:
             self._region_report = (now, reported)
 
-    def unserved_in_domain(self, own: bool, now: float) -> list[int]:
+    def unserved_in_domain(self, is_own_unserved: bool, now: float) -> list[int]:
         """Return the unserved entries of the own failure domain.
 
         Args:
-          own: whether this entry is unserved.
+          is_own_unserved: whether this entry is unserved.
           now: monotonic time in seconds.
         """
         unserved = [
@@ -71,14 +71,14 @@
             for entry_id, at in self._domain_reports.items()
             if now - at <= REPORT_MAX_AGE_S
         ]
-        unserved += [member_id(self._own.name)] if own else []
+        unserved += [member_id(self._own.name)] if is_own_unserved else []
         return sorted(unserved)[:MAX_IDS]
 
-    def unserved_in_region(self, own: bool, now: float) -> list[int]:
+    def unserved_in_region(self, is_own_unserved: bool, now: float) -> list[int]:
         """Return the unserved entries of the region, as reported to this aggregator.
 
         Args:
-          own: whether this entry is unserved.
+          is_own_unserved: whether this entry is unserved.
           now: monotonic time in seconds.
         """
         others = [
@@ -86,7 +86,9 @@
             for at, ids in self._other_domain_reports.values()
             if now - at <= REPORT_MAX_AGE_S
         ]
-        unserved = frozenset(self.unserved_in_domain(own, now)).union(*others)
+        unserved = frozenset(self.unserved_in_domain(is_own_unserved, now)).union(
+            *others
+        )
         return sorted(unserved)[:MAX_IDS]
 
     def unserved_others(self, now: float) -> frozenset[int]:
--- a/leverdoor/entry/exchange/usage_encoding.py
+++ b/leverdoor/entry/exchange/usage_encoding.py
@@ -27,8 +27,9 @@
 """Hash of the list, and percentage of a quota up to which usage is omitted."""
 PAIR = struct.Struct("<HH")
 """Index of a workspace, and its requests."""
-MAX_COUNT = 65_535
-"""Largest encodable count and index."""
+MAX_UINT16 = 65_535
+"""Largest encodable count, and number of workspaces with an index; the usage of any
+others is not reported."""
 MAX_UNFILTERED_PAIRS = 300
 """Number of pairs up to which none is omitted: 1.2 kB, which fit into one packet."""
 MAX_PAIRS = 2_000
@@ -41,8 +42,9 @@
 MAX_LISTS = 4
 """Maximum number of retained lists of workspaces.
 
-Older and newer lists decode messages of entries with another configuration. The number
-covers a few successive changes. With fewer, usage is discarded while changes propagate.
+Older lists are needed to parse messages of entries with an earlier configuration. The
+number covers a few successive changes. With fewer, usage is discarded while changes
+propagate.
 """
 
 
@@ -60,39 +62,40 @@
         """Replace the workspaces with quotas by those of a new configuration.
 
         Args:
-          planned: planned requests of a window, by workspace.
+          planned: by workspace, requests of a window up to which all entries together
+            admit.
         """
         names = tuple(sorted(planned))
         self._planned = planned
         self._hash = xxhash.xxh32_intdigest("\n".join(names).encode())
-        self._indexes = {name: i for i, name in enumerate(names[:MAX_COUNT])}
+        self._indexes = {name: i for i, name in enumerate(names[:MAX_UINT16])}
         self._recent[self._hash] = names
         self._recent.move_to_end(self._hash)
         while len(self._recent) > MAX_LISTS:
             self._recent.popitem(last=False)
 
-    def serialize(self, usage: Mapping[str, int], min_percent: int = 0) -> bytes:
+    def serialize(self, usage: Mapping[str, int], omission_percent: int = 0) -> bytes:
         """Serialize the usage of workspaces.
 
         Args:
           usage: requests by workspace.
-          min_percent: percentage of a quota up to which its usage is omitted if there
+          omission_percent: percentage of a quota up to which usage is omitted if there
             are many workspaces.
         """
         if not self._indexes:
             return b""
         if len(usage) <= MAX_UNFILTERED_PAIRS:
-            min_percent = 0
-        min_fraction = min_percent / 100
+            omission_percent = 0
+        omission_fraction = omission_percent / 100
         pairs = [
-            (self._indexes[name], min(count, MAX_COUNT))
+            (self._indexes[name], min(count, MAX_UINT16))
             for name, count in usage.items()
-            if name in self._indexes and count > min_fraction * self._planned[name]
+            if name in self._indexes and count > omission_fraction * self._planned[name]
         ]
         if len(pairs) > MAX_PAIRS:
             pairs = self._most_used(pairs)
         data = b"".join(PAIR.pack(index, count) for index, count in pairs)
-        return HEADER.pack(self._hash, min_percent) + data
+        return HEADER.pack(self._hash, omission_percent) + data
 
     def _most_used(self, pairs: list[tuple[int, int]]) -> list[tuple[int, int]]:
         """Return the pairs with the highest usage relative to their quotas."""
@@ -100,12 +103,12 @@
         pairs.sort(key=lambda pair: -pair[1] / self._planned[names[pair[0]]])
         return pairs[:MAX_PAIRS]
 
-    def omission_threshold(self, data: bytes) -> float:
-        """Return the fraction of a quota up to which a message omits its usage."""
+    def parse_omission_fraction(self, data: bytes) -> float:
+        """Return the fraction of a quota up to which a message omits usage."""
         if len(data) < HEADER.size:
             return 0.0
-        _, min_percent = HEADER.unpack_from(data)
-        return float(min_percent) / 100
+        _, omission_percent = HEADER.unpack_from(data)
+        return float(omission_percent) / 100
 
     def parse(self, data: bytes) -> Usage | None:
         """Parse the usage of workspaces; None if the list of workspaces is unknown."""
--- a/leverdoor/entry/exchange/usage_exchange.py
+++ b/leverdoor/entry/exchange/usage_exchange.py
@@ -3,13 +3,14 @@
 """Exchange of workspace usage in heartbeats and digests.
 
 An ordinary entry reports its own usage and receives the sums of all entries in a
-digest. An aggregator merges reports (`UsageMerger`) and adds the usage that silent
-entries may reach.
+digest. An aggregator merges reports (`UsageMerger`) and adds reservations for silent
+entries.
 
 Owns the time since when this entry has merged reports of all failure domains and
-regions; it is lost with the process, and no sum is available until the reports are
-complete again. Relies on `Membership` for silent entries, and on `workspaces.isolation`
-for the time for which a silent entry may use its part of a quota.
+regions. It is lost with the process; until the reports are complete again, this entry
+computes no sum of others. Relies on `Membership` for silent entries, and on
+`workspaces.isolation` for the time for which a silent entry may use its part of a
+quota.
 """
 
 from collections.abc import Mapping
@@ -29,21 +30,22 @@
 OMITTED_QUOTA_PERCENT = 6
 """Percentage of a quota that all failure domains together may omit from digests.
 
-Applies if there are many workspaces. If greater, more usage of a quota is unknown to
-other entries; if smaller, digests grow.
+Applies if there are many workspaces. The percentage of each failure domain is rounded
+down; with more than six failure domains it is zero. If greater, more usage of a quota
+is unknown to other entries; if smaller, digests grow.
 """
 TOTAL_OMITTED_PERCENT = 20
-"""Percentage of a quota up to which digests of all entries omit its usage.
+"""Percentage of a quota up to which digests with scope ALL omit its usage.
 
-Applies if there are many workspaces. Enough of the quota is left, and receivers assume
-this usage for an omitted workspace. If greater, they admit less than they could; if
-smaller, digests grow.
+Applies if there are many workspaces. Most of such a quota is unused, and receivers
+assume this usage for an omitted workspace. If greater, they admit less than they could;
+if smaller, digests grow.
 """
 UNKNOWN_USAGE_PARTS = 2
-"""Equal parts of a quota that a silent entry with unknown usage may take.
+"""Equal parts of a quota reserved for a silent entry with unknown usage.
 
-One part accounts for the number of entries and one for its usage, which is assumed to
-be the mean.
+One part is reserved as for each silent entry, and one in place of its usage, which is
+assumed to be the mean.
 """
 
 
@@ -54,7 +56,7 @@
     silent: dict[DigestScope, int]
     """Number of silent entries in each scope."""
     age_ms: int
-    """Age of the oldest report that is summed without a reservation, in ms."""
+    """Age of the oldest fresh report, in ms."""
     merged_ms: int
     """Time for which this entry has merged the usage of all entries, in ms."""
 
@@ -69,14 +71,15 @@
         self._codec = UsageCodec()
         self._merger = UsageMerger()
         self._complete_since: float | None = None
-        """Time since when this aggregator has reports of all failure domains and
-        regions; None if they are incomplete or it is no aggregator."""
+        """Time at which this aggregator first had reports of all failure domains and
+        regions; None before that. Reset only by `stop_merging`."""
 
     def renew(self, planned: Mapping[str, float]) -> None:
         """Replace the workspaces with quotas by those of a new configuration.
 
         Args:
-          planned: planned requests of a window, by workspace.
+          planned: by workspace, requests of a window up to which all entries together
+            admit.
         """
         self._codec.renew(planned)
         self._merger.planned = planned
@@ -99,7 +102,7 @@
             now,
             usage,
             incarnation=member.incarnation,
-            leaves=heartbeat.state == LEAVING,
+            is_leaving=heartbeat.state == LEAVING,
         )
         self._merger.record_entry(member.name, report)
 
@@ -118,7 +121,9 @@
             report = UsageReport(now, usage, merged_s, entries, digest.silent)
             self._merger.record_region(sender.region, report)
 
-    def usage_of_others_in(self, digest: Digest, own: Usage) -> OthersUse | None:
+    def usage_of_others_from_digest(
+        self, digest: Digest, own: Usage
+    ) -> OthersUse | None:
         """Return the usage of others in a digest; None if its list is unknown.
 
         Args:
@@ -132,14 +137,17 @@
             usage[name] = max(usage[name] - own[name], 0)
         age_s = digest.use_age_ms / 1000
         merged_s = digest.merged_ms / 1000
-        omission_threshold = self._codec.omission_threshold(digest.use)
-        return OthersUse(usage, age_s, merged_s, omission_threshold, digest.silent)
+        omission_fraction = self._codec.parse_omission_fraction(digest.use)
+        return OthersUse(usage, age_s, merged_s, omission_fraction, digest.silent)
 
-    def usage_of_others(self, uptime_s: float, now: float) -> OthersUse | None:
+    def merged_usage_of_others(self, uptime_s: float, now: float) -> OthersUse | None:
         """Return the usage of all other entries as merged by this aggregator.
 
-        Returns: None while reports of a failure domain or region are missing, as after
-          this entry has taken the role.
+        Sets `_complete_since` when reports of all failure domains and regions are fresh
+        for the first time.
+
+        Returns: None before that, for example shortly after this entry became an
+          aggregator.
         """
         if self._complete_since is None:
             if not self._merger.has_fresh_reports(
@@ -147,7 +155,7 @@
             ):
                 return None
             self._complete_since = now
-        sums = self._merger.sums({}, self._unreported_parts(uptime_s, now), now)
+        sums = self._merger.compute_sums({}, self._unreported_parts(uptime_s, now), now)
         age_s = self._merger.age_s(now)
         merged_s = now - self._complete_since
         return OthersUse(sums.total, age_s, merged_s, 0.0, sums.silent[-1])
@@ -157,11 +165,13 @@
         self._complete_since = None
 
     def _unreported_parts(self, uptime_s: float, now: float) -> int:
-        """Return the equal parts of a quota to reserve for entries without a report.
+        """Return the number of equal quota parts to reserve for entries without a
+        report.
 
-        After a restart of all entries, an entry that was never seen may serve behind a
-        network partition and takes one part. An entry that was seen may have reported
-        to a former aggregator; see `UNKNOWN_USAGE_PARTS`.
+        One part is reserved for an entry that was never seen while this entry's uptime
+        is at most `HOLD_S`: after a restart of all entries, it may serve behind a
+        network partition. An entry that was seen may have reported to a former
+        aggregator; see `UNKNOWN_USAGE_PARTS`.
         """
         domain = self._own.domain
         last_seen = self._membership.last_seen(domain)
@@ -197,16 +207,18 @@
         self, own: Usage, uptime_s: float, now: float
     ) -> DigestUsage:
         """Return the usage for an aggregator's digests of a round."""
-        sums = self._merger.sums(own, self._unreported_parts(uptime_s, now), now)
-        min_percent = OMITTED_QUOTA_PERCENT // len(self._membership.all_domains())
+        sums = self._merger.compute_sums(
+            own, self._unreported_parts(uptime_s, now), now
+        )
+        omission_percent = OMITTED_QUOTA_PERCENT // len(self._membership.all_domains())
         by_scope = {
-            DigestScope.DOMAIN: self._codec.serialize(sums.domain, min_percent),
-            DigestScope.REGION: self._codec.serialize(sums.region, min_percent),
+            DigestScope.DOMAIN: self._codec.serialize(sums.domain, omission_percent),
+            DigestScope.REGION: self._codec.serialize(sums.region, omission_percent),
             DigestScope.ALL: self._codec.serialize(sums.total, TOTAL_OMITTED_PERCENT),
         }
         scopes = (DigestScope.DOMAIN, DigestScope.REGION, DigestScope.ALL)
         silent = dict(zip(scopes, sums.silent, strict=True))
         age_ms = round(self._merger.age_s(now) * 1000)
-        since = now if self._complete_since is None else self._complete_since
-        merged_ms = round((now - since) * 1000)
+        complete_since = now if self._complete_since is None else self._complete_since
+        merged_ms = round((now - complete_since) * 1000)
         return DigestUsage(by_scope, silent, age_ms, merged_ms)
--- a/leverdoor/entry/exchange/usage_merging.py
+++ b/leverdoor/entry/exchange/usage_merging.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Sums of workspace usage, including the usage that silent entries may reach.
+"""Sums of workspace usage, with reservations for silent entries.
 
 Counts of requests in flight expire when an entry falls silent. Usage does not: a silent
 entry may be partitioned and still serve, and the usage of an ended incarnation counts
@@ -23,7 +23,7 @@
 __all__ = ["FRESH_S", "UsageReport", "UsageMerger", "UsageSums"]
 
 FRESH_S = 0.7
-"""Maximum age at which a report counts unchanged, in seconds.
+"""Maximum age of a fresh report, in seconds; later, a reservation replaces its usage.
 
 Applies to reports of entries and failure domains: three rounds of heartbeats or
 digests. If shorter, lost datagrams cause reservations for live entries, which waste
@@ -31,9 +31,15 @@
 the quota.
 """
 FAR_FRESH_S = 1.2
-"""The same for another region, in seconds; its digests are up to 0.79 s old (p99)."""
+"""Maximum age of a fresh report of another region, in seconds.
+
+Digests of other regions are up to 0.79 s old (p99).
+"""
 MAX_TOTALS = 16
-"""Retained sums of all entries: two for each round, for longer than `FAR_FRESH_S`."""
+"""Maximum number of retained sums of all entries.
+
+`compute_sums` adds two in each round, so that they cover more than `FAR_FRESH_S`.
+"""
 ENDED_USAGE_S = 5.0
 """Time for which the usage of an ended incarnation counts, in seconds: the quota
 window."""
@@ -46,20 +52,19 @@
     """Time of receipt: monotonic time in seconds."""
     use: Usage
     merged_s: float = ENDED_USAGE_S
-    """Time for which the sender has merged the sums, in seconds. They lack incarnations
-    that ended before."""
+    """Time for which the sender has merged reports, in seconds. The sums lack the usage
+    of incarnations that ended before that time."""
     entries: int = 1
     """Number of entries whose usage it contains."""
     silent: int = 0
     """Number of these entries that were silent."""
     incarnation: int = 0
-    leaves: bool = False
-    """Whether the entry accepts no new requests."""
+    is_leaving: bool = False
+    """Whether the entry is in the state LEAVING."""
     previous: "UsageReport | None" = None
-    """Usage that only an earlier report contains, whose sender had merged for the full
-    window."""
+    """Remainder of the last complete report above this one; None if there is none."""
     reserved: Usage | None = None
-    """Usage reserved for the entries while they are silent; None otherwise."""
+    """Cached reservation; None until it is first computed."""
 
 
 class UsageSums(msgspec.Struct, frozen=True):
@@ -69,8 +74,8 @@
     region: Usage
     total: Usage
     silent: tuple[int, int, int]
-    """Number of silent entries in the failure domain, in the region and in total. Each
-    may take a part of every quota, whatever its usage was."""
+    """Number of silent entries in the failure domain, in the region and in total. For
+    each, an equal part of every quota is reserved, independent of its usage."""
 
 
 class UsageMerger:
@@ -79,7 +84,7 @@
     def __init__(self) -> None:
         """Create an empty merger."""
         self.planned: Mapping[str, float] = {}
-        """Planned requests of a window, by workspace with a quota."""
+        """By workspace: requests of a window up to which all entries together admit."""
         self._entries: dict[str, UsageReport] = {}
         self._ended: list[UsageReport] = []
         """The last reports of ended incarnations."""
@@ -97,11 +102,11 @@
 
     def record_domain(self, domain: str, report: UsageReport) -> None:
         """Record the sums of another failure domain of the region."""
-        _record_part(self._domains, domain, report, FRESH_S)
+        _record_group_report(self._domains, domain, report, FRESH_S)
 
     def record_region(self, region: str, report: UsageReport) -> None:
         """Record the sums of another region."""
-        _record_part(self._regions, region, report, FAR_FRESH_S)
+        _record_group_report(self._regions, region, report, FAR_FRESH_S)
 
     def has_report(self, name: str) -> bool:
         """Return whether an entry of the own failure domain reported its usage here."""
@@ -111,8 +116,8 @@
         self, domains: set[str], regions: set[str], now: float
     ) -> bool:
         """Return whether the reports of these failure domains and regions are fresh."""
-        near = _fresh(self._domains, FRESH_S, now)
-        far = _fresh(self._regions, FAR_FRESH_S, now)
+        near = _fresh_reports(self._domains, FRESH_S, now)
+        far = _fresh_reports(self._regions, FAR_FRESH_S, now)
         return domains <= near.keys() and regions <= far.keys()
 
     def forget(self, now: float) -> None:
@@ -124,13 +129,15 @@
             if now - report.at <= HOLD_S
         }
 
-    def sums(self, own: Mapping[str, int], unreported: int, now: float) -> UsageSums:
-        """Return the sums for an aggregator's digests.
+    def compute_sums(
+        self, own: Mapping[str, int], unreported_parts: int, now: float
+    ) -> UsageSums:
+        """Compute the sums by scope, and retain the total for later reservations.
 
         Args:
           own: the usage of this entry.
-          unreported: equal parts of a quota that the failure domain's entries without a
-            report may take.
+          unreported_parts: number of equal parts of a quota to reserve for the failure
+            domain's entries without a report.
           now: monotonic time in seconds.
         """
         ended_usage = [r.use for r in self._ended if now - r.at <= ENDED_USAGE_S]
@@ -140,29 +147,31 @@
         region = sum_usage(domain, *self._counted_usage(self._domains, FRESH_S, now))
         total = sum_usage(region, *self._counted_usage(self._regions, FAR_FRESH_S, now))
         self._totals.append((now, total))
-        domain_silent = unreported + _count_silent(self._entries, FRESH_S, now)
+        domain_silent = unreported_parts + _count_silent(self._entries, FRESH_S, now)
         region_silent = domain_silent + _count_silent(self._domains, FRESH_S, now)
         total_silent = region_silent + _count_silent(self._regions, FAR_FRESH_S, now)
         silent = (domain_silent, region_silent, total_silent)
         return UsageSums(domain, region, total, silent)
 
     def age_s(self, now: float) -> float:
-        """Return the age of the oldest report that counts unchanged, in seconds."""
+        """Return the age of the oldest fresh report, in seconds."""
         fresh = [
-            *_fresh(self._entries, FRESH_S, now).values(),
-            *_fresh(self._domains, FRESH_S, now).values(),
-            *_fresh(self._regions, FAR_FRESH_S, now).values(),
+            *_fresh_reports(self._entries, FRESH_S, now).values(),
+            *_fresh_reports(self._domains, FRESH_S, now).values(),
+            *_fresh_reports(self._regions, FAR_FRESH_S, now).values(),
         ]
         return max((now - report.at for report in fresh), default=0.0)
 
     def _counted_usage(
-        self, parts: Mapping[str, UsageReport], fresh_s: float, now: float
+        self, reports_by_name: Mapping[str, UsageReport], fresh_s: float, now: float
     ) -> list[Usage]:
         current_usage = [
             self._reported_or_reserved(report, fresh_s, now)
-            for report in parts.values()
+            for report in reports_by_name.values()
+        ]
+        previous = [
+            r.previous for r in reports_by_name.values() if r.previous is not None
         ]
-        previous = [r.previous for r in parts.values() if r.previous is not None]
         return current_usage + [o.use for o in previous if now - o.at <= ENDED_USAGE_S]
 
     def _reported_or_reserved(
@@ -172,7 +181,7 @@
         age_s = now - report.at
         if age_s <= fresh_s:
             return report.use
-        if report.leaves:
+        if report.is_leaving:
             return report.use if age_s <= ENDED_USAGE_S else {}
         if age_s > HOLD_S:
             return {}
@@ -181,11 +190,11 @@
         return report.reserved
 
     def _reservation(self, report: UsageReport) -> Usage:
-        """Return the usage to reserve for a report's silent entries by their usage.
+        """Return the usage that the silent entries of a report may reach.
 
-        It is based on the total when the report arrived, like the computation of an
-        entry that receives no digests. The remaining reservation depends on the number
-        of silent entries.
+        An entry without digests extrapolates its usage from the last total that it
+        knows (see `stretch`); this does the same with the total at the time of the
+        report. `UsageSums.silent` covers the reservation that is independent of usage.
         """
         total_then = next((total for at, total in self._totals if at >= report.at), {})
         reserved_usage = {}
@@ -196,7 +205,7 @@
         return reserved_usage
 
 
-def _fresh(
+def _fresh_reports(
     reports: Mapping[str, UsageReport], fresh_s: float, now: float
 ) -> dict[str, UsageReport]:
     return {
@@ -213,12 +222,12 @@
         age_s = now - report.at
         if age_s <= fresh_s:
             count += report.silent
-        elif age_s <= HOLD_S and not report.leaves:
+        elif age_s <= HOLD_S and not report.is_leaving:
             count += report.entries
     return count
 
 
-def _subtract(report: UsageReport, use: Usage) -> UsageReport:
+def _remainder(report: UsageReport, use: Usage) -> UsageReport:
     """Return an earlier report's usage that exceeds the usage in a later report."""
     remaining = {name: count - use.get(name, 0) for name, count in report.use.items()}
     return UsageReport(
@@ -226,22 +235,26 @@
     )
 
 
-def _record_part(
-    parts: dict[str, UsageReport], name: str, report: UsageReport, fresh_s: float
+def _record_group_report(
+    reports_by_name: dict[str, UsageReport],
+    name: str,
+    report: UsageReport,
+    fresh_s: float,
 ) -> None:
     """Record sums from one of the two aggregators of a failure domain or region.
 
-    The sums of an aggregator that has merged for less than `ENDED_USAGE_S` may lack
-    ended incarnations. After a crash of both aggregators and of other entries, the
-    usage of these entries would be lost. The last complete sums are therefore retained
-    in addition for that time.
+    A report is incomplete if its sender has merged for less than `ENDED_USAGE_S`, since
+    it may lack ended incarnations. It is ignored while the last complete report is
+    fresh. Later it replaces the complete report, whose remainder is retained for
+    `ENDED_USAGE_S`. Otherwise, a crash of both aggregators together with other entries
+    would lose the usage of the other entries.
     """
-    last_report = parts.get(name)
+    last_report = reports_by_name.get(name)
     if last_report is not None and report.merged_s < ENDED_USAGE_S:
         is_complete = last_report.merged_s >= ENDED_USAGE_S
         if is_complete and report.at - last_report.at <= fresh_s:
             return
         report.previous = (
-            _subtract(last_report, report.use) if is_complete else last_report.previous
+            _remainder(last_report, report.use) if is_complete else last_report.previous
         )
-    parts[name] = report
+    reports_by_name[name] = report
--- a/leverdoor/entry/exchange/warm_key_relay.py
+++ b/leverdoor/entry/exchange/warm_key_relay.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Relay of recently warmed keys through an aggregator within its region.
+"""Aggregators forward the hashes of warm keys within their region.
 
 A warm key is one that a target other than the first choice served recently and may have
 cached. Keys are represented by the 32-bit hashes of `SharedWarmth`.
@@ -24,12 +24,12 @@
 """Time within which a repeated key is ignored, in seconds.
 
 Twice `RESEND_S`. Heartbeats and digests carry the same key for several rounds; if
-shorter, each copy would restart the relay.
+shorter, each copy would be sent for `RESEND_S` again.
 """
 MAX_KEYS_PER_DIGEST = 128
 """Maximum number of keys in a digest: 512 bytes, a third of a packet."""
 MAX_REMEMBERED_KEYS = 4_096
-"""Maximum number of keys remembered as relayed; it bounds the memory.
+"""Maximum number of keys whose last receipt is remembered; it bounds the memory.
 
 32 digests with the maximum number of keys.
 """
@@ -40,28 +40,33 @@
 
     def __init__(self) -> None:
         """Create an empty relay."""
-        self._domain: deque[tuple[float, int]] = deque(maxlen=MAX_KEYS_PER_DIGEST)
-        self._region: deque[tuple[float, int]] = deque(maxlen=MAX_KEYS_PER_DIGEST)
-        self._relayed: OrderedDict[int, float] = OrderedDict()
+        self._domain_keys: deque[tuple[float, int]] = deque(maxlen=MAX_KEYS_PER_DIGEST)
+        self._other_domain_keys: deque[tuple[float, int]] = deque(
+            maxlen=MAX_KEYS_PER_DIGEST
+        )
+        self._last_received: OrderedDict[int, float] = OrderedDict()
 
     def record_domain_keys(self, keys: Iterable[int], now: float) -> None:
-        """Record warm keys of an entry of the own failure domain."""
-        self._enqueue(keys, self._domain, now)
+        """Record warm keys from an entry's heartbeat."""
+        self._enqueue(keys, self._domain_keys, now)
 
     def record_region_keys(self, keys: Iterable[int], now: float) -> None:
         """Record warm keys from an aggregator of another failure domain."""
-        self._enqueue(keys, self._region, now)
+        self._enqueue(keys, self._other_domain_keys, now)
 
     def _enqueue(
         self, keys: Iterable[int], queue: deque[tuple[float, int]], now: float
     ) -> None:
         for key_hash in keys:
-            if now - self._relayed.get(key_hash, -DEDUPLICATION_S) >= DEDUPLICATION_S:
+            if (
+                now - self._last_received.get(key_hash, -DEDUPLICATION_S)
+                >= DEDUPLICATION_S
+            ):
                 queue.append((now, key_hash))
-                self._relayed[key_hash] = now
-                self._relayed.move_to_end(key_hash)
-        while len(self._relayed) > MAX_REMEMBERED_KEYS:
-            self._relayed.popitem(last=False)
+                self._last_received[key_hash] = now
+                self._last_received.move_to_end(key_hash)
+        while len(self._last_received) > MAX_REMEMBERED_KEYS:
+            self._last_received.popitem(last=False)
 
     def keys_for_region(self, own: Iterable[int], now: float) -> list[int]:
         """Return the keys for the region's other aggregators.
@@ -70,7 +75,7 @@
           own: the keys of this entry.
           now: monotonic time in seconds.
         """
-        return _recent_keys(own, self._domain, now)
+        return _recent_keys(own, self._domain_keys, now)
 
     def keys_for_domain(self, own: Iterable[int], now: float) -> list[int]:
         """Return the keys for the own failure domain.
@@ -79,7 +84,7 @@
           own: the keys of this entry.
           now: monotonic time in seconds.
         """
-        return _recent_keys(own, [*self._domain, *self._region], now)
+        return _recent_keys(own, [*self._domain_keys, *self._other_domain_keys], now)
 
 
 def _recent_keys(
--- a/tests/test_entry_digests.py
+++ b/tests/test_entry_digests.py
@@ -54,7 +54,7 @@
 
 
 def test_ages_are_rounded_up_and_bounded() -> None:
-    """If an age is too low, a failed entry is named to clients for longer."""
+    """If an age is too low, look-ups return a failed entry for longer."""
     encoded = serialize_ages([-0.1, 0.0, AGE_STEP_S * 1.1, 1e9])
     assert list(encoded) == [0, 0, 2, MAX_AGE_STEPS]
 
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -29,10 +29,10 @@
 TARGETS = {"a": ["ta1", "ta2"], "b": ["tb1"]}
 
 
-class Entries:
-    """Exchanges with immediate delivery of messages, on a fake clock."""
+class FakeCluster:
+    """Exchanges of several entries with immediate delivery, on a fake clock."""
 
-    def __init__(self, names: list[str], wide: int = 200) -> None:
+    def __init__(self, names: list[str], fast_link_mbps: int = 200) -> None:
         self.now = 100.0
         self.statuses: dict[str, EntryStatus] = {}
         self.exchanges: dict[str, Exchange] = {}
@@ -40,16 +40,19 @@
         self.updates: dict[str, PeerUpdate] = {}
         self.sent: list[tuple[str, OutgoingMessage]] = []
         self.silent: set[str] = set()
-        members = [_member(n, wide if n.endswith(("-0", "-1")) else 20) for n in names]
-        for own in members:
-            membership = Membership(own)
+        members = [
+            _member(n, fast_link_mbps if n.endswith(("-0", "-1")) else 20)
+            for n in names
+        ]
+        for member in members:
+            membership = Membership(member)
             for other in members:
                 membership.introduce(other, self.now)
-            exchange = Exchange(membership, Roles(membership, Random(own.name)))
+            exchange = Exchange(membership, Roles(membership, Random(member.name)))
             exchange.target_count_codec.renew(TARGETS)
-            self.exchanges[own.name] = exchange
-            self.naming[own.name] = Naming(membership)
-            self.statuses[own.name] = EntryStatus(SERVING, 1, {}, {}, -1, [])
+            self.exchanges[member.name] = exchange
+            self.naming[member.name] = Naming(membership)
+            self.statuses[member.name] = EntryStatus(SERVING, 1, {}, {}, -1, [])
 
     def set_status(self, name: str, **fields: object) -> None:
         self.statuses[name] = msgspec.structs.replace(self.statuses[name], **fields)
@@ -99,12 +102,12 @@
     )
 
 
-def site(domains: list[str], entries: int) -> list[str]:
-    return [f"{d}-{i}" for d in domains for i in range(entries)]
+def entry_names(domains: list[str], per_domain: int) -> list[str]:
+    return [f"{d}-{i}" for d in domains for i in range(per_domain)]
 
 
 def test_entries_learn_the_counts_of_all_others_without_their_own() -> None:
-    cluster = Entries(site(["a1", "a2", "b1"], 6))
+    cluster = FakeCluster(entry_names(["a1", "a2", "b1"], 6))
     for name in cluster.exchanges:
         cluster.set_status(name, in_flight={"ta1": 1, "tb1": 2})
     cluster.round(6)
@@ -113,7 +116,7 @@
 
 
 def test_finished_requests_are_not_counted_after_a_second() -> None:
-    cluster = Entries(site(["a1", "a2", "b1"], 6))
+    cluster = FakeCluster(entry_names(["a1", "a2", "b1"], 6))
     for name in cluster.exchanges:
         cluster.set_status(name, in_flight={"ta1": 1})
     cluster.round(6)
@@ -124,7 +127,7 @@
 
 
 def test_counts_of_a_failed_entry_expire() -> None:
-    cluster = Entries(site(["a1", "a2"], 5))
+    cluster = FakeCluster(entry_names(["a1", "a2"], 5))
     cluster.set_status("a1-4", in_flight={"ta1": 7})
     cluster.round(6)
     assert cluster.others_in_flight("a2-3") == {"ta1": 7}
@@ -135,7 +138,7 @@
 
 def test_counts_expire_at_an_entry_whose_target_lists_differ() -> None:
     """An entry with an outdated state cannot decode counts; its last ones expire."""
-    cluster = Entries(site(["a1"], 6))
+    cluster = FakeCluster(entry_names(["a1"], 6))
     cluster.set_status("a1-4", in_flight={"ta1": 7})
     cluster.round(6)
     assert cluster.others_in_flight("a1-3") == {"ta1": 7}
@@ -155,7 +158,7 @@
 
 def test_an_aggregator_retains_counts_while_target_lists_differ() -> None:
     """Otherwise the load of a region would appear as zero during a change."""
-    cluster = Entries(site(["a1", "a2"], 4))
+    cluster = FakeCluster(entry_names(["a1", "a2"], 4))
     cluster.set_status("a2-3", in_flight={"ta1": 7})
     cluster.round(6)
     assert cluster.others_in_flight("a1-0") == {"ta1": 7}
@@ -171,7 +174,7 @@
 
 
 def test_an_ordinary_entry_sends_only_to_the_two_aggregators() -> None:
-    cluster = Entries(site(["a1", "a2", "b1"], 20))
+    cluster = FakeCluster(entry_names(["a1", "a2", "b1"], 20))
     cluster.round(5)
     cluster.sent.clear()
     cluster.round()
@@ -181,7 +184,7 @@
 
 
 def test_every_entry_of_a_domain_receives_a_digest_within_two_rounds() -> None:
-    cluster = Entries(site(["a1", "a2"], 15))
+    cluster = FakeCluster(entry_names(["a1", "a2"], 15))
     cluster.round(5)
     cluster.sent.clear()
     cluster.round(2)
@@ -195,7 +198,7 @@
 
 
 def test_every_entry_sees_all_others_as_live_after_a_few_rounds() -> None:
-    cluster = Entries(site(["a1", "a2", "b1", "b2"], 10))
+    cluster = FakeCluster(entry_names(["a1", "a2", "b1", "b2"], 10))
     cluster.round(8)
     for exchange in cluster.exchanges.values():
         assert len(exchange._membership.live(cluster.now)) == 39
@@ -203,7 +206,7 @@
 
 def test_a_failed_aggregator_is_replaced_before_any_entry_counts_as_silent() -> None:
     """A failure of both aggregators must not make other entries count as silent."""
-    cluster = Entries(site(["a1", "a2"], 10))
+    cluster = FakeCluster(entry_names(["a1", "a2"], 10))
     cluster.round(8)
     cluster.silent.update({"a1-0", "a1-1"})
     for _ in range(15):
@@ -218,9 +221,9 @@
 
 
 def test_both_sides_of_a_network_partition_reconnect() -> None:
-    cluster = Entries(site(["a1", "b1"], 6))
+    cluster = FakeCluster(entry_names(["a1", "b1"], 6))
     cluster.round(8)
-    original_send = Entries.send
+    original_send = FakeCluster.send
 
     def send_within_region(name: str, outgoing: list[OutgoingMessage]) -> None:
         kept = [
@@ -239,12 +242,12 @@
     assert len(cluster.exchanges["a1-5"]._membership.live(cluster.now)) == 11
 
 
-def test_a_leaving_entry_is_no_longer_named_in_its_region() -> None:
-    cluster = Entries(site(["a1", "a2"], 6))
+def test_a_leaving_entry_is_not_returned_by_look_ups_in_its_region() -> None:
+    cluster = FakeCluster(entry_names(["a1", "a2"], 6))
     cluster.round(6)
     cluster.set_status("a1-4", state=LEAVING)
     cluster.send(
-        "a1-4", cluster.exchanges["a1-4"].announce_leave(cluster.statuses["a1-4"])
+        "a1-4", cluster.exchanges["a1-4"].leave_messages(cluster.statuses["a1-4"])
     )
     for name in ("a1-0", "a1-5", "a2-5"):
         named = cluster.naming[name].addresses("a", "a1", SERVING, cluster.now)
@@ -256,11 +259,11 @@
 
 
 def test_an_out_of_order_heartbeat_is_ignored() -> None:
-    cluster = Entries(["a1-0", "a1-5"])
-    own = cluster.exchanges["a1-5"]
+    cluster = FakeCluster(["a1-0", "a1-5"])
+    sender = cluster.exchanges["a1-5"]
     status = msgspec.structs.replace(cluster.statuses["a1-5"], in_flight={"ta1": 4})
-    early = own.heartbeat(status)
-    late = own.heartbeat(msgspec.structs.replace(status, in_flight={"ta1": 1}))
+    early = sender.heartbeat(status)
+    late = sender.heartbeat(msgspec.structs.replace(status, in_flight={"ta1": 1}))
     for message in (late, early):
         cluster.exchanges["a1-0"].take(message, 1, cluster.now)
     cluster.round()
@@ -269,7 +272,7 @@
 
 
 def test_a_duplicate_digest_is_ignored() -> None:
-    cluster = Entries(site(["a1"], 4))
+    cluster = FakeCluster(entry_names(["a1"], 4))
     cluster.round(4)
     digests = [
         x.message
@@ -281,8 +284,8 @@
 
 
 def test_an_announcement_reaches_a_large_site_in_five_hops() -> None:
-    names = site([f"{r}{d}" for r in "abc" for d in (1, 2, 3)], 22)
-    cluster = Entries(names)
+    names = entry_names([f"{r}{d}" for r in "abc" for d in (1, 2, 3)], 22)
+    cluster = FakeCluster(names)
     cluster.round(8)
     new_recipients, reached, hops = {"a1-0"}, {"a1-0"}, 0
     while new_recipients:
@@ -303,7 +306,7 @@
 
 
 def test_announcements_and_digests_of_a_newer_revision_name_its_source() -> None:
-    cluster = Entries(site(["a1"], 4))
+    cluster = FakeCluster(entry_names(["a1"], 4))
     cluster.round(4)
     received = cluster.exchanges["a1-3"].take(
         RevisionAnnouncement(5, "p/a1-0"), 1, cluster.now
@@ -318,13 +321,13 @@
     cluster.set_status("a1-0", revision=5)
     cluster.round(2)
     assert cluster.updates["a1-3"].source == "p/a1-0", (
-        "its aggregator has the fastest link"
+        "the source must be the aggregator a1-0"
     )
 
 
 def test_an_entry_without_peers_learns_a_source_of_the_state() -> None:
-    """An entry that starts during an outage of the store gets the state from others."""
-    cluster = Entries(site(["a1"], 4))
+    """An entry that starts during an outage of the store fetches the state from others."""
+    cluster = FakeCluster(entry_names(["a1"], 4))
     cluster.round(4)
     digest = next(x.message for _, x in reversed(cluster.sent) if _is_total(x))
     known = Membership(_member("a1-9", 20))
@@ -333,20 +336,20 @@
 
 
 def test_warm_keys_reach_the_whole_region_and_no_other() -> None:
-    cluster = Entries(site(["a1", "a2", "b1"], 5))
+    cluster = FakeCluster(entry_names(["a1", "a2", "b1"], 5))
     cluster.round(6)
     cluster.updates.clear()
     cluster.set_status("a1-4", warm_keys=[77])
     cluster.round(2)
     cluster.set_status("a1-4", warm_keys=[])
     cluster.round(4)
-    informed = {n for n in cluster.exchanges if 77 in cluster.updates[n].warm_keys}
-    assert informed >= {n for n in cluster.exchanges if n[0] == "a" and n != "a1-4"}
-    assert not any(n[0] == "b" for n in informed)
+    receivers = {n for n in cluster.exchanges if 77 in cluster.updates[n].warm_keys}
+    assert receivers >= {n for n in cluster.exchanges if n[0] == "a" and n != "a1-4"}
+    assert not any(n[0] == "b" for n in receivers)
 
 
 def test_shares_are_the_mean_over_the_regions_entries() -> None:
-    cluster = Entries(site(["a1", "a2"], 4))
+    cluster = FakeCluster(entry_names(["a1", "a2"], 4))
     for i, name in enumerate(cluster.exchanges):
         share = 1.0 if i % 2 else 0.5
         cluster.set_status(name, shares={"s": {"a": share, "b": 1.0 - share}})
@@ -357,7 +360,7 @@
 
 
 def test_an_outage_of_the_store_is_forwarded() -> None:
-    cluster = Entries(site(["a1", "a2"], 4))
+    cluster = FakeCluster(entry_names(["a1", "a2"], 4))
     cluster.round(4)
     cluster.set_status("a1-0", outage_age_ms=1_500)
     cluster.round(2)
--- a/tests/test_entry_use.py
+++ b/tests/test_entry_use.py
@@ -47,10 +47,10 @@
     usage = dict.fromkeys(NAMES, 1) | {"w7": 90}
     data = sender.serialize(usage, 20)
     assert sender.parse(data) == {"w7": 90}
-    assert sender.omission_threshold(data) == 0.2
+    assert sender.parse_omission_fraction(data) == 0.2
     few = sender.serialize({"w1": 1}, 20)
     assert sender.parse(few) == {"w1": 1}
-    assert sender.omission_threshold(few) == 0.0
+    assert sender.parse_omission_fraction(few) == 0.0
 
 
 def test_sum_usage_adds_by_workspace() -> None:
@@ -68,24 +68,26 @@
     merger.record_entry("e1", UsageReport(10.0, {"w": 2}))
     merger.record_domain("d2", UsageReport(10.0, {"w": 3}, entries=4))
     merger.record_region("r2", UsageReport(10.0, {"w": 4}, entries=9))
-    sums = merger.sums({"w": 1}, 0, 10.1)
+    sums = merger.compute_sums({"w": 1}, 0, 10.1)
     assert (sums.domain, sums.region, sums.total) == ({"w": 3}, {"w": 6}, {"w": 10})
     assert sums.silent == (0, 0, 0)
 
 
 def test_part_of_a_quota_is_reserved_for_a_silent_entry() -> None:
-    """It may serve behind a network partition.
+    """A silent entry may serve behind a network partition.
 
-    Half of the reservation depends on its usage, half on the number of entries.
+    Its usage of 10 was part of a total of 25, so that it may grow by the factor 100 /
+    25. Half of the result, 20, is reserved by usage; `silent` stands for the other
+    half.
     """
     merger = create_merger()
     merger.record_entry("e1", UsageReport(10.0, {"w": 10}))
-    assert merger.sums({"w": 15}, 0, 10.1).total == {"w": 25}
-    later = merger.sums({"w": 15}, 0, 13.0)
+    assert merger.compute_sums({"w": 15}, 0, 10.1).total == {"w": 25}
+    later = merger.compute_sums({"w": 15}, 0, 13.0)
     assert later.total == {"w": 15 + 20}
     assert later.silent == (1, 1, 1)
     merger.forget(10.0 + HOLD_S + 1)
-    expired = merger.sums({"w": 15}, 0, 10.0 + HOLD_S + 1)
+    expired = merger.compute_sums({"w": 15}, 0, 10.0 + HOLD_S + 1)
     assert (expired.total, expired.silent) == ({"w": 15}, (0, 0, 0))
 
 
@@ -93,19 +95,19 @@
     merger = create_merger()
     merger.record_entry("e1", UsageReport(10.0, {"w": 10}, incarnation=1))
     merger.record_entry("e1", UsageReport(11.0, {"w": 1}, incarnation=2))
-    assert merger.sums({}, 0, 11.0).total == {"w": 11}
+    assert merger.compute_sums({}, 0, 11.0).total == {"w": 11}
     merger.record_entry("e1", UsageReport(16.0, {"w": 1}, incarnation=2))
-    assert merger.sums({}, 0, 16.0).total == {"w": 1}
+    assert merger.compute_sums({}, 0, 16.0).total == {"w": 1}
 
 
 def test_nothing_is_reserved_for_an_entry_that_left() -> None:
     merger = create_merger()
-    merger.record_entry("e1", UsageReport(10.0, {"w": 10}, leaves=True))
-    assert merger.sums({}, 0, 12.0).total == {"w": 10}
-    assert merger.sums({}, 0, 16.0).total == {}
+    merger.record_entry("e1", UsageReport(10.0, {"w": 10}, is_leaving=True))
+    assert merger.compute_sums({}, 0, 12.0).total == {"w": 10}
+    assert merger.compute_sums({}, 0, 16.0).total == {}
 
 
-def test_reports_are_complete_only_while_all_parts_are_fresh() -> None:
+def test_reports_of_all_domains_and_regions_must_be_fresh() -> None:
     merger = create_merger()
     assert not merger.has_fresh_reports({"d2"}, {"r2"}, 10.0)
     merger.record_domain("d2", UsageReport(10.0, {}))
@@ -116,14 +118,19 @@
 
 
 def test_sums_of_a_failed_aggregator_count_for_a_window() -> None:
-    """Guards against lost usage when both aggregators and other entries fail."""
+    """Guards against lost usage when both aggregators of a domain and other entries
+    fail.
+
+    A new aggregator is ignored while the complete report of 40 is fresh. Its usage
+    counts together with the remainder of that report until `ENDED_USAGE_S` has passed.
+    """
     merger = create_merger()
     merger.record_domain("d2", UsageReport(10.0, {"w": 40}))
     merger.record_domain("d2", UsageReport(10.2, {"w": 3}, merged_s=0.1))
-    assert merger.sums({}, 0, 10.3).total == {"w": 40}
+    assert merger.compute_sums({}, 0, 10.3).total == {"w": 40}
     merger.record_domain("d2", UsageReport(11.5, {"w": 3}, merged_s=0.4))
-    assert merger.sums({}, 0, 11.6).total == {"w": 40}
+    assert merger.compute_sums({}, 0, 11.6).total == {"w": 40}
     merger.record_domain("d2", UsageReport(14.9, {"w": 5}, merged_s=3.8))
-    assert merger.sums({}, 0, 14.9).total == {"w": 42}
+    assert merger.compute_sums({}, 0, 14.9).total == {"w": 42}
     merger.record_domain("d2", UsageReport(15.2, {"w": 5}, merged_s=4.1))
-    assert merger.sums({}, 0, 15.3).total == {"w": 5}
+    assert merger.compute_sums({}, 0, 15.3).total == {"w": 5}
--- a/tests/test_limit_exchange.py
+++ b/tests/test_limit_exchange.py
@@ -13,15 +13,15 @@
 from leverdoor.entry.exchange.messages import OWN_SCOPE, DigestScope, LimitUpdate
 from leverdoor.limits.named import LimitBook, LimitWord
 from leverdoor.limits.rows import parse_words, serialize_words
-from test_entry_exchange import Entries
+from test_entry_exchange import FakeCluster
 
 NAMES = [f"{d}-{i}" for d in ("a1", "a2", "b1", "b2") for i in range(4)]
 PROPAGATION_ROUNDS = 8
-"""1.6 s: an own report, three digests and the rotation of recipients."""
+"""Rounds until a report has reached all entries: three hops, and rotation."""
 
 
-class EntriesWithLimits(Entries):
-    """Entries that retain the limits they receive."""
+class FakeClusterWithLimits(FakeCluster):
+    """Entries that retain only the limits they receive."""
 
     def __init__(self) -> None:
         self.books = {name: LimitBook() for name in NAMES}
@@ -42,27 +42,28 @@
 
 
 def test_a_limit_reported_to_one_entry_reaches_all_others() -> None:
-    entries = EntriesWithLimits()
-    entries.round(3)
-    entries.report_limit("b2-3", 3.5)
-    entries.round(PROPAGATION_ROUNDS)
-    assert entries.limits() == {3.5}
-    entries.report_limit("a1-2", None)
-    entries.round(PROPAGATION_ROUNDS)
-    assert entries.limits() == {None}
-    entries.report_limit("a2-1", 0.5)
-    entries.round(PROPAGATION_ROUNDS)
-    assert entries.limits() == {0.5}
+    cluster = FakeClusterWithLimits()
+    cluster.round(3)
+    cluster.report_limit("b2-3", 3.5)
+    cluster.round(PROPAGATION_ROUNDS)
+    assert cluster.limits() == {3.5}
+    cluster.report_limit("a1-2", None)
+    cluster.round(PROPAGATION_ROUNDS)
+    assert cluster.limits() == {None}
+    cluster.report_limit("a2-1", 0.5)
+    cluster.round(PROPAGATION_ROUNDS)
+    assert cluster.limits() == {0.5}
 
 
 def test_unchanged_limits_are_sent_again_each_second() -> None:
-    """Entries that start or were partitioned learn them."""
+    """FakeCluster that start or were partitioned learn them."""
     exchange = LimitExchange("n1")
     exchange.record_own([LimitWord(7, 3.5, 0.0)], 0.0)
     sent = [
         exchange.build_update(OWN_SCOPE, round_number, round_number * 0.2)
         for round_number in range(1, 21)
     ]
+    # Three rounds after the change and four rounds that send all limits.
     assert sum(limit_update is not None for limit_update in sent) == 3 + 4
     exchange.forget(61.0)
     assert exchange.build_update(OWN_SCOPE, 5, 61.0) is None
@@ -79,7 +80,7 @@
     assert exchange.build_update(DigestScope.REGION, 5, 0.1) is None
 
 
-def test_each_of_many_limits_is_sent_within_some_rounds() -> None:
+def test_each_of_many_limits_is_sent_within_twenty_rounds() -> None:
     exchange = LimitExchange("n1")
     exchange.record_own(
         [LimitWord(i, 1.0, 0.0) for i in range(3 * MAX_REPORTS_PER_MESSAGE)], 0.0
