--- a/leverdoor/entry/exchange/digest_builder.py
+++ b/leverdoor/entry/exchange/digest_builder.py
@@ -174,7 +174,7 @@
         ]
 
     def _view(self, domain: str, digest_round: DigestRound) -> DomainView:
-        def newest_seq(name: str) -> int:
+        def heartbeat_seq(name: str) -> int:
             return (
                 digest_round.seq
                 if name == self._own.name
@@ -184,7 +184,7 @@
         return self._views.build(
             domain,
             digest_round.status.state,
-            newest_seq,
+            heartbeat_seq,
             digest_round.round_number,
             digest_round.now,
         )
--- a/leverdoor/entry/exchange/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -61,7 +61,9 @@
     others_in_flight: dict[str, int] | None = None
     """Requests in flight of all other entries, by target; None if unchanged."""
     warm_keys: list[int] = []
+    """Hashes of warm keys, as in `EntryStatus`."""
     outage_age_ms: int = -1
+    """As in `EntryStatus`."""
     source: str = ""
     """Address where a newer state can be fetched, as `ip:port`; empty if none."""
     answer: ToldAnswer = NO_ANSWER
--- a/leverdoor/entry/exchange/usage_merging.py
+++ b/leverdoor/entry/exchange/usage_merging.py
@@ -33,7 +33,8 @@
 FAR_FRESH_S = 1.2
 """Maximum age of a fresh report of another region, in seconds.
 
-Digests of other regions are up to 0.79 s old (p99).
+Digests of other regions are up to 0.79 s old (p99). The consequences of other values
+are those for `FRESH_S`.
 """
 MAX_TOTALS = 16
 """Maximum number of retained sums of all entries.
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -326,7 +326,7 @@
 
 
 def test_an_entry_without_peers_learns_a_source_of_the_state() -> None:
-    """An entry that starts during an outage of the store fetches the state from others."""
+    """During an outage of the store, a new entry fetches the state from others."""
     cluster = FakeCluster(entry_names(["a1"], 4))
     cluster.round(4)
     digest = next(x.message for _, x in reversed(cluster.sent) if _is_total(x))
