--- a/leverdoor/entry/exchange/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -1,19 +1,22 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What entries report to each other, at any number of entries.
-
-Each round an entry sends a heartbeat to the aggregators of its failure domain: the
-two entries there with the widest links. Aggregators exchange digests of their
-domains within the region, and digests of their regions with other regions, and
-return one digest of everything to the entries of their domain in turn. What an
-entry knows is therefore at most a few rounds old, at bytes and work that do not
-grow with the number of entries but by a byte for each entry and target. There is
-no agreement: two that both take themselves for an aggregator only cost bytes.
-
-Owns what came in digests (sums of others by region, shares, the newest round of each
-sender) and the counts of the own last heartbeats, all lost with the process and
-complete again after a few rounds. Opens no socket and reads no clock: messages to send
-are returned, the time is passed in. Relies on `Roles` for who aggregates.
+"""The protocol by which entries exchange their status.
+
+In each round an entry sends a heartbeat to the aggregators of its failure domain: the
+two entries there with the fastest links. An aggregator merges these heartbeats into
+digests. It sends a digest of its failure domain to the aggregators of the region's
+other failure domains, a digest of its region to aggregators of other regions, and a
+digest of all entries to a part of the entries of its failure domain that rotates with
+each round. Each entry's knowledge is therefore at most a few rounds old. The bytes and
+CPU time per entry do not grow with the number of entries, except for one byte for each
+entry and target. The protocol needs no consensus: if several entries act as the same
+aggregator, the only cost is additional bytes.
+
+Owns the contents of received digests (sums of others by region, shares, the newest
+round of each sender) and the counts of this entry's recent heartbeats. All of it is
+lost with the process and complete again after a few rounds. Opens no socket and reads
+no clock: methods return the messages to send and take the time as an argument. Relies
+on `Roles` for the selection of aggregators.
 """
 
 from collections import OrderedDict
@@ -21,33 +24,42 @@
 import msgspec
 
 from leverdoor.entry.configuration.confirmation import ToldAnswer
-from leverdoor.entry.exchange.encoding import parse_ids, serialize_ids
-from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
+from leverdoor.entry.exchange.digest_builder import (
+    SHARES_INTERVAL_ROUNDS,
+    DigestBuilder,
+    DigestRound,
+)
+from leverdoor.entry.exchange.domain_views import DomainViews
+from leverdoor.entry.exchange.encoding import parse_hashes, serialize_hashes
+from leverdoor.entry.exchange.exchange_types import (
+    EntryStatus,
+    OutgoingMessage,
+    PeerUpdate,
+)
 from leverdoor.entry.exchange.limit_exchange import LimitExchange
-from leverdoor.entry.exchange.merging import PART_TRUST_S, MeanShares, Merger, merged
+from leverdoor.entry.exchange.merging import (
+    SUM_MAX_AGE_S,
+    LoadMerger,
+    WeightedShares,
+    sum_counts,
+)
 from leverdoor.entry.exchange.messages import (
     OWN_SCOPE,
     Digest,
     DigestScope,
     EntryHeartbeat,
     ExchangeMessage,
-    LimitNews,
-    News,
-    QuarantineNews,
+    LimitUpdate,
+    QuarantineUpdate,
+    RevisionAnnouncement,
     Shares,
 )
 from leverdoor.entry.exchange.recipients import Recipients
-from leverdoor.entry.exchange.round_digests import (
-    SHARES_ROUNDS,
-    DigestRound,
-    RoundDigests,
-)
-from leverdoor.entry.exchange.target_counts import TargetLists
+from leverdoor.entry.exchange.target_counts import TargetCountCodec
 from leverdoor.entry.exchange.unserved import UnservedEntries
-from leverdoor.entry.exchange.use_exchange import UseExchange
-from leverdoor.entry.exchange.use_lists import Use
-from leverdoor.entry.exchange.views import Views
-from leverdoor.entry.exchange.warm_news import WarmNews
+from leverdoor.entry.exchange.usage_encoding import Usage
+from leverdoor.entry.exchange.usage_exchange import UsageExchange
+from leverdoor.entry.exchange.warm_key_relay import WarmKeyRelay
 from leverdoor.entry.membership.member import Member, MemberRow, member_id
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import LastSeen
@@ -56,90 +68,94 @@
 
 __all__ = ["Exchange"]
 
-SEQS = 256
-"""Numbers of heartbeats that digests tell apart: one byte."""
-OWN_COUNTS_KEPT = 32
-"""Own heartbeats whose counts are kept, to subtract them from what comes back.
+SEQ_MODULUS = 256
+"""Digests carry heartbeat sequence numbers modulo this, in one byte."""
+MAX_REPORTED_COUNTS = 32
+"""Maximum number of own heartbeats whose counts are retained.
+
+The counts are subtracted from received sums. They cover 6.4 s, more than
+`SUM_MAX_AGE_S`. With fewer, requests of this entry in a late digest would count as
+requests of others.
+"""
+INITIAL_ROUND_MODULUS = 1_000
+"""The initial round number is the member id modulo this.
 
-6.4 s of heartbeats, longer than sums are used. With fewer, own requests in a late
-digest would count as those of others.
+Different initial numbers spread the rotations of the entries.
 """
-FIRST_TURNS = 1_000
-"""Entries count rounds from one of so many numbers, which spreads their rotations."""
 
 
-class _OwnCounts(msgspec.Struct, frozen=True):
-    """What one of the own heartbeats counted."""
+class _ReportedCounts(msgspec.Struct, frozen=True):
+    """The counts that one heartbeat of this entry reported."""
 
     in_flight: dict[str, int]
-    use: Use
+    use: Usage
 
 
 class Exchange:
-    """The messages of this entry, and what it learns from those of others."""
+    """Builds this entry's messages and evaluates those of other entries."""
 
     def __init__(self, membership: Membership, roles: Roles) -> None:
-        """Create it around the entries known and their roles."""
+        """Create the exchange for a membership and the roles of its entries."""
         self._membership = membership
         self._roles = roles
         self._own = membership.own
-        self.lists = TargetLists()
-        self._turn = member_id(self._own.name) % FIRST_TURNS
-        """Counts rounds."""
+        self.target_count_codec = TargetCountCodec()
+        self._round_number = member_id(self._own.name) % INITIAL_ROUND_MODULUS
+        """Number of the current round; it starts at a hash of the name."""
         self._seq = 0
-        self._own_counts: OrderedDict[int, _OwnCounts] = OrderedDict()
-        self._merger = Merger(self._own.domain)
-        self.use = UseExchange(membership)
-        self._views = Views(membership)
-        self._warm_news = WarmNews()
+        self._reported_counts: OrderedDict[int, _ReportedCounts] = OrderedDict()
+        self._merger = LoadMerger(self._own.domain)
+        self.use = UsageExchange(membership)
+        self._views = DomainViews(membership)
+        self._warm_key_relay = WarmKeyRelay()
         self.unserved = UnservedEntries(self._own)
         self._limits = LimitExchange(self._own.name)
         self._recipients = Recipients(membership, roles)
-        self._round_digests = RoundDigests(
+        self._digest_builder = DigestBuilder(
             membership,
-            self.lists,
+            self.target_count_codec,
             self._merger,
             self._views,
-            self._warm_news,
+            self._warm_key_relay,
             self.unserved,
         )
-        self._totals: dict[str, tuple[float, dict[str, int]]] = {}
-        """By region, when a digest brought the requests of all others at its targets,
-        and these. Counts of an unknown list of targets change nothing."""
+        self._others_by_region: dict[str, tuple[float, dict[str, int]]] = {}
+        """By region of the targets: time of the last digest with counts for a known
+        target list, and the requests in flight of all other entries."""
         self._region_shares: Shares = {}
-        self._last_digest: dict[tuple[str, DigestScope], tuple[int, int]] = {}
-        """By sender and scope, its incarnation and round."""
+        self._last_rounds: dict[tuple[str, DigestScope], tuple[int, int]] = {}
+        """By sender and scope: incarnation and round number of its newest digest."""
 
-    # Messages of others.
+    # Received messages.
 
     def take(self, message: ExchangeMessage, revision: int, now: float) -> PeerUpdate:
-        """Take a message.
+        """Process a message of another entry and return what it reports.
 
         Args:
-          message: what came.
-          revision: the revision in force here.
+          message: the received message.
+          revision: the revision in force at this entry.
           now: monotonic time in seconds.
         """
-        if isinstance(message, News):
+        if isinstance(message, RevisionAnnouncement):
             return PeerUpdate(
                 source=message.pull if message.revision > revision else "",
                 answer=ToldAnswer(
                     message.revision, message.answer, message.confirmed_ms
                 ),
             )
-        if isinstance(message, QuarantineNews):
+        if isinstance(message, QuarantineUpdate):
             return PeerUpdate(notices=parse_notices(message.notices))
-        if isinstance(message, LimitNews):
-            return PeerUpdate(limits=self._limits.take(message, now))
+        if isinstance(message, LimitUpdate):
+            return PeerUpdate(limits=self._limits.receive(message, now))
         if isinstance(message, EntryHeartbeat):
-            return self._take_heartbeat(message, revision, now)
-        return self._take_digest(message, revision, now)
+            return self._handle_heartbeat(message, revision, now)
+        return self._handle_digest(message, revision, now)
 
-    def _take_heartbeat(
+    def _handle_heartbeat(
         self, heartbeat: EntryHeartbeat, revision: int, now: float
     ) -> PeerUpdate:
         member = heartbeat.member
-        if member.name == self._own.name or self._merger.is_old(heartbeat):
+        if member.name == self._own.name or self._merger.is_outdated(heartbeat):
             return PeerUpdate()
         self._membership.introduce(member, now)
         row = MemberRow(member_id(member.name), member.incarnation, heartbeat.state)
@@ -147,237 +163,286 @@
         known = self._membership.member(member.name)
         if known is None or known.incarnation != member.incarnation:
             return PeerUpdate()
-        self._merger.take_heartbeat(heartbeat, now)
-        self.use.take_heartbeat(heartbeat, now)
-        self.unserved.take_heartbeat(heartbeat, now)
-        warm = parse_ids(heartbeat.warm)
-        self._warm_news.take_from_domain(warm, now)
+        self._merger.record_heartbeat(heartbeat, now)
+        self.use.record_heartbeat(heartbeat, now)
+        self.unserved.record_heartbeat(heartbeat, now)
+        warm = parse_hashes(heartbeat.warm_keys)
+        self._warm_key_relay.record_domain_keys(warm, now)
         return PeerUpdate(
-            warm=warm,
-            outage_ms=heartbeat.outage_ms,
+            warm_keys=warm,
+            outage_age_ms=heartbeat.outage_age_ms,
             source=member.pull if heartbeat.revision > revision else "",
             answer=ToldAnswer(
                 heartbeat.revision, heartbeat.answer, heartbeat.confirmed_ms
             ),
         )
 
-    def _take_digest(self, digest: Digest, revision: int, now: float) -> PeerUpdate:
+    def _handle_digest(self, digest: Digest, revision: int, now: float) -> PeerUpdate:
         self._roles.note_digest(digest.sender, now)
         for view in digest.views:
-            self._views.take(view, now)
+            self._views.apply(view, now)
         sender = self._membership.member(digest.sender)
         source = digest.pull if digest.revision > revision else ""
-        if sender is None or not self._is_next(digest):
+        if sender is None or not self._accept_round(digest):
             return PeerUpdate(source=source)
         update = PeerUpdate(
-            warm=parse_ids(digest.warm),
-            outage_ms=digest.outage_ms,
+            warm_keys=parse_hashes(digest.warm_keys),
+            outage_age_ms=digest.outage_age_ms,
             source=source,
             answer=ToldAnswer(digest.revision, digest.answer, digest.confirmed_ms),
         )
         if sender.region == self._own.region:
-            self.unserved.take_digest(digest, sender, now)
+            self.unserved.record_digest(digest, sender, now)
         if digest.scope == DigestScope.ALL:
-            return self._take_total(digest, sender, update, now)
-        self._take_part(digest, sender, update.warm, now)
+            return self._record_all_entries(digest, sender, update, now)
+        self._record_partial_sums(digest, sender, update.warm_keys, now)
         return update
 
-    def _is_next(self, digest: Digest) -> bool:
-        """Return whether a digest is newer than the last one of its sender."""
-        place = (digest.sender, digest.scope)
-        incarnation, turn = self._last_digest.get(place, (0, 0))
-        if digest.incarnation == incarnation and digest.turn <= turn:
+    def _accept_round(self, digest: Digest) -> bool:
+        """Record a digest's round; return whether it is newer than the recorded one.
+
+        A digest of another incarnation of the sender always counts as newer.
+        """
+        sender_scope = (digest.sender, digest.scope)
+        incarnation, round_number = self._last_rounds.get(sender_scope, (0, 0))
+        if digest.incarnation == incarnation and digest.round_number <= round_number:
             return False
-        self._last_digest[place] = (digest.incarnation, digest.turn)
+        self._last_rounds[sender_scope] = (digest.incarnation, digest.round_number)
         return True
 
-    def _take_part(
+    def _record_partial_sums(
         self, digest: Digest, sender: Member, warm: list[int], now: float
     ) -> None:
-        """Take the sums of another failure domain or region."""
+        """Record the sums of another failure domain or region.
+
+        Digests with scope DOMAIN also contain shares and warm keys. Digests with scope
+        REGION from the own region are ignored.
+        """
         if digest.scope == DigestScope.DOMAIN:
-            shares = MeanShares(digest.entries, digest.shares)
+            shares = WeightedShares(digest.entries, digest.shares)
             counts = self._parse_counts(digest)
-            self._merger.take_domain(sender.domain, counts, shares, now)
-            self._warm_news.take_from_region(warm, now)
-            self.use.take_part(digest, sender, now)
+            self._merger.record_domain(sender.domain, counts, shares, now)
+            self._warm_key_relay.record_region_keys(warm, now)
+            self.use.record_partial_sums(digest, sender, now)
         elif sender.region != self._own.region:
-            self._merger.take_region(sender.region, self._parse_counts(digest), now)
-            self.use.take_part(digest, sender, now)
+            self._merger.record_region(sender.region, self._parse_counts(digest), now)
+            self.use.record_partial_sums(digest, sender, now)
 
     def _parse_counts(self, digest: Digest) -> dict[str, dict[str, int]]:
-        """Return the counts of a digest by region, as far as their lists are known."""
-        parsed = {loads.region: self.lists.parse(loads) for loads in digest.loads}
+        """Return a digest's counts by region, without those of unknown target lists."""
+        parsed = {
+            loads.region: self.target_count_codec.parse(loads) for loads in digest.loads
+        }
         return {r: counts for r, counts in parsed.items() if counts is not None}
 
-    def _take_total(
+    def _record_all_entries(
         self, digest: Digest, sender: Member, update: PeerUpdate, now: float
     ) -> PeerUpdate:
-        """Take the sums of all entries, and subtract the own counts from them.
+        """Record the shares and, unless this entry aggregates, the sums of all entries.
+
+        Digests of another failure domain are ignored. An aggregator computes the sums
+        itself.
 
-        An aggregator does not use them: it makes such sums itself.
+        Returns: the update, extended by the counts and usage of all other entries.
         """
         if sender.domain != self._own.domain:
             return update
         if digest.shares:
             self._region_shares = digest.shares
         if self._roles.is_aggregator(now):
-            self._recipients.note_other_aggregator(digest.turn, now)
+            self._recipients.record_other_aggregator(digest.round_number, now)
             return update
-        own = self._own_counts_in(digest)
+        own_counts = self._own_counts_included(digest)
         for loads in digest.loads:
-            counts = self.lists.parse(loads)
+            counts = self.target_count_codec.parse(loads)
             if counts is not None:
-                _subtract(own.in_flight, counts)
-                self._totals[loads.region] = (now, counts)
-        fresh = [c for at, c in self._totals.values() if now - at <= PART_TRUST_S]
-        use = self.use.parse_total(digest, own.use)
-        return msgspec.structs.replace(update, others=merged(fresh), use=use)
+                _subtract(own_counts.in_flight, counts)
+                self._others_by_region[loads.region] = (now, counts)
+        recent_sums = [
+            c for at, c in self._others_by_region.values() if now - at <= SUM_MAX_AGE_S
+        ]
+        usage = self.use.usage_of_others_from_digest(digest, own_counts.use)
+        return msgspec.structs.replace(
+            update, others_in_flight=sum_counts(recent_sums), use=usage
+        )
 
-    def _own_counts_in(self, digest: Digest) -> _OwnCounts:
+    def _own_counts_included(self, digest: Digest) -> _ReportedCounts:
         """Return the own counts that the sums of a digest include."""
-        seq = self._views.own_seq(digest.views)
-        return self._own_counts.get(seq, _OwnCounts({}, {}))
+        seq = self._views.own_heartbeat_seq(digest.views)
+        return self._reported_counts.get(seq, _ReportedCounts({}, {}))
 
-    # Messages of this entry.
+    # Sent messages.
 
     def heartbeat(self, status: EntryStatus) -> EntryHeartbeat:
-        """Return the next heartbeat, and keep its counts."""
+        """Create the next heartbeat and retain its counts."""
         self._seq += 1
-        self._own_counts[self._seq % SEQS] = _OwnCounts(status.in_flight, status.use)
-        while len(self._own_counts) > OWN_COUNTS_KEPT:
-            self._own_counts.popitem(last=False)
+        self._reported_counts[self._seq % SEQ_MODULUS] = _ReportedCounts(
+            status.in_flight, status.use
+        )
+        while len(self._reported_counts) > MAX_REPORTED_COUNTS:
+            self._reported_counts.popitem(last=False)
         return EntryHeartbeat(
             self._own,
             self._seq,
             status.state,
             status.revision,
             status.in_flight,
-            status.shares if self._seq % SHARES_ROUNDS == 1 else {},
-            status.outage_ms,
-            serialize_ids(status.warm),
+            status.shares if self._seq % SHARES_INTERVAL_ROUNDS == 1 else {},
+            status.outage_age_ms,
+            serialize_hashes(status.warm_keys),
             self.use.serialize(status.use),
             status.answer.age_ms,
             status.answer.number,
             status.unserved,
         )
 
-    def announce(self, status: EntryStatus, now: float) -> list[Sending]:
-        """Return a heartbeat for the aggregators, also between two rounds."""
-        return [Sending(self.heartbeat(status), self._recipients.aggregators(now))]
+    def heartbeat_messages(
+        self, status: EntryStatus, now: float
+    ) -> list[OutgoingMessage]:
+        """Return a heartbeat to the aggregators. May be called between two rounds."""
+        return [
+            OutgoingMessage(
+                self.heartbeat(status), self._recipients.own_aggregator_addresses(now)
+            )
+        ]
 
-    def announce_leave(self, status: EntryStatus) -> list[Sending]:
-        """Return a heartbeat for the whole region: this entry must not be named."""
-        to = [m.gossip for m in self._membership.in_own_region()]
-        return [Sending(self.heartbeat(status), to)]
+    def leave_messages(self, status: EntryStatus) -> list[OutgoingMessage]:
+        """Return a heartbeat to all entries of the region.
 
-    def news(self, revision: int, answer: ToldAnswer, now: float) -> list[Sending]:
-        """Return the news of a newer state, or of an answer that confirms it.
+        Recipients then omit this entry from look-up responses at once.
+        """
+        addresses = [m.gossip for m in self._membership.in_own_region()]
+        return [OutgoingMessage(self.heartbeat(status), addresses)]
 
-        They go to the aggregators of the own failure domain; from an aggregator, to
-        its whole failure domain and to the other aggregators.
+    def announce_revision(
+        self, revision: int, answer: ToldAnswer, now: float
+    ) -> list[OutgoingMessage]:
+        """Return the announcement of a newer revision or of a newer confirmation.
+
+        An ordinary entry sends it to the aggregators of its failure domain. An
+        aggregator sends it to all entries of its failure domain and to other
+        aggregators.
 
         Args:
-          revision: the one in force here.
-          answer: the store's newest answer that it rests on.
+          revision: the revision in force at this entry.
+          answer: the newest answer of the store that confirms the revision.
           now: monotonic time in seconds.
         """
-        news = News(revision, self._own.pull, answer.number, answer.age_ms)
-        return [Sending(news, self._news_recipients(now))]
+        announcement = RevisionAnnouncement(
+            revision, self._own.pull, answer.number, answer.age_ms
+        )
+        return [OutgoingMessage(announcement, self._announcement_recipients(now))]
 
-    def _news_recipients(self, now: float) -> list[str]:
-        """Return the addresses that get news from this entry first."""
+    def _announcement_recipients(self, now: float) -> list[str]:
+        """Return the addresses to which this entry sends announcements."""
         if not self._roles.is_aggregator(now):
-            return self._recipients.aggregators(now)
+            return self._recipients.own_aggregator_addresses(now)
         live, silent = self._membership.own_domain_by_liveness(now)
-        to = [m.gossip for m in (*live, *silent)]
-        to += [m.gossip for m in self._recipients.near(now)]
-        to += [m.gossip for m in self._recipients.far(self._turn, now)]
-        return to
+        addresses = [m.gossip for m in (*live, *silent)]
+        addresses += [m.gossip for m in self._recipients.other_domain_aggregators(now)]
+        addresses += [
+            m.gossip
+            for m in self._recipients.select_remote_aggregators(self._round_number, now)
+        ]
+        return addresses
 
     def round(
         self, status: EntryStatus, now: float
-    ) -> tuple[list[Sending], PeerUpdate]:
-        """Return what to send this round and, of an aggregator, the sums of others."""
-        self._turn += 1
-        sendings = self.announce(status, now)
+    ) -> tuple[list[OutgoingMessage], PeerUpdate]:
+        """Return the messages of a round and, at an aggregator, the sums of others."""
+        self._round_number += 1
+        outgoing = self.heartbeat_messages(status, now)
         if status.notices:
-            sendings.append(self._quarantine_news(status, now))
-        aggregates = self._roles.is_aggregator(now)
-        sendings += self._limit_news(status, aggregates, now)
-        if not aggregates:
+            outgoing.append(self._quarantine_message(status, now))
+        is_aggregator = self._roles.is_aggregator(now)
+        outgoing += self._limit_messages(status, is_aggregator, now)
+        if not is_aggregator:
             self.use.stop_merging()
-            return sendings, PeerUpdate()
+            return outgoing, PeerUpdate()
         self._region_shares = self._merger.region_shares(status.shares).shares
         update = PeerUpdate(
-            others=self._merger.of_others(now),
-            use=self.use.of_others(status.uptime_s, now),
+            others_in_flight=self._merger.counts_of_others(now),
+            use=self.use.merged_usage_of_others(status.uptime_s, now),
         )
-        return sendings + self._digests(status, now), update
+        return outgoing + self._build_digests(status, now), update
 
-    def _quarantine_news(self, status: EntryStatus, now: float) -> Sending:
-        """Return what to tell of requests that end targets, and to whom.
+    def _quarantine_message(self, status: EntryStatus, now: float) -> OutgoingMessage:
+        """Return the message with notices of requests that terminate targets.
 
-        It goes the way of news of the state; whoever it is new to passes it on.
+        It goes to the recipients of announcements; each entry forwards notices that are
+        new to it.
         """
-        message = QuarantineNews(self._own.name, serialize_notices(status.notices))
-        return Sending(message, self._news_recipients(now))
+        message = QuarantineUpdate(self._own.name, serialize_notices(status.notices))
+        return OutgoingMessage(message, self._announcement_recipients(now))
 
-    def _limit_news(
-        self, status: EntryStatus, aggregates: bool, now: float
-    ) -> list[Sending]:
-        """Return what to tell of targets' limits, and to whom: the way of digests.
+    def _limit_messages(
+        self, status: EntryStatus, is_aggregator: bool, now: float
+    ) -> list[OutgoingMessage]:
+        """Return the messages with targets' limits; they take the same path as digests.
 
-        Recipients are chosen only for what there is to tell, since that draws chance.
+        Selects recipients only for scopes that have limits to report. The selection
+        consumes random numbers, so that others would change seeded runs.
         """
-        self._limits.note_own(status.limits, now)
-        scopes = DigestScope if aggregates else (OWN_SCOPE,)
-        told = {scope: self._limits.news(scope, self._turn, now) for scope in scopes}
-        sendings = [
-            Sending(news, self._limit_recipients(scope, now))
-            for scope, news in told.items()
-            if news is not None
+        self._limits.record_own(status.limits, now)
+        scopes = DigestScope if is_aggregator else (OWN_SCOPE,)
+        updates = {
+            scope: self._limits.build_update(scope, self._round_number, now)
+            for scope in scopes
+        }
+        outgoing = [
+            OutgoingMessage(update, self._limit_recipients(scope, now))
+            for scope, update in updates.items()
+            if update is not None
         ]
-        return [s for s in sendings if s.to]
+        return [message for message in outgoing if message.destinations]
 
     def _limit_recipients(self, scope: int, now: float) -> list[str]:
         if scope == OWN_SCOPE:
-            return self._recipients.aggregators(now)
+            return self._recipients.own_aggregator_addresses(now)
         if scope == DigestScope.DOMAIN:
-            return [m.gossip for m in self._recipients.near(now)]
+            return [m.gossip for m in self._recipients.other_domain_aggregators(now)]
         if scope == DigestScope.REGION:
-            return [m.gossip for m in self._recipients.far(self._turn, now)]
+            return [
+                m.gossip
+                for m in self._recipients.select_remote_aggregators(
+                    self._round_number, now
+                )
+            ]
         return [m.gossip for m in self._membership.in_own_domain()]
 
-    def _digests(self, status: EntryStatus, now: float) -> list[Sending]:
-        """Return an aggregator's digests of a round, with their recipients."""
-        use = self.use.summary(status.use, status.uptime_s, now)
-        made = self._round_digests.make(
-            DigestRound(status, self._turn, self._seq, use, now)
+    def _build_digests(self, status: EntryStatus, now: float) -> list[OutgoingMessage]:
+        """Return an aggregator's digests of a round with their recipients."""
+        digest_usage = self.use.build_digest_usage(status.use, status.uptime_s, now)
+        digests = self._digest_builder.build(
+            DigestRound(status, self._round_number, self._seq, digest_usage, now)
         )
         recipients = {
-            DigestScope.DOMAIN: self._recipients.near(now),
-            DigestScope.REGION: self._recipients.far(self._turn, now),
-            DigestScope.ALL: self._recipients.own_domain(self._turn, now),
+            DigestScope.DOMAIN: self._recipients.other_domain_aggregators(now),
+            DigestScope.REGION: self._recipients.select_remote_aggregators(
+                self._round_number, now
+            ),
+            DigestScope.ALL: self._recipients.select_domain_entries(
+                self._round_number, now
+            ),
         }
-        sendings = [
-            Sending(digest, [m.gossip for m in recipients[scope]])
-            for scope, digest in made.items()
+        outgoing = [
+            OutgoingMessage(digest, [m.gossip for m in recipients[scope]])
+            for scope, digest in digests.items()
         ]
-        return [s for s in sendings if s.to]
+        return [message for message in outgoing if message.destinations]
 
     def region_shares(self) -> Shares:
-        """Return the mean of the region's entries' shares, as last known."""
+        """Return the last known mean of the shares over the entries of the region."""
         return self._region_shares
 
     def forget(self, now: float) -> None:
-        """Drop what is too old to be used."""
+        """Remove expired data."""
         self._merger.forget(now)
         self.use.forget(now)
         self._limits.forget(now)
 
 
 def _subtract(own: dict[str, int], counts: dict[str, int]) -> None:
-    """Subtract own counts from sums, in place; a sum does not go below 0."""
+    """Subtract own counts from sums in place; a sum does not become negative."""
     for name in own.keys() & counts.keys():
         counts[name] = max(counts[name] - own[name], 0)
--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Messages to and from the other entries, and fetches of newer states.
+"""Sends and receives messages among entries, and fetches newer states.
 
-Owns when news of a newer state were sent last; lost with the process. Relies on
-`Exchange` for what to send, on a `PeerNetwork` for the way to other entries, on
-`PeerFollower` for fetches, and on the loop's clock. A datagram that is lost is not sent
-again: the next round's replaces it.
+Owns the time of the last announcement, lost with the process. Relies on `Exchange` for
+messages and recipients, on `PeerNetwork` for transport, on `PeerFollower` for fetches,
+and on the clock of the event loop. Lost datagrams are not retransmitted; the next round
+replaces them.
 """
 
 import asyncio
@@ -15,48 +15,53 @@
 from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
 from leverdoor.entry.events import Events
 from leverdoor.entry.exchange.exchange import Exchange
-from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
+from leverdoor.entry.exchange.exchange_types import (
+    EntryStatus,
+    OutgoingMessage,
+    PeerUpdate,
+)
 from leverdoor.entry.exchange.messages import (
     Message,
-    RoomAnswer,
-    RoomMessage,
-    RoomRequest,
+    PermitMessage,
+    PermitRequest,
+    PermitResponse,
 )
 from leverdoor.entry.exchange.peer_network import PeerNetwork
 from leverdoor.settings import Address
 from leverdoor.storage.fetching import PeerFollower
 from leverdoor.storage.state import State
 
-__all__ = ["PeerLink", "TakeRoomMessage", "TakeUpdate"]
+__all__ = ["PeerLink", "PermitMessageHandler", "PeerUpdateHandler"]
 
-NEWS_S = 0.03
-"""Pause before news are sent, in seconds.
+ANNOUNCEMENT_DELAY_S = 0.03
+"""Delay before an announcement, in seconds; changes within it are announced together.
 
-Changes in a row are then sent once. Greater, each change is later everywhere by as
-much, at each of three steps.
+If greater, each change arrives later by as much at each of three hops.
 """
-BUSY_NEWS_S = 0.15
-"""Least time between two news, in seconds.
-
-A change takes an entry 1.9 ms with 541 targets and 195 entries, and a fetch from a peer
-about as much. Followers that get the same changes at different moments would have all
-entries do that up to thirty times a second. Greater, changes are later: over the three
-steps to the last entry it adds 0.45 s at most, of a bound of 2.5 s.
+ANNOUNCE_PACING_S = 0.15
+"""Minimum interval between two announcements, in seconds.
+
+A change costs an entry 1.9 ms with 541 targets and 195 entries, and a fetch from
+another entry about as much. Entries that follow the store receive the same changes at
+different times, and without pacing would cause this work at all entries up to thirty
+times per second. If greater, changes arrive later: pacing adds up to 0.45 s over the
+three hops to the last entry, of the permitted 2.5 s.
 """
 
 SLOW_FETCH_S = 0.3
-"""Time of a fetch from which on it is logged, in seconds: several round trips between
-regions."""
+"""Minimum duration of fetches to log, in seconds: several inter-region round trips."""
 
-TakeRoomMessage: TypeAlias = Callable[[RoomMessage, float], RoomAnswer | None]
-"""Called with a question for room or an answer, and the monotonic time in seconds;
-returns the answer to a question that another entry asked."""
-TakeUpdate: TypeAlias = Callable[[PeerUpdate, float], None]
-"""Called with what was learned, and the monotonic time in seconds."""
+PermitMessageHandler: TypeAlias = Callable[
+    [PermitMessage, float], PermitResponse | None
+]
+"""Called with a permit request or response and the monotonic time in seconds. Returns
+the response to a permit request of another entry."""
+PeerUpdateHandler: TypeAlias = Callable[[PeerUpdate, float], None]
+"""Called with information from other entries and the monotonic time in seconds."""
 
 
 class PeerLink:
-    """The connection of this entry to the others."""
+    """Sends and receives messages and fetches states."""
 
     def __init__(
         self,
@@ -65,113 +70,119 @@
         state: State,
         keeper: CatalogKeeper,
         events: Events,
-        status: Callable[[], EntryStatus],
-        take: TakeUpdate,
-        take_room: TakeRoomMessage,
+        get_status: Callable[[], EntryStatus],
+        on_update: PeerUpdateHandler,
+        on_permit_message: PermitMessageHandler,
     ) -> None:
-        """Create it; nothing is opened yet.
+        """Create the link without opening a socket.
 
         Args:
-          exchange: decides what to send to whom, and what is learned.
-          network: the way to the other entries.
-          state: the copy of the store in force here.
-          keeper: gets the source of a newer state.
-          events: the entry's log.
-          status: returns the status of this entry.
-          take: passes what was learned on to the other parts.
-          take_room: takes questions for room at targets, and answers to own ones.
+          exchange: builds messages and evaluates received ones.
+          network: the transport to other entries.
+          state: the local copy of the store.
+          keeper: logs the source of a newer configuration.
+          events: the entry's event log.
+          get_status: returns the status of this entry.
+          on_update: handles information from other entries.
+          on_permit_message: handles permit requests and responses.
         """
         self._exchange = exchange
         self._network = network
         self._state = state
         self._keeper = keeper
         self._events = events
-        self._status = status
-        self._take = take
-        self._take_room = take_room
-        self.puller = PeerFollower(state, network)
-        self._news_due = False
-        self._news_at = 0.0
+        self._get_status = get_status
+        self._on_update = on_update
+        self._on_permit_message = on_permit_message
+        self.peer_follower = PeerFollower(state, network)
+        self._announcement_scheduled = False
+        self._announced_at = 0.0
 
     async def open(self, listen: Address) -> None:
-        """Bind the address that datagrams reach."""
-        await self._network.open(listen, self._take_message)
+        """Open the transport and receive messages at this address."""
+        await self._network.open(listen, self._handle_message)
 
     async def close(self) -> None:
-        """Close the ways to other entries."""
+        """Close the transport."""
         await self._network.close()
 
     def round(self, now: float) -> None:
         """Send the heartbeats and digests of a round."""
-        sendings, update = self._exchange.round(self._status(), now)
-        self._send(sendings)
-        self._take_update(update, now)
+        outgoing, update = self._exchange.round(self._get_status(), now)
+        self._send(outgoing)
+        self._apply_update(update, now)
 
     def announce(self) -> None:
-        """Send a heartbeat at once, since this entry's state changed."""
+        """Send a heartbeat at once, because the state of this entry changed."""
         now = asyncio.get_running_loop().time()
-        self._send(self._exchange.announce(self._status(), now))
+        self._send(self._exchange.heartbeat_messages(self._get_status(), now))
 
     def announce_leave(self) -> None:
-        """Send a heartbeat to the whole region: this entry leaves."""
-        self._send(self._exchange.announce_leave(self._status()))
+        """Announce to the whole region that this entry leaves."""
+        self._send(self._exchange.leave_messages(self._get_status()))
 
-    def spread_news(self) -> None:
-        """Announce a newer state soon, once for several changes.
+    def schedule_announcement(self) -> None:
+        """Schedule the announcement of a newer revision, once for several changes.
 
-        Aggregators pass it on at once; with digests alone the last entries would
-        have it after three rounds.
+        Each entry that applies the revision announces it again. With digests alone, the
+        last entries would receive the revision only after three rounds.
         """
-        if not self._news_due:
-            self._news_due = True
+        if not self._announcement_scheduled:
+            self._announcement_scheduled = True
             loop = asyncio.get_running_loop()
-            at = max(loop.time() + NEWS_S, self._news_at + BUSY_NEWS_S)
-            loop.call_at(at, self._send_news)
-
-    def _send_news(self) -> None:
-        self._news_due = False
+            at = max(
+                loop.time() + ANNOUNCEMENT_DELAY_S,
+                self._announced_at + ANNOUNCE_PACING_S,
+            )
+            loop.call_at(at, self._announce_revision)
+
+    def _announce_revision(self) -> None:
+        self._announcement_scheduled = False
         now = asyncio.get_running_loop().time()
-        self._news_at = now
+        self._announced_at = now
         revision = self._state.revision
         answer = self._keeper.confirmation.tell(revision, now)
-        self._send(self._exchange.news(revision, answer, now))
+        self._send(self._exchange.announce_revision(revision, answer, now))
 
-    def _send(self, sendings: list[Sending]) -> None:
-        for sending in sendings:
-            self._network.send_all(sending.message, sending.to)
+    def _send(self, outgoing: list[OutgoingMessage]) -> None:
+        for item in outgoing:
+            self._network.send_all(item.message, item.destinations)
 
-    def ask_room(self, request: RoomRequest, address: str) -> None:
-        """Send a question for room at a target to the entry that limits it."""
+    def send_permit_request(self, request: PermitRequest, address: str) -> None:
+        """Send a permit request to the limiter of a target."""
         self._network.send_all(request, [address])
 
-    def _take_message(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
         now = asyncio.get_running_loop().time()
-        if isinstance(message, RoomMessage):
-            self._answer_room(message, now)
+        if isinstance(message, PermitMessage):
+            self._handle_permit_message(message, now)
             return
-        self._take_update(self._exchange.take(message, self._state.revision, now), now)
+        self._apply_update(self._exchange.take(message, self._state.revision, now), now)
 
-    def _answer_room(self, message: RoomMessage, now: float) -> None:
-        answer = self._take_room(message, now)
-        asked_by = message.sender if isinstance(message, RoomRequest) else ""
-        if answer is not None and asked_by:
-            self._network.send_all(answer, [asked_by])
+    def _handle_permit_message(self, message: PermitMessage, now: float) -> None:
+        response = self._on_permit_message(message, now)
+        requester = message.sender if isinstance(message, PermitRequest) else ""
+        if response is not None and requester:
+            self._network.send_all(response, [requester])
 
-    def _take_update(self, update: PeerUpdate, now: float) -> None:
-        self._take(update, now)
+    def _apply_update(self, update: PeerUpdate, now: float) -> None:
+        self._on_update(update, now)
         if update.source:
-            asyncio.ensure_future(self._pull(update.source))
+            asyncio.ensure_future(self._fetch_state(update.source))
 
-    async def _pull(self, address: str) -> None:
-        """Fetch what another entry has and this one lacks."""
+    async def _fetch_state(self, address: str) -> None:
+        """Fetch newer state from another entry and apply it."""
         loop = asyncio.get_running_loop()
-        began, since = loop.time(), self._state.revision
-        if not self.puller.may_pull(address, began):
+        started_at, old_revision = loop.time(), self._state.revision
+        if not self.peer_follower.may_pull(address, started_at):
             return
-        delta = await self.puller.fetch(address)
+        delta = await self.peer_follower.fetch(address)
+        # `apply` triggers a log line that contains the source.
         self._keeper.source = address
-        newer = delta is not None and self._state.apply(delta)
+        applied = delta is not None and self._state.apply(delta)
         self._keeper.source = "store"
-        took_s = loop.time() - began
-        if not newer or took_s > SLOW_FETCH_S:
-            self._events.fetch(address, newer, since, self._state.revision, took_s)
+        took_s = loop.time() - started_at
+        if not applied or took_s > SLOW_FETCH_S:
+            self._events.fetch(
+                address, applied, old_revision, self._state.revision, took_s
+            )
--- a/leverdoor/entry/exchange/unserved.py
+++ b/leverdoor/entry/exchange/unserved.py
@@ -1,77 +1,98 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which entries of the region say that the store does not answer them.
+"""Tracks the region's entries whose requests the store does not answer.
 
-An entry says so in its heartbeats; the aggregators of its failure domain tell the
-region's others, and each aggregator its own failure domain. Owns what was told lately;
-lost with the process and told again each round. Opens no socket and reads no clock.
+An entry reports this in its heartbeats. The aggregators of its failure domain forward
+it to the region's other aggregators, and each aggregator to its own failure domain.
+Owns the recent reports, lost with the process and repeated in each round. Opens no
+socket and reads no clock.
 """
 
-from leverdoor.entry.exchange.encoding import parse_ids
+from leverdoor.entry.exchange.encoding import parse_hashes
 from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat
 from leverdoor.entry.membership.member import Member, member_id
 
 __all__ = ["UnservedEntries"]
 
-TRUST_S = 1.5
-"""How long what was told counts, in seconds: seven rounds.
+REPORT_MAX_AGE_S = 1.5
+"""Maximum age of a report, in seconds: seven rounds.
 
-Longer, an entry that is served again is passed over for longer; shorter, some lost
-datagrams give it a role that it can't fill.
+If greater, an entry that the store answers again remains excluded as a store follower
+for longer; if smaller, a few lost datagrams make an entry a store follower although the
+store does not answer it.
+"""
+MAX_IDS = 64
+"""Maximum number of entries in a digest: 256 bytes.
+
+While the store answers no entry, all are unserved. A truncated list then changes no
+decision.
 """
-MOST_IDS = 64
-"""Entries that a digest names at most: 256 bytes. While the store answers nobody all
-are unserved, which changes nothing that entries do."""
 
 
 class UnservedEntries:
-    """The region's entries that the store does not answer."""
+    """The region's entries whose requests the store does not answer."""
 
     def __init__(self, own: Member) -> None:
-        """Create it for an entry that was told nothing yet."""
+        """Create an empty record for this entry."""
         self._own = own
-        self._heartbeats: dict[int, float] = {}
-        """By `member_id` of entries of the own failure domain, when one said so."""
-        self._domains: dict[str, tuple[float, frozenset[int]]] = {}
-        """By other failure domain, when its aggregators told, and what."""
-        self._region: tuple[float, frozenset[int]] = (0.0, frozenset())
-        """The same for the whole region, from an aggregator of the own one."""
-
-    def take_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
-        """Take whether an entry of the own failure domain is unserved."""
-        name = member_id(heartbeat.member.name)
+        self._domain_reports: dict[int, float] = {}
+        """By `member_id` in the own failure domain: time of the last report."""
+        self._other_domain_reports: dict[str, tuple[float, frozenset[int]]] = {}
+        """By other failure domain: time and entries of its aggregators' last report."""
+        self._region_report: tuple[float, frozenset[int]] = (0.0, frozenset())
+        """Time and entries of the last report for the region, from an aggregator of the
+        own failure domain."""
+
+    def record_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
+        """Record whether the sender of a heartbeat is unserved."""
+        entry_id = member_id(heartbeat.member.name)
         if heartbeat.unserved:
-            self._heartbeats[name] = now
+            self._domain_reports[entry_id] = now
         else:
-            self._heartbeats.pop(name, None)
+            self._domain_reports.pop(entry_id, None)
 
-    def take_digest(self, digest: Digest, sender: Member, now: float) -> None:
-        """Take what an aggregator of the region tells."""
-        told = frozenset(parse_ids(digest.unserved))
+    def record_digest(self, digest: Digest, sender: Member, now: float) -> None:
+        """Record the unserved entries in a digest of an aggregator of the region."""
+        reported = frozenset(parse_hashes(digest.unserved))
         if digest.scope == DigestScope.DOMAIN:
-            self._domains[sender.domain] = (now, told)
+            self._other_domain_reports[sender.domain] = (now, reported)
         elif digest.scope == DigestScope.ALL and sender.domain == self._own.domain:
-            self._region = (now, told)
+            self._region_report = (now, reported)
 
-    def of_domain(self, own: bool, now: float) -> list[int]:
+    def unserved_in_domain(self, is_own_unserved: bool, now: float) -> list[int]:
         """Return the unserved entries of the own failure domain.
 
         Args:
-          own: whether this entry is one.
+          is_own_unserved: whether this entry is unserved.
           now: monotonic time in seconds.
         """
-        found = [n for n, at in self._heartbeats.items() if now - at <= TRUST_S]
-        found += [member_id(self._own.name)] if own else []
-        return sorted(found)[:MOST_IDS]
-
-    def of_region(self, own: bool, now: float) -> list[int]:
-        """Return those of the region, as an aggregator was told them."""
-        others = [ids for at, ids in self._domains.values() if now - at <= TRUST_S]
-        found = frozenset(self.of_domain(own, now)).union(*others)
-        return sorted(found)[:MOST_IDS]
-
-    def all_known(self, now: float) -> frozenset[int]:
-        """Return all others of the region that are known to be unserved."""
-        at, told = self._region
-        direct = frozenset(self.of_region(False, now))
-        return direct | told if now - at <= TRUST_S else direct
+        unserved = [
+            entry_id
+            for entry_id, at in self._domain_reports.items()
+            if now - at <= REPORT_MAX_AGE_S
+        ]
+        unserved += [member_id(self._own.name)] if is_own_unserved else []
+        return sorted(unserved)[:MAX_IDS]
+
+    def unserved_in_region(self, is_own_unserved: bool, now: float) -> list[int]:
+        """Return the unserved entries of the region, as reported to this aggregator.
+
+        Args:
+          is_own_unserved: whether this entry is unserved.
+          now: monotonic time in seconds.
+        """
+        others = [
+            ids
+            for at, ids in self._other_domain_reports.values()
+            if now - at <= REPORT_MAX_AGE_S
+        ]
+        unserved = frozenset(self.unserved_in_domain(is_own_unserved, now)).union(
+            *others
+        )
+        return sorted(unserved)[:MAX_IDS]
+
+    def unserved_others(self, now: float) -> frozenset[int]:
+        """Return all other entries of the region that are known to be unserved."""
+        at, reported = self._region_report
+        known = frozenset(self.unserved_in_region(False, now))
+        return known | reported if now - at <= REPORT_MAX_AGE_S else known
--- /dev/null
+++ b/leverdoor/entry/exchange/usage_exchange.py
@@ -0,0 +1,224 @@
+# leverdoor: global traffic steering
+# SPDX-License-Identifier: Apache-2.0
+"""Exchange of workspace usage in heartbeats and digests.
+
+An ordinary entry reports its own usage and receives the sums of all entries in a
+digest. An aggregator merges reports (`UsageMerger`) and adds reservations for silent
+entries.
+
+Owns the time since when this entry has merged reports of all failure domains and
+regions. It is lost with the process; until the reports are complete again, this entry
+computes no sum of others. Relies on `Membership` for silent entries, and on
+`workspaces.isolation` for the time for which a silent entry may use its part of a
+quota.
+"""
+
+from collections.abc import Mapping
+
+import msgspec
+
+from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat
+from leverdoor.entry.exchange.usage_encoding import Usage, UsageCodec
+from leverdoor.entry.exchange.usage_merging import FRESH_S, UsageMerger, UsageReport
+from leverdoor.entry.membership.member import LEAVING, Member
+from leverdoor.entry.membership.members import Membership
+from leverdoor.workspaces.isolation import HOLD_S
+from leverdoor.workspaces.others_use import OthersUse
+
+__all__ = ["DigestUsage", "UsageExchange"]
+
+OMITTED_QUOTA_PERCENT = 6
+"""Percentage of a quota that all failure domains together may omit from digests.
+
+Applies if there are many workspaces. The percentage of each failure domain is rounded
+down; with more than six failure domains it is zero. If greater, more usage of a quota
+is unknown to other entries; if smaller, digests grow.
+"""
+TOTAL_OMITTED_PERCENT = 20
+"""Percentage of a quota up to which digests with scope ALL omit its usage.
+
+Applies if there are many workspaces. Most of such a quota is unused, and receivers
+assume this usage for an omitted workspace. If greater, they admit less than they could;
+if smaller, digests grow.
+"""
+UNKNOWN_USAGE_PARTS = 2
+"""Equal parts of a quota reserved for a silent entry with unknown usage.
+
+One part is reserved as for each silent entry, and one in place of its usage, which is
+assumed to be the mean.
+"""
+
+
+class DigestUsage(msgspec.Struct, frozen=True):
+    """Encoded usage for the digests of a round, by scope."""
+
+    by_scope: dict[DigestScope, bytes]
+    silent: dict[DigestScope, int]
+    """Number of silent entries in each scope."""
+    age_ms: int
+    """Age of the oldest fresh report, in ms."""
+    merged_ms: int
+    """Time for which this entry has merged the usage of all entries, in ms."""
+
+
+class UsageExchange:
+    """Reports, receives and merges workspace usage."""
+
+    def __init__(self, membership: Membership) -> None:
+        """Create the exchange for a membership."""
+        self._membership = membership
+        self._own = membership.own
+        self._codec = UsageCodec()
+        self._merger = UsageMerger()
+        self._complete_since: float | None = None
+        """Time at which this aggregator first had reports of all failure domains and
+        regions; None before that. Reset only by `stop_merging`."""
+
+    def renew(self, planned: Mapping[str, float]) -> None:
+        """Replace the workspaces with quotas by those of a new configuration.
+
+        Args:
+          planned: by workspace, requests of a window up to which all entries together
+            admit.
+        """
+        self._codec.renew(planned)
+        self._merger.planned = planned
+
+    def forget(self, now: float) -> None:
+        """Remove expired reports."""
+        self._merger.forget(now)
+
+    def serialize(self, usage: Usage) -> bytes:
+        """Serialize the own usage for a heartbeat."""
+        return self._codec.serialize(usage)
+
+    def record_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> None:
+        """Record the report of an entry of the own failure domain; ignore others."""
+        member = heartbeat.member
+        usage = self._codec.parse(heartbeat.use)
+        if usage is None or member.domain != self._own.domain:
+            return
+        report = UsageReport(
+            now,
+            usage,
+            incarnation=member.incarnation,
+            is_leaving=heartbeat.state == LEAVING,
+        )
+        self._merger.record_entry(member.name, report)
+
+    def record_partial_sums(self, digest: Digest, sender: Member, now: float) -> None:
+        """Record the sums of another failure domain or region."""
+        usage = self._codec.parse(digest.use)
+        if usage is None:
+            return
+        merged_s = digest.merged_ms / 1000
+        if digest.scope == DigestScope.DOMAIN:
+            entries = self._membership.count_in_domain(sender.domain)
+            report = UsageReport(now, usage, merged_s, entries, digest.silent)
+            self._merger.record_domain(sender.domain, report)
+        else:
+            entries = self._membership.count_in_region(sender.region)
+            report = UsageReport(now, usage, merged_s, entries, digest.silent)
+            self._merger.record_region(sender.region, report)
+
+    def usage_of_others_from_digest(
+        self, digest: Digest, own: Usage
+    ) -> OthersUse | None:
+        """Return the usage of others in a digest; None if its list is unknown.
+
+        Args:
+          digest: an aggregator's sums of all entries.
+          own: the own usage that the digest includes.
+        """
+        usage = self._codec.parse(digest.use)
+        if usage is None:
+            return None
+        for name in own.keys() & usage.keys():
+            usage[name] = max(usage[name] - own[name], 0)
+        age_s = digest.use_age_ms / 1000
+        merged_s = digest.merged_ms / 1000
+        omission_fraction = self._codec.parse_omission_fraction(digest.use)
+        return OthersUse(usage, age_s, merged_s, omission_fraction, digest.silent)
+
+    def merged_usage_of_others(self, uptime_s: float, now: float) -> OthersUse | None:
+        """Return the usage of all other entries as merged by this aggregator.
+
+        Sets `_complete_since` when reports of all failure domains and regions are fresh
+        for the first time.
+
+        Returns: None before that, for example shortly after this entry became an
+          aggregator.
+        """
+        if self._complete_since is None:
+            if not self._merger.has_fresh_reports(
+                self._seen_domains(), self._seen_regions(), now
+            ):
+                return None
+            self._complete_since = now
+        sums = self._merger.compute_sums({}, self._unreported_parts(uptime_s, now), now)
+        age_s = self._merger.age_s(now)
+        merged_s = now - self._complete_since
+        return OthersUse(sums.total, age_s, merged_s, 0.0, sums.silent[-1])
+
+    def stop_merging(self) -> None:
+        """Record that this entry is not an aggregator."""
+        self._complete_since = None
+
+    def _unreported_parts(self, uptime_s: float, now: float) -> int:
+        """Return the number of equal quota parts to reserve for entries without a
+        report.
+
+        One part is reserved for an entry that was never seen while this entry's uptime
+        is at most `HOLD_S`: after a restart of all entries, it may serve behind a
+        network partition. An entry that was seen may have reported to a former
+        aggregator; see `UNKNOWN_USAGE_PARTS`.
+        """
+        domain = self._own.domain
+        last_seen = self._membership.last_seen(domain)
+        never_seen = self._membership.count_in_domain(domain) - 1 - len(last_seen)
+        never_seen = max(never_seen, 0) if uptime_s <= HOLD_S else 0
+        unreported = [
+            s
+            for s in last_seen
+            if FRESH_S < now - s.at <= HOLD_S
+            and s.row.state != LEAVING
+            and not self._merger.has_report(self._membership.name(s.row.id))
+        ]
+        return never_seen + len(unreported) * UNKNOWN_USAGE_PARTS
+
+    def _seen_domains(self) -> set[str]:
+        """Return the region's other failure domains with at least one entry seen."""
+        return {
+            domain
+            for domain in self._membership.domains(self._own.region)
+            if domain != self._own.domain and self._membership.last_seen(domain)
+        }
+
+    def _seen_regions(self) -> set[str]:
+        """Return the other regions with at least one entry seen."""
+        return {
+            region
+            for region in self._membership.other_regions()
+            for domain in self._membership.domains(region)
+            if self._membership.last_seen(domain)
+        }
+
+    def build_digest_usage(
+        self, own: Usage, uptime_s: float, now: float
+    ) -> DigestUsage:
+        """Return the usage for an aggregator's digests of a round."""
+        sums = self._merger.compute_sums(
+            own, self._unreported_parts(uptime_s, now), now
+        )
+        omission_percent = OMITTED_QUOTA_PERCENT // len(self._membership.all_domains())
+        by_scope = {
+            DigestScope.DOMAIN: self._codec.serialize(sums.domain, omission_percent),
+            DigestScope.REGION: self._codec.serialize(sums.region, omission_percent),
+            DigestScope.ALL: self._codec.serialize(sums.total, TOTAL_OMITTED_PERCENT),
+        }
+        scopes = (DigestScope.DOMAIN, DigestScope.REGION, DigestScope.ALL)
+        silent = dict(zip(scopes, sums.silent, strict=True))
+        age_ms = round(self._merger.age_s(now) * 1000)
+        complete_since = now if self._complete_since is None else self._complete_since
+        merged_ms = round((now - complete_since) * 1000)
+        return DigestUsage(by_scope, silent, age_ms, merged_ms)
--- a/leverdoor/entry/limits/limiter.py
+++ b/leverdoor/entry/limits/limiter.py
@@ -14,7 +14,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
+from leverdoor.entry.exchange.messages import PermitRequest, PermitResponse
 from leverdoor.entry.limits.limiter_selector import LimiterSelector
 from leverdoor.entry.pauses import Pauses
 from leverdoor.entry.placement.fleet import Fleet
@@ -60,23 +60,23 @@
         self._pauses = pauses
         self._find_target = find_target
         self._buckets: dict[int, PriorityTokenBucket] = {}
-        self._answers: OrderedDict[tuple[str, int], RoomAnswer] = OrderedDict()
+        self._answers: OrderedDict[tuple[str, int], PermitResponse] = OrderedDict()
         """By sender and request number, the oldest first."""
 
-    def answer(self, request: RoomRequest, now: float) -> RoomAnswer:
+    def answer(self, request: PermitRequest, now: float) -> PermitResponse:
         """Return the answer to another entry's grant request.
 
         Args:
           request: the message; a duplicate gets the same answer again.
           now: monotonic time in seconds.
         """
-        key = (request.sender, request.number)
+        key = (request.sender, request.request_number)
         known_answer = self._answers.get(key)
         if known_answer is not None:
             return known_answer
         decision = self._decide_request(request, now)
-        answer = RoomAnswer(
-            request.number,
+        answer = PermitResponse(
+            request.request_number,
             decision.granted,
             round(decision.wait_s * 1000),
             round(decision.retry_after_s * 1000),
@@ -86,11 +86,13 @@
             self._answers.popitem(last=False)
         return answer
 
-    def _decide_request(self, request: RoomRequest, now: float) -> GrantDecision:
+    def _decide_request(self, request: PermitRequest, now: float) -> GrantDecision:
         target = self._find_target(request.target)
         if target is None or not 0.0 <= request.per_s < math.inf:
             return NOT_LIMITER_DECISION
-        return self.decide(target, request.per_s, request.priority, request.missed, now)
+        return self.decide(
+            target, request.per_s, request.priority, request.suppressed, now
+        )
 
     def decide(
         self, target: Target, per_s: float, priority: int, suppressed: int, now: float
--- a/leverdoor/entry/limits/limiter_client.py
+++ b/leverdoor/entry/limits/limiter_client.py
@@ -19,7 +19,7 @@
 from itertools import count
 from random import Random
 
-from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
+from leverdoor.entry.exchange.messages import PermitRequest, PermitResponse
 from leverdoor.entry.limits.limiter import Limiter
 from leverdoor.entry.limits.limiter_selector import LimiterSelector
 from leverdoor.entry.membership.member import Member
@@ -61,7 +61,7 @@
         fleet: Fleet,
         selection: LimiterSelector,
         limiter: Limiter,
-        send_request: Callable[[RoomRequest, str], None],
+        send_request: Callable[[PermitRequest, str], None],
         rng: Random,
         metrics: EntryMetrics,
     ) -> None:
@@ -117,7 +117,7 @@
         if limiter.name == self._selection.own.name:
             decision = self._limiter.decide(target, per_s, priority, suppressed, now)
             return self._count_outcome(decision)
-        request = RoomRequest(
+        request = PermitRequest(
             self._selection.own.gossip,
             next(self._numbers),
             target_id(target.name),
@@ -128,12 +128,12 @@
         return await self._request_from_peer(limiter, request)
 
     async def _request_from_peer(
-        self, limiter: Member, request: RoomRequest
+        self, limiter: Member, request: PermitRequest
     ) -> GrantDecision:
         same_region = limiter.region == self._selection.own.region
         timeout_s = SAME_REGION_TIMEOUT_S if same_region else OTHER_REGION_TIMEOUT_S
         answer = asyncio.get_running_loop().create_future()
-        self._pending[request.number] = answer
+        self._pending[request.request_number] = answer
         try:
             for _ in range(MAX_ATTEMPTS):
                 self._send_request(request, limiter.gossip)
@@ -142,14 +142,16 @@
                     return self._count_outcome(answer.result())
             return self._count_outcome(UNANSWERED_DECISION, "unanswered")
         finally:
-            del self._pending[request.number]
+            del self._pending[request.request_number]
 
-    def handle_answer(self, answer: RoomAnswer) -> None:
+    def handle_answer(self, answer: PermitResponse) -> None:
         """Handle another entry's answer; late and duplicate answers are ignored."""
-        pending = self._pending.get(answer.number)
+        pending = self._pending.get(answer.request_number)
         if pending is not None and not pending.done():
             decision = GrantDecision(
-                answer.granted, answer.wait_ms / 1000, answer.room_ms / 1000
+                answer.granted,
+                answer.retry_after_ms / 1000,
+                answer.permit_expected_ms / 1000,
             )
             pending.set_result(decision)
 
--- a/leverdoor/entry/limits/target_limits.py
+++ b/leverdoor/entry/limits/target_limits.py
@@ -12,7 +12,11 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from leverdoor.entry.context import EntryContext
-from leverdoor.entry.exchange.messages import RoomAnswer, RoomMessage, RoomRequest
+from leverdoor.entry.exchange.messages import (
+    PermitMessage,
+    PermitRequest,
+    PermitResponse,
+)
 from leverdoor.entry.limits.limit_collector import LimitCollector
 from leverdoor.entry.limits.limiter import Limiter
 from leverdoor.entry.limits.limiter_client import LimiterClient
@@ -38,7 +42,7 @@
         membership: Membership,
         fleet: Fleet,
         state: Callable[[], EntryState],
-        send_request: Callable[[RoomRequest, str], None],
+        send_request: Callable[[PermitRequest, str], None],
         metrics: EntryMetrics,
     ) -> None:
         """Create all components.
@@ -78,12 +82,12 @@
         """Store the limits that other entries received from targets."""
         self.collector.receive_from_peers(limits)
 
-    def take(self, message: RoomMessage, now: float) -> RoomAnswer | None:
+    def take(self, message: PermitMessage, now: float) -> PermitResponse | None:
         """Handle another entry's grant request, or an answer to this entry's request.
 
         Returns: the answer if the message is a grant request, otherwise None.
         """
-        if isinstance(message, RoomRequest):
+        if isinstance(message, PermitRequest):
             return self._limiter.answer(message, now)
         self.grant_client.handle_answer(message)
         return None
--- a/leverdoor/entry/store_role.py
+++ b/leverdoor/entry/store_role.py
@@ -22,7 +22,7 @@
 | 0.1 | two places in the order of asking, by `ASK_SHARE` |
 | 0.1 | `storage.following.POLL_S`: the age is looked at |
 | 0.2 | a new connection to a store in another region, and the answer |
-| 0.15 | `peer_link.BUSY_NEWS_S`: news to entries that the store does not answer |
+| 0.15 | `peer_link.ANNOUNCE_PACING_S`: news to entries that the store does not answer |
 | 0.15 | their fetch |
 | 2.0 | |
 
@@ -152,7 +152,7 @@
         if self._served.may_try(now):
             return self._roles.follows_store(followers, now)
         return self._roles.follows_store(
-            followers, now, self._unserved.all_known(now), self.unserved(now)
+            followers, now, self._unserved.unserved_others(now), self.unserved(now)
         )
 
     def must_ask(self, now: float) -> bool:
@@ -178,7 +178,7 @@
 
     def _place(self, now: float) -> int:
         """Return this entry's place among the region's that are served, from 0."""
-        return self._roles.place(now, self._unserved.all_known(now))
+        return self._roles.place(now, self._unserved.unserved_others(now))
 
     def _step_s(self, share: float, now: float) -> float:
         """Return the least time between two entries of the region that ask, in s.
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
+from leverdoor.entry.exchange.messages import PermitRequest, PermitResponse
 from leverdoor.entry.limits.limiter import Limiter
 from leverdoor.entry.limits.limiter_client import LimiterClient
 from leverdoor.entry.limits.limiter_selector import (
@@ -212,7 +212,7 @@
         self.fleet.limits.take(
             LimitAdvertisement(target_id(TARGET.name), 2.0, now - 60.0)
         )
-        self.sent: list[tuple[RoomRequest, str]] = []
+        self.sent: list[tuple[PermitRequest, str]] = []
         self._answers = answers
         self.grant_client = self._create_client(own, now)
         other = "a1-1" if own == "a1-0" else "a1-0"
@@ -240,7 +240,7 @@
             self.fleet, selection, limiter, self._send, Random(1), EntryMetrics()
         )
 
-    def _send(self, request: RoomRequest, to: str) -> None:
+    def _send(self, request: PermitRequest, to: str) -> None:
         self.sent.append((request, to))
         if self._answers:
             now = asyncio.get_running_loop().time()
@@ -314,9 +314,9 @@
     exchange = GrantExchange(client_name(), answers=False)
     assert not await exchange.grant_client.acquire(exchange.request(), TARGET)
     assert len(exchange.sent) == 2
-    assert len({request.number for request, _ in exchange.sent}) == 1
+    assert len({request.request_number for request, _ in exchange.sent}) == 1
     now = asyncio.get_running_loop().time()
-    late = RoomAnswer(exchange.sent[0][0].number, True, 0, 0)
+    late = PermitResponse(exchange.sent[0][0].request_number, True, 0, 0)
     exchange.grant_client.handle_answer(late)
     assert exchange.fleet.of(TARGET, now).room.closed(2, now)
 
@@ -328,22 +328,22 @@
     exchange = GrantExchange(client_name())
     now = asyncio.get_running_loop().time()
     key = target_id(TARGET.name)
-    bad = RoomRequest("g/x", 1, key, per_s, 2, 0)
+    bad = PermitRequest("g/x", 1, key, per_s, 2, 0)
     assert not exchange.limiter_peer.answer(bad, now).granted
     assert exchange.limiter_peer.answer(
-        RoomRequest("g/x", 2, key, 2.0, 2, 0), now
+        PermitRequest("g/x", 2, key, 2.0, 2, 0), now
     ).granted
 
 
 async def test_a_duplicate_request_takes_one_token() -> None:
     exchange = GrantExchange(client_name())
     now = asyncio.get_running_loop().time()
-    request = RoomRequest("g/x", 1, target_id(TARGET.name), 2.0, 2, 0)
+    request = PermitRequest("g/x", 1, target_id(TARGET.name), 2.0, 2, 0)
     answers = [exchange.limiter_peer.answer(request, now) for _ in range(9)]
     assert all(a.granted for a in answers)
     others = [
         exchange.limiter_peer.answer(
-            RoomRequest("g/x", n, request.target, 2.0, 2, 0), now
+            PermitRequest("g/x", n, request.target, 2.0, 2, 0), now
         )
         for n in range(2, 11)
     ]
@@ -362,7 +362,7 @@
     now, granted = STEADY_S, []
     for number, step_ms in enumerate(steps_ms * clients):
         now += step_ms / 1000
-        request = RoomRequest("g/x", number, target_id(cold.name), 8.25, 2, 0)
+        request = PermitRequest("g/x", number, target_id(cold.name), 8.25, 2, 0)
         if limiter.answer(request, now).granted:
             granted.append(now)
     most = max((sum(a <= b < a + 1 for b in granted) for a in granted), default=0)
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -8,7 +8,7 @@
 
 from leverdoor.entry.configuration.confirmation import Confirmation, ToldAnswer
 from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat
-from leverdoor.entry.exchange.unserved import TRUST_S, UnservedEntries
+from leverdoor.entry.exchange.unserved import REPORT_MAX_AGE_S, UnservedEntries
 from leverdoor.entry.membership.member import SERVING, Member, MemberRow, member_id
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import LastSeen
@@ -84,7 +84,7 @@
     def tell_unserved(self, name: str, unserved: bool, now: float) -> None:
         sender = next(m for m in self.members if m.name == name)
         beat = EntryHeartbeat(sender, 1, SERVING, 1, unserved=unserved)
-        self.unserved.take_heartbeat(beat, now)
+        self.unserved.record_heartbeat(beat, now)
 
 
 def test_the_widest_links_follow_while_the_store_answers_them() -> None:
@@ -125,7 +125,7 @@
 def test_what_was_told_of_an_unserved_entry_is_forgotten() -> None:
     third = Entry("a1-2")
     third.tell_unserved("a1-0", True, AT)
-    later = AT + TRUST_S + 0.1
+    later = AT + REPORT_MAX_AGE_S + 0.1
     third.hear(later)
     assert not third.role.follows(later)
 
@@ -135,20 +135,20 @@
     a1, a2 = member("a1-0"), member("a2-0")
     first, second = UnservedEntries(a1), UnservedEntries(a2)
     beat = EntryHeartbeat(member("a1-1"), 1, SERVING, 1, unserved=True)
-    first.take_heartbeat(beat, AT)
-    told = first.of_domain(True, AT)
+    first.record_heartbeat(beat, AT)
+    told = first.unserved_in_domain(True, AT)
     assert sorted(told) == sorted(member_id(n) for n in ("a1-0", "a1-1"))
     digest = Digest(
         "a1-0", DigestScope.DOMAIN, 1, 1, 1, "p", [], [], unserved=_ids(told)
     )
-    second.take_digest(digest, a1, AT)
-    assert set(second.of_region(False, AT)) == set(told)
-    assert second.of_domain(False, AT) == [], "of the own failure domain only"
+    second.record_digest(digest, a1, AT)
+    assert set(second.unserved_in_region(False, AT)) == set(told)
+    assert second.unserved_in_domain(False, AT) == [], "of the own failure domain only"
     other = UnservedEntries(member("a2-1"))
     total = Digest("a2-0", DigestScope.ALL, 1, 1, 1, "p", [], [], unserved=_ids(told))
-    other.take_digest(total, a2, AT)
-    assert other.all_known(AT) == set(told)
-    assert other.all_known(AT + TRUST_S + 0.1) == set()
+    other.record_digest(total, a2, AT)
+    assert other.unserved_others(AT) == set(told)
+    assert other.unserved_others(AT + REPORT_MAX_AGE_S + 0.1) == set()
 
 
 def _ids(told: list[int]) -> bytes:
