--- a/benchmarks/emulated_exchange.py
+++ b/benchmarks/emulated_exchange.py
@@ -24,10 +24,10 @@
 from leverdoor.entry.exchange.exchange import Exchange
 from leverdoor.entry.exchange.exchange_types import EntryStatus
 from leverdoor.entry.exchange.messages import ExchangeMessage
+from leverdoor.entry.membership.entry_selection import EntrySelector
 from leverdoor.entry.membership.liveness import HEARTBEAT_S
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.naming import Naming
 from leverdoor.entry.membership.roles import Roles
 
 __all__ = ["Figures", "KnowledgeSite", "MakeNode", "Node", "Outgoing", "measure"]
@@ -180,7 +180,7 @@
         self._by_address = {m.gossip: m for m in members}
         for node in self.nodes.values():
             for member in members:
-                node.membership.introduce(member, 0.0)
+                node.membership.update_member(member, 0.0)
             first = self._rng.random() * HEARTBEAT_S
             self._at(first, lambda n=node: self._round(n))  # type: ignore[misc]
 
@@ -300,24 +300,24 @@
     names = list(site.nodes)
     victims = [site.nodes[n].membership.own for n in (names[0], names[-1])]
     site.dead.update(v.name for v in victims)
-    namings = [Naming(node.membership) for node in site.probes()]
+    selectors = [EntrySelector(node.membership) for node in site.probes()]
     began = site.now
     while site.now < began + WATCHED_S:
         site.run(site.now + STEP_S)
         for victim in victims:
-            _note_named(site, namings, victim, began, figures)
+            _note_named(site, selectors, victim, began, figures)
 
 
 def _note_named(
     site: KnowledgeSite,
-    namings: list[Naming],
+    selectors: list[EntrySelector],
     victim: Member,
     began: float,
     figures: Figures,
 ) -> None:
     since_s = site.now - began
-    for node, naming in zip(site.probes(), namings, strict=True):
-        named = naming.addresses(victim.region, victim.domain, SERVING, site.now)
+    for node, selector in zip(site.probes(), selectors, strict=True):
+        named = selector.addresses(victim.region, victim.domain, SERVING, site.now)
         if victim.front not in named:
             continue
         if node.membership.own.region == victim.region:
--- a/benchmarks/emulated_following.py
+++ b/benchmarks/emulated_following.py
@@ -21,7 +21,7 @@
 from emulated_store import EmulatedStore, StoreWay, WayFault
 from leverdoor.codec import pack
 from leverdoor.entry.configuration.catalog import Catalog
-from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
+from leverdoor.entry.configuration.catalog_manager import CatalogManager
 from leverdoor.entry.configuration.confirmation import NUMBER_BITS, Confirmation
 from leverdoor.entry.context import EntryContext
 from leverdoor.entry.control_plane import ControlPlane
@@ -35,7 +35,7 @@
     SERVING,
     STARTING,
     Member,
-    link_rank,
+    link_sort_key,
     member_id,
 )
 from leverdoor.entry.membership.members import Membership
@@ -163,7 +163,7 @@
         )
         self.membership = Membership(self.member)
         self.state.changes.subscribe(self._take_delta)
-        self.keeper = CatalogKeeper(
+        self.catalog_manager = CatalogManager(
             words,
             self.state,
             Confirmation(member_id(name), self._rng.getrandbits(NUMBER_BITS)),
@@ -174,7 +174,7 @@
         self.control = ControlPlane(
             context,
             self.state,
-            self.keeper,
+            self.catalog_manager,
             self.membership,
             self._status,
             self._take_update,
@@ -204,7 +204,7 @@
                 self.control.exchange.forget(loop.time())
 
     def _take_delta(self, _: Delta) -> None:
-        self.keeper.compile()
+        self.catalog_manager.compile()
         self._site.note_in_force(self.member.name, self.state.revision)
         self.control.peers.spread_news()
 
@@ -213,7 +213,7 @@
         self.membership.add_registered(configured.peers, now)
 
     def _take_update(self, update: PeerUpdate, now: float) -> None:
-        self.keeper.outage.peer_reported(update.outage_ms, now)
+        self.catalog_manager.outage.record_peer_report(update.outage_ms, now)
         self.control.take_answer(update.answer, now)
 
     def _status(self) -> EntryStatus:
@@ -223,9 +223,11 @@
             self.state.revision,
             {},
             {},
-            self.keeper.outage.age_ms(now),
+            self.catalog_manager.outage.age_ms(now),
             [],
-            answer=self.keeper.confirmation.tell(self.state.revision, now),
+            answer=self.catalog_manager.confirmation.newest_answer(
+                self.state.revision, now
+            ),
             unserved=self.control.is_unserved(now),
         )
 
@@ -347,7 +349,7 @@
     def ranked(self, region: str) -> list[FollowingEntry]:
         """Return a region's entries, the widest links first."""
         here = [e for e in self.entries.values() if e.member.region == region]
-        return sorted(here, key=lambda e: link_rank(e.member))
+        return sorted(here, key=lambda e: link_sort_key(e.member))
 
     # Changes.
 
--- a/benchmarks/emulated_limits.py
+++ b/benchmarks/emulated_limits.py
@@ -272,7 +272,7 @@
             own = msgspec.structs.replace(before, incarnation=before.incarnation + 1)
             node = LimitNode(own, self._shared, now)
             for other in members:
-                node.membership.introduce(other, now)
+                node.membership.update_member(other, now)
             self.site.restart(name, node)
 
     def _cut(self) -> None:
--- a/benchmarks/emulated_quarantine.py
+++ b/benchmarks/emulated_quarantine.py
@@ -301,7 +301,7 @@
             node = QuarantineNode(own, Random(f"{own.name} again"))
             node.held = self._node(own.name).held
             for other in members:
-                node.membership.introduce(other, self.now)
+                node.membership.update_member(other, self.now)
             self._records.read_all(node, self.now)
             self.site.restart(own.name, node)
 
--- a/benchmarks/emulated_quotas.py
+++ b/benchmarks/emulated_quotas.py
@@ -194,7 +194,7 @@
                 self._bounds, Random(name), self.site.now, first_start=False
             )
             for other in members:
-                node.membership.introduce(other, self.site.now)
+                node.membership.update_member(other, self.site.now)
             node.quotas.entries = node.membership.count
             self.site.restart(name, node)
 
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -20,9 +20,9 @@
 from leverdoor.entry.exchange.messages import EntryHeartbeat, RoomRequest
 from leverdoor.entry.limits.limiter import Limiter
 from leverdoor.entry.limits.role import REMEMBERED_S, LimiterRole
+from leverdoor.entry.membership.entry_selection import EntrySelector
 from leverdoor.entry.membership.member import SERVING, Member, MemberRow, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.naming import Naming
 from leverdoor.entry.membership.peer_record import LastSeen
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.pauses import Pauses
@@ -128,7 +128,7 @@
         )
 
     membership = Membership(member(0))
-    naming = Naming(membership)
+    selector = EntrySelector(membership)
     exchange = Exchange(membership, Roles(membership, Random(1)))
     exchange.lists.renew({r: [f"i-{r}{i:07x}" for i in range(180)] for r in REGIONS})
     counts = {f"i-a{i:07x}": 2 for i in range(20)}
@@ -146,7 +146,7 @@
 
     report = EntryStatus(SERVING, 5, counts, {}, -1, [])
     heard = median_us(receive, 200)
-    named = median_us(lambda: naming.addresses("a", "a1", SERVING, 0.1), 20)
+    named = median_us(lambda: selector.addresses("a", "a1", SERVING, 0.1), 20)
     played = median_us(lambda: exchange.round(report, 0.1), 20)
     size = len(zlib.compress(pack(heartbeats[0]), 1))
     print(f"| {entries} | {heard:.1f} | {named:.0f} | {played:.0f} | {size} |")
@@ -157,9 +157,9 @@
     membership = Membership(_limit_member(0))
     for i in range(1, entries):
         other = _limit_member(i)
-        membership.introduce(other, 0.0)
+        membership.update_member(other, 0.0)
         row = MemberRow(member_id(other.name), 1, SERVING)
-        membership.observe(LastSeen(row, 1e6), 0.0)
+        membership.record_heartbeat(LastSeen(row, 1e6), 0.0)
     pauses = Pauses(-60.0, lambda: 0.0)
     role = LimiterRole(membership, lambda: SERVING, pauses)
     limited = [t for t in resources(30_000, 1) if isinstance(t, Target)]
--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -93,7 +93,7 @@
             if before is None or item.seq > before[2].seq:
                 self._items[name] = (at, 0, item)
             row = MemberRow(member_id(name), item.member.incarnation, SERVING)
-            self.membership.observe(LastSeen(row, at), now)
+            self.membership.record_heartbeat(LastSeen(row, at), now)
 
 
 @click.command()
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -270,13 +270,13 @@
         peers = Peers("vm0000", "r0")
         peers.merge((heartbeat(i, f"r{i % 28}") for i in range(peers_known)), 0.0)
         rng = Random(1)
-        data = zlib.compress(pack(peers.message(rng, 0.0)), 1)
+        data = zlib.compress(pack(peers.compose_message(rng, 0.0)), 1)
         sent.append((peers_known, len(data)))
 
         def round_(p: Peers = peers, r: Random = rng) -> None:
             for _ in range(20):
-                message = p.message(r, 0.0)
-                p.partners(r, [])
+                message = p.compose_message(r, 0.0)
+                p.choose_recipients(r, [])
                 zlib.compress(pack(message), 1)
 
         points.append((peers_known, cpu(round_) / 20 * 1000))
--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -197,8 +197,8 @@
             self._renew_heartbeat()
             if self._seq % METRICS_BEATS == 0:
                 self._peers.forget(now)
-            message = self._peers.message(self._rng, now)
-            for to in self._peers.partners(self._rng, seeds):
+            message = self._peers.compose_message(self._rng, now)
+            for to in self._peers.choose_recipients(self._rng, seeds):
                 self._socket.send(message, to)
             await self._send_hints()
             if self._seq % METRICS_BEATS == 0:
@@ -227,14 +227,14 @@
     def leaving_vms(self) -> frozenset[str]:
         """Return the VMs that leave by any reading of the VM list in the region."""
         found = set(self._vm_watch.leaving)
-        for heartbeat in self._peers.live_near(self._now()):
+        for heartbeat in self._peers.live_in_region(self._now()):
             found |= set(heartbeat.leaving_vms)
         return frozenset(found)
 
     def departed(self) -> frozenset[str]:
         """Return the identities of processes proved to be gone by any such reading."""
         found = self._vm_watch.departed
-        for heartbeat in self._peers.live_near(self._now()):
+        for heartbeat in self._peers.live_in_region(self._now()):
             found |= set(heartbeat.departed)
         return frozenset(found)
 
--- a/leverdoor/agent/reports.py
+++ b/leverdoor/agent/reports.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from leverdoor.errors import Code, LeverdoorError
-from leverdoor.membership.ownership import cap_row
+from leverdoor.membership.ownership import cap_row_name
 from leverdoor.membership.peers import Peer, Peers
 from leverdoor.model.burn import BurnLine, Series, merge_series, summarize
 from leverdoor.sessions import new_session
@@ -163,7 +163,7 @@
     def _shifts(self) -> list[ShiftLine]:
         lines = []
         for cap in sorted(self._cache.view.caps.values(), key=lambda c: c.name):
-            row = cap_row(cap.service, cap.region)
+            row = cap_row_name(cap.service, cap.region)
             held = self._cache.table(cap.region).rows.get(row)
             free = sum(p.heartbeat.caps.get(row, 0) for p in self._live())
             units = sum(held.held.values()) if held else 0
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -125,7 +125,7 @@
         """Take targets, configuration and the other entries from the store."""
         self.fleet.renew(catalog.targets, self._clock.now)
         self._policy.renew(catalog)
-        self._exchange.lists.renew(catalog.names_by_region)
+        self._exchange.lists.renew(catalog.target_names_by_region)
         written = {m.name: pack(m) for m in members}
         self._membership.add_registered(written, self._clock.now)
 
--- a/leverdoor/entry/configuration/catalog.py
+++ b/leverdoor/entry/configuration/catalog.py
@@ -20,7 +20,7 @@
 )
 from leverdoor.workspaces.directory import WorkspaceDirectory
 
-__all__ = ["Catalog", "EMPTY", "entry_host"]
+__all__ = ["Catalog", "EMPTY_CATALOG", "host_without_port"]
 
 T = TypeVar("T")
 
@@ -28,7 +28,7 @@
 """Limits on clients before there is a configuration, and without any in it."""
 
 
-def entry_host(header: str) -> str:
+def host_without_port(header: str) -> str:
     """Return the host that a Host header names, without a port."""
     host = header.strip().lower()
     if host.startswith("["):
@@ -95,7 +95,7 @@
         ]
 
     @property
-    def names_by_region(self) -> dict[str, list[str]]:
+    def target_names_by_region(self) -> dict[str, list[str]]:
         """The names of all targets, by their region."""
         found: dict[str, list[str]] = {}
         for target in self.targets.values():
@@ -124,5 +124,5 @@
     return found
 
 
-EMPTY = Catalog(0, "", ())
+EMPTY_CATALOG = Catalog(0, "", ())
 """The catalogue of an entry that has no configuration yet."""
--- a/leverdoor/entry/configuration/catalog_keeper.py
+++ b/leverdoor/entry/configuration/catalog_manager.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import TypeAlias
 
-from leverdoor.entry.configuration.catalog import EMPTY, Catalog
+from leverdoor.entry.configuration.catalog import EMPTY_CATALOG, Catalog
 from leverdoor.entry.configuration.confirmation import Confirmation
 from leverdoor.entry.configuration.expired_registrations import ExpiredRegistrations
 from leverdoor.entry.configuration.outage import Outage
@@ -21,7 +21,7 @@
 from leverdoor.model.resources import Target
 from leverdoor.storage.state import State
 
-__all__ = ["CatalogKeeper", "PutInForce"]
+__all__ = ["CatalogManager", "PutInForce"]
 
 LOGGED_PAIRS = 8
 """Routes and workspaces without a common home that one log line names.
@@ -33,7 +33,7 @@
 """Called with the catalogue before, the new one, and what it was compiled from."""
 
 
-class CatalogKeeper:
+class CatalogManager:
     """The catalogue in force, and what else is known of the store."""
 
     def __init__(
@@ -64,7 +64,7 @@
         self._expired: list[str] = []
         """Targets used without a registration, as last logged."""
         self._hold_timer: asyncio.TimerHandle | None = None
-        self.catalog = EMPTY
+        self.catalog = EMPTY_CATALOG
         self.outage = Outage()
         self.confirmation = confirmation
         self.source = "store"
@@ -114,7 +114,7 @@
 
     def _confirmed_ms(self) -> int:
         now = asyncio.get_running_loop().time()
-        return self.confirmation.tell(self._state.revision, now).age_ms
+        return self.confirmation.newest_answer(self._state.revision, now).age_ms
 
     def _log_targets(self, before: Catalog, held: list[Target]) -> None:
         """Log how targets differ from those of the catalogue before."""
--- a/leverdoor/entry/configuration/confirmation.py
+++ b/leverdoor/entry/configuration/confirmation.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-__all__ = ["NO_ANSWER", "NUMBER_BITS", "Confirmation", "ToldAnswer"]
+__all__ = ["NO_ANSWER", "NUMBER_BITS", "Confirmation", "ReportedAnswer"]
 
 NEVER_MS = -1
 """The age that is told where the store never answered."""
@@ -33,7 +33,7 @@
 """
 
 
-class ToldAnswer(msgspec.Struct, frozen=True):
+class ReportedAnswer(msgspec.Struct, frozen=True):
     """An answer of the store as one entry tells others of it."""
 
     revision: int
@@ -44,7 +44,7 @@
     """-1 where the store never answered."""
 
 
-NO_ANSWER = ToldAnswer(0, 0, NEVER_MS)
+NO_ANSWER = ReportedAnswer(0, 0, NEVER_MS)
 """What is told before the store answered anyone."""
 
 
@@ -79,7 +79,7 @@
         if len(self._known) > MOST_KNOWN:
             del self._known[min(self._known, key=lambda n: self._known[n])]
 
-    def peer_told(self, told: ToldAnswer, held: int, now: float) -> None:
+    def record_peer_answer(self, told: ReportedAnswer, held: int, now: float) -> None:
         """Take what another entry's revision rests on.
 
         Args:
@@ -104,14 +104,14 @@
         for revision in [r for r in self._ahead if r <= held]:
             self._take(*self._ahead.pop(revision))
 
-    def tell(self, held: int, now: float) -> ToldAnswer:
+    def newest_answer(self, held: int, now: float) -> ReportedAnswer:
         """Return what other entries are to know of the revision in force here."""
         if not self._known:
             return NO_ANSWER
         number = max(self._known, key=lambda n: self._known[n])
-        return ToldAnswer(held, number, round((now - self._known[number]) * 1000))
+        return ReportedAnswer(held, number, round((now - self._known[number]) * 1000))
 
-    def knows_newer(self, longest_s: float, now: float) -> bool:
+    def has_newer_answer(self, longest_s: float, now: float) -> bool:
         """Return whether an answer is known that a revision not held here rests on.
 
         Args:
--- a/leverdoor/entry/configuration/last_time.py
+++ b/leverdoor/entry/configuration/last_time.py
@@ -24,7 +24,7 @@
         if self._at is None or at > self._at:
             self._at = at
 
-    def peer_reported(self, age_ms: int, now: float) -> None:
+    def record_peer_report(self, age_ms: int, now: float) -> None:
         """Take the age in ms that another entry knows of; -1 for never."""
         if age_ms == NEVER_MS:
             return
--- a/leverdoor/entry/configuration/left_out.py
+++ b/leverdoor/entry/configuration/left_out.py
@@ -13,14 +13,14 @@
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.wire import LeftOut
 
-__all__ = ["LeftOutReport"]
+__all__ = ["LeftOutReporter"]
 
-MOST_LINES = 20
+MAX_LINES_PER_MINUTE = 20
 """Lines in a minute; a writer that changes bad values all the time fills no log."""
 MINUTE_S = 60.0
 
 
-class LeftOutReport:
+class LeftOutReporter:
     """What operators see of registrations that are left out."""
 
     def __init__(self, events: Events, metrics: EntryMetrics) -> None:
@@ -57,7 +57,7 @@
         if now - self._since >= MINUTE_S:
             self._since = now
             self._lines = 0
-        if self._lines >= MOST_LINES:
+        if self._lines >= MAX_LINES_PER_MINUTE:
             self._unlogged += 1
             return
         self._lines += 1
--- a/leverdoor/entry/configuration/outage.py
+++ b/leverdoor/entry/configuration/outage.py
@@ -26,15 +26,15 @@
         self._lost_here = False
         self._last = LastTime()
 
-    def take(self, reachable: bool, now: float) -> None:
+    def record_reachability(self, reachable: bool, now: float) -> None:
         """Record that the store was lost here, or answers here again."""
         if self._lost_here or not reachable:
             self._last.record(now)
         self._lost_here = not reachable
 
-    def peer_reported(self, age_ms: int, now: float) -> None:
+    def record_peer_report(self, age_ms: int, now: float) -> None:
         """Take the age in ms of the newest outage that another entry knows of."""
-        self._last.peer_reported(age_ms, now)
+        self._last.record_peer_report(age_ms, now)
 
     def age_ms(self, now: float) -> int:
         """Return how long ago the store was away, in ms; -1 if not lately."""
--- a/leverdoor/entry/control_plane.py
+++ b/leverdoor/entry/control_plane.py
@@ -13,16 +13,16 @@
 import time
 from collections.abc import Callable
 
-from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
-from leverdoor.entry.configuration.confirmation import ToldAnswer
+from leverdoor.entry.configuration.catalog_manager import CatalogManager
+from leverdoor.entry.configuration.confirmation import ReportedAnswer
 from leverdoor.entry.context import EntryContext
 from leverdoor.entry.exchange.exchange import Exchange
 from leverdoor.entry.exchange.exchange_types import EntryStatus
 from leverdoor.entry.exchange.peer_link import PeerLink, TakeRoomMessage, TakeUpdate
-from leverdoor.entry.membership.joining import Joining
+from leverdoor.entry.membership.joining import JoinProcedure
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.registration import Registration, retry_pause_s
+from leverdoor.entry.membership.registration import Registration, mean_retry_pause_s
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.settings import EntrySettings
 from leverdoor.entry.store_role import StoreRole
@@ -60,7 +60,7 @@
         self,
         context: EntryContext,
         state: State,
-        keeper: CatalogKeeper,
+        catalog_manager: CatalogManager,
         membership: Membership,
         status: Callable[[], EntryStatus],
         take_update: TakeUpdate,
@@ -79,7 +79,7 @@
         """
         self._context = context
         self._state = state
-        self._keeper = keeper
+        self._catalog_manager = catalog_manager
         self._membership = membership
         self._settings = context.settings
         self._peers_read = asyncio.Event()
@@ -89,7 +89,7 @@
             self.exchange,
             context.network,
             state,
-            keeper,
+            catalog_manager,
             context.events,
             status,
             take_update,
@@ -101,7 +101,7 @@
             membership,
             self._roles,
             self.exchange.unserved,
-            keeper.confirmation,
+            catalog_manager.confirmation,
             lambda: self._settings,
             context.rng,
         )
@@ -123,8 +123,8 @@
             self._registration_pause_s,
         )
 
-    def _create_joining(self) -> Joining:
-        return Joining(
+    def _create_joining(self) -> JoinProcedure:
+        return JoinProcedure(
             self._context.store,
             self._context.wire.peer_key(""),
             self._membership,
@@ -153,10 +153,10 @@
     async def join_and_follow(self) -> None:
         """Find the others, get the state, then follow the store while elected."""
         if not self._peers_read.is_set():
-            registered = await self._joining.find()
+            registered = await self._joining.discover_peers()
             self.registration.adopt(registered.get(self._own_key))
             self._peers_read.set()
-            await self._joining.fetch(self._settings.watchers)
+            await self._joining.fetch_state(self._settings.watchers)
         await self._follower.run()
 
     async def register(self) -> None:
@@ -172,27 +172,29 @@
     def _registration_pause_s(self) -> float:
         """Return the pause after a failed registration, in seconds."""
         writes_per_s = self._settings.store_writes_per_s
-        return retry_pause_s(self._membership.count, writes_per_s)
+        return mean_retry_pause_s(self._membership.count, writes_per_s)
 
     def follows_store(self) -> bool:
         """Return whether this entry follows the store now."""
         return self._clocked_role.follows()
 
-    def take_answer(self, told: ToldAnswer, now: float) -> None:
+    def take_answer(self, told: ReportedAnswer, now: float) -> None:
         """Take what another entry's revision rests on.
 
         Who lacked a recent answer passes it on at once, so that those who lack one as
         well don't ask the store for it.
         """
         was_stale = self._store_role.is_stale(now)
-        self._keeper.confirmation.peer_told(told, self._state.revision, now)
+        self._catalog_manager.confirmation.record_peer_answer(
+            told, self._state.revision, now
+        )
         if was_stale and not self._store_role.is_stale(now):
             self.peers.spread_news()
 
     def _take_store_answer(self) -> None:
         """Record that the store answered here, as `take_answer` does of others."""
         was_stale = self._store_role.is_stale(asyncio.get_running_loop().time())
-        self._keeper.store_answered()
+        self._catalog_manager.store_answered()
         if was_stale:
             self.peers.spread_news()
 
@@ -202,7 +204,9 @@
 
     def _store_changed(self, reachable: bool, why: str) -> None:
         """Record that the store was lost, or answers again."""
-        self._keeper.outage.take(reachable, asyncio.get_running_loop().time())
+        self._catalog_manager.outage.record_reachability(
+            reachable, asyncio.get_running_loop().time()
+        )
         change = "answers" if reachable else "lost"
         self._context.events.store(change, self._state.revision, why)
 
@@ -213,7 +217,7 @@
     def __init__(
         self,
         role: StoreRole,
-        joining: Joining,
+        joining: JoinProcedure,
         on_answer: Callable[[], None],
         time_of_day: Callable[[], float],
     ) -> None:
@@ -227,7 +231,7 @@
         return asyncio.get_running_loop().time()
 
     def _has_joined(self) -> bool:
-        return self._now >= self._joining.settled_at
+        return self._now >= self._joining.may_follow_from
 
     def follows(self) -> bool:
         return self._has_joined() and self._role.follows(self._now)
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -17,19 +17,19 @@
 from leverdoor.entry.admin import AdminServer
 from leverdoor.entry.bounds import SHARE_UPDATE_ROUNDS, WARM_SENT_S
 from leverdoor.entry.configuration.catalog import Catalog
-from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
+from leverdoor.entry.configuration.catalog_manager import CatalogManager
 from leverdoor.entry.configuration.confirmation import NUMBER_BITS, Confirmation
-from leverdoor.entry.configuration.left_out import LeftOutReport
+from leverdoor.entry.configuration.left_out import LeftOutReporter
 from leverdoor.entry.context import EntryContext
 from leverdoor.entry.control_plane import ControlPlane, create_member
 from leverdoor.entry.data_plane import DataPlane
 from leverdoor.entry.events import Events
 from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate
 from leverdoor.entry.exchange.peer_network import PeerNetwork, SocketNetwork
+from leverdoor.entry.membership.entry_selection import EntrySelector
 from leverdoor.entry.membership.liveness import HEARTBEAT_S
 from leverdoor.entry.membership.member import LEAVING, SERVING, STARTING, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.naming import Naming
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.quarantine_records import QuarantineRecords
 from leverdoor.entry.settings import EntrySettings, reload_settings
@@ -156,7 +156,7 @@
         )
         self._store_copy = State()
         self._store_copy.changes.subscribe(self._take_delta)
-        self._keeper = CatalogKeeper(
+        self._catalog_manager = CatalogManager(
             self._wire,
             self._store_copy,
             Confirmation(member_id(s.name), rng.getrandbits(NUMBER_BITS)),
@@ -165,12 +165,12 @@
             self._take_catalog,
         )
         self._membership = Membership(create_member(s))
-        self._naming = Naming(self._membership)
+        self._entry_selector = EntrySelector(self._membership)
         self._metrics = EntryMetrics()
-        self._left_out = LeftOutReport(self._events, self._metrics)
+        self._left_out = LeftOutReporter(self._events, self._metrics)
         self._data = DataPlane(
             context,
-            self._keeper,
+            self._catalog_manager,
             self._membership,
             self._metrics,
             lambda: self._state,
@@ -179,7 +179,7 @@
         self._control = ControlPlane(
             context,
             self._store_copy,
-            self._keeper,
+            self._catalog_manager,
             self._membership,
             self._status,
             self._take_update,
@@ -202,7 +202,7 @@
             self._store_copy,
             self._metrics,
             lambda: self._state == SERVING,
-            lambda region, domain, now: self._naming.addresses(
+            lambda region, domain, now: self._entry_selector.addresses(
                 region, domain, self._state, now
             ),
             self._settings.lookup_ttl_s,
@@ -260,7 +260,7 @@
         self._membership.forget(now)
         self._control.exchange.forget(now)
         self._data.forget(now)
-        self._metrics.confirmed_age.set(self._keeper.confirmation.age_s(now))
+        self._metrics.confirmed_age.set(self._catalog_manager.confirmation.age_s(now))
         self._metrics.in_flight.set(self._data.handler.active)
         self._metrics.peers.set(len(self._membership.live(now)))
         for name, change, silent_s in self._membership.changes(now):
@@ -272,12 +272,12 @@
 
     def _take_delta(self, _: Delta) -> None:
         """Compile a newer state, and announce it to other entries."""
-        self._keeper.compile()
+        self._catalog_manager.compile()
         self._metrics.revision.set(self._store_copy.revision)
         self._control.peers.spread_news()
-        if self._state == STARTING and self._keeper.catalog.configured:
+        if self._state == STARTING and self._catalog_manager.catalog.configured:
             self._state = SERVING
-            self._events.process("ready", version=self._keeper.catalog.version)
+            self._events.process("ready", version=self._catalog_manager.catalog.version)
             self._control.peers.announce()
 
     def _take_catalog(
@@ -290,14 +290,14 @@
         self._left_out.take(configured.left_out, now)
         self._data.renew(before, catalog, now)
         exchange = self._control.exchange
-        exchange.lists.renew(catalog.names_by_region)
+        exchange.lists.renew(catalog.target_names_by_region)
         workspaces = catalog.workspaces.by_name.values()
         exchange.use.renew(self._data.quotas.plans(workspaces))
 
     def _take_update(self, update: PeerUpdate, now: float) -> None:
         """Give the other parts what other entries reported."""
         self._data.receive(update, now)
-        self._keeper.outage.peer_reported(update.outage_ms, now)
+        self._catalog_manager.outage.record_peer_report(update.outage_ms, now)
         self._control.take_answer(update.answer, now)
 
     def _status(self) -> EntryStatus:
@@ -308,11 +308,13 @@
             self._store_copy.revision,
             self._data.fleet.in_flight(),
             self._data.placement.shares.reported(),
-            self._keeper.outage.age_ms(now),
+            self._catalog_manager.outage.age_ms(now),
             self._data.placement.shared_warmth.recent(WARM_SENT_S, now),
             self._data.quotas.report(now),
             self._data.quotas.lived_s(now),
-            self._keeper.confirmation.tell(self._store_copy.revision, now),
+            self._catalog_manager.confirmation.newest_answer(
+                self._store_copy.revision, now
+            ),
             self._control.is_unserved(now),
             self._data.limits.round(now),
             self._data.quarantine.notices(now),
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -23,7 +23,7 @@
     retries_saved,
 )
 from leverdoor.entry.configuration.catalog import Catalog
-from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
+from leverdoor.entry.configuration.catalog_manager import CatalogManager
 from leverdoor.entry.context import EntryContext
 from leverdoor.entry.exchange.exchange_types import PeerUpdate
 from leverdoor.entry.exchange.messages import RoomRequest
@@ -60,7 +60,7 @@
     def __init__(
         self,
         context: EntryContext,
-        keeper: CatalogKeeper,
+        catalog_manager: CatalogManager,
         membership: Membership,
         metrics: EntryMetrics,
         state: Callable[[], EntryState],
@@ -78,7 +78,7 @@
         """
         s = context.settings
         self._context = context
-        self._keeper = keeper
+        self._catalog_manager = catalog_manager
         self._membership = membership
         self.fleet = Fleet()
         self.limits = TargetLimits(
@@ -151,11 +151,11 @@
         )
 
     def _catalog(self) -> Catalog:
-        return self._keeper.catalog
+        return self._catalog_manager.catalog
 
     def _keys_confirmed(self, now: float) -> bool:
         longest_s = self._context.settings.confirm_within_s
-        return self._keeper.confirmation.holds(longest_s, now)
+        return self._catalog_manager.confirmation.holds(longest_s, now)
 
     def _tries(self, fingerprint: int) -> bool:
         """Return whether this entry tries a request that is held back, for all."""
@@ -197,7 +197,7 @@
     def create_connection(self) -> ClientConnection:
         """Create the protocol of a client's connection, with the limits in force."""
         loop = asyncio.get_running_loop()
-        limits = self._keeper.catalog.limits
+        limits = self._catalog_manager.catalog.limits
         return ClientConnection(self.server, loop, limits, self.handler.busy)
 
     def reload(self, settings: EntrySettings) -> None:
--- a/leverdoor/entry/exchange/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from leverdoor.entry.configuration.confirmation import ToldAnswer
+from leverdoor.entry.configuration.confirmation import ReportedAnswer
 from leverdoor.entry.exchange.encoding import parse_ids, serialize_ids
 from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
 from leverdoor.entry.exchange.limit_exchange import LimitExchange
@@ -123,7 +123,7 @@
         if isinstance(message, News):
             return PeerUpdate(
                 source=message.pull if message.revision > revision else "",
-                answer=ToldAnswer(
+                answer=ReportedAnswer(
                     message.revision, message.answer, message.confirmed_ms
                 ),
             )
@@ -141,9 +141,9 @@
         member = heartbeat.member
         if member.name == self._own.name or self._merger.is_old(heartbeat):
             return PeerUpdate()
-        self._membership.introduce(member, now)
+        self._membership.update_member(member, now)
         row = MemberRow(member_id(member.name), member.incarnation, heartbeat.state)
-        self._membership.observe(LastSeen(row, now), now)
+        self._membership.record_heartbeat(LastSeen(row, now), now)
         known = self._membership.member(member.name)
         if known is None or known.incarnation != member.incarnation:
             return PeerUpdate()
@@ -156,7 +156,7 @@
             warm=warm,
             outage_ms=heartbeat.outage_ms,
             source=member.pull if heartbeat.revision > revision else "",
-            answer=ToldAnswer(
+            answer=ReportedAnswer(
                 heartbeat.revision, heartbeat.answer, heartbeat.confirmed_ms
             ),
         )
@@ -173,7 +173,7 @@
             warm=parse_ids(digest.warm),
             outage_ms=digest.outage_ms,
             source=source,
-            answer=ToldAnswer(digest.revision, digest.answer, digest.confirmed_ms),
+            answer=ReportedAnswer(digest.revision, digest.answer, digest.confirmed_ms),
         )
         if sender.region == self._own.region:
             self.unserved.take_digest(digest, sender, now)
@@ -271,7 +271,7 @@
         to = [m.gossip for m in self._membership.in_own_region()]
         return [Sending(self.heartbeat(status), to)]
 
-    def news(self, revision: int, answer: ToldAnswer, now: float) -> list[Sending]:
+    def news(self, revision: int, answer: ReportedAnswer, now: float) -> list[Sending]:
         """Return the news of a newer state, or of an answer that confirms it.
 
         They go to the aggregators of the own failure domain; from an aggregator, to
--- a/leverdoor/entry/exchange/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from leverdoor.entry.configuration.confirmation import NO_ANSWER, ToldAnswer
+from leverdoor.entry.configuration.confirmation import NO_ANSWER, ReportedAnswer
 from leverdoor.entry.exchange.messages import ExchangeMessage, Shares
 from leverdoor.entry.exchange.use_lists import Use
 from leverdoor.entry.membership.member import EntryState
@@ -36,7 +36,7 @@
     """Own requests of workspaces in the window of their quotas."""
     uptime_s: float = 0.0
     """Since the start of this process."""
-    answer: ToldAnswer = NO_ANSWER
+    answer: ReportedAnswer = NO_ANSWER
     """The store's newest answer that `revision` rests on."""
     unserved: bool = False
     """Whether the store does not answer this entry."""
@@ -62,7 +62,7 @@
     outage_ms: int = -1
     source: str = ""
     """Where a newer state can be fetched, as `ip:port`; empty if there is none."""
-    answer: ToldAnswer = NO_ANSWER
+    answer: ReportedAnswer = NO_ANSWER
     """The store's newest answer that the sender's revision rests on."""
     use: OthersUse | None = None
     """Requests of workspaces by all other entries; None if there is no new sum."""
--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import TypeAlias
 
-from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
+from leverdoor.entry.configuration.catalog_manager import CatalogManager
 from leverdoor.entry.events import Events
 from leverdoor.entry.exchange.exchange import Exchange
 from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
@@ -63,7 +63,7 @@
         exchange: Exchange,
         network: PeerNetwork,
         state: State,
-        keeper: CatalogKeeper,
+        catalog_manager: CatalogManager,
         events: Events,
         status: Callable[[], EntryStatus],
         take: TakeUpdate,
@@ -84,7 +84,7 @@
         self._exchange = exchange
         self._network = network
         self._state = state
-        self._keeper = keeper
+        self._catalog_manager = catalog_manager
         self._events = events
         self._status = status
         self._take = take
@@ -133,7 +133,7 @@
         now = asyncio.get_running_loop().time()
         self._news_at = now
         revision = self._state.revision
-        answer = self._keeper.confirmation.tell(revision, now)
+        answer = self._catalog_manager.confirmation.newest_answer(revision, now)
         self._send(self._exchange.news(revision, answer, now))
 
     def _send(self, sendings: list[Sending]) -> None:
@@ -169,9 +169,9 @@
         if not self.puller.may_pull(address, began):
             return
         delta = await self.puller.fetch(address)
-        self._keeper.source = address
+        self._catalog_manager.source = address
         newer = delta is not None and self._state.apply(delta)
-        self._keeper.source = "store"
+        self._catalog_manager.source = "store"
         took_s = loop.time() - began
         if not newer or took_s > SLOW_FETCH_S:
             self._events.fetch(address, newer, since, self._state.revision, took_s)
--- a/leverdoor/entry/exchange/views.py
+++ b/leverdoor/entry/exchange/views.py
@@ -70,7 +70,7 @@
         for row, steps in zip(rows, view.ages, strict=True):
             if steps < OLDEST_STEPS:
                 at = now - steps * AGE_STEP_S
-                self._membership.observe(LastSeen(row, at), now)
+                self._membership.record_heartbeat(LastSeen(row, at), now)
 
     def own_seq(self, views: list[DomainView]) -> int:
         """Return the number of the own heartbeat that views rest on, modulo 256.
--- a/leverdoor/entry/membership/naming.py
+++ b/leverdoor/entry/membership/entry_selection.py
@@ -23,7 +23,7 @@
 from leverdoor.entry.membership.member import SERVING, STARTING, EntryState, Member
 from leverdoor.entry.membership.members import Membership
 
-__all__ = ["LEAST_NAMED", "MAX_NAMED", "NAMED_S", "Naming"]
+__all__ = ["LEAST_NAMED", "MAX_NAMED", "NAMED_S", "EntrySelector"]
 
 MAX_NAMED = 64
 """Entries named to a caller at most.
@@ -46,7 +46,7 @@
 """Choices kept at once: bounds memory, by more than the failure domains there are."""
 
 
-class Naming:
+class EntrySelector:
     """Chooses the entries to name to callers."""
 
     def __init__(self, membership: Membership) -> None:
--- a/leverdoor/entry/membership/joining.py
+++ b/leverdoor/entry/membership/joining.py
@@ -7,7 +7,7 @@
 the state. The store is listed whole only by those with the widest links of a region,
 and by entries that find no peer with the state.
 
-Owns from when this entry may follow the store (`settled_at`), for one process. Relies
+Owns from when this entry may follow the store (`may_follow_from`), for one process. Relies
 on `Roles` for the place of this entry, on `PeerFollower` for fetches and on the store
 for the listing; an unavailable store is logged and taken for an empty list.
 """
@@ -24,7 +24,7 @@
 from leverdoor.storage.state import State
 from leverdoor.storage.store import KeyValue, LeasingStore
 
-__all__ = ["Joining"]
+__all__ = ["JoinProcedure"]
 
 TRIES = 3
 """Groups of peers asked for the state, one after the other.
@@ -61,7 +61,7 @@
 """
 
 
-class Joining:
+class JoinProcedure:
     """The start of one entry, from no peers known to having the state."""
 
     def __init__(
@@ -96,11 +96,11 @@
         self._events = events
         self._rng = rng
         self._has_state = asyncio.Event()
-        self.settled_at = 0.0
+        self.may_follow_from = 0.0
         """Monotonic time from which this entry may be a follower of the store."""
         state.changes.subscribe(lambda _: self._has_state.set())
 
-    async def find(self) -> Mapping[str, KeyValue]:
+    async def discover_peers(self) -> Mapping[str, KeyValue]:
         """Return the entries' keys in the store; none if it does not answer."""
         try:
             listing = await self._store.read_stale(self._prefix)
@@ -112,7 +112,7 @@
         self._membership.add_registered({k: e.value for k, e in found.items()}, now)
         return found
 
-    async def fetch(self, followers: int) -> None:
+    async def fetch_state(self, followers: int) -> None:
         """Get the state from a peer, or return when this entry is to list the store.
 
         Those with the widest links list at once: when all entries were killed, the
@@ -121,7 +121,7 @@
         Args:
           followers: how many entries of a region list at once.
         """
-        place = self._roles.place_by_link()
+        place = self._roles.rank_among_known()
         if place is not None and place < followers:
             return
         for _ in range(TRIES):
@@ -134,7 +134,7 @@
             await self._wait(self._patience_s(followers))
         if self._has_state.is_set():
             loop = asyncio.get_running_loop()
-            self.settled_at = loop.time() + SETTLE_S
+            self.may_follow_from = loop.time() + SETTLE_S
             self._events.process("joined", revision=self._state.revision)
 
     def _choose(self) -> list[str]:
@@ -147,7 +147,7 @@
 
     def _patience_s(self, followers: int) -> float:
         """Return how long to wait for a peer's state before listing the store, in s."""
-        place = self._roles.place_by_link()
+        place = self._roles.rank_among_known()
         if place is None:
             return self._rng.random() * ALONE_S
         return min(place // followers * STAGGER_S, MOST_STAGGER_S)
--- a/leverdoor/entry/membership/member.py
+++ b/leverdoor/entry/membership/member.py
@@ -18,7 +18,7 @@
     "EntryState",
     "Member",
     "MemberRow",
-    "link_rank",
+    "link_sort_key",
     "member_id",
 ]
 
@@ -68,7 +68,7 @@
     return xxhash.xxh32_intdigest(name.encode())
 
 
-def link_rank(member: Member) -> tuple[int, int]:
+def link_sort_key(member: Member) -> tuple[int, int]:
     """Return the sort key for roles: the widest links first, then by hash of the name.
 
     Those with the widest links take the roles because they send the most: with
--- a/leverdoor/entry/membership/members.py
+++ b/leverdoor/entry/membership/members.py
@@ -29,7 +29,7 @@
     STARTING,
     Member,
     MemberRow,
-    link_rank,
+    link_sort_key,
     member_id,
 )
 from leverdoor.entry.membership.peer_record import NEVER, LastSeen, PeerRecord
@@ -81,15 +81,15 @@
                 continue
             record = self._records.get(member.name)
             if record is None or now - record.heartbeat_at > FORMER_INCARNATION_S:
-                self.introduce(member, now)
+                self.update_member(member, now)
 
-    def introduce(self, member: Member, now: float) -> None:
+    def update_member(self, member: Member, now: float) -> None:
         """Take an entry's description; a higher incarnation replaces a lower one."""
         if member.name == self.own.name:
             return
         record = self._records.get(member.name)
         if record is None:
-            self._add(PeerRecord(member, link_rank(member), reported_at=now))
+            self._add(PeerRecord(member, link_sort_key(member), reported_at=now))
             return
         record.reported_at = max(record.reported_at, now)
         if member.incarnation > record.member.incarnation:
@@ -109,7 +109,7 @@
         record.heartbeat_at = NEVER
         self.version += 1
 
-    def observe(self, seen: LastSeen, now: float) -> bool:
+    def record_heartbeat(self, seen: LastSeen, now: float) -> bool:
         """Take when an incarnation of an entry last sent a heartbeat.
 
         Within an incarnation the state only grows, from STARTING to LEAVING, so an
--- a/leverdoor/entry/membership/peer_record.py
+++ b/leverdoor/entry/membership/peer_record.py
@@ -24,8 +24,8 @@
     """The record of one other entry; all times are monotonic seconds of this entry."""
 
     member: Member
-    link_rank: tuple[int, int]
-    """See `member.link_rank`."""
+    link_sort_key: tuple[int, int]
+    """See `member.link_sort_key`."""
     state: EntryState = STARTING
     heartbeat_at: float = NEVER
     """When its newest known heartbeat reached any entry; digests carry the age."""
--- a/leverdoor/entry/membership/registration.py
+++ b/leverdoor/entry/membership/registration.py
@@ -19,7 +19,7 @@
 from leverdoor.errors import LeverdoorError
 from leverdoor.storage.store import KeyValue, LeasingStore
 
-__all__ = ["Registration", "retry_pause_s"]
+__all__ = ["Registration", "mean_retry_pause_s"]
 
 TTL_S = 15.0
 """Duration of an entry's lease, in seconds.
@@ -30,7 +30,7 @@
 KEEP_S = 5.0
 """Seconds between two renewals: a third of the lease, so two may fail."""
 RETRY_S = 0.5
-"""Least mean pause after a failed call, in seconds; see `retry_pause_s`.
+"""Least mean pause after a failed call, in seconds; see `mean_retry_pause_s`.
 
 Bounds the calls of a few entries to an unavailable store. Longer, they are found later
 after an outage.
@@ -51,7 +51,7 @@
 """
 
 
-def retry_pause_s(entries: int, writes_per_s: float) -> float:
+def mean_retry_pause_s(entries: int, writes_per_s: float) -> float:
     """Return the mean pause after a failed call, in seconds.
 
     All entries together then keep to `RATE_SHARE` of the store's writes.
--- a/leverdoor/entry/membership/roles.py
+++ b/leverdoor/entry/membership/roles.py
@@ -15,7 +15,7 @@
 from random import Random
 
 from leverdoor.entry.membership.liveness import SILENCE_S, is_live
-from leverdoor.entry.membership.member import LEAVING, Member, link_rank, member_id
+from leverdoor.entry.membership.member import LEAVING, Member, link_sort_key, member_id
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import NEVER, PeerRecord
 
@@ -53,7 +53,7 @@
         """
         self._membership = membership
         self._own = membership.own
-        self._own_record = PeerRecord(self._own, link_rank(self._own))
+        self._own_record = PeerRecord(self._own, link_sort_key(self._own))
         self._rng = rng
 
     # Aggregators.
@@ -100,7 +100,7 @@
         ]
         if domain == self._own.domain:
             found.append(self._own_record)
-        return sorted(found, key=lambda r: r.link_rank)
+        return sorted(found, key=lambda r: r.link_sort_key)
 
     def _contacts(self, domain: str) -> list[Member]:
         """Return whom to contact in a failure domain of which no entry is live.
@@ -108,7 +108,9 @@
         The widest links, of those last seen before it was cut off and of all, and one
         at random: both sides exchange messages soon after the cut is repaired.
         """
-        records = sorted(self._membership.records([domain]), key=lambda r: r.link_rank)
+        records = sorted(
+            self._membership.records([domain]), key=lambda r: r.link_sort_key
+        )
         newest = max((r.heartbeat_at for r in records), default=NEVER)
         lately = [r for r in records if r.heartbeat_at >= newest - SILENCE_S]
         chance = self._rng.sample(records, min(1, len(records)))
@@ -149,26 +151,26 @@
           own_unserved: whether it does not answer this entry.
         """
         if not own_unserved:
-            return self.place(now, unserved) < followers
+            return self.rank_among_live(now, unserved) < followers
         others = self._membership.live_in_own_region(now)
         if any(member_id(m.name) not in unserved for m in others):
             return False
-        return self.place(now, ()) < followers
+        return self.rank_among_live(now, ()) < followers
 
-    def place(self, now: float, unserved: Collection[int]) -> int:
+    def rank_among_live(self, now: float, unserved: Collection[int]) -> int:
         """Return this entry's place by link among the region's live ones, from 0.
 
         Args:
           now: monotonic time in seconds.
           unserved: entries that don't count, by `member_id`.
         """
-        own = link_rank(self._own)
+        own = link_sort_key(self._own)
         others = self._membership.live_in_own_region(now)
         if unserved:
             others = [m for m in others if member_id(m.name) not in unserved]
-        return sum(link_rank(m) < own for m in others)
+        return sum(link_sort_key(m) < own for m in others)
 
-    def place_by_link(self) -> int | None:
+    def rank_among_known(self) -> int | None:
         """Return this entry's place among all of its region on record, from 0.
 
         Silent ones count, since at a start nothing was received yet. None if no
@@ -177,4 +179,4 @@
         known = self._membership.in_own_region()
         if not known:
             return None
-        return sorted([*known, self._own], key=link_rank).index(self._own)
+        return sorted([*known, self._own], key=link_sort_key).index(self._own)
--- a/leverdoor/entry/placement/candidates.py
+++ b/leverdoor/entry/placement/candidates.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from itertools import islice
 
-from leverdoor.entry.configuration.catalog import EMPTY, Catalog
+from leverdoor.entry.configuration.catalog import EMPTY_CATALOG, Catalog
 from leverdoor.entry.placement.affinity import Ranking
 from leverdoor.entry.placement.placement_request import PlacementRequest
 from leverdoor.entry.placement.sizes import SizeBook
@@ -42,7 +42,7 @@
         """Create it for an entry of a region and failure domain, without targets."""
         self._region = region
         self._domain = domain
-        self._catalog = EMPTY
+        self._catalog = EMPTY_CATALOG
         self._by_region: dict[tuple[str, str], Ranking] = {}
         self._by_domain: dict[tuple[str, str], Ranking] = {}
         self._sizes = SizeBook()
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from random import Random
 
-from leverdoor.entry.configuration.catalog import EMPTY, Catalog
+from leverdoor.entry.configuration.catalog import EMPTY_CATALOG, Catalog
 from leverdoor.entry.placement.candidates import CandidateBook
 from leverdoor.entry.placement.choice import Option, TargetChooser
 from leverdoor.entry.placement.fleet import Fleet, TargetState
@@ -81,7 +81,7 @@
         self._region = region
         self._fleet = fleet
         self._rng = rng
-        self._catalog = EMPTY
+        self._catalog = EMPTY_CATALOG
         self._candidates = CandidateBook(region, domain)
         self._chooser = TargetChooser(region, domain, fleet, tuning)
         self._rests = SharedRests(self._chooser.shared_warmth, rng)
--- a/leverdoor/entry/requests/intake.py
+++ b/leverdoor/entry/requests/intake.py
@@ -10,7 +10,7 @@
 
 from aiohttp import web
 
-from leverdoor.entry.configuration.catalog import Catalog, entry_host
+from leverdoor.entry.configuration.catalog import Catalog, host_without_port
 from leverdoor.entry.placement.placement_request import PlacementRequest
 from leverdoor.entry.requests.deadlines import DEFAULT_DEADLINE_MS, give_up_at
 from leverdoor.entry.requests.entry_request import EntryRequest
@@ -92,7 +92,7 @@
         path = request.raw_path
         if not path.startswith("/") or not request_id:
             raise Refusal(Code.BAD_REQUEST, "no request id or no path")
-        host = entry_host(request.headers.get("Host", ""))
+        host = host_without_port(request.headers.get("Host", ""))
         route = catalog.route(host, path.partition("?")[0])
         if route is None:
             raise Refusal(Code.NO_ROUTE, f"{host} {path[:LOGGED_PATH]}")
--- a/leverdoor/entry/store_role.py
+++ b/leverdoor/entry/store_role.py
@@ -165,8 +165,8 @@
         if age_s <= STALE_S or now < self._ask_at:
             return False
         # Unserved ones count here: as the first fail, the others must not ask faster.
-        place = self._roles.place(now, ())
-        alone = self._confirmation.knows_newer(STALE_S, now)
+        place = self._roles.rank_among_live(now, ())
+        alone = self._confirmation.has_newer_answer(STALE_S, now)
         step_s = self._step_s(ALONE_SHARE if alone else ASK_SHARE, now)
         if not alone:
             step_s = max(step_s, RANK_STEP_S)
@@ -178,7 +178,7 @@
 
     def _place(self, now: float) -> int:
         """Return this entry's place among the region's that are served, from 0."""
-        return self._roles.place(now, self._unserved.all_known(now))
+        return self._roles.rank_among_live(now, self._unserved.all_known(now))
 
     def _step_s(self, share: float, now: float) -> float:
         """Return the least time between two entries of the region that ask, in s.
--- a/leverdoor/gate/neighbours.py
+++ b/leverdoor/gate/neighbours.py
@@ -142,7 +142,7 @@
             if region in ("", n.heartbeat.region)
             and n.heartbeat.state is GateState.SERVING
             and now >= n.out_until
-            and not n.peer.silent(now)
+            and not n.peer.is_silent(now)
             and not self._leaving(n.heartbeat.vm)
         ]
 
--- a/leverdoor/gate/placement.py
+++ b/leverdoor/gate/placement.py
@@ -20,7 +20,7 @@
 from leverdoor.gate.shifts import ShiftLimiter
 from leverdoor.gate.target_health import ASSUMED_MS
 from leverdoor.gate.workload import Workloads, queue_wait_ms
-from leverdoor.membership.ownership import cap_row, slot_row
+from leverdoor.membership.ownership import cap_row_name, slot_row_name
 from leverdoor.model.resources import Service, Target, WorkClass
 from leverdoor.storage.view import View
 
@@ -191,7 +191,7 @@
             cap = self._shifts.take(self._view, request.service, now)
         if cap is None:
             return None
-        slot = slot_row(best.address)
+        slot = slot_row_name(best.address)
         self._holdings.acquire(slot, now)
         self._pool.health.of(best, now).in_flight += 1
         self._workloads.add(request.service).begin(request)
@@ -209,7 +209,7 @@
         """Pass a request on to a gate with a free slot in a region."""
         cap = ""
         if region != request.home and (request.service, region) in self._view.caps:
-            cap = cap_row(request.service, region)
+            cap = cap_row_name(request.service, region)
         found = self._neighbours.with_free_slot(request.service, region, cap, now)
         return _forward_to(found, region)
 
--- a/leverdoor/gate/pool.py
+++ b/leverdoor/gate/pool.py
@@ -12,7 +12,7 @@
 
 from leverdoor.gate.holdings import Holdings
 from leverdoor.gate.target_health import TargetBook
-from leverdoor.membership.ownership import slot_row
+from leverdoor.membership.ownership import slot_row_name
 from leverdoor.model.resources import Target
 from leverdoor.storage.view import View
 
@@ -55,7 +55,7 @@
         if found is None:
             rows = self._holdings.rows
             region = self.view.by_place.get((service, self._region), [])
-            found = [t for t in region if slot_row(t.address) in rows]
+            found = [t for t in region if slot_row_name(t.address) in rows]
             self._held_targets[service] = found
         return found
 
@@ -69,7 +69,7 @@
 
     def free_at(self, target: Target, now: float) -> int:
         """Return how many slots of a target can be taken now; fewer in slow start."""
-        row = slot_row(target.address)
+        row = slot_row_name(target.address)
         free = self._holdings.free(row, now)
         if free <= 0 or not target.warmup_ms:
             return free
@@ -95,7 +95,7 @@
     def slots(self, service: str, now: float) -> int:
         """Slots held of targets that take new work."""
         return sum(
-            self._holdings.held(slot_row(t.address))
+            self._holdings.held(slot_row_name(t.address))
             for t in self.targets(service)
             if self.open(t, now)
         )
@@ -111,7 +111,7 @@
     def slots_in_service(self, service: str) -> int:
         """Slots held, also of targets that are ejected for the moment."""
         return sum(
-            self._holdings.held(slot_row(t.address))
+            self._holdings.held(slot_row_name(t.address))
             for t in self.targets(service)
             if self.in_service(t)
         )
--- a/leverdoor/gate/shifts.py
+++ b/leverdoor/gate/shifts.py
@@ -10,7 +10,7 @@
 
 from leverdoor.gate.holdings import Holdings
 from leverdoor.gate.ramp import Ramp
-from leverdoor.membership.ownership import cap_row
+from leverdoor.membership.ownership import cap_row_name
 from leverdoor.storage.view import View
 
 __all__ = ["ShiftLimiter", "rate_out"]
@@ -39,7 +39,7 @@
         cap = view.caps.get((service, self._region))
         if cap is None:
             return ""
-        row = cap_row(service, self._region)
+        row = cap_row_name(service, self._region)
         ramp = self._ramps.get(row)
         if ramp is None:
             start = cap.ramp_percent / 100
--- a/leverdoor/membership/ownership.py
+++ b/leverdoor/membership/ownership.py
@@ -31,11 +31,11 @@
     "Row",
     "RowSpec",
     "Table",
-    "cap_row",
+    "cap_row_name",
     "parse_table",
     "plan",
     "serialize_table",
-    "slot_row",
+    "slot_row_name",
 ]
 
 HOLDERS = 2
@@ -118,12 +118,12 @@
     over: list[str] = []
 
 
-def slot_row(address: str) -> str:
+def slot_row_name(address: str) -> str:
     """Name the row of a target's slots; by address, which is the machine."""
     return "t:" + address
 
 
-def cap_row(service: str, region: str) -> str:
+def cap_row_name(service: str, region: str) -> str:
     """Name the row of a shift cap's units."""
     return f"c:{service}:{region}"
 
--- a/leverdoor/membership/peers.py
+++ b/leverdoor/membership/peers.py
@@ -153,7 +153,7 @@
         if heartbeat.agent == self.former:
             return False
         behind = heartbeat.agent < self.heartbeat.agent
-        return heartbeat.newer(self.heartbeat) or (behind and self.silent(now))
+        return heartbeat.newer(self.heartbeat) or (behind and self.is_silent(now))
 
     def receive(self, heartbeat: AgentHeartbeat, now: float) -> None:
         """Take a heartbeat that supersedes the one known."""
@@ -163,7 +163,7 @@
         self.heartbeat = heartbeat
         self.last_seen = now
 
-    def silent(self, now: float) -> bool:
+    def is_silent(self, now: float) -> bool:
         """Return whether no heartbeat has come for some mean gaps, within bounds."""
         bound_s = max(LEAST_SILENCE_S, min(GAPS_MISSED * self.gap_s, MOST_SILENCE_S))
         return now - self.last_seen > bound_s
@@ -231,15 +231,15 @@
 
     def live(self, now: float) -> list[Peer]:
         """The VMs that are not silent, by name."""
-        found = [p for p in self.known.values() if not p.silent(now)]
+        found = [p for p in self.known.values() if not p.is_silent(now)]
         return sorted(found, key=lambda p: p.heartbeat.vm)
 
-    def live_near(self, now: float) -> list[AgentHeartbeat]:
+    def live_in_region(self, now: float) -> list[AgentHeartbeat]:
         """Heartbeats of this region's live VMs, this one's included, by name."""
         self._arrange()
         names = sorted([*self._near, *([self._vm] if self._vm in self.known else [])])
         peers = [self.known[vm] for vm in names]
-        return [p.heartbeat for p in peers if not p.silent(now)]
+        return [p.heartbeat for p in peers if not p.is_silent(now)]
 
     def acks(self) -> dict[str, Ack]:
         """The latest acknowledgement of each gate process of the region."""
@@ -251,7 +251,7 @@
             if p and p.heartbeat.gate
         }
 
-    def message(self, rng: Random, now: float) -> Gossip:
+    def compose_message(self, rng: Random, now: float) -> Gossip:
         """Compose a gossip message: own heartbeat, and a sample of live others."""
         self._arrange()
         own = self.known.get(self._vm)
@@ -266,9 +266,9 @@
         """Draw live peers; a silent one that is drawn is left out."""
         drawn = rng.sample(names, min(len(names), count))
         peers = [self.known[vm] for vm in drawn]
-        return [p.heartbeat for p in peers if not p.silent(now)]
+        return [p.heartbeat for p in peers if not p.is_silent(now)]
 
-    def partners(self, rng: Random, seeds: Iterable[str]) -> list[str]:
+    def choose_recipients(self, rng: Random, seeds: Iterable[str]) -> list[str]:
         """Choose who gets gossip: one in the region, one anywhere else.
 
         In the region the next one of a few fixed neighbours on a ring of all
--- a/leverdoor/storage/view.py
+++ b/leverdoor/storage/view.py
@@ -15,9 +15,9 @@
 from leverdoor.membership.ownership import (
     RowSpec,
     Table,
-    cap_row,
+    cap_row_name,
     parse_table,
-    slot_row,
+    slot_row_name,
 )
 from leverdoor.model.blocks import BlockMap, Chunk, compile_chunk, outline
 from leverdoor.model.resources import (
@@ -102,26 +102,26 @@
     def specs(self, region: str) -> dict[str, RowSpec]:
         """Return the rows that a region's ownership table should have."""
         found = {
-            slot_row(t.address): RowSpec(t.slots)
+            slot_row_name(t.address): RowSpec(t.slots)
             for t in self.targets.values()
             if t.region == region
         }
         for c in self.caps.values():
             if c.region == region:
-                row = cap_row(c.service, c.region)
+                row = cap_row_name(c.service, c.region)
                 found[row] = RowSpec(c.units, CAP_SPREAD_ALL)
         return found
 
     def settle_s(self, region: str) -> dict[str, float]:
         """Return for each row how long gained units stay unusable."""
         found = {
-            slot_row(t.address): self.services[t.service].linger_ms / 1000
+            slot_row_name(t.address): self.services[t.service].linger_ms / 1000
             for t in self.targets.values()
             if t.region == region and t.service in self.services
         }
         for c in self.caps.values():
             if c.region == region:
-                found[cap_row(c.service, c.region)] = c.window_ms / 1000
+                found[cap_row_name(c.service, c.region)] = c.window_ms / 1000
         return found
 
     def distance_ms(self, a: str, b: str) -> float:
--- a/tests/test_entry_catalog.py
+++ b/tests/test_entry_catalog.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from leverdoor.entry.configuration.catalog import Catalog, entry_host
+from leverdoor.entry.configuration.catalog import Catalog, host_without_port
 from leverdoor.model.resources import Route, WorkClass
 
 
@@ -26,4 +26,4 @@
     [("H.Example", "h.example"), ("h:80", "h"), (" h ", "h"), ("[::1]:8", "[::1]")],
 )
 def test_hosts(header: str, host: str) -> None:
-    assert entry_host(header) == host
+    assert host_without_port(header) == host
--- a/tests/test_entry_confirmation.py
+++ b/tests/test_entry_confirmation.py
@@ -10,7 +10,7 @@
 from leverdoor.entry.configuration.confirmation import (
     NO_ANSWER,
     Confirmation,
-    ToldAnswer,
+    ReportedAnswer,
 )
 from leverdoor.standins.entry_site import SAMPLE_ROUTES, EntrySite
 from leverdoor.standins.metadata import MetadataFaults
@@ -18,17 +18,17 @@
 
 def test_the_newest_answer_of_anyone_counts() -> None:
     c = Confirmation(3)
-    assert c.tell(7, 10.0) == NO_ANSWER
+    assert c.newest_answer(7, 10.0) == NO_ANSWER
     assert c.holds(0.0, 10.0)
     assert not c.holds(5.0, 10.0)
-    c.peer_told(ToldAnswer(7, 1, 2_000), 7, 10.0)
+    c.record_peer_answer(ReportedAnswer(7, 1, 2_000), 7, 10.0)
     assert c.holds(5.0, 12.9)
     assert not c.holds(5.0, 13.1)
-    c.peer_told(ToldAnswer(7, 2, 4_000), 7, 10.5)
-    c.peer_told(NO_ANSWER, 7, 10.5)
-    assert c.tell(7, 10.5) == ToldAnswer(7, 1, 2_500)
+    c.record_peer_answer(ReportedAnswer(7, 2, 4_000), 7, 10.5)
+    c.record_peer_answer(NO_ANSWER, 7, 10.5)
+    assert c.newest_answer(7, 10.5) == ReportedAnswer(7, 1, 2_500)
     c.answered(11.0)
-    assert c.tell(7, 11.2).age_ms == 200
+    assert c.newest_answer(7, 11.2).age_ms == 200
 
 
 def test_an_answer_to_a_revision_that_is_not_held_confirms_nothing() -> None:
@@ -37,13 +37,13 @@
     Its keys held on although one of them was revoked by that change.
     """
     c = Confirmation(3)
-    c.peer_told(ToldAnswer(8, 1, 500), 7, 10.0)
+    c.record_peer_answer(ReportedAnswer(8, 1, 500), 7, 10.0)
     assert not c.holds(5.0, 10.0)
-    c.peer_told(ToldAnswer(9, 2, 100), 7, 10.2)
+    c.record_peer_answer(ReportedAnswer(9, 2, 100), 7, 10.2)
     c.advanced(8)
-    assert c.tell(8, 10.2) == ToldAnswer(8, 1, 700)
+    assert c.newest_answer(8, 10.2) == ReportedAnswer(8, 1, 700)
     c.advanced(9)
-    assert c.tell(9, 10.2) == ToldAnswer(9, 2, 100)
+    assert c.newest_answer(9, 10.2) == ReportedAnswer(9, 2, 100)
 
 
 def test_an_answer_that_is_told_in_a_circle_grows_as_old_as_it_is() -> None:
@@ -58,9 +58,9 @@
     one.answered(10.0)
     now = 10.0
     for _ in range(20):
-        other.peer_told(one.tell(7, now), 7, now + way_s)
+        other.record_peer_answer(one.newest_answer(7, now), 7, now + way_s)
         now += 0.2
-        one.peer_told(other.tell(7, now), 7, now + way_s)
+        one.record_peer_answer(other.newest_answer(7, now), 7, now + way_s)
         now += 0.2
     assert one.age_s(now) == now - 10.0
     assert other.age_s(now) >= now - 10.0 - way_s - 0.001
@@ -71,7 +71,7 @@
     c = Confirmation(3)
     for i in range(100):
         now = 10.0 + i / 10
-        c.peer_told(ToldAnswer(8 + i, i, 50), 7 + i, now)
+        c.record_peer_answer(ReportedAnswer(8 + i, i, 50), 7 + i, now)
         c.advanced(8 + i)
         assert c.age_s(now) < 0.2
 
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -11,10 +11,10 @@
 from leverdoor.entry.exchange.exchange import Exchange
 from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
 from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat, News
+from leverdoor.entry.membership.entry_selection import EntrySelector
 from leverdoor.entry.membership.liveness import HEARTBEAT_S
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.naming import Naming
 from leverdoor.entry.membership.roles import Roles
 
 TARGETS = {"a": ["ta1", "ta2"], "b": ["tb1"]}
@@ -27,7 +27,7 @@
         self.now = 100.0
         self.reports: dict[str, EntryStatus] = {}
         self.exchanges: dict[str, Exchange] = {}
-        self.naming: dict[str, Naming] = {}
+        self.selectors: dict[str, EntrySelector] = {}
         self.heard: dict[str, PeerUpdate] = {}
         self.sent: list[tuple[str, Sending]] = []
         self.silent: set[str] = set()
@@ -35,11 +35,11 @@
         for own in members:
             membership = Membership(own)
             for other in members:
-                membership.introduce(other, self.now)
+                membership.update_member(other, self.now)
             exchange = Exchange(membership, Roles(membership, Random(own.name)))
             exchange.lists.renew(TARGETS)
             self.exchanges[own.name] = exchange
-            self.naming[own.name] = Naming(membership)
+            self.selectors[own.name] = EntrySelector(membership)
             self.reports[own.name] = EntryStatus(SERVING, 1, {}, {}, -1, [])
 
     def report(self, name: str, **fields: object) -> None:
@@ -222,11 +222,11 @@
     s.report("a1-4", state=LEAVING)
     s.send("a1-4", s.exchanges["a1-4"].announce_leave(s.reports["a1-4"]))
     for name in ("a1-0", "a1-5", "a2-5"):
-        named = s.naming[name].addresses("a", "a1", SERVING, s.now)
+        named = s.selectors[name].addresses("a", "a1", SERVING, s.now)
         assert "f/a1-4" not in named
     s.round(6)
     for name in ("a1-0", "a1-5", "a2-5"):
-        named = s.naming[name].addresses("a", "a1", SERVING, s.now)
+        named = s.selectors[name].addresses("a", "a1", SERVING, s.now)
         assert "f/a1-4" not in named
 
 
--- a/tests/test_entry_expired_registrations.py
+++ b/tests/test_entry_expired_registrations.py
@@ -57,21 +57,21 @@
     outage = Outage()
     assert not outage.recent(0.0)
     assert outage.age_ms(0.0) == -1
-    outage.peer_reported(-1, 0.0)
+    outage.record_peer_report(-1, 0.0)
     assert not outage.recent(0.0)
-    outage.peer_reported(500, 1.0)
+    outage.record_peer_report(500, 1.0)
     assert outage.recent(1.0)
     assert outage.age_ms(1.5) == 1000
-    outage.peer_reported(2000, 1.5)
+    outage.record_peer_report(2000, 1.5)
     assert outage.age_ms(1.5) == 1000
     assert not outage.recent(1.0 + RECENT_S)
 
 
 def test_an_outage_lasts_until_the_store_answers_here() -> None:
     outage = Outage()
-    outage.take(True, 0.0)
+    outage.record_reachability(True, 0.0)
     assert not outage.recent(0.0)
-    outage.take(False, 1.0)
+    outage.record_reachability(False, 1.0)
     assert outage.age_ms(50.0) == 0
-    outage.take(True, 50.0)
+    outage.record_reachability(True, 50.0)
     assert outage.age_ms(51.0) == 1000
--- a/tests/test_entry_joining.py
+++ b/tests/test_entry_joining.py
@@ -9,7 +9,7 @@
 from leverdoor.codec import pack
 from leverdoor.entry.events import Events
 from leverdoor.entry.log_writer import LineWriter
-from leverdoor.entry.membership.joining import ALONE_S, SETTLE_S, Joining
+from leverdoor.entry.membership.joining import ALONE_S, SETTLE_S, JoinProcedure
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
@@ -90,7 +90,7 @@
         self.state = State()
         self.puller = Puller(self.state, having)
         events = Events(LineWriter(os.open(os.devnull, os.O_WRONLY)), own.name)
-        self.joining = Joining(
+        self.joining = JoinProcedure(
             store,
             PREFIX,
             self.membership,
@@ -106,58 +106,58 @@
     others = [member(f"a1-{i}", 200) for i in range(4)] + [member("a2-0", 200)]
     store = Store(written(*others))
     start = Start(member("a1-9"), store, {f"p/a1-{i}" for i in range(4)})
-    found = await start.joining.find()
+    found = await start.joining.discover_peers()
     assert found.keys() == {PREFIX + m.name for m in others}
-    await start.joining.fetch(followers=2)
+    await start.joining.fetch_state(followers=2)
     assert start.state.revision == 5
     assert all(api.startswith("p/a1-") for apis in start.puller.asked for api in apis)
     loop = asyncio.get_running_loop()
-    assert start.joining.settled_at > loop.time(), "others follow the store"
-    assert start.joining.settled_at <= loop.time() + SETTLE_S
+    assert start.joining.may_follow_from > loop.time(), "others follow the store"
+    assert start.joining.may_follow_from <= loop.time() + SETTLE_S
 
 
 async def test_an_entry_with_a_wide_link_lists_at_once() -> None:
     store = Store(written(*[member(f"a1-{i}") for i in range(4)]))
     start = Start(member("a1-9", 200), store, set())
-    await start.joining.find()
-    await start.joining.fetch(followers=2)
+    await start.joining.discover_peers()
+    await start.joining.fetch_state(followers=2)
     assert start.puller.asked == []
-    assert start.joining.settled_at == 0.0, "it may follow the store at once"
+    assert start.joining.may_follow_from == 0.0, "it may follow the store at once"
 
 
 async def test_others_wait_for_news_of_those_that_list() -> None:
     others = [member(f"a1-{i}", 200) for i in range(4)]
     start = Start(member("a1-9"), Store(written(*others)), set())
-    await start.joining.find()
+    await start.joining.discover_peers()
     loop = asyncio.get_running_loop()
     loop.call_later(
         0.01, lambda: start.state.apply(Delta(0, 3, True, [Event(3, "k", b"v")]))
     )
-    await start.joining.fetch(followers=2)
+    await start.joining.fetch_state(followers=2)
     assert start.state.revision == 3
-    assert start.joining.settled_at > 0.0
+    assert start.joining.may_follow_from > 0.0
 
 
 async def test_who_finds_nobody_with_the_state_lists_in_the_end() -> None:
     others = [member(f"a1-{i}", 200) for i in range(4)]
     start = Start(member("a1-9"), Store(written(*others)), set())
-    await start.joining.find()
-    await start.joining.fetch(followers=2)
+    await start.joining.discover_peers()
+    await start.joining.fetch_state(followers=2)
     assert start.state.revision == 0
-    assert start.joining.settled_at == 0.0
+    assert start.joining.may_follow_from == 0.0
 
 
 async def test_a_store_that_is_away_does_not_hold_up_the_start() -> None:
     start = Start(member("a1-9"), Store([], away=True), set())
-    assert await start.joining.find() == {}
+    assert await start.joining.discover_peers() == {}
     assert 0.0 <= start.joining._patience_s(2) <= ALONE_S
 
 
 def test_waits_follow_the_rank_and_are_bounded() -> None:
     start = Start(member("a1-9", 1), Store([]), set())
     for i in range(3):
-        start.membership.introduce(member(f"a1-{i}", 200), 0.0)
+        start.membership.update_member(member(f"a1-{i}", 200), 0.0)
     assert 0.0 < start.joining._patience_s(2) < 0.2
     for i in range(60):
-        start.membership.introduce(member(f"a2-{i}", 200), 0.0)
+        start.membership.update_member(member(f"a2-{i}", 200), 0.0)
     assert start.joining._patience_s(2) < 1.0
--- a/tests/test_entry_membership.py
+++ b/tests/test_entry_membership.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 
 from leverdoor.codec import pack
+from leverdoor.entry.membership.entry_selection import EntrySelector
 from leverdoor.entry.membership.liveness import (
     FAR_SILENCE_S,
     FORMER_INCARNATION_S,
@@ -23,7 +24,6 @@
     member_id,
 )
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.naming import Naming
 from leverdoor.entry.membership.peer_record import LastSeen
 from leverdoor.entry.membership.roles import (
     AGGREGATOR_RETRY_S,
@@ -39,7 +39,7 @@
     def __init__(self, own: Member, rng: Random) -> None:
         super().__init__(own)
         self.roles = Roles(self, rng)
-        self.naming = Naming(self)
+        self.selector = EntrySelector(self)
 
     def everyone(self) -> list[str]:
         """Return the heartbeat addresses of all entries."""
@@ -64,8 +64,10 @@
 ) -> bool:
     """Let a heartbeat of an entry arrive."""
     described = msgspec.structs.replace(member(name, incarnation), link_mbps=link_mbps)
-    r.introduce(described, now)
-    return r.observe(LastSeen(MemberRow(member_id(name), incarnation, state), now), now)
+    r.update_member(described, now)
+    return r.record_heartbeat(
+        LastSeen(MemberRow(member_id(name), incarnation, state), now), now
+    )
 
 
 def membership(own: str = "a1-0") -> Peers:
@@ -76,33 +78,33 @@
     r = membership()
     r.add_registered({"x": pack(member("a1-1")), "bad": b"\xff"}, 0.0)
     assert r.everyone() == ["g/a1-1"]
-    assert r.naming.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
+    assert r.selector.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
     receive(r, "a1-1", 0.1)
-    assert r.naming.addresses("a", "a1", SERVING, 0.2) == ["f/a1-0", "f/a1-1"]
+    assert r.selector.addresses("a", "a1", SERVING, 0.2) == ["f/a1-0", "f/a1-1"]
 
 
 def test_a_silent_entry_is_not_named() -> None:
     r = membership()
     receive(r, "a1-1", 0.0)
     late = SILENCE_S + 0.1
-    assert r.naming.addresses("a", "a1", SERVING, late) == ["f/a1-0"]
+    assert r.selector.addresses("a", "a1", SERVING, late) == ["f/a1-0"]
 
 
 def test_a_leaving_or_starting_entry_is_not_named() -> None:
     r = membership()
     receive(r, "a1-1", 0.0, LEAVING)
     receive(r, "a1-2", 0.0, STARTING)
-    assert r.naming.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
-    assert r.naming.addresses("a", "a1", LEAVING, 0.0) == ["f/a1-0"]
+    assert r.selector.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
+    assert r.selector.addresses("a", "a1", LEAVING, 0.0) == ["f/a1-0"]
     receive(r, "a1-3", 0.0)
-    assert r.naming.addresses("a", "a1", LEAVING, 0.0) == ["f/a1-3"]
+    assert r.selector.addresses("a", "a1", LEAVING, 0.0) == ["f/a1-3"]
 
 
 def test_an_old_life_says_nothing_about_a_new_one() -> None:
     r = membership()
     receive(r, "a1-1", 0.0, incarnation=2)
     assert not receive(r, "a1-1", 0.1, LEAVING, incarnation=1)
-    assert r.naming.addresses("a", "a1", SERVING, 0.1) == ["f/a1-0", "f/a1-1"]
+    assert r.selector.addresses("a", "a1", SERVING, 0.1) == ["f/a1-0", "f/a1-1"]
 
 
 def test_an_entry_whose_clock_was_set_back_is_heard_again() -> None:
@@ -112,24 +114,28 @@
     assert not receive(r, "a1-1", 0.2, incarnation=3)
     receive(r, "a1-1", FORMER_INCARNATION_S + 0.1, incarnation=3)
     now = FORMER_INCARNATION_S + 0.2
-    assert r.naming.addresses("a", "a1", SERVING, now) == ["f/a1-0", "f/a1-1"]
+    assert r.selector.addresses("a", "a1", SERVING, now) == ["f/a1-0", "f/a1-1"]
     r.add_registered({"x": pack(member("a1-1", 9))}, now)
-    assert r.naming.addresses("a", "a1", SERVING, now + 0.2) == ["f/a1-0", "f/a1-1"]
+    assert r.selector.addresses("a", "a1", SERVING, now + 0.2) == ["f/a1-0", "f/a1-1"]
 
 
 def test_a_domain_with_one_entry_is_helped_by_its_region() -> None:
     r = membership()
     for name in ("a2-0", "a2-1", "b1-0"):
         receive(r, name, 0.0)
-    assert r.naming.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0", "f/a2-0", "f/a2-1"]
-    assert r.naming.addresses("a", "a2", SERVING, 0.0) == ["f/a2-0", "f/a2-1"]
+    assert r.selector.addresses("a", "a1", SERVING, 0.0) == [
+        "f/a1-0",
+        "f/a2-0",
+        "f/a2-1",
+    ]
+    assert r.selector.addresses("a", "a2", SERVING, 0.0) == ["f/a2-0", "f/a2-1"]
 
 
 def test_another_region_is_named_only_when_the_clients_has_none() -> None:
     r = membership()
     receive(r, "b1-0", 0.0)
-    assert r.naming.addresses("b", "b1", SERVING, 0.0) == ["f/b1-0"]
-    assert r.naming.addresses("b", "b1", SERVING, 9.0) == ["f/a1-0"]
+    assert r.selector.addresses("b", "b1", SERVING, 0.0) == ["f/b1-0"]
+    assert r.selector.addresses("b", "b1", SERVING, 9.0) == ["f/a1-0"]
 
 
 def test_followers_are_few_and_replaced() -> None:
@@ -244,7 +250,7 @@
     r = Peers(members[0], Random(1))
     for m in members:
         receive(r, m.name, 0.0)
-    assert r.naming.addresses("a", "a1", SERVING, SILENCE_S + 0.2) == ["f/a1-0"]
+    assert r.selector.addresses("a", "a1", SERVING, SILENCE_S + 0.2) == ["f/a1-0"]
 
 
 def test_who_is_found_and_lost_is_logged_once() -> None:
@@ -283,9 +289,9 @@
     found = []
     for told in (observations, other):
         r = membership()
-        r.introduce(member("a1-1"), 0.0)
+        r.update_member(member("a1-1"), 0.0)
         for one in told:
-            r.observe(one, 1.0)
+            r.record_heartbeat(one, 1.0)
         found.append(r.last_seen("a1"))
     assert found[0] == found[1]
     newest = max(s.row.incarnation for s in observations)
@@ -305,4 +311,4 @@
         now += 0.2
         receive(r, "a1-1", now, incarnation=5)
         receive(r, "a1-1", now, LEAVING, incarnation=incarnation)
-        assert "f/a1-1" in r.naming.addresses("a", "a1", SERVING, now)
+        assert "f/a1-1" in r.selector.addresses("a", "a1", SERVING, now)
--- a/tests/test_entry_registration.py
+++ b/tests/test_entry_registration.py
@@ -17,7 +17,7 @@
     CALLS,
     RETRY_S,
     Registration,
-    retry_pause_s,
+    mean_retry_pause_s,
 )
 from leverdoor.storage.store import Commit, KeyValue, LeasingStore, Listing
 
@@ -30,12 +30,12 @@
     entries: int, writes_per_s: float
 ) -> None:
     """Pauses lie between half and one and a half times their mean."""
-    shortest_s = 0.5 * retry_pause_s(entries, writes_per_s)
+    shortest_s = 0.5 * mean_retry_pause_s(entries, writes_per_s)
     assert entries * CALLS / shortest_s <= writes_per_s
 
 
 def test_a_small_site_does_not_wait() -> None:
-    assert retry_pause_s(12, 400.0) == RETRY_S
+    assert mean_retry_pause_s(12, 400.0) == RETRY_S
 
 
 class Store(LeasingStore):
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -68,9 +68,9 @@
             self.hear(name, LONG_S)
 
     def hear(self, name: str, at: float, state: EntryState = SERVING) -> None:
-        self.membership.introduce(member(name), at)
+        self.membership.update_member(member(name), at)
         row = MemberRow(member_id(name), 1, state)
-        self.membership.observe(LastSeen(row, at), at)
+        self.membership.record_heartbeat(LastSeen(row, at), at)
 
     def part(self, now: float) -> float:
         self.run_until(now)
@@ -214,9 +214,9 @@
         membership = Membership(member(own))
         for name in ("a1-0", "a1-1"):
             if name != own:
-                membership.introduce(member(name), now)
+                membership.update_member(member(name), now)
                 row = MemberRow(member_id(name), 1, SERVING)
-                membership.observe(LastSeen(row, now), now)
+                membership.record_heartbeat(LastSeen(row, now), now)
         pauses = Pauses(now - 60.0, lambda: 0.0)
         return LimiterRole(membership, lambda: SERVING, pauses), pauses
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -55,7 +55,9 @@
     heard: dict[str, set[str]] = {}
     for agent in agents:
         chosen = {
-            name for _ in range(3 * RING_PARTNERS) for name in agent.partners(rng, [])
+            name
+            for _ in range(3 * RING_PARTNERS)
+            for name in agent.choose_recipients(rng, [])
         }
         assert len(chosen) == RING_PARTNERS
         for name in chosen:
@@ -69,7 +71,7 @@
     for _ in range(20):
         regions = {
             agent.known[name.split(":")[0]].heartbeat.region
-            for name in agent.partners(rng, [])
+            for name in agent.choose_recipients(rng, [])
         }
         assert len(regions) == 2
         assert "r0" in regions
@@ -82,8 +84,8 @@
     next(iter(agents.values())).merge([AgentHeartbeat(*_place("vm0", "r0"), 99)], 0.0)
     for _ in range(14):
         for agent in list(agents.values()):
-            message = agent.message(rng, 0.0)
-            for to in agent.partners(rng, []):
+            message = agent.compose_message(rng, 0.0)
+            for to in agent.choose_recipients(rng, []):
                 peer = agents[to]
                 newest = max(b.revision for b in message.heartbeats)
                 own = peer.known[peer._vm].heartbeat
@@ -99,7 +101,7 @@
 
 
 def test_seeds_are_asked_while_nobody_is_known() -> None:
-    assert Peers("vm0", "r0").partners(Random(1), ["seed:1"]) == ["seed:1"]
+    assert Peers("vm0", "r0").choose_recipients(Random(1), ["seed:1"]) == ["seed:1"]
 
 
 def test_the_long_silent_are_forgotten() -> None:
@@ -108,4 +110,4 @@
     peers.merge([heartbeat("vm0", 2)], 100.0)
     peers.forget(100.0)
     assert list(peers.known) == ["vm0"]
-    assert [b.vm for b in peers.live_near(100.0)] == ["vm0"]
+    assert [b.vm for b in peers.live_in_region(100.0)] == ["vm0"]
--- a/tests/test_platform_registrations.py
+++ b/tests/test_platform_registrations.py
@@ -19,7 +19,7 @@
 
 from leverdoor.codec import pack, unpack
 from leverdoor.entry.configuration.catalog import Catalog
-from leverdoor.entry.configuration.left_out import MOST_LINES, LeftOutReport
+from leverdoor.entry.configuration.left_out import MAX_LINES_PER_MINUTE, LeftOutReporter
 from leverdoor.entry.exchange.messages import EntryHeartbeat
 from leverdoor.entry.exchange.target_counts import TargetLists
 from leverdoor.entry.membership.member import SERVING, Member
@@ -226,7 +226,7 @@
     """All that carries a target takes each that is used."""
     catalog = Catalog(1, found.version, found.resources)
     lists = TargetLists()
-    lists.renew(catalog.names_by_region)
+    lists.renew(catalog.target_names_by_region)
     counts = {t.name: 3 for t in taken}
     member = Member("n", "a", "a1", "f", "g", "p", 1)
     heartbeat = EntryHeartbeat(member, 1, SERVING, 1, counts)
@@ -251,7 +251,7 @@
 
 def test_a_bad_value_is_logged_once_and_counted_while_it_stays() -> None:
     lines, metrics = Lines(), EntryMetrics()
-    report = LeftOutReport(lines, metrics)  # type: ignore[arg-type]
+    report = LeftOutReporter(lines, metrics)  # type: ignore[arg-type]
     bad = LeftOut("x", "address", "''", 3)
     for moment in range(5):
         report.take([bad], float(moment))
@@ -265,9 +265,9 @@
 
 def test_a_writer_of_bad_values_fills_no_log() -> None:
     lines = Lines()
-    report = LeftOutReport(lines, EntryMetrics())  # type: ignore[arg-type]
+    report = LeftOutReporter(lines, EntryMetrics())  # type: ignore[arg-type]
     for number in range(500):
         report.take([LeftOut("x", "address", "''", number)], number / 10)
-    assert len(lines.lines) == MOST_LINES
+    assert len(lines.lines) == MAX_LINES_PER_MINUTE
     report.take([LeftOut("x", "address", "''", 900)], 61.0)
-    assert lines.lines[-1][3] == 500 - MOST_LINES
+    assert lines.lines[-1][3] == 500 - MAX_LINES_PER_MINUTE
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from leverdoor.entry.configuration.confirmation import Confirmation, ToldAnswer
+from leverdoor.entry.configuration.confirmation import Confirmation, ReportedAnswer
 from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat
 from leverdoor.entry.exchange.unserved import TRUST_S, UnservedEntries
 from leverdoor.entry.membership.member import SERVING, Member, MemberRow, member_id
@@ -77,9 +77,9 @@
     def hear(self, now: float) -> None:
         """Hear from all others, none of which is dead."""
         for m in self.members:
-            self.membership.introduce(m, now)
+            self.membership.update_member(m, now)
             row = MemberRow(member_id(m.name), m.incarnation, SERVING)
-            self.membership.observe(LastSeen(row, now), now)
+            self.membership.record_heartbeat(LastSeen(row, now), now)
 
     def tell_unserved(self, name: str, unserved: bool, now: float) -> None:
         sender = next(m for m in self.members if m.name == name)
@@ -157,7 +157,7 @@
 
 def test_an_entry_asks_once_the_newest_answer_is_too_old() -> None:
     third = Entry("a1-2")
-    third.confirmation.peer_told(ToldAnswer(1, 9, 0), 1, AT)
+    third.confirmation.record_peer_answer(ReportedAnswer(1, 9, 0), 1, AT)
     assert not third.role.must_ask(AT + STALE_S)
     third.hear(AT + STALE_S + 0.2)
     assert third.role.must_ask(AT + STALE_S + 0.2)
@@ -169,7 +169,7 @@
     asking = []
     for i in range(4):
         entry = Entry(f"a1-{i}")
-        entry.confirmation.peer_told(ToldAnswer(1, 9, 0), 1, AT)
+        entry.confirmation.record_peer_answer(ReportedAnswer(1, 9, 0), 1, AT)
         entry.hear(now)
         asking.append(entry.role.must_ask(now))
     assert asking == [True, True, False, False]
@@ -178,7 +178,7 @@
 def test_the_order_of_asking_does_not_close_up_as_the_first_fail() -> None:
     """Else all of a large region asked twice as fast as the store's reads allow."""
     third = Entry("a1-2")
-    third.confirmation.peer_told(ToldAnswer(1, 9, 0), 1, AT)
+    third.confirmation.record_peer_answer(ReportedAnswer(1, 9, 0), 1, AT)
     now = AT + STALE_S + 0.07
     third.hear(now)
     for name in ("a1-0", "a1-1"):
@@ -189,8 +189,8 @@
 def test_who_knows_of_a_newer_state_asks_without_waiting_for_others() -> None:
     """Others have it, and their answers don't come here: nobody else can help."""
     last = Entry("a1-3")
-    last.confirmation.peer_told(ToldAnswer(1, 9, 0), 1, AT)
-    last.confirmation.peer_told(ToldAnswer(2, 10, 0), 1, AT + STALE_S)
+    last.confirmation.record_peer_answer(ReportedAnswer(1, 9, 0), 1, AT)
+    last.confirmation.record_peer_answer(ReportedAnswer(2, 10, 0), 1, AT + STALE_S)
     now = AT + STALE_S + 0.02
     last.hear(now)
     assert last.role.must_ask(now)
@@ -256,5 +256,5 @@
     for m in alone.members:
         if m.region == "a":
             row = MemberRow(member_id(m.name), m.incarnation, SERVING)
-            alone.membership.observe(LastSeen(row, later), later)
+            alone.membership.record_heartbeat(LastSeen(row, later), later)
     assert alone.role.wait_s(later, 0.0) <= 2 * CONFIRM_EVERY_S + SHORTEST_WAIT_S
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -22,7 +22,7 @@
 from leverdoor.entry.exchange import encoding, messages
 from leverdoor.entry.exchange.target_counts import TargetLists
 from leverdoor.entry.exchange.use_lists import UseLists
-from leverdoor.entry.membership.member import link_rank, member_id
+from leverdoor.entry.membership.member import link_sort_key, member_id
 from leverdoor.gate.keys import KeyRing, parse_key, serialize_key
 from leverdoor.membership.gossip import GossipSocket
 from leverdoor.membership.ownership import parse_table, serialize_table
@@ -397,7 +397,7 @@
 
 def test_identity_and_order_of_entries() -> None:
     assert member_id("n1") == 2867198912
-    assert link_rank(samples.MEMBER) == (-1000, 15506916534570490772)
+    assert link_sort_key(samples.MEMBER) == (-1000, 15506916534570490772)
 
 
 def test_counts_of_a_region() -> None:
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -209,12 +209,12 @@
         ),
     },
     rows={
-        ownership.slot_row("10.0.0.9:80"): ownership.Row(
+        ownership.slot_row_name("10.0.0.9:80"): ownership.Row(
             capacity=8,
             held={1: 4, 2: 3},
             releases=[ownership.Release(member=2, units=1, version=40)],
         ),
-        ownership.cap_row("look", "kolkata"): ownership.Row(
+        ownership.cap_row_name("look", "kolkata"): ownership.Row(
             capacity=60,
             held={1: 55},
             releases=[ownership.Release(member=1, units=5, version=41)],
