--- a/leverdoor/entry/membership/__init__.py
+++ b/leverdoor/entry/membership/__init__.py
@@ -1,3 +1,3 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which entries there are, which roles they have, and how one joins and registers."""
+"""Membership of entries: liveness, roles, joining and registration in the store."""
--- a/leverdoor/entry/membership/entry_selection.py
+++ b/leverdoor/entry/membership/entry_selection.py
@@ -1,20 +1,21 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which entries the answer to a look-up names to a caller.
+"""Selects the entries that a look-up returns to a caller.
 
-Entries that are live (`liveness.is_live`) and in the state SERVING:
+Candidates are live (`liveness.is_live`) and in the state SERVING. The first rule that
+applies determines where they are taken from:
 
-1. those of the caller's failure domain;
-2. if these are fewer than `LEAST_NAMED`, those of all of its region;
-3. if there is none, those of all regions;
-4. if there is none either, this entry alone, unless it has no configuration yet
-   (STARTING): it answered, so it can be reached.
+1. the caller's failure domain, if it has at least `MIN_SELECTED` candidates;
+2. the caller's region, if it has any;
+3. all regions, if any has one;
+4. this entry alone, which is reachable because it received the look-up, unless it has
+   no configuration yet (STARTING).
 
-The first `MAX_NAMED` by name are named. A choice is used again for `NAMED_S`, unless
-the state or incarnation of any entry changes before.
+The first `MAX_SELECTED` candidates by name are selected. A selection is cached for
+`SELECTION_TTL_S`, unless the state or incarnation of any entry changes earlier.
 
-Owns the choices made lately, lost with the process. Relies on `Membership` for the
-records of entries.
+Owns the cache of selections, which is lost with the process. Relies on `Membership` for
+the records of entries.
 """
 
 from collections.abc import Iterable
@@ -23,88 +24,91 @@
 from leverdoor.entry.membership.member import SERVING, STARTING, EntryState, Member
 from leverdoor.entry.membership.members import Membership
 
-__all__ = ["LEAST_NAMED", "MAX_NAMED", "NAMED_S", "EntrySelector"]
+__all__ = ["MIN_SELECTED", "MAX_SELECTED", "SELECTION_TTL_S", "EntrySelector"]
 
-MAX_NAMED = 64
-"""Entries named to a caller at most.
+MAX_SELECTED = 64
+"""Maximum number of entries in the response to a look-up.
 
-Keeps the answer below 2 kB. Fewer spread the callers over fewer entries.
+It keeps the response below 2 kB. A lower maximum spreads callers over fewer entries.
 """
-LEAST_NAMED = 2
-"""Entries of a failure domain below which its region is named.
+MIN_SELECTED = 2
+"""Number of candidates in a failure domain below which the whole region is used.
 
-One may be gone. More would send callers across links that their own failure domain
-could spare them; with 1, callers have nowhere to go when it ends.
+One of two may be gone. A higher number sends callers over links to other failure
+domains without need; with 1, callers have no alternative when the entry ends.
 """
-NAMED_S = 0.1
-"""How long a choice of entries to name is used again, in seconds.
+SELECTION_TTL_S = 0.1
+"""Time for which a selection is reused, in seconds.
 
-One choice took 67 ms at 2,500 entries. Longer, entries that fell silent are named for
-longer; shorter, look-ups take the time of requests.
+One selection took 67 ms at 2,500 entries. With a longer time, look-ups return silent
+entries for longer; with a shorter one, selections take CPU time from requests.
+"""
+MAX_CACHED_SELECTIONS = 256
+"""Maximum number of cached selections.
+
+It bounds memory and exceeds the number of failure domains.
 """
-MOST_PLACES = 256
-"""Choices kept at once: bounds memory, by more than the failure domains there are."""
 
 
 class EntrySelector:
-    """Chooses the entries to name to callers."""
+    """Selects entries for look-ups, near the caller first."""
 
     def __init__(self, membership: Membership) -> None:
-        """Create it around the entries known."""
+        """Create the selector on the records of the known entries."""
         self._membership = membership
         self._own = membership.own
-        self._chosen: dict[tuple[str, str, EntryState], tuple[float, list[str]]] = {}
-        """By region, failure domain and own state: when, and the addresses."""
+        self._cache: dict[tuple[str, str, EntryState], tuple[float, list[str]]] = {}
+        """Time and addresses of each selection, by region, domain and own state."""
         self._version = membership.version
-        """Of the records that the choices rest on."""
+        """Version of the membership that the cached selections were made from."""
 
     def addresses(
         self, region: str, domain: str, own_state: EntryState, now: float
     ) -> list[str]:
-        """Choose the entries to name to a caller, the nearest ones.
+        """Return the addresses of the entries nearest to a caller.
 
         Args:
           region: the caller's region.
           domain: the caller's failure domain.
           own_state: the state of this entry.
           now: monotonic time in seconds.
-        Returns: addresses as `ip:port`, ordered by the entries' names.
+        Returns: addresses as `ip:port`, ordered by entry name.
         """
         if self._version != self._membership.version:
             self._version = self._membership.version
-            self._chosen.clear()
-        place = (region, domain, own_state)
-        at, named = self._chosen.get(place, (-1.0, []))
-        if not at <= now < at + NAMED_S:
-            named = self._choose(region, domain, own_state, now)
-            if len(self._chosen) >= MOST_PLACES:
-                self._chosen.clear()
-            self._chosen[place] = (now, named)
-        return named
-
-    def _choose(
+            self._cache.clear()
+        key = (region, domain, own_state)
+        selected_at, selected = self._cache.get(key, (-1.0, []))
+        if not selected_at <= now < selected_at + SELECTION_TTL_S:
+            selected = self._select(region, domain, own_state, now)
+            if len(self._cache) >= MAX_CACHED_SELECTIONS:
+                self._cache.clear()
+            self._cache[key] = (now, selected)
+        return selected
+
+    def _select(
         self, region: str, domain: str, own_state: EntryState, now: float
     ) -> list[str]:
         membership = self._membership
-        found = self._usable([domain], own_state, now)
-        if len(found) < LEAST_NAMED:
-            found = self._usable(membership.domains(region), own_state, now)
-        if not found:
-            found = self._usable(membership.all_domains(), own_state, now)
-        if not found and own_state != STARTING:
-            found = [self._own]
-        named = sorted(found, key=lambda m: m.name)
-        return [m.front for m in named[:MAX_NAMED]]
-
-    def _usable(
+        candidates = self._selectable([domain], own_state, now)
+        if len(candidates) < MIN_SELECTED:
+            candidates = self._selectable(membership.domains(region), own_state, now)
+        if not candidates:
+            candidates = self._selectable(membership.all_domains(), own_state, now)
+        if not candidates and own_state != STARTING:
+            candidates = [self._own]
+        selected = sorted(candidates, key=lambda m: m.name)
+        return [m.front for m in selected[:MAX_SELECTED]]
+
+    def _selectable(
         self, domains: Iterable[str], own_state: EntryState, now: float
     ) -> list[Member]:
-        """Return the entries of some failure domains that may be named."""
-        found = [
+        """Return the candidates in some failure domains, this entry included."""
+        candidates = [
             record.member
             for record in self._membership.records(domains)
             if record.state == SERVING and is_live(record, self._own.region, now)
         ]
         if own_state == SERVING and self._own.domain in domains:
-            found.append(self._own)
-        return found
+            candidates.append(self._own)
+        return candidates
--- a/leverdoor/entry/membership/joining.py
+++ b/leverdoor/entry/membership/joining.py
@@ -1,15 +1,16 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How an entry that starts finds the others, and gets the state from one of them.
+"""Lets a starting entry discover its peers and fetch the state from one of them.
 
-Listing everything from the store and watching it costs each start some five calls,
-which are counted and limited. One listing of the entries alone finds peers that have
-the state. The store is listed whole only by those with the widest links of a region,
-and by entries that find no peer with the state.
+Listing the whole store and watching it costs about five calls per start, and the store
+counts and limits calls. Listing only the registered entries is enough to find peers
+that have the state. Only the entries with the widest links of a region, and entries
+that find no peer with the state, list the whole store.
 
-Owns from when this entry may follow the store (`may_follow_from`), for one process. Relies
-on `Roles` for the place of this entry, on `PeerFollower` for fetches and on the store
-for the listing; an unavailable store is logged and taken for an empty list.
+Owns the time from which this entry may follow the store (`may_follow_from`); it is lost
+with the process. Relies on `Roles` for the rank of this entry, on `PeerFollower` for
+fetches and on the store for the listing. If the store is unavailable, the error is
+logged and the listing counts as empty.
 """
 
 import asyncio
@@ -26,43 +27,52 @@
 
 __all__ = ["JoinProcedure"]
 
-TRIES = 3
-"""Groups of peers asked for the state, one after the other.
+MAX_ATTEMPTS = 3
+"""Maximum number of groups of peers that are asked for the state, in sequence.
 
-With `TRY_S`, a start without any live peer waits for 0.75 s at most.
+With `ATTEMPT_TIMEOUT_S`, a start without any live peer waits at most 0.75 s.
 """
-PEERS_AT_ONCE = 2
-"""Peers asked at once: one may be dead. More fetch the state for nothing."""
-TRY_S = 0.25
-"""Longest wait for one group, in seconds.
+PEERS_PER_ATTEMPT = 2
+"""Peers asked in parallel, since one may be dead.
 
-An answer takes some 10 ms within a region. Shorter, a busy peer is given up; longer, a
-start among dead peers takes longer.
+A higher value transfers redundant copies of the state.
 """
-STAGGER_S = 0.1
-"""Wait of each next group of entries by link before it lists the store, in seconds.
+ATTEMPT_TIMEOUT_S = 0.25
+"""Timeout for one group of peers, in seconds.
 
-News of a state that the first ones listed arrive within that time. Shorter, all list
-the store at a start of all; longer, the last ones start later.
+A response takes about 10 ms within a region. A shorter timeout gives up on busy peers;
+a longer one delays a start among dead peers.
 """
-MOST_STAGGER_S = 0.8
-"""Longest such wait, in seconds: bounds a start when no entry has a state."""
-ALONE_S = 1.0
-"""Longest wait of an entry that finds no others, in seconds; the wait is random.
+LIST_STAGGER_S = 0.1
+"""Additional delay of each further group by link rank before it lists the store.
 
-When all start for the first time, the first that lists sends news to the others.
-Shorter, more of them list; longer, a lone entry starts later.
+In seconds. The announcement of a state that the first group listed arrives within this
+time. A shorter delay lets all entries list the store when all start at once; a longer
+one delays the start of the last groups.
 """
-SETTLE_S = 1.0
-"""Time after a start in which an entry with a peer's state does not follow the store.
+MAX_LIST_STAGGER_S = 0.8
+"""Maximum of the staggered delay, in seconds.
 
-In seconds. Five rounds, by then it knows those that do. Shorter, it lists and watches
-for nothing; longer, changes wait if no other entry follows.
+It bounds the start time when no entry has a state.
+"""
+MAX_LONE_DELAY_S = 1.0
+"""Maximum of the random delay of an entry that knows no peers, in seconds.
+
+When all entries start for the first time, the first one that lists the store announces
+the state to the others. With a shorter delay, more entries list the store; with a
+longer one, a lone entry starts later.
+"""
+FOLLOW_DELAY_S = 1.0
+"""Time after joining during which an entry with a peer's state is no follower.
+
+In seconds: five rounds of heartbeats, after which it knows the followers. With a
+shorter time, it lists and watches the store needlessly; with a longer one, changes are
+delayed if no other entry follows the store.
 """
 
 
 class JoinProcedure:
-    """The start of one entry, from no peers known to having the state."""
+    """Discovers peers and fetches the state when an entry starts."""
 
     def __init__(
         self,
@@ -75,17 +85,17 @@
         events: Events,
         rng: Random,
     ) -> None:
-        """Create it.
+        """Create the procedure and subscribe to changes of the state.
 
         Args:
-          store: the platform's service.
-          prefix: of the entries' keys.
-          membership: the entries known.
-          roles: places them by their links.
-          state: the copy of the store, empty as yet.
-          puller: fetches from peers.
-          events: the entry's log.
-          rng: where all chance comes from.
+          store: client of the platform's store.
+          prefix: key prefix under which entries register.
+          membership: records of the known entries.
+          roles: ranks entries by the bandwidth of their links.
+          state: the local copy of the store, still empty.
+          puller: fetches the state from peers.
+          events: the event log of this entry.
+          rng: source of randomness.
         """
         self._store = store
         self._prefix = prefix
@@ -97,11 +107,11 @@
         self._rng = rng
         self._has_state = asyncio.Event()
         self.may_follow_from = 0.0
-        """Monotonic time from which this entry may be a follower of the store."""
+        """Monotonic time in seconds from which this entry may follow the store."""
         state.changes.subscribe(lambda _: self._has_state.set())
 
     async def discover_peers(self) -> Mapping[str, KeyValue]:
-        """Return the entries' keys in the store; none if it does not answer."""
+        """Return the registered entries by key; empty if the store does not answer."""
         try:
             listing = await self._store.read_stale(self._prefix)
         except LeverdoorError as e:
@@ -113,48 +123,48 @@
         return found
 
     async def fetch_state(self, followers: int) -> None:
-        """Get the state from a peer, or return when this entry is to list the store.
+        """Fetch the state from a peer, or return if this entry has to list the store.
 
-        Those with the widest links list at once: when all entries were killed, the
-        others have the state from them a moment later.
+        Entries with the widest links return immediately and list the store, so that
+        the others can fetch the state from them after all entries were killed.
 
         Args:
-          followers: how many entries of a region list at once.
+          followers: number of entries per region that list the store immediately.
         """
-        place = self._roles.rank_among_known()
-        if place is not None and place < followers:
+        rank = self._roles.rank_among_known()
+        if rank is not None and rank < followers:
             return
-        for _ in range(TRIES):
-            peers = self._choose()
+        for _ in range(MAX_ATTEMPTS):
+            peers = self._choose_peers()
             if not peers or self._has_state.is_set():
                 break
-            if await self._puller.pull_any(peers, TRY_S):
+            if await self._puller.pull_any(peers, ATTEMPT_TIMEOUT_S):
                 break
         if not self._has_state.is_set():
-            await self._wait(self._patience_s(followers))
+            await self._wait_for_state(self._list_delay_s(followers))
         if self._has_state.is_set():
             loop = asyncio.get_running_loop()
-            self.may_follow_from = loop.time() + SETTLE_S
+            self.may_follow_from = loop.time() + FOLLOW_DELAY_S
             self._events.process("joined", revision=self._state.revision)
 
-    def _choose(self) -> list[str]:
-        """Choose peers at random: of the own failure domain, if it has enough."""
-        near = self._membership.in_own_domain()
-        if len(near) < PEERS_AT_ONCE:
-            near = self._membership.in_own_region()
-        chosen = self._rng.sample(near, min(PEERS_AT_ONCE, len(near)))
+    def _choose_peers(self) -> list[str]:
+        """Choose random peers from the own failure domain, or region if too few."""
+        candidates = self._membership.in_own_domain()
+        if len(candidates) < PEERS_PER_ATTEMPT:
+            candidates = self._membership.in_own_region()
+        chosen = self._rng.sample(candidates, min(PEERS_PER_ATTEMPT, len(candidates)))
         return [member.pull for member in chosen]
 
-    def _patience_s(self, followers: int) -> float:
-        """Return how long to wait for a peer's state before listing the store, in s."""
-        place = self._roles.rank_among_known()
-        if place is None:
-            return self._rng.random() * ALONE_S
-        return min(place // followers * STAGGER_S, MOST_STAGGER_S)
+    def _list_delay_s(self, followers: int) -> float:
+        """Return the wait for a peer's state before listing the store, in seconds."""
+        rank = self._roles.rank_among_known()
+        if rank is None:
+            return self._rng.random() * MAX_LONE_DELAY_S
+        return min(rank // followers * LIST_STAGGER_S, MAX_LIST_STAGGER_S)
 
-    async def _wait(self, patience_s: float) -> None:
+    async def _wait_for_state(self, delay_s: float) -> None:
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(delay_s):
                 await self._has_state.wait()
         except TimeoutError:
-            self._events.process("no peer has the state", waited_s=patience_s)
+            self._events.process("no peer has the state", waited_s=delay_s)
--- a/leverdoor/entry/membership/liveness.py
+++ b/leverdoor/entry/membership/liveness.py
@@ -1,91 +1,98 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which entries count as live, and which incarnation of an entry counts; pure.
+"""Rules for the liveness and the current incarnation of entries, as pure functions.
 
-Liveness rests on the age of the newest heartbeat that any entry received, since most
-entries learn of most others by digests. No message says that an entry is dead. This
-is all that happens as an entry falls silent, by the age of what it sent last:
+An entry is live as long as the newest heartbeat that any entry received from it is
+recent enough; most entries know most others only from digests. No message reports that
+an entry is dead. The table lists all effects of a silent entry by the age of its newest
+heartbeat:
 
 | s | constant | what happens |
 | --- | --- | --- |
-| 0.7 | `use_merging.FRESH_S` | its part of quotas is reserved (other regions 1.2) |
-| 0.8 | `roles.AGGREGATOR_SILENCE_S` | without digests, another one aggregates |
-| 1.0 | `merging.HEARTBEAT_TRUST_S` | its requests in flight are not summed any more |
-| 1.2 | `FORMER_INCARNATION_S` | an incarnation with a lower number may replace it |
-| 1.6 | `SILENCE_S` | not live: not named, no role, logged as silent |
-| 2.5 | `merging.PART_TRUST_S` | sums of its failure domain or region are not used |
-| 3.2 | `FAR_SILENCE_S` | not live, in other regions |
-| 20 | `workspaces.quota.HOLD_S` | its part of quotas is free again |
-| 60 | `FORGET_S` | its record is deleted |
+| 0.7 | `use_merging.FRESH_S` | its share of quotas is reserved (other regions: 1.2) |
+| 0.8 | `roles.AGGREGATOR_SILENCE_S` | if it sends no digests, another aggregates |
+| 1.0 | `merging.HEARTBEAT_TRUST_S` | its requests in flight are no longer counted |
+| 1.2 | `SUPERSEDE_SILENCE_S` | an incarnation with a lower number may replace it |
+| 1.6 | `SILENCE_S` | not live: not in look-ups, no role, logged as silent |
+| 2.5 | `merging.PART_TRUST_S` | the sums of its failure domain or region expire |
+| 3.2 | `REMOTE_SILENCE_S` | not live, as seen from other regions |
+| 20 | `workspaces.quota.HOLD_S` | its share of quotas is released |
+| 60 | `RECORD_TTL_S` | its record is deleted |
+
+Owns no state.
 """
 
 from leverdoor.entry.membership.peer_record import LastSeen, PeerRecord
 
 __all__ = [
-    "FAR_SILENCE_S",
-    "FORGET_S",
-    "FORMER_INCARNATION_S",
+    "REMOTE_SILENCE_S",
+    "RECORD_TTL_S",
+    "SUPERSEDE_SILENCE_S",
     "HEARTBEAT_S",
     "SILENCE_S",
-    "is_forgotten",
+    "is_expired",
     "is_live",
     "supersedes",
 ]
 
 HEARTBEAT_S = 0.2
-"""Time between two rounds of heartbeats and of digests, in seconds.
+"""Interval between rounds of heartbeats and digests, in seconds.
 
-Shorter rounds cost datagrams and CPU time in proportion; longer ones make all that
-entries know of each other older, and each silence below longer.
+A shorter interval costs proportionally more datagrams and CPU time. A longer one makes
+all information about peers older and requires longer timeouts below.
 """
 SILENCE_S = 1.6
-"""Age of the newest heartbeat from which on an entry of the region is not live.
+"""Heartbeat age above which an entry of the own region is not live, in seconds.
 
-Heartbeats are up to 0.6 s old when a digest carries their age (p99, at 195 entries
-and 5% of datagrams lost, benchmarks/knowledge.py); five more may be missed. Shorter,
-lost datagrams make live entries silent; longer, callers get the address of a dead
-entry for longer.
+Heartbeats are up to 0.6 s old when a digest carries their age (p99, at 195 entries and
+5% of datagrams lost, benchmarks/knowledge.py); five more may be missed. With a shorter
+timeout, lost datagrams make live entries silent; with a longer one, callers receive
+the address of a dead entry for longer.
 """
-FAR_SILENCE_S = 3.2
-"""The same for entries of other regions, whose ages come once a second or so."""
-FORGET_S = 60.0
-"""Silence after which the record of an entry is deleted, in seconds.
+REMOTE_SILENCE_S = 3.2
+"""The same limit for other regions, whose ages arrive about once a second."""
+RECORD_TTL_S = 60.0
+"""Time without any report after which the record of an entry is deleted, in seconds.
 
-Shorter, a cut entry's part of shared allowances is given away while it still serves;
-longer, replaced VMs are counted beside their successors.
+With a shorter time, the share of an entry that is cut off is given to others while it
+still serves; with a longer one, replaced VMs are counted besides their successors.
 """
-FORMER_INCARNATION_S = 1.2
-"""How much older than the newest one a heartbeat of another incarnation may be.
+SUPERSEDE_SILENCE_S = 1.2
+"""Silence after which an incarnation with a lower number may replace the recorded one.
 
-Six heartbeats, below `SILENCE_S`. Shorter, a late datagram of a process that ended
-passes for a restart with the clock set back; longer, an entry whose clock was set back
-is not named for longer after its restart.
+In seconds: six heartbeats, and less than `SILENCE_S`. With a shorter time, a late
+datagram of a process that ended is mistaken for a restart with the clock set back. With
+a longer one, look-ups omit an entry whose clock was set back for longer after its
+restart.
 """
 
 
 def is_live(record: PeerRecord, own_region: str, now: float) -> bool:
-    """Return whether an entry counts as live.
+    """Return whether an entry is live.
 
     Args:
-      record: of the entry.
+      record: the record of that entry.
       own_region: region of this entry.
       now: monotonic time in seconds.
     """
-    near = record.member.region == own_region
-    return now - record.heartbeat_at <= (SILENCE_S if near else FAR_SILENCE_S)
+    in_own_region = record.member.region == own_region
+    return now - record.heartbeat_at <= (
+        SILENCE_S if in_own_region else REMOTE_SILENCE_S
+    )
 
 
-def is_forgotten(record: PeerRecord, now: float) -> bool:
-    """Return whether an entry's record is to be deleted."""
-    return now - record.reported_at > FORGET_S
+def is_expired(record: PeerRecord, now: float) -> bool:
+    """Return whether the record of an entry has to be deleted."""
+    return now - record.reported_at > RECORD_TTL_S
 
 
 def supersedes(record: PeerRecord, seen: LastSeen) -> bool:
-    """Return whether another incarnation replaces the one on record.
+    """Return whether the observed incarnation replaces the recorded one.
 
-    The higher number wins: incarnations are start times. One with a lower number
-    follows where a clock was set back; it counts once the other has been silent.
+    Incarnations are start times, so the higher number wins. After a clock was set back,
+    the new incarnation has a lower number; it replaces the recorded one only when that
+    has been silent for `SUPERSEDE_SILENCE_S`.
     """
     if seen.row.incarnation < record.member.incarnation:
-        return seen.at - record.heartbeat_at > FORMER_INCARNATION_S
-    return record.heartbeat_at - seen.at <= FORMER_INCARNATION_S
+        return seen.at - record.heartbeat_at > SUPERSEDE_SILENCE_S
+    return record.heartbeat_at - seen.at <= SUPERSEDE_SILENCE_S
--- a/leverdoor/entry/membership/member.py
+++ b/leverdoor/entry/membership/member.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What entries are, what state they are in, and in which order they take roles.
+"""Descriptions and states of entries, and the order in which they take roles.
 
-Owns no state; both orders and hashes are the same on every entry, so that each
-computes the same roles without asking another.
+Owns no state. The order and the hashes are identical on every entry, so that each entry
+computes the same roles without coordination.
 """
 
 from typing import TypeAlias
@@ -27,51 +27,52 @@
 STARTING = 0
 """State of an entry that has no configuration yet."""
 SERVING = 1
-"""State of an entry that may be named to clients."""
+"""State of an entry that look-ups may return to clients."""
 LEAVING = 2
-"""State of an entry that finishes what it has."""
+"""State of an entry that completes its remaining requests before it exits."""
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """One entry as it describes itself, in the store and in its heartbeats."""
+    """Description of an entry, which it publishes in the store and in heartbeats."""
 
     name: str
     region: str
     domain: str
     front: str
-    """Where clients reach it, as `ip:port`."""
+    """Address for client requests, as `ip:port`."""
     gossip: str
-    """Where heartbeats reach it, by UDP."""
+    """UDP address for heartbeats, as `ip:port`."""
     pull: str
-    """Where other entries fetch the state, by HTTP."""
+    """HTTP address from which other entries fetch the state, as `ip:port`."""
     incarnation: int
-    """Microseconds since the epoch at the start of its process."""
+    """Start time of its process, in microseconds since the epoch."""
     link_mbps: int = 0
-    """Bandwidth of its VM's link; 0 if it is not known."""
+    """Bandwidth of the link of its VM, in Mbit/s; 0 if unknown."""
 
 
 class MemberRow(msgspec.Struct, frozen=True, array_like=True):
-    """One incarnation of an entry and its state, as digests carry them."""
+    """Incarnation and state of an entry, as encoded in digests."""
 
     id: int
-    """See `member_id`."""
+    """Hash of the name of the entry; see `member_id`."""
     incarnation: int
     state: EntryState
 
 
 def member_id(name: str) -> int:
-    """Return the 32 bits that identify an entry in digests.
+    """Return the 32-bit hash of an entry's name that identifies it in digests.
 
-    Among 2,500 entries two share them with a chance of 0.0007; then the two count
-    as one and the one with the older incarnation is not named.
+    The probability of a collision among 2,500 entries is 0.0007. Two entries that
+    collide count as one, and look-ups omit the one with the older incarnation.
     """
     return xxhash.xxh32_intdigest(name.encode())
 
 
 def link_sort_key(member: Member) -> tuple[int, int]:
-    """Return the sort key for roles: the widest links first, then by hash of the name.
+    """Return the sort key for roles: widest link first, then hash of the name.
 
-    Those with the widest links take the roles because they send the most: with
-    narrow ones a change took 3.3 to 3.5 s on 74 VMs, with the widest 0.6 to 0.8 s.
+    Entries with the widest links take the roles because roles send the most data. A
+    change took 3.3 to 3.5 s on 74 VMs with narrow links and 0.6 to 0.8 s with the
+    widest ones.
     """
     return -member.link_mbps, xxhash.xxh3_64_intdigest(member.name.encode())
--- a/leverdoor/entry/membership/members.py
+++ b/leverdoor/entry/membership/members.py
@@ -1,14 +1,14 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The records of all other entries: who there is, in which incarnation and state.
+"""Records of all other entries, with their incarnations and states.
 
-For every entry the time is kept at which its newest heartbeat was received by anyone:
-by this entry, or by another one whose digest carries its age. The greatest time wins,
-so order and duplicates of messages do not matter.
+Each record holds the time at which any entry received the newest heartbeat of that
+entry: either this entry, or one whose digest carries the heartbeat's age. The latest
+time wins, so that the order and repetition of messages do not matter.
 
-Owns the records, in memory only; a restart reads the entries' keys from the store and
-has the rest from digests within a few rounds. Relies on the callers for the time and
-on `liveness` for the rules.
+Owns the records, in memory only. After a restart, the entry reads the registered
+entries from the store and receives the rest in digests within a few rounds. Relies on
+the callers for the time and on `liveness` for the rules.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -18,9 +18,9 @@
 
 from leverdoor.codec import unpack
 from leverdoor.entry.membership.liveness import (
-    FORGET_S,
-    FORMER_INCARNATION_S,
-    is_forgotten,
+    RECORD_TTL_S,
+    SUPERSEDE_SILENCE_S,
+    is_expired,
     is_live,
     supersedes,
 )
@@ -34,92 +34,92 @@
 )
 from leverdoor.entry.membership.peer_record import NEVER, LastSeen, PeerRecord
 
-__all__ = ["Membership", "PeerChange"]
+__all__ = ["Membership", "LivenessChange"]
 
 
-class PeerChange(NamedTuple):
-    """An entry that became live or silent."""
+class LivenessChange(NamedTuple):
+    """Transition of an entry to live or to silent."""
 
     name: str
     change: str
-    """"heard" or "silent", as the log has it."""
+    """"heard" or "silent", as written to the log."""
     silent_s: float
-    """Age of its newest heartbeat; 0 if it became live."""
+    """Age of its newest heartbeat in seconds; 0 if it became live."""
 
 
 class Membership:
-    """All entries that this one knows of, itself left out."""
+    """All known entries except this one."""
 
     def __init__(self, own: Member) -> None:
-        """Create it knowing nobody but `own`, this entry."""
+        """Create the membership of this entry, `own`, without any peers."""
         self.own = own
         self.version = 0
-        """Grows with each change of an entry's state or incarnation."""
+        """Incremented at each change of the state or incarnation of an entry."""
         self._records: dict[str, PeerRecord] = {}
-        self._names: dict[int, str] = {}
-        self._domains: dict[str, dict[str, PeerRecord]] = {own.domain: {}}
-        self._regions: dict[str, set[str]] = {own.region: {own.domain}}
-        """The failure domains of each region."""
-        self._logged: set[str] = set()
-        """Entries whose last logged change was that they became live."""
+        self._names_by_id: dict[int, str] = {}
+        self._records_by_domain: dict[str, dict[str, PeerRecord]] = {own.domain: {}}
+        self._domains_by_region: dict[str, set[str]] = {own.region: {own.domain}}
+        self._logged_live: set[str] = set()
+        """Names of the entries whose last reported change was to live."""
 
     # Updates.
 
-    def add_registered(self, values: Mapping[str, bytes], now: float) -> None:
+    def add_registered(self, registrations: Mapping[str, bytes], now: float) -> None:
         """Add the entries that are registered in the store.
 
-        An entry that sends heartbeats is left as it is: they are newer.
+        Entries that currently send heartbeats are not updated, since heartbeats are
+        newer than registrations.
 
         Args:
-          values: of the entries' keys; those that are not readable are skipped.
+          registrations: values of the entries' keys; unreadable ones are skipped.
           now: monotonic time in seconds.
         """
-        for data in values.values():
+        for data in registrations.values():
             try:
                 member = unpack(data, Member)
             except msgspec.MsgspecError:
                 continue
             record = self._records.get(member.name)
-            if record is None or now - record.heartbeat_at > FORMER_INCARNATION_S:
+            if record is None or now - record.heartbeat_at > SUPERSEDE_SILENCE_S:
                 self.update_member(member, now)
 
     def update_member(self, member: Member, now: float) -> None:
-        """Take an entry's description; a higher incarnation replaces a lower one."""
+        """Add an entry, or replace its recorded incarnation by a higher one."""
         if member.name == self.own.name:
             return
         record = self._records.get(member.name)
         if record is None:
-            self._add(PeerRecord(member, link_sort_key(member), reported_at=now))
+            self._add_record(PeerRecord(member, link_sort_key(member), reported_at=now))
             return
         record.reported_at = max(record.reported_at, now)
         if member.incarnation > record.member.incarnation:
-            self._replace(record, member)
+            self._replace_incarnation(record, member)
 
-    def _add(self, record: PeerRecord) -> None:
+    def _add_record(self, record: PeerRecord) -> None:
         member = record.member
         self._records[member.name] = record
-        self._names[member_id(member.name)] = member.name
-        self._domains.setdefault(member.domain, {})[member.name] = record
-        self._regions.setdefault(member.region, set()).add(member.domain)
+        self._names_by_id[member_id(member.name)] = member.name
+        self._records_by_domain.setdefault(member.domain, {})[member.name] = record
+        self._domains_by_region.setdefault(member.region, set()).add(member.domain)
 
-    def _replace(self, record: PeerRecord, member: Member) -> None:
-        """Record another incarnation, of which no heartbeat came yet."""
+    def _replace_incarnation(self, record: PeerRecord, member: Member) -> None:
+        """Record another incarnation, from which no heartbeat was received yet."""
         record.member = member
         record.state = STARTING
         record.heartbeat_at = NEVER
         self.version += 1
 
     def record_heartbeat(self, seen: LastSeen, now: float) -> bool:
-        """Take when an incarnation of an entry last sent a heartbeat.
+        """Record the newest heartbeat and the state of an incarnation of an entry.
 
-        Within an incarnation the state only grows, from STARTING to LEAVING, so an
-        older row does not undo a newer one.
+        Within an incarnation the state only advances, from STARTING to LEAVING, so that
+        an older row does not revert a newer one.
 
-        Returns: whether it was newer than what is on record.
+        Returns: whether the heartbeat is newer than the recorded one.
         """
         row = seen.row
-        record = self._records.get(self._names.get(row.id, ""))
-        if record is None or not self._take_incarnation(record, seen):
+        record = self._records.get(self._names_by_id.get(row.id, ""))
+        if record is None or not self._accept_incarnation(record, seen):
             return False
         if row.state > record.state:
             record.state = row.state
@@ -130,82 +130,85 @@
         record.reported_at = max(record.reported_at, now)
         return True
 
-    def _take_incarnation(self, record: PeerRecord, seen: LastSeen) -> bool:
-        """Return whether the incarnation seen is on record now."""
+    def _accept_incarnation(self, record: PeerRecord, seen: LastSeen) -> bool:
+        """Record the observed incarnation if it is valid; return whether it is."""
         incarnation = seen.row.incarnation
         if incarnation == record.member.incarnation:
             return True
         if not supersedes(record, seen):
             return False
         changed = msgspec.structs.replace(record.member, incarnation=incarnation)
-        self._replace(record, changed)
+        self._replace_incarnation(record, changed)
         return True
 
     def forget(self, now: float) -> None:
-        """Delete the records of entries that were silent for `FORGET_S`."""
-        old = [n for n, r in self._records.items() if is_forgotten(r, now)]
-        for name in old:
+        """Delete the records of entries that nothing reported for `RECORD_TTL_S`."""
+        expired = [n for n, r in self._records.items() if is_expired(r, now)]
+        for name in expired:
             member = self._records.pop(name).member
-            self._names.pop(member_id(name), None)
-            domain = self._domains[member.domain]
+            self._names_by_id.pop(member_id(name), None)
+            domain = self._records_by_domain[member.domain]
             del domain[name]
             if not domain and member.domain != self.own.domain:
-                del self._domains[member.domain]
-                self._regions[member.region].discard(member.domain)
+                del self._records_by_domain[member.domain]
+                self._domains_by_region[member.region].discard(member.domain)
 
-    def changes(self, now: float) -> list[PeerChange]:
+    def changes(self, now: float) -> list[LivenessChange]:
         """Return which entries became live or silent since the last call."""
         live = {m.name for m in self.live(now)}
-        found = [PeerChange(name, "heard", 0.0) for name in sorted(live - self._logged)]
-        for name in sorted(self._logged - live):
+        found = [
+            LivenessChange(name, "heard", 0.0)
+            for name in sorted(live - self._logged_live)
+        ]
+        for name in sorted(self._logged_live - live):
             record = self._records.get(name)
-            silent_s = now - record.heartbeat_at if record else FORGET_S
-            found.append(PeerChange(name, "silent", silent_s))
-        self._logged = live
+            silent_s = now - record.heartbeat_at if record else RECORD_TTL_S
+            found.append(LivenessChange(name, "silent", silent_s))
+        self._logged_live = live
         return found
 
     # Entries.
 
     def live(self, now: float) -> list[Member]:
-        """Return the entries that count as live."""
+        """Return the live entries."""
         return [r.member for r in self._records.values() if self._is_live(r, now)]
 
     def _is_live(self, record: PeerRecord, now: float) -> bool:
         return is_live(record, self.own.region, now)
 
     def live_in_own_region(self, now: float) -> list[Member]:
-        """Return the live entries of this entry's region, without leaving ones."""
+        """Return the live entries of the own region that are not leaving."""
         return [
             record.member
-            for record in self.records(self._regions[self.own.region])
+            for record in self.records(self._domains_by_region[self.own.region])
             if record.state != LEAVING and self._is_live(record, now)
         ]
 
     def record(self, name: str) -> PeerRecord | None:
-        """Return the record of an entry, if there is one."""
+        """Return the record of an entry, or None if it is unknown."""
         return self._records.get(name)
 
     def records(self, domains: Iterable[str]) -> Iterator[PeerRecord]:
-        """Return the records of some failure domains' entries."""
+        """Yield the records of the entries in some failure domains."""
         for domain in domains:
-            yield from self._domains.get(domain, {}).values()
+            yield from self._records_by_domain.get(domain, {}).values()
 
     def member(self, name: str) -> Member | None:
-        """Return the description of an entry, if it is known."""
+        """Return the description of an entry, or None if it is unknown."""
         record = self._records.get(name)
         return record.member if record is not None else None
 
     def names(self) -> list[str]:
-        """Return the names of all other entries that are known."""
+        """Return the names of all known entries except this one."""
         return list(self._records)
 
-    def name(self, identity: int) -> str:
-        """Return the name of a `member_id`; empty if it is not known."""
-        return self._names.get(identity, "")
+    def name(self, entry_id: int) -> str:
+        """Return the name of the entry with a `member_id`; empty if unknown."""
+        return self._names_by_id.get(entry_id, "")
 
     def last_seen(self, domain: str) -> list[LastSeen]:
-        """Return when a failure domain's entries were last seen, ordered by name."""
-        records = self._domains.get(domain, {})
+        """Return the newest heartbeats of a failure domain, ordered by entry name."""
+        records = self._records_by_domain.get(domain, {})
         return [
             LastSeen(
                 MemberRow(member_id(name), r.member.incarnation, r.state),
@@ -216,59 +219,62 @@
         ]
 
     def in_own_region(self) -> list[Member]:
-        """Return all known entries of this entry's region, silent ones included."""
+        """Return all known entries of the own region, including silent ones."""
         return [r.member for r in self.records(self.domains(self.own.region))]
 
     def in_own_domain(self) -> list[Member]:
         """Return all known entries of the own failure domain, ordered by name."""
-        records = sorted(self._domains[self.own.domain].items())
+        records = sorted(self._records_by_domain[self.own.domain].items())
         return [record.member for _, record in records]
 
     def own_domain_by_liveness(self, now: float) -> tuple[list[Member], list[Member]]:
-        """Return the known entries of the own failure domain: live, and silent ones.
+        """Return the known entries of the own failure domain: live, then silent.
 
-        One of which no heartbeat came yet, as in its first moments, counts as live.
+        An entry without any heartbeat yet, such as one that just started, counts as
+        live.
         """
         live: list[Member] = []
         silent: list[Member] = []
-        for _, record in sorted(self._domains[self.own.domain].items()):
+        for _, record in sorted(self._records_by_domain[self.own.domain].items()):
             new = record.heartbeat_at == NEVER
-            into = live if new or self._is_live(record, now) else silent
-            into.append(record.member)
+            group = live if new or self._is_live(record, now) else silent
+            group.append(record.member)
         return live, silent
 
     # Failure domains, regions and numbers.
 
     def live_regions(self, now: float) -> list[str]:
-        """Return the own region and those of live entries, by name."""
+        """Return the own region and all regions with live entries, sorted by name."""
         return sorted(
             region
-            for region, domains in self._regions.items()
+            for region, domains in self._domains_by_region.items()
             if region == self.own.region
             or any(self._is_live(r, now) for r in self.records(domains))
         )
 
     def all_domains(self) -> list[str]:
-        """Return all failure domains from which entries are known, by name."""
-        return sorted(self._domains)
+        """Return all failure domains with known entries, sorted by name."""
+        return sorted(self._records_by_domain)
 
     def domains(self, region: str) -> list[str]:
-        """Return the failure domains of a region from which entries are known."""
-        return sorted(self._regions.get(region, ()))
+        """Return the failure domains of a region, sorted by name."""
+        return sorted(self._domains_by_region.get(region, ()))
 
     def other_regions(self) -> list[str]:
-        """Return the regions other than this entry's, by name."""
-        return sorted(r for r in self._regions if r != self.own.region)
+        """Return all known regions except the own one, sorted by name."""
+        return sorted(r for r in self._domains_by_region if r != self.own.region)
 
     def count_in_domain(self, domain: str) -> int:
-        """Count the entries of a domain, those silent for up to `FORGET_S` too."""
-        return len(self._domains.get(domain, ())) + (domain == self.own.domain)
+        """Count the recorded entries of a failure domain, including silent ones."""
+        return len(self._records_by_domain.get(domain, ())) + (
+            domain == self.own.domain
+        )
 
     def count_in_region(self, region: str) -> int:
-        """Count the entries of a region, those silent for up to `FORGET_S` too."""
+        """Count the recorded entries of a region, including silent ones."""
         return sum(self.count_in_domain(d) for d in self.domains(region))
 
     @property
     def count(self) -> int:
-        """How many entries are known, this one included."""
+        """Number of known entries, including this one."""
         return len(self._records) + 1
--- a/leverdoor/entry/membership/peer_record.py
+++ b/leverdoor/entry/membership/peer_record.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What this entry has on record of each other one."""
+"""Types of the records that an entry keeps about its peers. Owns no state."""
 
 import msgspec
 
@@ -9,29 +9,29 @@
 __all__ = ["NEVER", "LastSeen", "PeerRecord"]
 
 NEVER = -1e9
-"""Time in seconds of something that did not happen yet: before any clock's start."""
+"""Time in seconds of an event that has not happened, earlier than any clock value."""
 
 
 class LastSeen(msgspec.Struct, frozen=True):
-    """When the newest heartbeat of one incarnation of an entry reached anyone."""
+    """Time at which any entry received the newest heartbeat of an incarnation."""
 
     row: MemberRow
     at: float
-    """Monotonic time of this entry, in seconds."""
+    """Monotonic time in seconds, by the clock of this entry."""
 
 
 class PeerRecord(msgspec.Struct):
-    """The record of one other entry; all times are monotonic seconds of this entry."""
+    """Record of one peer; all times are monotonic seconds by this entry's clock."""
 
     member: Member
     link_sort_key: tuple[int, int]
-    """See `member.link_sort_key`."""
+    """Order in which entries take roles; see `member.link_sort_key`."""
     state: EntryState = STARTING
     heartbeat_at: float = NEVER
-    """When its newest known heartbeat reached any entry; digests carry the age."""
+    """Time at which any entry received its newest heartbeat; digests carry the age."""
     reported_at: float = NEVER
-    """When a heartbeat, a digest or the store last confirmed that it exists."""
+    """Time of the last heartbeat, digest or store entry that reported this peer."""
     digest_at: float = NEVER
-    """When a digest that it sent itself last came here; written by `Roles`."""
-    digest_due_since: float = NEVER
-    """Since when it is expected to send digests; written by `Roles`."""
+    """Time at which this entry received its last digest; written by `Roles`."""
+    digest_expected_since: float = NEVER
+    """Time from which it is expected to send digests; written by `Roles`."""
--- a/leverdoor/entry/membership/registration.py
+++ b/leverdoor/entry/membership/registration.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Keeps this entry registered in the store, so that entries that start find it.
+"""Keeps this entry registered in the store, so that starting entries can discover it.
 
-Owns the lease of this entry's key. After a crash the key stays for `TTL_S` at most, and
-the next process of the same entry takes it over (`adopt`). Relies on the store; while
-it is away, entries know each other by heartbeats, and only starts are affected.
+Owns the lease of this entry's key. After a crash the key remains for at most
+`LEASE_TTL_S`, and the next process of the same entry takes it over (`adopt`). Relies on
+the store. While the store is unavailable, entries know each other by heartbeats, and
+only starting entries are affected.
 """
 
 import asyncio
@@ -21,50 +22,53 @@
 
 __all__ = ["Registration", "mean_retry_pause_s"]
 
-TTL_S = 15.0
-"""Duration of an entry's lease, in seconds.
+LEASE_TTL_S = 15.0
+"""Time to live of an entry's lease, in seconds.
 
-Longer than usual outages of the store, after which all would register again. Longer,
-keys of VMs that are gone are read by entries that start.
+It exceeds the usual outages of the store, since all entries would register again after
+a longer one. With a longer lease, starting entries read keys of VMs that are gone.
 """
-KEEP_S = 5.0
-"""Seconds between two renewals: a third of the lease, so two may fail."""
-RETRY_S = 0.5
-"""Least mean pause after a failed call, in seconds; see `mean_retry_pause_s`.
+RENEW_INTERVAL_S = 5.0
+"""Interval between renewals in seconds: a third of the lease, so that two may fail."""
+MIN_MEAN_PAUSE_S = 0.5
+"""Minimum of the mean pause after a failed call, in seconds.
 
-Bounds the calls of a few entries to an unavailable store. Longer, they are found later
-after an outage.
+It bounds the calls that a few entries make to an unavailable store; see
+`mean_retry_pause_s`. With a longer pause, entries are discovered later after an outage.
 """
-CALLS = 2
-"""Writing calls of one registration: one for its lease, one for its key."""
-RATE_SHARE = 0.25
-"""Part of the store's rate of writes that registrations may take together.
+WRITES_PER_REGISTRATION = 2
+"""Write calls per registration: one for the lease, one for the key."""
+WRITE_RATE_SHARE = 0.25
+"""Share of the store's write rate that all registrations together may use.
 
-The rest is for operators and targets. Greater, their writes wait after an outage;
-smaller, entries are found later.
+The rest is for operators and targets. With a larger share, their writes are delayed
+after an outage; with a smaller one, entries are discovered later.
 """
-LEAST_OF_MEAN = 0.5
-"""Shortest pause as a part of the mean; the longest is as much above it.
+MIN_PAUSE_FACTOR = 0.5
+"""Shortest pause as a fraction of the mean; the longest is as far above the mean.
 
-Pauses spread over the length of the mean, so that entries that lost the store together
-do not call together.
+Pauses are spread over an interval as long as the mean, so that entries that lost the
+store at the same time do not call it at the same time.
 """
 
 
 def mean_retry_pause_s(entries: int, writes_per_s: float) -> float:
     """Return the mean pause after a failed call, in seconds.
 
-    All entries together then keep to `RATE_SHARE` of the store's writes.
+    It keeps all entries together within `WRITE_RATE_SHARE` of the store's write rate.
 
     Args:
-      entries: how many may register again at the same time.
-      writes_per_s: writing calls that the store takes in a second.
+      entries: number of entries that may register again at the same time.
+      writes_per_s: write calls per second that the store accepts.
     """
-    return max(RETRY_S, entries * CALLS / (RATE_SHARE * writes_per_s))
+    return max(
+        MIN_MEAN_PAUSE_S,
+        entries * WRITES_PER_REGISTRATION / (WRITE_RATE_SHARE * writes_per_s),
+    )
 
 
 class Registration:
-    """One entry's key in the store, under a lease."""
+    """The key of one entry in the store, attached to a lease."""
 
     def __init__(
         self,
@@ -73,17 +77,17 @@
         member: Member,
         events: Events,
         rng: Random,
-        pause_s: Callable[[], float],
+        mean_pause_s: Callable[[], float],
     ) -> None:
-        """Create it; `run` writes.
+        """Create the registration; `run` writes it to the store.
 
         Args:
-          store: the platform's service.
-          key: the entry's own key.
-          member: what to write.
-          events: the entry's log.
+          store: client of the platform's store.
+          key: key of this entry.
+          member: description of this entry, the value of the key.
+          events: the event log of this entry.
           rng: spreads the calls after an outage.
-          pause_s: returns the mean pause after a failure, in seconds.
+          mean_pause_s: returns the mean pause after a failed call, in seconds.
         """
         self._store = store
         self._key = key
@@ -91,31 +95,37 @@
         self._value = pack(member)
         self._events = events
         self._rng = rng
-        self._pause_s = pause_s
+        self._mean_pause_s = mean_pause_s
         self._lease = 0
         self._ended = False
-        """The entry leaves: its key must not be written again while it finishes."""
+        """Whether the entry is leaving, so that its key must not be written again."""
 
-    def adopt(self, written: KeyValue | None) -> None:
-        """Take over the key and lease of a former incarnation, if they still fit.
+    def adopt(self, registered: KeyValue | None) -> None:
+        """Take over the key and lease of a former incarnation, if its value matches.
 
-        That saves the two writing calls of each start; whether the lease
-        has expired shows when it is renewed.
+        This saves the two write calls at each start. If the lease has expired, the next
+        renewal reports it.
+
+        Args:
+          registered: the key of this entry in the store, or None if there is none.
         """
-        if written is None or not written.lease:
+        if registered is None or not registered.lease:
             return
         try:
-            before = unpack(written.value, Member)
+            former = unpack(registered.value, Member)
         except msgspec.MsgspecError as e:
             self._events.process("registration not readable", error=str(e))
             return
-        same = msgspec.structs.replace(before, incarnation=self._member.incarnation)
+        same = msgspec.structs.replace(former, incarnation=self._member.incarnation)
         if same == self._member:
-            self._lease = written.lease
+            self._lease = registered.lease
             self._events.process("registration adopted", lease=self._lease)
 
     async def run(self) -> None:
-        """Write the key, and again whenever its lease expired, until it is ended."""
+        """Write the key and renew its lease; write it again after the lease expired.
+
+        Return once the registration is ended.
+        """
         while not self._ended:
             try:
                 if self._lease == 0:
@@ -127,24 +137,24 @@
             except LeverdoorError as e:
                 self._events.process("registration failed", error=str(e))
                 await asyncio.sleep(
-                    self._pause_s() * (LEAST_OF_MEAN + self._rng.random())
+                    self._mean_pause_s() * (MIN_PAUSE_FACTOR + self._rng.random())
                 )
                 continue
-            await asyncio.sleep(KEEP_S)
+            await asyncio.sleep(RENEW_INTERVAL_S)
 
     async def _register(self) -> None:
-        """Write the key; one that was written as the entry began to leave is removed.
+        """Write the key under a new lease; remove it if the entry began to leave.
 
         Raises:
-          LeverdoorError: the store did not take it, or it may have been written.
+          LeverdoorError: the store rejected the write, or its result is unknown.
         """
-        self._lease = await self._store.hold(self._key, self._value, TTL_S)
+        self._lease = await self._store.hold(self._key, self._value, LEASE_TTL_S)
         self._events.process("registered", lease=self._lease)
         if self._ended:
             await self.end()
 
     async def end(self) -> None:
-        """Give the lease up, which deletes the key, and don't write it again."""
+        """Revoke the lease, which deletes the key, and stop registering."""
         self._ended = True
         lease, self._lease = self._lease, 0
         if lease:
--- a/leverdoor/entry/membership/roles.py
+++ b/leverdoor/entry/membership/roles.py
@@ -1,13 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which entries aggregate for a failure domain, and which follow the store.
+"""Computes which entries aggregate for a failure domain and which follow the store.
 
-Each entry computes the roles by itself, from the entries that count as live here and
-the widths of their links; nothing is agreed. Two that see different entries may both
-take a role: that costs bytes or reads of the store, no more.
+Each entry computes the roles locally, from the entries that it considers live and the
+bandwidth of their links, without consensus. Two entries with different views may both
+take a role, which costs only extra traffic or extra reads of the store.
 
-Owns the times of digests in the records of `Membership`, lost with them. Relies on
-`Membership` for who is live.
+Owns the times of digests in the records of `Membership`, which are lost with them.
+Relies on `Membership` for the live entries.
 """
 
 from collections.abc import Collection
@@ -22,34 +22,37 @@
 __all__ = ["AGGREGATORS", "AGGREGATOR_RETRY_S", "AGGREGATOR_SILENCE_S", "Roles"]
 
 AGGREGATORS = 2
-"""Entries of a failure domain that merge what the others report.
+"""Number of entries per failure domain that merge the reports of the others.
 
-One may be gone. With one, a death leaves the failure domain without digests until it is
-replaced; each further one costs digests to every other aggregator.
+One of two may be gone. With a single aggregator, its death leaves the failure domain
+without digests until it is replaced; each further one costs digests to every other
+aggregator.
 """
 AGGREGATOR_SILENCE_S = 0.8
-"""Time without a digest from an aggregator after which the next takes its place.
+"""Time without a digest after which the next entry replaces an aggregator, in seconds.
 
-A digest is due every 0.4 s. Shorter, one lost datagram replaces it, which costs some
-bytes; longer, the failure domain's view grows old, up to `SILENCE_S` for all of it.
+A digest is due every 0.4 s. With a shorter time, one lost datagram replaces the
+aggregator, which costs some traffic. With a longer one, the view of the failure domain
+becomes outdated, and after `SILENCE_S` its entries would not count as live.
 """
 AGGREGATOR_RETRY_S = 5.0
-"""Time after which an aggregator that never sent a digest may again, in seconds.
+"""Time after which an aggregator that sent no digest is tried again, in seconds.
 
-Long beside `AGGREGATOR_SILENCE_S`, so that it holds the role a small part of the time;
-longer, one that recovered stays replaced by one with a narrower link.
+It is long compared with `AGGREGATOR_SILENCE_S`, so that such an entry holds the role
+for a small part of the time. With a longer time, an entry that recovered stays replaced
+by one with a narrower link.
 """
 
 
 class Roles:
-    """The roles of entries as this one computes them."""
+    """Roles of the entries, as computed by this entry."""
 
     def __init__(self, membership: Membership, rng: Random) -> None:
-        """Create it.
+        """Create the roles on the records of the known entries.
 
         Args:
-          membership: the entries known.
-          rng: chooses whom to try in a failure domain without live entries.
+          membership: records of the known entries.
+          rng: chooses the entry to probe in a failure domain without live entries.
         """
         self._membership = membership
         self._own = membership.own
@@ -59,40 +62,42 @@
     # Aggregators.
 
     def note_digest(self, name: str, now: float) -> None:
-        """Record that a digest came from the entry of a name."""
+        """Record that this entry received a digest from another one, given by name."""
         record = self._membership.record(name)
         if record is not None:
             record.digest_at = now
 
     def aggregators(self, domain: str, now: float) -> list[Member]:
-        """Return the entries that merge what a failure domain's entries report.
+        """Return the entries that merge the reports of a failure domain.
 
-        The two with the widest links of those that send digests. One from which no
-        digest comes is passed over, long before it counts as silent.
+        These are the entries with the widest links among those that send digests. An
+        entry that sends no digests is skipped well before it counts as silent.
         """
-        sending = (r for r in self._candidates(domain, now) if self._sends(r, now))
-        return [r.member for r in islice(sending, AGGREGATORS)]
+        senders = (
+            r for r in self._candidates(domain, now) if self._sends_digests(r, now)
+        )
+        return [r.member for r in islice(senders, AGGREGATORS)]
 
     def is_aggregator(self, now: float) -> bool:
-        """Return whether this entry merges for its failure domain."""
+        """Return whether this entry is an aggregator of its failure domain."""
         return self._own in self.aggregators(self._own.domain, now)
 
     def recipients(self, domain: str, now: float) -> list[Member]:
-        """Return the entries that get what a failure domain's aggregators need.
+        """Return the recipients of messages for the aggregators of a failure domain.
 
-        Those that are passed over get it too while they count as live: two that
-        passed each other over would otherwise never exchange messages again.
+        Skipped entries remain recipients while they are live. Otherwise two entries
+        that skipped each other would never exchange messages again.
         """
         candidates = self._candidates(domain, now)
         if not candidates:
-            return self._contacts(domain)
-        first = [r.member for r in candidates[:AGGREGATORS]]
+            return self._probe_recipients(domain)
+        widest = [r.member for r in candidates[:AGGREGATORS]]
         chosen = self.aggregators(domain, now)
-        found = first + [m for m in chosen if m not in first]
+        found = widest + [m for m in chosen if m not in widest]
         return [m for m in found if m.name != self._own.name]
 
     def _candidates(self, domain: str, now: float) -> list[PeerRecord]:
-        """Return the live entries of a failure domain, the widest links first."""
+        """Return the live entries of a failure domain, widest links first."""
         found = [
             r
             for r in self._membership.records([domain])
@@ -102,32 +107,33 @@
             found.append(self._own_record)
         return sorted(found, key=lambda r: r.link_sort_key)
 
-    def _contacts(self, domain: str) -> list[Member]:
-        """Return whom to contact in a failure domain of which no entry is live.
+    def _probe_recipients(self, domain: str) -> list[Member]:
+        """Return the entries to probe in a failure domain without live entries.
 
-        The widest links, of those last seen before it was cut off and of all, and one
-        at random: both sides exchange messages soon after the cut is repaired.
+        These are the entries with the widest links among all and among those live until
+        the partition, and a random one, so that both sides exchange messages soon after
+        the partition heals.
         """
         records = sorted(
             self._membership.records([domain]), key=lambda r: r.link_sort_key
         )
         newest = max((r.heartbeat_at for r in records), default=NEVER)
-        lately = [r for r in records if r.heartbeat_at >= newest - SILENCE_S]
+        last_live = [r for r in records if r.heartbeat_at >= newest - SILENCE_S]
         chance = self._rng.sample(records, min(1, len(records)))
-        tried = [*records[:AGGREGATORS], *lately[:AGGREGATORS], *chance]
-        return list({r.member.name: r.member for r in tried}.values())
+        probed = [*records[:AGGREGATORS], *last_live[:AGGREGATORS], *chance]
+        return list({r.member.name: r.member for r in probed}.values())
 
-    def _sends(self, record: PeerRecord, now: float) -> bool:
-        """Return whether digests come from an entry, or may still come.
+    def _sends_digests(self, record: PeerRecord, now: float) -> bool:
+        """Return whether an entry sends digests, or may still send its first one.
 
-        Those of other regions come from each aggregator in turn, too seldom to judge.
+        Aggregators of other regions take turns and send too rarely to be judged.
         """
         if record is self._own_record or record.member.region != self._own.region:
             return True
-        if now - record.digest_due_since > AGGREGATOR_RETRY_S:
-            record.digest_due_since = now
-        last = max(record.digest_at, record.digest_due_since)
-        return now - last <= AGGREGATOR_SILENCE_S
+        if now - record.digest_expected_since > AGGREGATOR_RETRY_S:
+            record.digest_expected_since = now
+        last_digest_at = max(record.digest_at, record.digest_expected_since)
+        return now - last_digest_at <= AGGREGATOR_SILENCE_S
 
     # Followers of the store.
 
@@ -140,15 +146,15 @@
     ) -> bool:
         """Return whether this entry is one of its region's followers of the store.
 
-        They watch the store and pass all changes on, so those with the widest links
-        come first, of the live ones that the store answers. While it answers none of
-        them, all count.
+        Followers watch the store and forward all changes, so the entries with the
+        widest links are elected among the live ones that the store answers. While the
+        store answers none of them, all are eligible.
 
         Args:
-          followers: how many a region has.
+          followers: number of followers per region.
           now: monotonic time in seconds.
-          unserved: others that the store does not answer, by `member_id`.
-          own_unserved: whether it does not answer this entry.
+          unserved: `member_id` of each other entry that the store does not answer.
+          own_unserved: whether the store does not answer this entry.
         """
         if not own_unserved:
             return self.rank_among_live(now, unserved) < followers
@@ -158,11 +164,11 @@
         return self.rank_among_live(now, ()) < followers
 
     def rank_among_live(self, now: float, unserved: Collection[int]) -> int:
-        """Return this entry's place by link among the region's live ones, from 0.
+        """Return the rank of this entry by link among the region's live ones, from 0.
 
         Args:
           now: monotonic time in seconds.
-          unserved: entries that don't count, by `member_id`.
+          unserved: `member_id` of each entry to leave out of the ranking.
         """
         own = link_sort_key(self._own)
         others = self._membership.live_in_own_region(now)
@@ -171,10 +177,10 @@
         return sum(link_sort_key(m) < own for m in others)
 
     def rank_among_known(self) -> int | None:
-        """Return this entry's place among all of its region on record, from 0.
+        """Return the rank of this entry by link among its region's known ones, from 0.
 
-        Silent ones count, since at a start nothing was received yet. None if no
-        other is known.
+        Silent entries are included, since a starting entry has received no heartbeats
+        yet. Return None if no other entry of the region is known.
         """
         known = self._membership.in_own_region()
         if not known:
--- a/tests/test_entry_joining.py
+++ b/tests/test_entry_joining.py
@@ -9,7 +9,11 @@
 from leverdoor.codec import pack
 from leverdoor.entry.events import Events
 from leverdoor.entry.log_writer import LineWriter
-from leverdoor.entry.membership.joining import ALONE_S, SETTLE_S, JoinProcedure
+from leverdoor.entry.membership.joining import (
+    FOLLOW_DELAY_S,
+    MAX_LONE_DELAY_S,
+    JoinProcedure,
+)
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
@@ -113,7 +117,7 @@
     assert all(api.startswith("p/a1-") for apis in start.puller.asked for api in apis)
     loop = asyncio.get_running_loop()
     assert start.joining.may_follow_from > loop.time(), "others follow the store"
-    assert start.joining.may_follow_from <= loop.time() + SETTLE_S
+    assert start.joining.may_follow_from <= loop.time() + FOLLOW_DELAY_S
 
 
 async def test_an_entry_with_a_wide_link_lists_at_once() -> None:
@@ -150,14 +154,14 @@
 async def test_a_store_that_is_away_does_not_hold_up_the_start() -> None:
     start = Start(member("a1-9"), Store([], away=True), set())
     assert await start.joining.discover_peers() == {}
-    assert 0.0 <= start.joining._patience_s(2) <= ALONE_S
+    assert 0.0 <= start.joining._list_delay_s(2) <= MAX_LONE_DELAY_S
 
 
 def test_waits_follow_the_rank_and_are_bounded() -> None:
     start = Start(member("a1-9", 1), Store([]), set())
     for i in range(3):
         start.membership.update_member(member(f"a1-{i}", 200), 0.0)
-    assert 0.0 < start.joining._patience_s(2) < 0.2
+    assert 0.0 < start.joining._list_delay_s(2) < 0.2
     for i in range(60):
         start.membership.update_member(member(f"a2-{i}", 200), 0.0)
-    assert start.joining._patience_s(2) < 1.0
+    assert start.joining._list_delay_s(2) < 1.0
--- a/tests/test_entry_membership.py
+++ b/tests/test_entry_membership.py
@@ -11,9 +11,9 @@
 from leverdoor.codec import pack
 from leverdoor.entry.membership.entry_selection import EntrySelector
 from leverdoor.entry.membership.liveness import (
-    FAR_SILENCE_S,
-    FORMER_INCARNATION_S,
+    REMOTE_SILENCE_S,
     SILENCE_S,
+    SUPERSEDE_SILENCE_S,
 )
 from leverdoor.entry.membership.member import (
     LEAVING,
@@ -112,8 +112,8 @@
     r = membership()
     receive(r, "a1-1", 0.0, incarnation=9)
     assert not receive(r, "a1-1", 0.2, incarnation=3)
-    receive(r, "a1-1", FORMER_INCARNATION_S + 0.1, incarnation=3)
-    now = FORMER_INCARNATION_S + 0.2
+    receive(r, "a1-1", SUPERSEDE_SILENCE_S + 0.1, incarnation=3)
+    now = SUPERSEDE_SILENCE_S + 0.2
     assert r.selector.addresses("a", "a1", SERVING, now) == ["f/a1-0", "f/a1-1"]
     r.add_registered({"x": pack(member("a1-1", 9))}, now)
     assert r.selector.addresses("a", "a1", SERVING, now + 0.2) == ["f/a1-0", "f/a1-1"]
@@ -230,7 +230,7 @@
     r = membership()
     for i in range(5):
         receive(r, f"b1-{i}", 0.0)
-    late = FAR_SILENCE_S + 1.0
+    late = REMOTE_SILENCE_S + 1.0
     assert r.roles.aggregators("b1", late) == []
     assert 0 < len(r.roles.recipients("b1", late)) <= 2 * AGGREGATORS + 1
 
@@ -241,7 +241,7 @@
     receive(r, "b1-1", 0.0)
     later = SILENCE_S + 0.1
     assert [m.name for m in r.live(later)] == ["b1-1"]
-    assert r.live(FAR_SILENCE_S + 0.1) == []
+    assert r.live(REMOTE_SILENCE_S + 0.1) == []
 
 
 def test_the_silence_that_counts_does_not_grow_with_the_number_of_entries() -> None:
--- a/tests/test_entry_registration.py
+++ b/tests/test_entry_registration.py
@@ -14,8 +14,8 @@
 from leverdoor.entry.log_writer import LineWriter
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.membership.registration import (
-    CALLS,
-    RETRY_S,
+    MIN_MEAN_PAUSE_S,
+    WRITES_PER_REGISTRATION,
     Registration,
     mean_retry_pause_s,
 )
@@ -31,11 +31,11 @@
 ) -> None:
     """Pauses lie between half and one and a half times their mean."""
     shortest_s = 0.5 * mean_retry_pause_s(entries, writes_per_s)
-    assert entries * CALLS / shortest_s <= writes_per_s
+    assert entries * WRITES_PER_REGISTRATION / shortest_s <= writes_per_s
 
 
 def test_a_small_site_does_not_wait() -> None:
-    assert mean_retry_pause_s(12, 400.0) == RETRY_S
+    assert mean_retry_pause_s(12, 400.0) == MIN_MEAN_PAUSE_S
 
 
 class Store(LeasingStore):
--- a/tests/test_entry_registration_end.py
+++ b/tests/test_entry_registration_end.py
@@ -50,7 +50,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The loop that keeps the lease runs on until the last request has ended."""
-    monkeypatch.setattr(registration, "KEEP_S", 0.0)
+    monkeypatch.setattr(registration, "RENEW_INTERVAL_S", 0.0)
     events = Events(LineWriter(os.open(os.devnull, os.O_WRONLY)), "n1")
     store = CountingStore()
     kept = registration.Registration(
