--- a/leverdoor/entry/configuration/catalog.py
+++ b/leverdoor/entry/configuration/catalog.py
@@ -1,8 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The resources in force, indexed for decisions on requests.
+"""The resources in force, indexed for routing and placement.
 
-A catalogue never changes; a newer one replaces it whole. Owns no other state.
+A catalog is immutable; each change of the resources replaces it by a new one. Owns no
+other state.
 """
 
 from collections.abc import Iterable
@@ -25,11 +26,11 @@
 T = TypeVar("T")
 
 DEFAULT_LIMITS = ClientLimits(name="default")
-"""Limits on clients before there is a configuration, and without any in it."""
+"""Client limits that apply without a configuration, or if it sets none."""
 
 
 def host_without_port(header: str) -> str:
-    """Return the host that a Host header names, without a port."""
+    """Return the host of a Host header in lower case, without the port."""
     host = header.strip().lower()
     if host.startswith("["):
         return host.partition("]")[0] + "]"
@@ -42,49 +43,52 @@
     def __init__(
         self, revision: int, version: str, resources: Iterable[Resource]
     ) -> None:
-        """Index resources.
+        """Index all resources.
 
         Args:
-          revision: the store's revision that they were read at.
-          version: the operator's name of the configuration; "" for none yet.
-          resources: all of them.
+          revision: revision of the store at which they were read.
+          version: version of the configuration set by the operator; "" if none.
+          resources: all resources of the configuration.
         """
         self.revision = revision
         self.version = version
-        listed = list(resources)
-        self.regions = {r.name: r for r in _of(listed, Region)}
-        self.services = {s.name: s for s in _of(listed, Service)}
-        self.targets = {t.name: t for t in _of(listed, Target)}
-        self.limits = next(iter(_of(listed, ClientLimits)), DEFAULT_LIMITS)
-        self.workspaces = WorkspaceDirectory(_of(listed, Workspace))
-        drains = _of(listed, Drain)
-        self._routes = _by_host(_of(listed, Route))
+        selected = list(resources)
+        self.regions = {r.name: r for r in _select(selected, Region)}
+        self.services = {s.name: s for s in _select(selected, Service)}
+        self.targets = {t.name: t for t in _select(selected, Target)}
+        self.limits = next(iter(_select(selected, ClientLimits)), DEFAULT_LIMITS)
+        self.workspaces = WorkspaceDirectory(_select(selected, Workspace))
+        drains = _select(selected, Drain)
+        self._routes = _by_host(_select(selected, Route))
         self.by_service: dict[str, list[Target]] = {}
-        """The targets of each service that may get requests, by name in order."""
+        """Targets of each service that may receive requests, sorted by name."""
         for target in sorted(self.targets.values(), key=lambda t: t.name):
             if target.draining or any(d.covers(target) for d in drains):
                 continue
             self.by_service.setdefault(target.service, []).append(target)
         self.in_service = {t.name for ts in self.by_service.values() for t in ts}
-        """Names of the targets that may get requests."""
+        """Names of the targets that may receive requests."""
 
     @property
     def configured(self) -> bool:
-        """Whether there is a configuration at all."""
+        """Whether a configuration exists."""
         return self.version != ""
 
     @property
     def route_count(self) -> int:
-        """How many routes there are."""
+        """Number of routes."""
         return sum(len(routes) for routes in self._routes.values())
 
     @property
     def route_names(self) -> set[str]:
-        """The names of the routes."""
+        """Names of all routes."""
         return {route.name for routes in self._routes.values() for route in routes}
 
     def without_common_home(self) -> list[tuple[str, str]]:
-        """Return the names of each route and workspace that share no home region."""
+        """Return each pair of route and workspace names without a common home region.
+
+        Routes and workspaces without home regions are not included.
+        """
         routes = [r for routes in self._routes.values() for r in routes if r.homes]
         workspaces = [w for w in self.workspaces.by_name.values() if w.homes]
         return [
@@ -96,33 +100,33 @@
 
     @property
     def target_names_by_region(self) -> dict[str, list[str]]:
-        """The names of all targets, by their region."""
-        found: dict[str, list[str]] = {}
+        """Names of all targets, by region."""
+        groups: dict[str, list[str]] = {}
         for target in self.targets.values():
-            found.setdefault(target.region, []).append(target.name)
-        return found
+            groups.setdefault(target.region, []).append(target.name)
+        return groups
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route of a host with the longest prefix of a path, or None."""
+        """Return the route of a host whose prefix of the path is longest, or None."""
         for route in self._routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
 
-def _of(resources: list[Resource], kind: type[T]) -> list[T]:
+def _select(resources: list[Resource], kind: type[T]) -> list[T]:
     return [r for r in resources if isinstance(r, kind)]
 
 
 def _by_host(routes: list[Route]) -> dict[str, list[Route]]:
-    """Return the routes of each host, those with longer prefixes first."""
-    found: dict[str, list[Route]] = {}
+    """Return the routes of each host, longest prefixes first."""
+    groups: dict[str, list[Route]] = {}
     for route in routes:
-        found.setdefault(route.host.lower(), []).append(route)
-    for listed in found.values():
-        listed.sort(key=lambda r: -len(r.prefix))
-    return found
+        groups.setdefault(route.host.lower(), []).append(route)
+    for selected in groups.values():
+        selected.sort(key=lambda r: -len(r.prefix))
+    return groups
 
 
 EMPTY_CATALOG = Catalog(0, "", ())
-"""The catalogue of an entry that has no configuration yet."""
+"""The catalog of an entry that has no configuration yet."""
--- a/leverdoor/entry/configuration/catalog_manager.py
+++ b/leverdoor/entry/configuration/catalog_manager.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Keeps the catalogue in force: compiled from the store's state at each change.
+"""Compiles the catalog in force from the copy of the store at each change.
 
-Owns the catalogue, the targets whose registration expired in an outage, and the times
-of the last outage and of the store's last answer; lost with the process. Relies on the
-copy of the store (`storage.state`) and on the wire's translation. Every change of the
-configuration and of targets is logged here.
+Logs every change of the configuration and of targets. Owns the catalog, the targets
+whose registrations expired in an outage, and the times of the last outage and of the
+newest answer of the store; all are lost with the process. Relies on the copy of the
+store (`storage.state`) and on the translation of its keys (`wire`).
 """
 
 import asyncio
@@ -21,20 +21,20 @@
 from leverdoor.model.resources import Target
 from leverdoor.storage.state import State
 
-__all__ = ["CatalogManager", "PutInForce"]
+__all__ = ["CatalogManager", "CatalogListener"]
 
-LOGGED_PAIRS = 8
-"""Routes and workspaces without a common home that one log line names.
+MAX_LOGGED_PAIRS = 8
+"""Maximum number of pairs without a common home region in one log line.
 
-Enough to find the mistake; more would make the line long for no gain.
+This is enough to find the mistake; more pairs only make the line longer.
 """
 
-PutInForce: TypeAlias = Callable[[Catalog, Catalog, Configured], None]
-"""Called with the catalogue before, the new one, and what it was compiled from."""
+CatalogListener: TypeAlias = Callable[[Catalog, Catalog, Configured], None]
+"""Receives the previous catalog, the new one and the configuration behind it."""
 
 
 class CatalogManager:
-    """The catalogue in force, and what else is known of the store."""
+    """Manages the catalog in force and tracks the availability of the store."""
 
     def __init__(
         self,
@@ -43,59 +43,63 @@
         confirmation: Confirmation,
         events: Events,
         leave_s: float,
-        put_in_force: PutInForce,
+        on_change: CatalogListener,
     ) -> None:
-        """Create it with an empty catalogue.
+        """Create the manager with an empty catalog.
 
         Args:
-          wire: translates the store's keys.
-          state: the copy of the store.
-          confirmation: is told which of its revisions are in force.
-          events: the log.
-          leave_s: within which time a leaving target must get no new requests, in
-            seconds.
-          put_in_force: called with each new catalogue.
+          wire: translates the keys of the store.
+          state: the local copy of the store.
+          confirmation: tracks the newest answer behind the revision in force.
+          events: the event log of this entry.
+          leave_s: time within which requests to a leaving target must stop, in seconds.
+          on_change: called with each new catalog.
         """
         self._wire = wire
         self._state = state
         self._events = events
-        self._put_in_force = put_in_force
-        self._registrations = ExpiredRegistrations(leave_s)
-        self._expired: list[str] = []
-        """Targets used without a registration, as last logged."""
-        self._hold_timer: asyncio.TimerHandle | None = None
+        self._on_change = on_change
+        self._expired_registrations = ExpiredRegistrations(leave_s)
+        self._logged_expired: list[str] = []
+        """Names of the targets with expired registrations, as last logged."""
+        self._expiry_timer: asyncio.TimerHandle | None = None
         self.catalog = EMPTY_CATALOG
         self.outage = Outage()
         self.confirmation = confirmation
         self.source = "store"
-        """Where the state comes from, for the log: the store or a peer's address."""
+        """Source of the state for the log: "store" or the address of a peer."""
 
     def store_answered(self) -> None:
-        """Record that the store has just confirmed what is in force here."""
-        self.confirmation.answered(asyncio.get_running_loop().time())
+        """Record that the store just confirmed the revision in force here."""
+        self.confirmation.record_answer(asyncio.get_running_loop().time())
 
     def compile(self) -> None:
-        """Compile the state, and again when the next expired target is given up.
+        """Compile the state into a catalog and put it in force.
 
-        Called at each change of the state.
+        Called at each change of the state. Schedules itself for the time at which the
+        next target with an expired registration is removed.
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
-        self.confirmation.advanced(self._state.revision)
+        self.confirmation.record_revision(self._state.revision)
         configured = self._wire.translate(self._state.entries)
         targets = {t.name: t for t in configured.resources if isinstance(t, Target)}
-        held = self._registrations.update(targets, self.outage.recent(now), now)
-        before = self.catalog
-        resources = [*configured.resources, *held]
+        retained = self._expired_registrations.update(
+            targets, self.outage.is_recent(now), now
+        )
+        previous = self.catalog
+        resources = [*configured.resources, *retained]
         self.catalog = Catalog(self._state.revision, configured.version, resources)
-        if self.catalog.version != before.version:
+        if self.catalog.version != previous.version:
             self._log_configuration()
-        self._log_targets(before, held)
-        self._put_in_force(before, self.catalog, configured)
-        if self._hold_timer is not None:
-            self._hold_timer.cancel()
-        end = self._registrations.next_end
-        self._hold_timer = None if end is None else loop.call_at(end, self.compile)
+        self._log_targets(previous, retained)
+        self._on_change(previous, self.catalog, configured)
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+        expires_at = self._expired_registrations.next_expiry
+        self._expiry_timer = (
+            None if expires_at is None else loop.call_at(expires_at, self.compile)
+        )
 
     def _log_configuration(self) -> None:
         """Log a new version of the configuration."""
@@ -108,25 +112,25 @@
             self.source,
             self._confirmed_ms(),
         )
-        pairs = catalog.without_common_home()
-        if pairs:
-            self._events.homeless(len(pairs), pairs[:LOGGED_PAIRS])
+        conflicts = catalog.without_common_home()
+        if conflicts:
+            self._events.homeless(len(conflicts), conflicts[:MAX_LOGGED_PAIRS])
 
     def _confirmed_ms(self) -> int:
         now = asyncio.get_running_loop().time()
         return self.confirmation.newest_answer(self._state.revision, now).age_ms
 
-    def _log_targets(self, before: Catalog, held: list[Target]) -> None:
-        """Log how targets differ from those of the catalogue before."""
+    def _log_targets(self, previous: Catalog, retained: list[Target]) -> None:
+        """Log the changes of targets since the previous catalog."""
         catalog = self.catalog
-        came = sorted(catalog.in_service - before.in_service)
-        gone = sorted(before.in_service - catalog.in_service)
+        added = sorted(catalog.in_service - previous.in_service)
+        removed = sorted(previous.in_service - catalog.in_service)
         cold = [
             name
             for name, target in catalog.targets.items()
-            if target.cold_ms and before.targets.get(name) != target
+            if target.cold_ms and previous.targets.get(name) != target
         ]
-        expired = sorted(t.name for t in held)
-        if came or gone or cold or expired != self._expired:
-            self._events.targets(came, gone, cold, expired, catalog.revision)
-        self._expired = expired
+        expired = sorted(t.name for t in retained)
+        if added or removed or cold or expired != self._logged_expired:
+            self._events.targets(added, removed, cold, expired, catalog.revision)
+        self._logged_expired = expired
--- a/leverdoor/entry/configuration/confirmation.py
+++ b/leverdoor/entry/configuration/confirmation.py
@@ -1,16 +1,17 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How old the newest answer of the store is that the configuration in force rests on.
-
-A change that the store confirmed before that answer is in force here; a later one may
-be missing. The answer may have come to any entry: each tells at which revision it is
-and on which answer that rests, and who holds that revision knows as much. All decisions
-that depend on being up to date read this one value.
-
-Owns the answers known, and those to revisions that are not held here yet; lost with the
-process. Ages are told, since clocks differ; each message makes them too small by its
-way. Answers have numbers, so that one that is told in a circle does not grow younger
-with each turn.
+"""Tracks the age of the newest store answer that confirms the configuration in force.
+
+Every change that the store committed before that answer is in force here; later changes
+may be missing. Any entry may have received the answer. Each entry reports its revision
+and the newest answer that confirms it, and the answer also confirms the configuration
+of every entry that has this revision. All decisions that require an up-to-date
+configuration use this age.
+
+Owns the known answers, and answers for revisions that are not in force here yet; both
+are lost with the process. Messages carry ages, because clocks differ. A received age is
+too low by the latency of the message. Each answer has a number, so that an answer that
+is reported in a cycle does not become younger with each message.
 """
 
 from math import inf
@@ -20,115 +21,125 @@
 __all__ = ["NO_ANSWER", "NUMBER_BITS", "Confirmation", "ReportedAnswer"]
 
 NEVER_MS = -1
-"""The age that is told where the store never answered."""
+"""The age that is reported if the store never answered."""
 NUMBER_BITS = 32
-"""Bits of an answer's number that count the answers to one entry."""
-MOST_KNOWN = 32
-"""Answers kept, the newest ones: more than are told within `STALE_S`."""
-MOST_AHEAD = 16
-"""Newer revisions of which it is kept when the store confirmed them.
-
-More than come between two fetches; with fewer, an entry in step counts as outdated
-while revisions follow each other faster than fetches.
+"""Low bits of an answer's number, which count the answers to one entry."""
+MAX_KNOWN_ANSWERS = 32
+"""Maximum number of recorded answers; the oldest are dropped.
+
+More than the number of answers reported within `STALE_S`.
+"""
+MAX_PENDING_REVISIONS = 16
+"""Maximum number of newer revisions with recorded answers; the lowest are dropped.
+
+More than the number of revisions between two fetches. With fewer, an entry that keeps
+up counts as outdated while revisions arrive faster than fetches.
 """
 
 
 class ReportedAnswer(msgspec.Struct, frozen=True):
-    """An answer of the store as one entry tells others of it."""
+    """An answer of the store as reported by one entry to others."""
 
     revision: int
-    """Which that entry has in force, and which rests on the answer."""
+    """Revision in force at the reporting entry, which the answer confirms."""
     number: int
-    """Of the answer; no other has it."""
+    """Unique number of the answer."""
     age_ms: int
-    """-1 where the store never answered."""
+    """Age of the answer in ms; -1 if the store never answered."""
 
 
 NO_ANSWER = ReportedAnswer(0, 0, NEVER_MS)
-"""What is told before the store answered anyone."""
+"""Reported before the store has answered any entry."""
 
 
 class Confirmation:
-    """When the store last confirmed the configuration in force, here or elsewhere."""
+    """Tracks when the store last confirmed the revision in force to any entry."""
 
-    def __init__(self, origin: int = 0, first: int = 0) -> None:
-        """Create it for a store that never answered.
+    def __init__(self, entry_id: int = 0, first_number: int = 0) -> None:
+        """Create it without any known answer.
 
         Args:
-          origin: 32 bits that identify this entry.
-          first: number of the first answer here, 32 bits; another one in each process,
-            so that an answer to the one before does not pass for it.
+          entry_id: 32-bit identifier of this entry.
+          first_number: 32-bit number from which the answers to this process are
+            counted. It differs in each process, so that an answer to an earlier process
+            is not mistaken for one to this process.
         """
-        self._next = (origin << NUMBER_BITS) + first
-        self._known: dict[int, float] = {}
-        """By number, the loop time of the answer."""
-        self._ahead: dict[int, tuple[int, float]] = {}
-        """By revision that is not held here, number and time of its answer."""
+        self._last_number = (entry_id << NUMBER_BITS) + first_number
+        self._answer_times: dict[int, float] = {}
+        """Loop time of each known answer, by its number."""
+        self._pending: dict[int, tuple[int, float]] = {}
+        """Number and loop time of the newest answer, by revision not in force here."""
 
-    def answered(self, now: float) -> None:
-        """Record that the store answered here, and all of it is in force.
+    def record_answer(self, now: float) -> None:
+        """Record that the store answered this entry, with all changes in force here.
 
         Args:
           now: loop time in seconds.
         """
-        self._next += 1
-        self._take(self._next, now)
+        self._last_number += 1
+        self._record(self._last_number, now)
 
-    def _take(self, number: int, at: float) -> None:
-        self._known[number] = min(at, self._known.get(number, at))
-        if len(self._known) > MOST_KNOWN:
-            del self._known[min(self._known, key=lambda n: self._known[n])]
+    def _record(self, number: int, at: float) -> None:
+        self._answer_times[number] = min(at, self._answer_times.get(number, at))
+        if len(self._answer_times) > MAX_KNOWN_ANSWERS:
+            del self._answer_times[
+                min(self._answer_times, key=lambda n: self._answer_times[n])
+            ]
 
-    def record_peer_answer(self, told: ReportedAnswer, held: int, now: float) -> None:
-        """Take what another entry's revision rests on.
+    def record_peer_answer(
+        self, answer: ReportedAnswer, revision_in_force: int, now: float
+    ) -> None:
+        """Record the answer that confirms the revision of another entry.
 
         Args:
-          told: the answer.
-          held: the revision in force here.
+          answer: the answer reported by that entry.
+          revision_in_force: the revision in force here.
           now: loop time in seconds.
         """
-        if told.age_ms == NEVER_MS:
+        if answer.age_ms == NEVER_MS:
             return
-        at = now - told.age_ms / 1000
-        if told.revision <= held:
-            self._take(told.number, at)
+        at = now - answer.age_ms / 1000
+        if answer.revision <= revision_in_force:
+            self._record(answer.number, at)
             return
-        before = self._ahead.get(told.revision)
-        if before is None or at > before[1]:
-            self._ahead[told.revision] = (told.number, at)
-        if len(self._ahead) > MOST_AHEAD:
-            del self._ahead[min(self._ahead)]
-
-    def advanced(self, held: int) -> None:
-        """Record that a newer revision is in force here."""
-        for revision in [r for r in self._ahead if r <= held]:
-            self._take(*self._ahead.pop(revision))
-
-    def newest_answer(self, held: int, now: float) -> ReportedAnswer:
-        """Return what other entries are to know of the revision in force here."""
-        if not self._known:
+        known = self._pending.get(answer.revision)
+        if known is None or at > known[1]:
+            self._pending[answer.revision] = (answer.number, at)
+        if len(self._pending) > MAX_PENDING_REVISIONS:
+            del self._pending[min(self._pending)]
+
+    def record_revision(self, revision_in_force: int) -> None:
+        """Record that a newer revision is in force here, with its known answers."""
+        for revision in [r for r in self._pending if r <= revision_in_force]:
+            self._record(*self._pending.pop(revision))
+
+    def newest_answer(self, revision_in_force: int, now: float) -> ReportedAnswer:
+        """Return the newest answer that confirms the revision in force here."""
+        if not self._answer_times:
             return NO_ANSWER
-        number = max(self._known, key=lambda n: self._known[n])
-        return ReportedAnswer(held, number, round((now - self._known[number]) * 1000))
+        number = max(self._answer_times, key=lambda n: self._answer_times[n])
+        return ReportedAnswer(
+            revision_in_force, number, round((now - self._answer_times[number]) * 1000)
+        )
 
-    def has_newer_answer(self, longest_s: float, now: float) -> bool:
-        """Return whether an answer is known that a revision not held here rests on.
+    def has_newer_answer(self, max_age_s: float, now: float) -> bool:
+        """Return whether a known answer confirms a revision not in force here yet.
 
         Args:
-          longest_s: older answers don't count.
+          max_age_s: maximum age of the answer in seconds.
           now: loop time in seconds.
         """
-        return any(now - at <= longest_s for _, at in self._ahead.values())
+        return any(now - at <= max_age_s for _, at in self._pending.values())
 
     def age_s(self, now: float) -> float:
-        """Return the age of the newest answer in seconds; infinite if there is none."""
-        return now - max(self._known.values(), default=-inf)
+        """Return the age of the newest answer in seconds; infinite if none is known."""
+        return now - max(self._answer_times.values(), default=-inf)
 
-    def holds(self, longest_s: float, now: float) -> bool:
-        """Return whether workspace keys can be known to hold.
+    def holds(self, max_age_s: float, now: float) -> bool:
+        """Return whether the configuration is recent enough to verify workspace keys.
 
         Args:
-          longest_s: age of the newest answer from which on they can't; 0 for never.
+          max_age_s: maximum age of the newest answer in seconds; 0 for no maximum.
           now: loop time in seconds.
         """
-        return not longest_s or self.age_s(now) <= longest_s
+        return not max_age_s or self.age_s(now) <= max_age_s
--- a/leverdoor/entry/configuration/expired_registrations.py
+++ b/leverdoor/entry/configuration/expired_registrations.py
@@ -1,13 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Targets whose registrations expired in an outage of the store and are soon back.
+"""Retains targets whose registrations expired during an outage of the store.
 
-A target that can't renew its registration during an outage loses it, and registers
-again soon after the store is back. Taking all of them out of service in between would
-refuse requests that they could have run.
+A target that cannot renew its registration during an outage loses it, and registers
+again soon after the store recovers. If all such targets were taken out of service in
+between, requests that they could run would be refused.
 
-Owns the targets that are used without a registration; lost with the process, which then
-waits for them to register again.
+Owns the targets that are used without a registration. They are lost with the process;
+the next process uses them only after they have registered again.
 """
 
 from collections.abc import Mapping
@@ -18,69 +18,74 @@
 
 __all__ = ["ExpiredRegistrations"]
 
-MOST_HOLD_S = 2.0
-"""How long a target is used without its registration, in seconds.
+MAX_RETENTION_S = 2.0
+"""Maximum time for which a target is used without a registration, in seconds.
 
-Targets that run have registered again by then. Greater, requests go to targets that are
-gone; smaller, running ones are taken out of service.
+Running targets have registered again within this time. With a longer time, requests go
+to targets that are gone; with a shorter one, running targets are taken out of service.
 """
-HOLD_MARGIN_S = 0.6
-"""Taken off the bound on leaving targets, in seconds.
+RETENTION_MARGIN_S = 0.6
+"""Margin subtracted from the time bound for leaving targets, in seconds.
 
-Time for the news of a leaving target to arrive here. Greater, targets are held for
-less; smaller, a target that left during the outage gets requests beyond the bound.
+It is the time until the change of a leaving target arrives here. With a greater margin,
+targets are retained for less time; with a smaller one, a target that left during the
+outage receives requests after the bound.
 """
 
 
-class _Held(msgspec.Struct, frozen=True):
-    """A target used without its registration."""
+class _RetainedTarget(msgspec.Struct, frozen=True):
+    """A target that is used without a registration."""
 
     target: Target
-    until: float
-    """Loop time at which it is taken for gone, in seconds."""
+    expires_at: float
+    """Loop time in seconds at which the target is removed."""
 
 
 class ExpiredRegistrations:
-    """Holds targets without a registration until they are back or taken for gone."""
+    """Retains targets without a registration until they register again or expire."""
 
     def __init__(self, leave_s: float) -> None:
-        """Create it without any target.
+        """Create it without any targets.
 
         Args:
-          leave_s: within which time a leaving target must get no new requests.
+          leave_s: time within which requests to a leaving target must stop, in seconds.
         """
-        self._hold_s = max(min(MOST_HOLD_S, leave_s - HOLD_MARGIN_S), 0.0)
-        self._before: Mapping[str, Target] = {}
-        self._held: dict[str, _Held] = {}
+        self._retention_s = max(min(MAX_RETENTION_S, leave_s - RETENTION_MARGIN_S), 0.0)
+        self._last_registered: Mapping[str, Target] = {}
+        self._retained: dict[str, _RetainedTarget] = {}
 
     def update(
         self, targets: Mapping[str, Target], outage: bool, now: float
     ) -> list[Target]:
-        """Take the targets that the store holds now.
+        """Update the registered targets and return the retained ones.
 
         Args:
-          targets: by name, those that are registered.
-          outage: whether the store was away lately.
+          targets: the registered targets by name.
+          outage: whether the store was recently unavailable.
           now: loop time in seconds.
-        Returns: the targets that are used although they are not registered. None of
-          them said that it leaves, or has an address that is another target's now.
+        Returns: the targets that are used without a registration. They exclude targets
+          that announced to leave or whose address now belongs to another target.
         """
         if outage:
-            for name, target in self._before.items():
+            for name, target in self._last_registered.items():
                 if name not in targets and not target.draining:
-                    self._held.setdefault(name, _Held(target, now + self._hold_s))
-        self._before = targets
+                    self._retained.setdefault(
+                        name, _RetainedTarget(target, now + self._retention_s)
+                    )
+        self._last_registered = targets
         addresses = {t.address for t in targets.values()}
-        self._held = {
-            name: held
-            for name, held in self._held.items()
+        self._retained = {
+            name: retained
+            for name, retained in self._retained.items()
             if name not in targets
-            and held.until > now
-            and held.target.address not in addresses
+            and retained.expires_at > now
+            and retained.target.address not in addresses
         }
-        return [held.target for held in self._held.values()]
+        return [retained.target for retained in self._retained.values()]
 
     @property
-    def next_end(self) -> float | None:
-        """Loop time at which the next held target is taken for gone, or None."""
-        return min((held.until for held in self._held.values()), default=None)
+    def next_expiry(self) -> float | None:
+        """Loop time in seconds at which the next retained target expires, or None."""
+        return min(
+            (retained.expires_at for retained in self._retained.values()), default=None
+        )
--- a/leverdoor/entry/configuration/last_occurrence.py
+++ b/leverdoor/entry/configuration/last_occurrence.py
@@ -1,39 +1,39 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""When something last happened, as far as this entry and those that report to it know.
+"""Tracks when an event last occurred here or at any entry that reports to this one.
 
-Entries report ages rather than times, since their clocks differ. Owns one time; lost
-with the process and known again from the next report.
+Entries report ages instead of times, because their clocks differ. Owns one time, which
+is lost with the process and restored by the next report of another entry.
 """
 
-__all__ = ["LastTime"]
+__all__ = ["LastOccurrence"]
 
 NEVER_MS = -1
-"""The age that is reported for what never happened, as far as is known."""
+"""The age that is reported if no occurrence is known."""
 
 
-class LastTime:
-    """The newest time at which something happened here or at any other entry."""
+class LastOccurrence:
+    """The latest known time of an event, here or at any other entry."""
 
     def __init__(self) -> None:
-        """Create it for what never happened."""
+        """Create it without any known occurrence."""
         self._at: float | None = None
 
     def record(self, at: float) -> None:
-        """Record that it happened at a loop time in seconds; an earlier time is old."""
+        """Record an occurrence at a loop time in seconds, if it is the latest."""
         if self._at is None or at > self._at:
             self._at = at
 
     def record_peer_report(self, age_ms: int, now: float) -> None:
-        """Take the age in ms that another entry knows of; -1 for never."""
+        """Record the age in ms that another entry reports; -1 if it knows none."""
         if age_ms == NEVER_MS:
             return
         self.record(now - age_ms / 1000)
 
-    def within(self, longest_s: float, now: float) -> bool:
-        """Return whether it happened no longer ago than some seconds."""
-        return self._at is not None and now - self._at <= longest_s
+    def within(self, max_age_s: float, now: float) -> bool:
+        """Return whether the last occurrence is at most `max_age_s` seconds old."""
+        return self._at is not None and now - self._at <= max_age_s
 
     def age_ms(self, now: float) -> int:
-        """Return how long ago it happened, in ms; -1 if it never did."""
+        """Return the age of the last occurrence in ms; -1 if none is known."""
         return NEVER_MS if self._at is None else round((now - self._at) * 1000)
--- a/leverdoor/entry/configuration/left_out.py
+++ b/leverdoor/entry/configuration/left_out.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Registrations that name no target to use: one log line each, and how many there are.
+"""Logs and counts registrations that are left out because they name no usable target.
 
-Owns which ones were logged, and the lines of the last minute; lost with the process.
-Relies on the wire for what is left out, and on the caller for the time.
+Owns the set of logged registrations and the number of lines in the current minute; both
+are lost with the process. Relies on the wire to determine the registrations left out,
+and on the caller for the time.
 """
 
 from collections import Counter
@@ -16,52 +17,58 @@
 __all__ = ["LeftOutReporter"]
 
 MAX_LINES_PER_MINUTE = 20
-"""Lines in a minute; a writer that changes bad values all the time fills no log."""
-MINUTE_S = 60.0
+"""Maximum number of log lines per minute.
+
+It keeps a writer that constantly changes invalid values from flooding the log.
+"""
+RATE_WINDOW_S = 60.0
 
 
 class LeftOutReporter:
-    """What operators see of registrations that are left out."""
+    """Reports registrations that are left out, in the log and in metrics."""
 
     def __init__(self, events: Events, metrics: EntryMetrics) -> None:
-        """Create it without any."""
+        """Create the reporter without any registrations left out."""
         self._events = events
         self._metrics = metrics
         self._logged: dict[str, int] = {}
-        """Revision of the value that was logged, by name."""
-        self._lines = 0
-        self._since = 0.0
-        """When the minute of these lines began, monotonic time in seconds."""
+        """Revision of the logged value, by name of the registration."""
+        self._lines_in_window = 0
+        self._window_start = 0.0
+        """Monotonic time in seconds at which the current minute began."""
         self._unlogged = 0
+        """Registrations not logged since the last line, because of the maximum."""
 
     def take(self, left_out: Iterable[LeftOut], now: float) -> None:
-        """Take what is left out at present.
+        """Replace the registrations that are left out, and log the changed ones.
 
         Args:
-          left_out: all of it; a value that is still there is not logged again.
+          left_out: all registrations that are currently left out.
           now: monotonic time in seconds.
         """
-        present = {one.name: one for one in left_out}
-        new = [
-            one
-            for name, one in present.items()
-            if self._logged.get(name) != one.revision
+        present = {registration.name: registration for registration in left_out}
+        changed = [
+            registration
+            for name, registration in present.items()
+            if self._logged.get(name) != registration.revision
         ]
-        self._logged = {name: one.revision for name, one in present.items()}
-        for one in new:
-            self._log(one, now)
-        causes = Counter(one.cause for one in present.values())
+        self._logged = {
+            name: registration.revision for name, registration in present.items()
+        }
+        for registration in changed:
+            self._log(registration, now)
+        causes = Counter(registration.cause for registration in present.values())
         self._metrics.show_left_out(causes)
 
-    def _log(self, one: LeftOut, now: float) -> None:
-        if now - self._since >= MINUTE_S:
-            self._since = now
-            self._lines = 0
-        if self._lines >= MAX_LINES_PER_MINUTE:
+    def _log(self, registration: LeftOut, now: float) -> None:
+        if now - self._window_start >= RATE_WINDOW_S:
+            self._window_start = now
+            self._lines_in_window = 0
+        if self._lines_in_window >= MAX_LINES_PER_MINUTE:
             self._unlogged += 1
             return
-        self._lines += 1
+        self._lines_in_window += 1
         self._events.registration_left_out(
-            one.name, one.cause, one.detail, self._unlogged
+            registration.name, registration.cause, registration.detail, self._unlogged
         )
         self._unlogged = 0
--- a/leverdoor/entry/configuration/outage.py
+++ b/leverdoor/entry/configuration/outage.py
@@ -1,47 +1,48 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""When the store was last away, here or at another entry that reports to this one.
+"""Tracks when the store was last unavailable to this entry or to one that reports here.
 
-Owns that time; lost with the process and known again from the next heartbeat.
+Owns that time, which is lost with the process and restored by the next heartbeat of
+another entry.
 """
 
-from leverdoor.entry.configuration.last_time import NEVER_MS, LastTime
+from leverdoor.entry.configuration.last_occurrence import NEVER_MS, LastOccurrence
 
-__all__ = ["RECENT_S", "Outage"]
+__all__ = ["EXPIRY_WINDOW_S", "Outage"]
 
-RECENT_S = 6.0
-"""How long after an outage a missing registration may still be due to it, in seconds.
+EXPIRY_WINDOW_S = 6.0
+"""Time after an outage within which it may cause a registration to expire, in seconds.
 
-A lease that was not kept during the outage may end that long after it. Greater, targets
-that died are used for longer; smaller, targets that only lost their registration are
-taken out of service.
+A lease that was not renewed during the outage may expire up to this time after it. With
+a longer time, dead targets are used for longer; with a shorter one, targets that only
+lost their registration are taken out of service.
 """
 
 
 class Outage:
-    """When the store was last known to be away."""
+    """The last known outage of the store."""
 
     def __init__(self) -> None:
-        """Create it without any outage known."""
-        self._lost_here = False
-        self._last = LastTime()
+        """Create it without any known outage."""
+        self._is_unreachable = False
+        self._last_outage = LastOccurrence()
 
     def record_reachability(self, reachable: bool, now: float) -> None:
-        """Record that the store was lost here, or answers here again."""
-        if self._lost_here or not reachable:
-            self._last.record(now)
-        self._lost_here = not reachable
+        """Record whether this entry can reach the store now."""
+        if self._is_unreachable or not reachable:
+            self._last_outage.record(now)
+        self._is_unreachable = not reachable
 
     def record_peer_report(self, age_ms: int, now: float) -> None:
-        """Take the age in ms of the newest outage that another entry knows of."""
-        self._last.record_peer_report(age_ms, now)
+        """Record the age in ms of the last outage that another entry reports."""
+        self._last_outage.record_peer_report(age_ms, now)
 
     def age_ms(self, now: float) -> int:
-        """Return how long ago the store was away, in ms; -1 if not lately."""
-        if self._lost_here:
+        """Return the age of the last outage in ms; -1 if there was none recently."""
+        if self._is_unreachable:
             return 0
-        return self._last.age_ms(now) if self.recent(now) else NEVER_MS
+        return self._last_outage.age_ms(now) if self.is_recent(now) else NEVER_MS
 
-    def recent(self, now: float) -> bool:
-        """Return whether a registration that is missing now may have expired."""
-        return self._lost_here or self._last.within(RECENT_S, now)
+    def is_recent(self, now: float) -> bool:
+        """Return whether an outage may have caused a registration to expire now."""
+        return self._is_unreachable or self._last_outage.within(EXPIRY_WINDOW_S, now)
--- a/tests/test_entry_confirmation.py
+++ b/tests/test_entry_confirmation.py
@@ -27,7 +27,7 @@
     c.record_peer_answer(ReportedAnswer(7, 2, 4_000), 7, 10.5)
     c.record_peer_answer(NO_ANSWER, 7, 10.5)
     assert c.newest_answer(7, 10.5) == ReportedAnswer(7, 1, 2_500)
-    c.answered(11.0)
+    c.record_answer(11.0)
     assert c.newest_answer(7, 11.2).age_ms == 200
 
 
@@ -40,9 +40,9 @@
     c.record_peer_answer(ReportedAnswer(8, 1, 500), 7, 10.0)
     assert not c.holds(5.0, 10.0)
     c.record_peer_answer(ReportedAnswer(9, 2, 100), 7, 10.2)
-    c.advanced(8)
+    c.record_revision(8)
     assert c.newest_answer(8, 10.2) == ReportedAnswer(8, 1, 700)
-    c.advanced(9)
+    c.record_revision(9)
     assert c.newest_answer(9, 10.2) == ReportedAnswer(9, 2, 100)
 
 
@@ -55,7 +55,7 @@
     """
     way_s = 0.045
     one, other = Confirmation(1), Confirmation(2)
-    one.answered(10.0)
+    one.record_answer(10.0)
     now = 10.0
     for _ in range(20):
         other.record_peer_answer(one.newest_answer(7, now), 7, now + way_s)
@@ -72,7 +72,7 @@
     for i in range(100):
         now = 10.0 + i / 10
         c.record_peer_answer(ReportedAnswer(8 + i, i, 50), 7 + i, now)
-        c.advanced(8 + i)
+        c.record_revision(8 + i)
         assert c.age_s(now) < 0.2
 
 
