--- a/leverdoor/membership/peers.py
+++ b/leverdoor/membership/peers.py
@@ -227,7 +227,7 @@
             self._membership_changed = True
 
     def _update_groups(self) -> None:
-        """Group the peers by region and update the ring after additions or deletions."""
+        """Group the peers by region and update the ring if peers came or went."""
         if not self._membership_changed:
             return
         self._membership_changed = False
--- a/tests/test_entry_catalog.py
+++ b/tests/test_entry_catalog.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which route a request is on."""
+"""Tests of the selection of routes by host and path."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from leverdoor.model.resources import Route, WorkClass
 
 
-def test_the_longest_prefix_wins() -> None:
+def test_the_route_with_the_longest_prefix_is_chosen() -> None:
     routes = [
         Route(name=n, host=h, prefix=p, work=WorkClass.LOOKUP, services={"s": 1.0})
         for n, h, p in (("r1", "h", "/"), ("r2", "h", "/a/"), ("r3", "i", "/a/b/"))
@@ -25,5 +25,5 @@
     ("header", "host"),
     [("H.Example", "h.example"), ("h:80", "h"), (" h ", "h"), ("[::1]:8", "[::1]")],
 )
-def test_hosts(header: str, host: str) -> None:
+def test_the_host_header_is_normalized(header: str, host: str) -> None:
     assert host_without_port(header) == host
--- a/tests/test_entry_joining.py
+++ b/tests/test_entry_joining.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How an entry that starts finds the others and gets the state."""
+"""Tests of how a starting entry discovers its peers and fetches the state."""
 
 import asyncio
 import os
@@ -25,21 +25,21 @@
 PREFIX = "entries/"
 
 
-class Store(LeasingStore):
-    """A store that knows some entries, or is away."""
+class FakeStore(LeasingStore):
+    """A store with some registered entries, or an unavailable one."""
 
-    def __init__(self, entries: list[KeyValue], away: bool = False) -> None:
+    def __init__(self, entries: list[KeyValue], unavailable: bool = False) -> None:
         self.entries = entries
-        self.away = away
+        self.unavailable = unavailable
         self.stale_reads = 0
 
     async def read(self, prefix: str) -> Listing:
-        raise AssertionError("everything was listed")
+        raise AssertionError("the whole store was listed")
 
     async def read_stale(self, prefix: str) -> Listing:
         assert prefix == PREFIX
         self.stale_reads += 1
-        if self.away:
+        if self.unavailable:
             raise StoreUnavailable("away")
         return Listing(1, self.entries)
 
@@ -56,21 +56,21 @@
         return True
 
     async def let_go(self, lease: int) -> None:
-        raise AssertionError("let go")
+        raise AssertionError("the lease was revoked")
 
 
-class Puller(PeerFollower):
-    """Peers of which some have the state."""
+class FakePeerFollower(PeerFollower):
+    """Fetches from peers, of which only some have the state."""
 
-    def __init__(self, state: State, having: set[str]) -> None:
+    def __init__(self, state: State, peers_with_state: set[str]) -> None:
         super().__init__(state)
         self._copy = state
-        self.having = having
-        self.asked: list[list[str]] = []
+        self.peers_with_state = peers_with_state
+        self.requested: list[list[str]] = []
 
     async def pull_any(self, apis: list[str], patience_s: float) -> bool:
-        self.asked.append(apis)
-        if self.having.isdisjoint(apis):
+        self.requested.append(apis)
+        if self.peers_with_state.isdisjoint(apis):
             return False
         return self._copy.apply(Delta(0, 5, True, [Event(5, "k", b"v")]))
 
@@ -82,17 +82,19 @@
     )
 
 
-def written(*members: Member) -> list[KeyValue]:
+def registered(*members: Member) -> list[KeyValue]:
     return [KeyValue(PREFIX + m.name, pack(m), 1, 7) for m in members]
 
 
-class Start:
-    """One entry's start."""
+class StartingEntry:
+    """An entry that joins, with its store and its peers."""
 
-    def __init__(self, own: Member, store: Store, having: set[str]) -> None:
+    def __init__(
+        self, own: Member, store: FakeStore, peers_with_state: set[str]
+    ) -> None:
         self.membership = Membership(own)
         self.state = State()
-        self.puller = Puller(self.state, having)
+        self.puller = FakePeerFollower(self.state, peers_with_state)
         events = Events(LineWriter(os.open(os.devnull, os.O_WRONLY)), own.name)
         self.joining = JoinProcedure(
             store,
@@ -106,62 +108,68 @@
         )
 
 
-async def test_the_state_comes_from_a_peer_of_the_own_domain() -> None:
+async def test_the_state_is_fetched_from_a_peer_of_the_own_domain() -> None:
     others = [member(f"a1-{i}", 200) for i in range(4)] + [member("a2-0", 200)]
-    store = Store(written(*others))
-    start = Start(member("a1-9"), store, {f"p/a1-{i}" for i in range(4)})
-    found = await start.joining.discover_peers()
+    store = FakeStore(registered(*others))
+    starting = StartingEntry(member("a1-9"), store, {f"p/a1-{i}" for i in range(4)})
+    found = await starting.joining.discover_peers()
     assert found.keys() == {PREFIX + m.name for m in others}
-    await start.joining.fetch_state(followers=2)
-    assert start.state.revision == 5
-    assert all(api.startswith("p/a1-") for apis in start.puller.asked for api in apis)
+    await starting.joining.fetch_state(followers=2)
+    assert starting.state.revision == 5
+    assert all(
+        api.startswith("p/a1-") for apis in starting.puller.requested for api in apis
+    )
     loop = asyncio.get_running_loop()
-    assert start.joining.may_follow_from > loop.time(), "others follow the store"
-    assert start.joining.may_follow_from <= loop.time() + FOLLOW_DELAY_S
+    assert starting.joining.may_follow_from > loop.time(), (
+        "it must not follow the store yet"
+    )
+    assert starting.joining.may_follow_from <= loop.time() + FOLLOW_DELAY_S
 
 
-async def test_an_entry_with_a_wide_link_lists_at_once() -> None:
-    store = Store(written(*[member(f"a1-{i}") for i in range(4)]))
-    start = Start(member("a1-9", 200), store, set())
-    await start.joining.discover_peers()
-    await start.joining.fetch_state(followers=2)
-    assert start.puller.asked == []
-    assert start.joining.may_follow_from == 0.0, "it may follow the store at once"
+async def test_an_entry_with_a_wide_link_lists_the_store_immediately() -> None:
+    store = FakeStore(registered(*[member(f"a1-{i}") for i in range(4)]))
+    starting = StartingEntry(member("a1-9", 200), store, set())
+    await starting.joining.discover_peers()
+    await starting.joining.fetch_state(followers=2)
+    assert starting.puller.requested == []
+    assert starting.joining.may_follow_from == 0.0, (
+        "it may follow the store immediately"
+    )
 
 
-async def test_others_wait_for_news_of_those_that_list() -> None:
+async def test_entries_with_narrow_links_wait_for_the_state_of_a_peer() -> None:
     others = [member(f"a1-{i}", 200) for i in range(4)]
-    start = Start(member("a1-9"), Store(written(*others)), set())
-    await start.joining.discover_peers()
+    starting = StartingEntry(member("a1-9"), FakeStore(registered(*others)), set())
+    await starting.joining.discover_peers()
     loop = asyncio.get_running_loop()
     loop.call_later(
-        0.01, lambda: start.state.apply(Delta(0, 3, True, [Event(3, "k", b"v")]))
+        0.01, lambda: starting.state.apply(Delta(0, 3, True, [Event(3, "k", b"v")]))
     )
-    await start.joining.fetch_state(followers=2)
-    assert start.state.revision == 3
-    assert start.joining.may_follow_from > 0.0
+    await starting.joining.fetch_state(followers=2)
+    assert starting.state.revision == 3
+    assert starting.joining.may_follow_from > 0.0
 
 
-async def test_who_finds_nobody_with_the_state_lists_in_the_end() -> None:
+async def test_an_entry_that_finds_no_peer_with_the_state_lists_the_store() -> None:
     others = [member(f"a1-{i}", 200) for i in range(4)]
-    start = Start(member("a1-9"), Store(written(*others)), set())
-    await start.joining.discover_peers()
-    await start.joining.fetch_state(followers=2)
-    assert start.state.revision == 0
-    assert start.joining.may_follow_from == 0.0
+    starting = StartingEntry(member("a1-9"), FakeStore(registered(*others)), set())
+    await starting.joining.discover_peers()
+    await starting.joining.fetch_state(followers=2)
+    assert starting.state.revision == 0
+    assert starting.joining.may_follow_from == 0.0
 
 
-async def test_a_store_that_is_away_does_not_hold_up_the_start() -> None:
-    start = Start(member("a1-9"), Store([], away=True), set())
-    assert await start.joining.discover_peers() == {}
-    assert 0.0 <= start.joining._list_delay_s(2) <= MAX_LONE_DELAY_S
+async def test_an_unavailable_store_does_not_block_the_start() -> None:
+    starting = StartingEntry(member("a1-9"), FakeStore([], unavailable=True), set())
+    assert await starting.joining.discover_peers() == {}
+    assert 0.0 <= starting.joining._list_delay_s(2) <= MAX_LONE_DELAY_S
 
 
-def test_waits_follow_the_rank_and_are_bounded() -> None:
-    start = Start(member("a1-9", 1), Store([]), set())
+def test_list_delays_increase_with_the_rank_and_are_bounded() -> None:
+    starting = StartingEntry(member("a1-9", 1), FakeStore([]), set())
     for i in range(3):
-        start.membership.update_member(member(f"a1-{i}", 200), 0.0)
-    assert 0.0 < start.joining._list_delay_s(2) < 0.2
+        starting.membership.update_member(member(f"a1-{i}", 200), 0.0)
+    assert 0.0 < starting.joining._list_delay_s(2) < 0.2
     for i in range(60):
-        start.membership.update_member(member(f"a2-{i}", 200), 0.0)
-    assert start.joining._list_delay_s(2) < 1.0
+        starting.membership.update_member(member(f"a2-{i}", 200), 0.0)
+    assert starting.joining._list_delay_s(2) < 1.0
--- a/tests/test_entry_membership.py
+++ b/tests/test_entry_membership.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which entries are known, named to clients, and followers of the store."""
+"""Tests of the membership of entries, their selection for look-ups and their roles."""
 
 from random import Random
 
@@ -33,233 +33,244 @@
 )
 
 
-class Peers(Membership):
-    """The entries that one knows, their roles, and which of them it names."""
+class EntryView(Membership):
+    """Membership of one entry with its roles and its selector for look-ups."""
 
     def __init__(self, own: Member, rng: Random) -> None:
         super().__init__(own)
         self.roles = Roles(self, rng)
         self.selector = EntrySelector(self)
 
-    def everyone(self) -> list[str]:
-        """Return the heartbeat addresses of all entries."""
-        return [r.member.gossip for r in self.records(self.all_domains())]
+    def gossip_addresses(self) -> list[str]:
+        """Return the gossip addresses of all known entries."""
+        return [record.member.gossip for record in self.records(self.all_domains())]
 
 
 def member(name: str, incarnation: int = 1) -> Member:
-    """`a1-0` is an entry of domain a1 in region a."""
+    """Return an entry; `a1-0` is in failure domain a1 of region a."""
     domain = name.split("-")[0]
     return Member(
         name, domain[0], domain, f"f/{name}", f"g/{name}", f"p/{name}", incarnation
     )
 
 
-def receive(
-    r: Peers,
+def deliver_heartbeat(
+    view: EntryView,
     name: str,
     now: float,
     state: int = SERVING,
     incarnation: int = 1,
     link_mbps: int = 0,
 ) -> bool:
-    """Let a heartbeat of an entry arrive."""
-    described = msgspec.structs.replace(member(name, incarnation), link_mbps=link_mbps)
-    r.update_member(described, now)
-    return r.record_heartbeat(
+    """Deliver a heartbeat of an entry; return whether it was newer."""
+    described_member = msgspec.structs.replace(
+        member(name, incarnation), link_mbps=link_mbps
+    )
+    view.update_member(described_member, now)
+    return view.record_heartbeat(
         LastSeen(MemberRow(member_id(name), incarnation, state), now), now
     )
 
 
-def membership(own: str = "a1-0") -> Peers:
-    return Peers(member(own), Random(own))
+def entry_view(own: str = "a1-0") -> EntryView:
+    return EntryView(member(own), Random(own))
+
 
+def test_registered_entries_are_selected_after_their_first_heartbeat() -> None:
+    view = entry_view()
+    view.add_registered({"x": pack(member("a1-1")), "bad": b"\xff"}, 0.0)
+    assert view.gossip_addresses() == ["g/a1-1"]
+    assert view.selector.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
+    deliver_heartbeat(view, "a1-1", 0.1)
+    assert view.selector.addresses("a", "a1", SERVING, 0.2) == ["f/a1-0", "f/a1-1"]
 
-def test_entries_are_found_in_the_store_and_named_once_heard() -> None:
-    r = membership()
-    r.add_registered({"x": pack(member("a1-1")), "bad": b"\xff"}, 0.0)
-    assert r.everyone() == ["g/a1-1"]
-    assert r.selector.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
-    receive(r, "a1-1", 0.1)
-    assert r.selector.addresses("a", "a1", SERVING, 0.2) == ["f/a1-0", "f/a1-1"]
 
+def test_silent_entries_are_not_selected() -> None:
+    view = entry_view()
+    deliver_heartbeat(view, "a1-1", 0.0)
+    after_silence = SILENCE_S + 0.1
+    assert view.selector.addresses("a", "a1", SERVING, after_silence) == ["f/a1-0"]
 
-def test_a_silent_entry_is_not_named() -> None:
-    r = membership()
-    receive(r, "a1-1", 0.0)
-    late = SILENCE_S + 0.1
-    assert r.selector.addresses("a", "a1", SERVING, late) == ["f/a1-0"]
 
+def test_leaving_and_starting_entries_are_not_selected() -> None:
+    view = entry_view()
+    deliver_heartbeat(view, "a1-1", 0.0, LEAVING)
+    deliver_heartbeat(view, "a1-2", 0.0, STARTING)
+    assert view.selector.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
+    assert view.selector.addresses("a", "a1", LEAVING, 0.0) == ["f/a1-0"]
+    deliver_heartbeat(view, "a1-3", 0.0)
+    assert view.selector.addresses("a", "a1", LEAVING, 0.0) == ["f/a1-3"]
 
-def test_a_leaving_or_starting_entry_is_not_named() -> None:
-    r = membership()
-    receive(r, "a1-1", 0.0, LEAVING)
-    receive(r, "a1-2", 0.0, STARTING)
-    assert r.selector.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
-    assert r.selector.addresses("a", "a1", LEAVING, 0.0) == ["f/a1-0"]
-    receive(r, "a1-3", 0.0)
-    assert r.selector.addresses("a", "a1", LEAVING, 0.0) == ["f/a1-3"]
 
+def test_heartbeats_of_an_old_incarnation_are_ignored() -> None:
+    view = entry_view()
+    deliver_heartbeat(view, "a1-1", 0.0, incarnation=2)
+    assert not deliver_heartbeat(view, "a1-1", 0.1, LEAVING, incarnation=1)
+    assert view.selector.addresses("a", "a1", SERVING, 0.1) == ["f/a1-0", "f/a1-1"]
 
-def test_an_old_life_says_nothing_about_a_new_one() -> None:
-    r = membership()
-    receive(r, "a1-1", 0.0, incarnation=2)
-    assert not receive(r, "a1-1", 0.1, LEAVING, incarnation=1)
-    assert r.selector.addresses("a", "a1", SERVING, 0.1) == ["f/a1-0", "f/a1-1"]
 
+def test_an_entry_is_selected_again_after_its_clock_was_set_back() -> None:
+    """The incarnation after a restart is lower if the clock was set back.
 
-def test_an_entry_whose_clock_was_set_back_is_heard_again() -> None:
-    """Its new life has the lower incarnation; the old one speaks no more."""
-    r = membership()
-    receive(r, "a1-1", 0.0, incarnation=9)
-    assert not receive(r, "a1-1", 0.2, incarnation=3)
-    receive(r, "a1-1", SUPERSEDE_SILENCE_S + 0.1, incarnation=3)
+    It is accepted once the earlier incarnation has been silent.
+    """
+    view = entry_view()
+    deliver_heartbeat(view, "a1-1", 0.0, incarnation=9)
+    assert not deliver_heartbeat(view, "a1-1", 0.2, incarnation=3)
+    deliver_heartbeat(view, "a1-1", SUPERSEDE_SILENCE_S + 0.1, incarnation=3)
     now = SUPERSEDE_SILENCE_S + 0.2
-    assert r.selector.addresses("a", "a1", SERVING, now) == ["f/a1-0", "f/a1-1"]
-    r.add_registered({"x": pack(member("a1-1", 9))}, now)
-    assert r.selector.addresses("a", "a1", SERVING, now + 0.2) == ["f/a1-0", "f/a1-1"]
+    assert view.selector.addresses("a", "a1", SERVING, now) == ["f/a1-0", "f/a1-1"]
+    view.add_registered({"x": pack(member("a1-1", 9))}, now)
+    assert view.selector.addresses("a", "a1", SERVING, now + 0.2) == [
+        "f/a1-0",
+        "f/a1-1",
+    ]
 
 
-def test_a_domain_with_one_entry_is_helped_by_its_region() -> None:
-    r = membership()
+def test_a_domain_with_one_entry_falls_back_to_its_region() -> None:
+    view = entry_view()
     for name in ("a2-0", "a2-1", "b1-0"):
-        receive(r, name, 0.0)
-    assert r.selector.addresses("a", "a1", SERVING, 0.0) == [
+        deliver_heartbeat(view, name, 0.0)
+    assert view.selector.addresses("a", "a1", SERVING, 0.0) == [
         "f/a1-0",
         "f/a2-0",
         "f/a2-1",
     ]
-    assert r.selector.addresses("a", "a2", SERVING, 0.0) == ["f/a2-0", "f/a2-1"]
+    assert view.selector.addresses("a", "a2", SERVING, 0.0) == ["f/a2-0", "f/a2-1"]
 
 
-def test_another_region_is_named_only_when_the_clients_has_none() -> None:
-    r = membership()
-    receive(r, "b1-0", 0.0)
-    assert r.selector.addresses("b", "b1", SERVING, 0.0) == ["f/b1-0"]
-    assert r.selector.addresses("b", "b1", SERVING, 9.0) == ["f/a1-0"]
+def test_other_regions_are_selected_only_if_the_callers_has_no_live_entry() -> None:
+    view = entry_view()
+    deliver_heartbeat(view, "b1-0", 0.0)
+    assert view.selector.addresses("b", "b1", SERVING, 0.0) == ["f/b1-0"]
+    assert view.selector.addresses("b", "b1", SERVING, 9.0) == ["f/a1-0"]
 
 
-def test_followers_are_few_and_replaced() -> None:
+def test_two_followers_are_elected_and_replaced_when_silent() -> None:
     names = [f"a1-{i}" for i in range(5)]
-    views = {n: membership(n) for n in names}
-    for r in views.values():
+    views = {n: entry_view(n) for n in names}
+    for view in views.values():
         for n in names:
-            receive(r, n, 0.0)
-    elected = [n for n, r in views.items() if r.roles.follows_store(2, 0.0)]
-    assert len(elected) == 2
-    for n, r in views.items():
+            deliver_heartbeat(view, n, 0.0)
+    followers = [n for n, view in views.items() if view.roles.follows_store(2, 0.0)]
+    assert len(followers) == 2
+    for n, view in views.items():
         for other in names:
-            if other not in elected and other != n:
-                receive(r, other, 5.0)
-    again = [
+            if other not in followers and other != n:
+                deliver_heartbeat(view, other, 5.0)
+    replacements = [
         n
-        for n, r in views.items()
-        if n not in elected and r.roles.follows_store(2, 5.0)
+        for n, view in views.items()
+        if n not in followers and view.roles.follows_store(2, 5.0)
     ]
-    assert len(again) == 2
+    assert len(replacements) == 2
 
 
 def test_a_lone_entry_follows_the_store() -> None:
-    assert membership().roles.follows_store(2, 0.0)
+    assert entry_view().roles.follows_store(2, 0.0)
 
 
-def links(n: int) -> list[Member]:
-    """Entries of one failure domain, three of them with wide links."""
+def members_with_links(n: int) -> list[Member]:
+    """Return entries of one failure domain, the first three with wide links."""
     return [
         msgspec.structs.replace(member(f"a1-{i}"), link_mbps=200 if i < 3 else 20)
         for i in range(n)
     ]
 
 
-def heard_by_all(members: list[Member], now: float) -> list[Peers]:
-    views = [Peers(m, Random(m.name)) for m in members]
-    for r in views:
+def views_of_all(members: list[Member], now: float) -> list[EntryView]:
+    views = [EntryView(m, Random(m.name)) for m in members]
+    for view in views:
         for m in members:
-            receive(r, m.name, now, link_mbps=m.link_mbps)
+            deliver_heartbeat(view, m.name, now, link_mbps=m.link_mbps)
     return views
 
 
 def test_followers_have_the_widest_links() -> None:
-    views = heard_by_all(links(6), 0.0)
-    chosen = [r.own.link_mbps for r in views if r.roles.follows_store(2, 0.0)]
+    views = views_of_all(members_with_links(6), 0.0)
+    chosen = [view.own.link_mbps for view in views if view.roles.follows_store(2, 0.0)]
     assert chosen == [200, 200]
 
 
-def test_all_entries_see_the_same_aggregators_with_the_widest_links() -> None:
-    views = heard_by_all(links(20), 0.0)
-    chosen = {tuple(m.name for m in r.roles.aggregators("a1", 0.0)) for r in views}
+def test_all_entries_compute_the_same_aggregators_with_the_widest_links() -> None:
+    views = views_of_all(members_with_links(20), 0.0)
+    chosen = {
+        tuple(m.name for m in view.roles.aggregators("a1", 0.0)) for view in views
+    }
     assert len(chosen) == 1
     names = next(iter(chosen))
     assert len(names) == AGGREGATORS
     assert set(names) < {"a1-0", "a1-1", "a1-2"}
-    assert sum(r.roles.is_aggregator(0.0) for r in views) == AGGREGATORS
+    assert sum(view.roles.is_aggregator(0.0) for view in views) == AGGREGATORS
 
 
-def test_an_aggregator_that_is_quiet_is_passed_over_before_it_counts_as_silent() -> (
-    None
-):
-    members = links(20)
-    r = Peers(members[9], Random(1))
+def test_an_aggregator_without_digests_is_replaced_before_it_is_silent() -> None:
+    members = members_with_links(20)
+    view = EntryView(members[9], Random(1))
     for m in members:
-        receive(r, m.name, 0.0, link_mbps=m.link_mbps)
-    first, second = (m.name for m in r.roles.aggregators("a1", 0.0))
-    late = AGGREGATOR_SILENCE_S + 0.1
-    r.roles.note_digest(second, late)
-    assert late < SILENCE_S
-    chosen = [m.name for m in r.roles.aggregators("a1", late)]
+        deliver_heartbeat(view, m.name, 0.0, link_mbps=m.link_mbps)
+    first, second = (m.name for m in view.roles.aggregators("a1", 0.0))
+    after_silence = AGGREGATOR_SILENCE_S + 0.1
+    view.roles.note_digest(second, after_silence)
+    assert after_silence < SILENCE_S
+    chosen = [m.name for m in view.roles.aggregators("a1", after_silence)]
     assert first not in chosen
     assert second in chosen
     assert len(chosen) == AGGREGATORS
-    assert first in [m.name for m in r.roles.recipients("a1", late)], (
-        "it must hear of it"
+    assert first in [m.name for m in view.roles.recipients("a1", after_silence)], (
+        "a skipped entry must remain a recipient"
     )
-    r.roles.note_digest(first, late + 0.1)
-    assert [m.name for m in r.roles.aggregators("a1", late + 0.1)] == [first, second]
+    view.roles.note_digest(first, after_silence + 0.1)
+    assert [m.name for m in view.roles.aggregators("a1", after_silence + 0.1)] == [
+        first,
+        second,
+    ]
 
 
-def test_an_aggregator_that_never_spoke_is_tried_again() -> None:
-    members = links(2)
-    r = Peers(members[1], Random(1))
+def test_an_aggregator_that_sent_no_digest_is_retried() -> None:
+    members = members_with_links(2)
+    view = EntryView(members[1], Random(1))
     for now in (0.0, AGGREGATOR_SILENCE_S + 0.1, AGGREGATOR_RETRY_S + 0.1):
-        receive(r, "a1-0", now, link_mbps=200)
-        r.roles.aggregators("a1", now)
+        deliver_heartbeat(view, "a1-0", now, link_mbps=200)
+        view.roles.aggregators("a1", now)
     now = AGGREGATOR_RETRY_S + 0.1
-    assert "a1-0" in [m.name for m in r.roles.aggregators("a1", now)]
+    assert "a1-0" in [m.name for m in view.roles.aggregators("a1", now)]
 
 
-def test_a_domain_that_is_cut_off_is_tried_until_it_is_heard() -> None:
-    r = membership()
+def test_a_few_entries_of_a_partitioned_domain_are_probed() -> None:
+    view = entry_view()
     for i in range(5):
-        receive(r, f"b1-{i}", 0.0)
-    late = REMOTE_SILENCE_S + 1.0
-    assert r.roles.aggregators("b1", late) == []
-    assert 0 < len(r.roles.recipients("b1", late)) <= 2 * AGGREGATORS + 1
+        deliver_heartbeat(view, f"b1-{i}", 0.0)
+    after_silence = REMOTE_SILENCE_S + 1.0
+    assert view.roles.aggregators("b1", after_silence) == []
+    assert 0 < len(view.roles.recipients("b1", after_silence)) <= 2 * AGGREGATORS + 1
 
 
-def test_far_entries_are_given_more_time_than_near_ones() -> None:
-    r = membership()
-    receive(r, "a1-1", 0.0)
-    receive(r, "b1-1", 0.0)
+def test_entries_of_other_regions_have_a_longer_timeout() -> None:
+    view = entry_view()
+    deliver_heartbeat(view, "a1-1", 0.0)
+    deliver_heartbeat(view, "b1-1", 0.0)
     later = SILENCE_S + 0.1
-    assert [m.name for m in r.live(later)] == ["b1-1"]
-    assert r.live(REMOTE_SILENCE_S + 0.1) == []
+    assert [m.name for m in view.live(later)] == ["b1-1"]
+    assert view.live(REMOTE_SILENCE_S + 0.1) == []
 
 
-def test_the_silence_that_counts_does_not_grow_with_the_number_of_entries() -> None:
-    """At 195 entries it was 13.6 s in a region when it followed their number."""
+def test_the_silence_timeout_does_not_grow_with_the_number_of_entries() -> None:
+    """A timeout that followed the number of entries was 13.6 s at 195 in a region."""
     members = [member(f"a1-{i}") for i in range(195)]
-    r = Peers(members[0], Random(1))
+    view = EntryView(members[0], Random(1))
     for m in members:
-        receive(r, m.name, 0.0)
-    assert r.selector.addresses("a", "a1", SERVING, SILENCE_S + 0.2) == ["f/a1-0"]
+        deliver_heartbeat(view, m.name, 0.0)
+    assert view.selector.addresses("a", "a1", SERVING, SILENCE_S + 0.2) == ["f/a1-0"]
 
 
-def test_who_is_found_and_lost_is_logged_once() -> None:
-    r = membership()
-    receive(r, "a1-1", 0.0)
-    assert r.changes(0.1) == [("a1-1", "heard", 0.0)]
-    assert r.changes(0.2) == []
-    assert r.changes(5.0) == [("a1-1", "silent", 5.0)]
-    assert r.changes(6.0) == []
+def test_each_liveness_change_is_returned_once() -> None:
+    view = entry_view()
+    deliver_heartbeat(view, "a1-1", 0.0)
+    assert view.changes(0.1) == [("a1-1", "heard", 0.0)]
+    assert view.changes(0.2) == []
+    assert view.changes(5.0) == [("a1-1", "silent", 5.0)]
+    assert view.changes(6.0) == []
 
 
 OBSERVATIONS = st.lists(
@@ -280,35 +291,35 @@
 
 @settings(derandomize=True, deadline=None)
 @given(OBSERVATIONS, st.randoms(use_true_random=False))
-def test_order_and_repeats_of_what_is_told_do_not_matter(
-    observations: list[LastSeen], shuffle: Random
+def test_order_and_repetition_of_observations_do_not_matter(
+    observations: list[LastSeen], shuffle_rng: Random
 ) -> None:
-    """The newest life wins, with its last state and its newest heartbeat."""
-    other = observations + observations[: len(observations) // 2]
-    shuffle.shuffle(other)
+    """The newest incarnation wins, with its latest state and newest heartbeat."""
+    reordered = observations + observations[: len(observations) // 2]
+    shuffle_rng.shuffle(reordered)
     found = []
-    for told in (observations, other):
-        r = membership()
-        r.update_member(member("a1-1"), 0.0)
-        for one in told:
-            r.record_heartbeat(one, 1.0)
-        found.append(r.last_seen("a1"))
+    for sequence in (observations, reordered):
+        view = entry_view()
+        view.update_member(member("a1-1"), 0.0)
+        for observation in sequence:
+            view.record_heartbeat(observation, 1.0)
+        found.append(view.last_seen("a1"))
     assert found[0] == found[1]
     newest = max(s.row.incarnation for s in observations)
-    of_life = [s for s in observations if s.row.incarnation == newest]
-    row = MemberRow(member_id("a1-1"), newest, max(s.row.state for s in of_life))
-    assert found[0] == [LastSeen(row, max(s.at for s in of_life))]
+    of_newest = [s for s in observations if s.row.incarnation == newest]
+    row = MemberRow(member_id("a1-1"), newest, max(s.row.state for s in of_newest))
+    assert found[0] == [LastSeen(row, max(s.at for s in of_newest))]
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.integers(1, 4), max_size=12))
-def test_an_old_life_never_comes_back_while_a_later_one_speaks(
+def test_an_old_incarnation_never_replaces_one_that_sends_heartbeats(
     incarnations: list[int],
 ) -> None:
-    r = membership()
+    view = entry_view()
     now = 0.0
     for incarnation in incarnations:
         now += 0.2
-        receive(r, "a1-1", now, incarnation=5)
-        receive(r, "a1-1", now, LEAVING, incarnation=incarnation)
-        assert "f/a1-1" in r.selector.addresses("a", "a1", SERVING, now)
+        deliver_heartbeat(view, "a1-1", now, incarnation=5)
+        deliver_heartbeat(view, "a1-1", now, LEAVING, incarnation=incarnation)
+        assert "f/a1-1" in view.selector.addresses("a", "a1", SERVING, now)
--- a/tests/test_entry_registration.py
+++ b/tests/test_entry_registration.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""An entry's key in the store, written again after failures within the rate."""
+"""Tests of the registration of an entry: adoption, renewal and retry rate."""
 
 import asyncio
 import os
@@ -26,25 +26,25 @@
     ("entries", "writes_per_s"),
     [(12, 400.0), (85, 1_200.0), (2_500, 1_200.0)],
 )
-def test_all_entries_together_keep_the_stores_rate(
+def test_retries_of_all_entries_stay_within_the_stores_write_rate(
     entries: int, writes_per_s: float
 ) -> None:
-    """Pauses lie between half and one and a half times their mean."""
+    """The shortest pause is half of the mean pause."""
     shortest_s = 0.5 * mean_retry_pause_s(entries, writes_per_s)
     assert entries * WRITES_PER_REGISTRATION / shortest_s <= writes_per_s
 
 
-def test_a_small_site_does_not_wait() -> None:
+def test_a_small_site_uses_the_minimum_pause() -> None:
     assert mean_retry_pause_s(12, 400.0) == MIN_MEAN_PAUSE_S
 
 
-class Store(LeasingStore):
-    """A store that counts calls; leases in `over` are gone."""
+class FakeStore(LeasingStore):
+    """A store that records calls and rejects renewals of the leases in `expired`."""
 
-    def __init__(self, over: set[int]) -> None:
-        self.over = over
-        self.held: list[str] = []
-        self.kept: list[int] = []
+    def __init__(self, expired: set[int]) -> None:
+        self.expired = expired
+        self.written: list[str] = []
+        self.renewed: list[int] = []
 
     async def read(self, prefix: str) -> Listing:
         raise AssertionError(prefix)
@@ -56,12 +56,12 @@
         raise AssertionError(prefix)
 
     async def hold(self, key: str, value: bytes, ttl_s: float) -> int:
-        self.held.append(key)
+        self.written.append(key)
         return 99
 
     async def keep(self, lease: int) -> bool:
-        self.kept.append(lease)
-        return lease not in self.over
+        self.renewed.append(lease)
+        return lease not in self.expired
 
     async def let_go(self, lease: int) -> None:
         raise AssertionError(lease)
@@ -70,46 +70,48 @@
 OWN = Member("n1", "a", "a1", "f", "g", "p", 50)
 
 
-def registration(store: Store) -> Registration:
+def registration(store: FakeStore) -> Registration:
     events = Events(LineWriter(os.open(os.devnull, os.O_WRONLY)), "n1")
     return Registration(store, "entries/n1", OWN, events, Random(1), lambda: 0.01)
 
 
-async def play(store: Store, written: KeyValue | None) -> None:
-    one = registration(store)
-    one.adopt(written)
-    task = asyncio.create_task(one.run())
+async def run_registration(store: FakeStore, registered: KeyValue | None) -> None:
+    own_registration = registration(store)
+    own_registration.adopt(registered)
+    task = asyncio.create_task(own_registration.run())
     await asyncio.sleep(0.02)
     task.cancel()
 
 
-def former(lease: int, **changed: object) -> KeyValue:
+def former_registration(lease: int, **changed: object) -> KeyValue:
     before = msgspec.structs.replace(OWN, incarnation=7, **changed)
     return KeyValue("entries/n1", pack(before), 3, lease)
 
 
-async def test_the_lease_of_a_former_life_is_kept() -> None:
-    store = Store(set())
-    await play(store, former(12))
-    assert (store.kept, store.held) == ([12], [])
+async def test_the_lease_of_a_former_incarnation_is_renewed() -> None:
+    store = FakeStore(set())
+    await run_registration(store, former_registration(12))
+    assert (store.renewed, store.written) == ([12], [])
 
 
-async def test_a_lease_that_is_over_is_replaced() -> None:
-    store = Store({12})
-    await play(store, former(12))
-    assert (store.kept, store.held) == ([12], ["entries/n1"])
+async def test_an_expired_lease_is_replaced() -> None:
+    store = FakeStore({12})
+    await run_registration(store, former_registration(12))
+    assert (store.renewed, store.written) == ([12], ["entries/n1"])
 
 
 @pytest.mark.parametrize(
-    "written",
+    "registered",
     [
         None,
-        former(0),
-        former(12, gossip="other"),
+        former_registration(0),
+        former_registration(12, gossip="other"),
         KeyValue("entries/n1", b"\xff", 3, 12),
     ],
 )
-async def test_what_does_not_fit_is_written_anew(written: KeyValue | None) -> None:
-    store = Store(set())
-    await play(store, written)
-    assert (store.kept, store.held) == ([], ["entries/n1"])
+async def test_a_registration_that_does_not_match_is_written_again(
+    registered: KeyValue | None,
+) -> None:
+    store = FakeStore(set())
+    await run_registration(store, registered)
+    assert (store.renewed, store.written) == ([], ["entries/n1"])
--- a/tests/test_entry_registration_end.py
+++ b/tests/test_entry_registration_end.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tests of an entry's registration while the entry finishes its last requests."""
+"""Tests of the registration of a leaving entry that completes its requests."""
 
 import asyncio
 import os
@@ -15,12 +15,12 @@
 from leverdoor.storage.store import Commit, LeasingStore, Listing
 
 OWN = Member("n1", "a", "a1", "f", "g", "p", 50)
-ROUNDS = 20
-"""Turns of the loop in which a registration that goes on would write."""
+LOOP_ITERATIONS = 20
+"""Iterations of the event loop in which an active registration would write."""
 
 
 class CountingStore(LeasingStore):
-    """A store that counts the writes and the ends of leases."""
+    """A store that counts writes of keys and revocations of leases."""
 
     def __init__(self) -> None:
         self.held = 0
@@ -46,28 +46,31 @@
         self.ended += 1
 
 
-async def test_an_entry_that_leaves_is_not_registered_again(
+async def test_a_leaving_entry_is_not_registered_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The loop that keeps the lease runs on until the last request has ended."""
+    """The renewal loop continues until the last request has ended.
+
+    It must not write the key again after the lease was revoked.
+    """
     monkeypatch.setattr(registration, "RENEW_INTERVAL_S", 0.0)
     events = Events(LineWriter(os.open(os.devnull, os.O_WRONLY)), "n1")
     store = CountingStore()
-    kept = registration.Registration(
+    own_registration = registration.Registration(
         store, "entries/n1", OWN, events, Random(1), lambda: 0.01
     )
-    task = asyncio.create_task(kept.run())
-    for _ in range(ROUNDS):
+    task = asyncio.create_task(own_registration.run())
+    for _ in range(LOOP_ITERATIONS):
         await asyncio.sleep(0)
-    await kept.end()
-    for _ in range(ROUNDS):
+    await own_registration.end()
+    for _ in range(LOOP_ITERATIONS):
         await asyncio.sleep(0)
     task.cancel()
     assert (store.held, store.ended) == (1, 1)
 
 
-async def test_a_key_written_as_the_entry_begins_to_leave_is_removed() -> None:
-    """The write was under way when the lease, not known yet, was given up."""
+async def test_a_key_written_while_the_entry_begins_to_leave_is_removed() -> None:
+    """The registration ends during the write, when its lease is not known yet."""
     written = asyncio.Event()
 
     class SlowStore(CountingStore):
@@ -77,12 +80,12 @@
 
     events = Events(LineWriter(os.open(os.devnull, os.O_WRONLY)), "n1")
     store = SlowStore()
-    kept = registration.Registration(
+    own_registration = registration.Registration(
         store, "entries/n1", OWN, events, Random(1), lambda: 0.01
     )
-    task = asyncio.create_task(kept.run())
+    task = asyncio.create_task(own_registration.run())
     await asyncio.sleep(0)
-    await kept.end()
+    await own_registration.end()
     written.set()
     await task
     assert (store.held, store.ended) == (1, 1)
--- a/tests/test_entry_troubles.py
+++ b/tests/test_entry_troubles.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Real entries under a series of troubles drawn from a seed."""
+"""Tests of entry processes under a series of random faults, drawn from a seed."""
 
 import asyncio
 import signal
@@ -16,8 +16,8 @@
 from leverdoor.standins.metadata import MetadataFaults
 
 
-async def trouble(site: EntrySite, rng: Random, taken: set[str]) -> None:
-    """Let one trouble strike."""
+async def inject_fault(site: EntrySite, rng: Random, ended_targets: set[str]) -> None:
+    """Inject one random fault."""
     kind = rng.choice(["kill", "stop", "store", "history", "config", "target"])
     entry = site.entries[rng.choice(sorted(set(site.entries) - {"n3"}))]
     if kind in ("kill", "stop") and entry.running:
@@ -41,22 +41,24 @@
     elif kind == "config":
         site.configure(SAMPLE_ROUTES)
     else:
-        left = sorted(n for n in site.targets if n.endswith("-0") and n not in taken)
-        if left:
-            name = rng.choice(left)
-            taken.add(name)
+        candidates = sorted(
+            n for n in site.targets if n.endswith("-0") and n not in ended_targets
+        )
+        if candidates:
+            name = rng.choice(candidates)
+            ended_targets.add(name)
             if rng.random() < 0.5:
                 await site.end_target(name)
             else:
                 site.drain_target(name)
 
 
-async def clients(
-    site: EntrySite, stop: asyncio.Event, number: int, unsafe: set[str]
+async def send_requests(
+    site: EntrySite, stop: asyncio.Event, number: int, unsafe_ids: set[str]
 ) -> list[Answer]:
-    """Ask one thing after another, at any entry that runs, until told to stop."""
+    """Send requests in sequence, each to a random running entry, until `stop`."""
     rng = Random(number)
-    found: list[Answer] = []
+    collected: list[Answer] = []
     i = 0
     while not stop.is_set():
         i += 1
@@ -65,36 +67,40 @@
         entry = rng.choice(running)
         headers = {"X-Affinity-Key": str(rng.randrange(20))}
         if rng.random() < 0.5:
-            unsafe.add(request_id)
-            found.append(
+            unsafe_ids.add(request_id)
+            collected.append(
                 await site.request(
                     entry, "POST", "/file/x", b"x" * 100, headers, request_id
                 )
             )
         else:
-            found.append(
+            collected.append(
                 await site.request(entry, "GET", "/look/x", None, headers, request_id)
             )
         await asyncio.sleep(0.005)
-    return found
+    return collected
 
 
 @pytest.mark.timeout(180)
 @pytest.mark.parametrize("seed", [1, 2, 3])
-async def test_promises_under_a_series_of_troubles(site: EntrySite, seed: int) -> None:
+async def test_guarantees_hold_under_a_series_of_faults(
+    site: EntrySite, seed: int
+) -> None:
     rng = Random(seed)
     stop = asyncio.Event()
-    unsafe: set[str] = set()
-    tasks = [asyncio.create_task(clients(site, stop, n, unsafe)) for n in range(4)]
-    taken: set[str] = set()
+    unsafe_ids: set[str] = set()
+    tasks = [
+        asyncio.create_task(send_requests(site, stop, n, unsafe_ids)) for n in range(4)
+    ]
+    ended_targets: set[str] = set()
     for _ in range(5):
-        await trouble(site, rng, taken)
+        await inject_fault(site, rng, ended_targets)
         await asyncio.sleep(0.2)
     for entry in site.entries.values():
         await site.ready(entry)
     stop.set()
-    answers = [a for found in await asyncio.gather(*tasks) for a in found]
-    check_promises(site, answers, unsafe)
+    answers = [a for collected in await asyncio.gather(*tasks) for a in collected]
+    check_promises(site, answers, unsafe_ids)
     assert sum(a.status == 200 for a in answers) > 0
     last = await site.request(site.entries["n1"], "GET", "/look/x")
     assert last.status == 200
--- a/tests/test_ownership_machine.py
+++ b/tests/test_ownership_machine.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The ownership table under random and exhaustive orders of faults."""
+"""Tests of the ownership table under random and systematic orders of faults."""
 
 from collections import deque
 from collections.abc import Callable, Iterator
@@ -34,7 +34,7 @@
 SLOTS = 4
 CAP = 3
 SPECS = {"t:a": RowSpec(SLOTS), "t:b": RowSpec(SLOTS), "c:x": RowSpec(CAP, 0)}
-SETTLE = {"t:a": LINGER_S, "t:b": LINGER_S, "c:x": WINDOW_S}
+RIPENING_S = {"t:a": LINGER_S, "t:b": LINGER_S, "c:x": WINDOW_S}
 GATES = 3
 gate_numbers = st.integers(0, GATES - 1)
 SETTINGS = settings(
@@ -47,7 +47,7 @@
 
 
 class Gate:
-    """One gate process: its holdings, and the work it has at targets."""
+    """A gate process with its holdings and its requests at targets."""
 
     def __init__(self, number: int, incarnation: int) -> None:
         self.member = GateProcess(
@@ -58,14 +58,14 @@
 
 
 class TableMachine(RuleBasedStateMachine):
-    """Gates that see the table late, die, freeze and come back.
+    """Gates that apply the table late, die, freeze and restart.
 
-    A frozen gate is one that no rule picks for a while: it still believes
-    what it believed. What targets run is counted apart from the holdings.
+    A frozen gate is one that no rule picks for a while, so that it keeps acting on an
+    old table. Requests that run at targets are counted separately from the holdings.
     """
 
-    settle = SETTLE
-    window_cools = True
+    ripening_s = RIPENING_S
+    cap_units_cool = True
 
     def __init__(self) -> None:
         super().__init__()
@@ -75,39 +75,39 @@
         self.alive = [True] * GATES
         self.acks: dict[str, Ack] = {}
         self.gone: set[str] = set()
-        self.left: list[tuple[str, float]] = []
+        self.lingering: list[tuple[str, float]] = []
         self.arrivals: list[float] = []
         self.write_table(set(), False)
-        self.see_table(set(range(GATES)))
+        self.apply_table(set(range(GATES)))
         self.wait(2 * WINDOW_S)
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 6.0]))
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        self.left = [w for w in self.left if w[1] > self.now]
+        self.lingering = [w for w in self.lingering if w[1] > self.now]
 
-    @rule(unheard=st.sets(gate_numbers, max_size=1), leave=st.booleans())
-    def write_table(self, unheard: set[int], leave: bool) -> None:
+    @rule(silent=st.sets(gate_numbers, max_size=1), silent_vms_leave=st.booleans())
+    def write_table(self, silent: set[int], silent_vms_leave: bool) -> None:
         live = [
             g.member
             for i, g in enumerate(self.gates)
-            if self.alive[i] and i not in unheard
+            if self.alive[i] and i not in silent
         ]
-        leaving = frozenset(f"vm{i}" for i in unheard if leave)
+        leaving = frozenset(f"vm{i}" for i in silent if silent_vms_leave)
         table = parse_table(self.table)
         after = plan(table, SPECS, live, leaving, frozenset(self.gone), self.acks)
         if after is not None:
             self.table = serialize_table(after)
 
     @rule(numbers=st.sets(gate_numbers, min_size=1))
-    def see_table(self, numbers: set[int]) -> None:
+    def apply_table(self, numbers: set[int]) -> None:
         for i in numbers:
             if self.alive[i]:
                 holdings = self.gates[i].holdings
-                holdings.apply(parse_table(self.table), self.settle, self.now)
+                holdings.apply(parse_table(self.table), self.ripening_s, self.now)
 
     @rule(numbers=st.sets(gate_numbers, min_size=1))
-    def hear_acks(self, numbers: set[int]) -> None:
+    def receive_acks(self, numbers: set[int]) -> None:
         for i in numbers:
             if self.alive[i]:
                 gate = self.gates[i]
@@ -123,7 +123,7 @@
         gate = self.gates[i]
         if self.alive[i] and gate.holdings.acquire("c:x", self.now):
             self.arrivals.append(self.now)
-            cool_s = WINDOW_S if self.window_cools else 0.0
+            cool_s = WINDOW_S if self.cap_units_cool else 0.0
             gate.holdings.release("c:x", self.now, cool_s)
 
     @rule(i=gate_numbers, lost=st.booleans())
@@ -132,30 +132,30 @@
         while self.alive[i] and gate.work:
             row = gate.work.pop()
             if lost:
-                self.left.append((row, self.now + LINGER_S))
+                self.lingering.append((row, self.now + LINGER_S))
             gate.holdings.release(row, self.now, LINGER_S if lost else 0.0)
 
     @rule(i=gate_numbers)
-    def die_with_vm(self, i: int) -> None:
+    def kill_vm(self, i: int) -> None:
         if self.alive[i]:
-            self.die(i)
+            self.kill_gate(i)
             self.gone.add(self.gates[i].member.identity)
 
     @rule(i=gate_numbers)
-    def die(self, i: int) -> None:
+    def kill_gate(self, i: int) -> None:
         if self.alive[i]:
-            self.left += [(row, self.now + LINGER_S) for row in self.gates[i].work]
+            self.lingering += [(row, self.now + LINGER_S) for row in self.gates[i].work]
             self.alive[i] = False
 
     @rule(i=gate_numbers)
-    def start_again(self, i: int) -> None:
+    def restart_gate(self, i: int) -> None:
         if not self.alive[i]:
             self.gates[i] = Gate(i, self.gates[i].member.incarnation + 1)
             self.alive[i] = True
 
     @invariant()
-    def no_target_is_past_its_slots(self) -> None:
-        running = [row for row, until in self.left if until > self.now]
+    def no_target_exceeds_its_slots(self) -> None:
+        running = [row for row, until in self.lingering if until > self.now]
         for i, gate in enumerate(self.gates):
             if self.alive[i]:
                 running += gate.work
@@ -163,66 +163,66 @@
             assert running.count(row) <= SLOTS
 
     @invariant()
-    def no_window_is_past_the_cap(self) -> None:
+    def no_window_exceeds_the_cap(self) -> None:
         if self.arrivals:
             last = self.arrivals[-1]
             assert sum(last - WINDOW_S < t <= last for t in self.arrivals) <= CAP
 
 
-def test_no_limit_is_broken_in_random_orders() -> None:
+def test_limits_hold_in_random_orders() -> None:
     run_state_machine_as_test(TableMachine, settings=SETTINGS)
 
 
-class NoSettling(TableMachine):
-    """Units gained can be used at once."""
+class NoRipening(TableMachine):
+    """A broken model in which granted units can be used immediately."""
 
-    settle = dict.fromkeys(SETTLE, 0.0)
+    ripening_s = dict.fromkeys(RIPENING_S, 0.0)
 
 
 class NoCooling(TableMachine):
-    """Cap units can be used again at once."""
+    """A broken model in which cap units can be reused immediately."""
 
-    window_cools = False
+    cap_units_cool = False
 
 
-def _fill_all(m: TableMachine) -> None:
+def _fill_all_targets(m: TableMachine) -> None:
     for i in range(GATES):
         for row in ("t:a", "t:b"):
             m.fill_target(i, row)
-    m.no_target_is_past_its_slots()
+    m.no_target_exceeds_its_slots()
 
 
-def _leave_unseen(m: TableMachine) -> None:
-    """VM 0 leaves, but its frozen gate sees nothing of it."""
+def _leave_unnoticed(m: TableMachine) -> None:
+    """VM 0 leaves, but its frozen gate does not receive the new table."""
     for _ in range(3):
         m.write_table({0}, True)
-        m.see_table({1, 2})
-        m.hear_acks({1, 2})
+        m.apply_table({1, 2})
+        m.receive_acks({1, 2})
     m.wait(6.0)
-    _fill_all(m)
+    _fill_all_targets(m)
 
 
-def _die_while_targets_run(m: TableMachine) -> None:
-    """A gate dies with its VM while targets still run its work."""
-    _fill_all(m)
-    m.die_with_vm(0)
+def _kill_vm_while_targets_run(m: TableMachine) -> None:
+    """A gate dies with its VM while targets still run its requests."""
+    _fill_all_targets(m)
+    m.kill_vm(0)
     m.write_table(set(), False)
-    m.see_table({1, 2})
-    _fill_all(m)
+    m.apply_table({1, 2})
+    _fill_all_targets(m)
 
 
-def _shift_again_at_once(m: TableMachine) -> None:
-    """A gate uses its cap unit twice within a window."""
+def _reuse_cap_unit_immediately(m: TableMachine) -> None:
+    """Each gate uses its cap unit more than once within a window."""
     for _ in range(CAP + 1):
         for i in range(GATES):
             m.send_shift(i)
-            m.no_window_is_past_the_cap()
+            m.no_window_exceeds_the_cap()
 
 
 CASES = [
-    (_leave_unseen, TableMachine, True),
-    (_die_while_targets_run, NoSettling, False),
-    (_shift_again_at_once, NoCooling, False),
+    (_leave_unnoticed, TableMachine, True),
+    (_kill_vm_while_targets_run, NoRipening, False),
+    (_reuse_cap_unit_immediately, NoCooling, False),
 ]
 
 
@@ -242,15 +242,19 @@
         case(broken())
 
 
-# Every order, at a small size: three VMs, two targets of two slots.
+# Breadth-first search over all orders of steps, bounded by the number of states, for
+# three VMs and two targets with two slots each.
 
-SMALL = {"t:a": RowSpec(2), "t:b": RowSpec(2)}
+SMALL_SPECS = {"t:a": RowSpec(2), "t:b": RowSpec(2)}
 VMS = ("vm0", "vm1", "vm2")
-MOST_WRITES = 4
+MAX_TABLE_VERSION = 4
 
 
 class SmallGate(msgspec.Struct, frozen=True):
-    """A gate process by what it believes and uses; `unripe` units wait."""
+    """A gate process with the table it applied, and the units it holds and uses.
+
+    `unripe` units are held but cannot be used yet.
+    """
 
     incarnation: int
     alive: bool
@@ -260,20 +264,20 @@
     used: tuple[int, int]
 
 
-class Small(msgspec.Struct, frozen=True):
-    """The whole state of the exploration."""
+class ExplorationState(msgspec.Struct, frozen=True):
+    """The state of the whole model; `leaving` is the index of a VM, or -1."""
 
     table: bytes
     gates: tuple[SmallGate, ...]
     acks: tuple[tuple[str, int, tuple[str, ...]], ...]
-    left: tuple[int, int]
+    lingering: tuple[int, int]
     leaving: int
 
 
 ROWS = ("t:a", "t:b")
 
 
-def _with(pair: tuple[int, int], at: int, change: int) -> tuple[int, int]:
+def _add_at(pair: tuple[int, int], at: int, change: int) -> tuple[int, int]:
     return (pair[0] + change, pair[1]) if at == 0 else (pair[0], pair[1] + change)
 
 
@@ -281,25 +285,25 @@
     return f"{VMS[i]}|g{i}|{gate.incarnation}"
 
 
-def _steps(s: Small) -> Iterator[Small]:
+def _next_states(s: ExplorationState) -> Iterator[ExplorationState]:
     table = parse_table(s.table)
-    yield from _table_steps(s, table)
+    yield from _next_table_states(s, table)
     for i, gate in enumerate(s.gates):
-        for after, left in _gate_steps(gate, i, table, s.left):
+        for after, lingering in _next_gate_states(gate, i, table, s.lingering):
             gates = s.gates[:i] + (after,) + s.gates[i + 1 :]
-            yield msgspec.structs.replace(s, gates=gates, left=left)
+            yield msgspec.structs.replace(s, gates=gates, lingering=lingering)
         if gate.alive:
             over = tuple(r for j, r in enumerate(ROWS) if gate.used[j] > gate.held[j])
             acks = {a[0]: a for a in s.acks}
             acks[_identity(i, gate)] = (_identity(i, gate), gate.version, over)
             yield msgspec.structs.replace(s, acks=tuple(sorted(acks.values())))
     for j in (0, 1):
-        if s.left[j]:
-            yield msgspec.structs.replace(s, left=_with(s.left, j, -1))
+        if s.lingering[j]:
+            yield msgspec.structs.replace(s, lingering=_add_at(s.lingering, j, -1))
 
 
-def _table_steps(s: Small, table: Table) -> Iterator[Small]:
-    if table.version >= MOST_WRITES:
+def _next_table_states(s: ExplorationState, table: Table) -> Iterator[ExplorationState]:
+    if table.version >= MAX_TABLE_VERSION:
         return
     live = [
         GateProcess(VMS[i], f"g{i}", g.incarnation, f"d{i}")
@@ -311,21 +315,21 @@
     for leaving in {s.leaving, 2}:
         vms = frozenset() if leaving < 0 else frozenset({VMS[leaving]})
         for dead in {frozenset[str](), gone}:
-            after = plan(table, SMALL, live, vms, dead, acks)
+            after = plan(table, SMALL_SPECS, live, vms, dead, acks)
             if after is not None:
                 yield msgspec.structs.replace(
                     s, table=serialize_table(after), leaving=leaving
                 )
 
 
-def _gate_steps(
-    gate: SmallGate, i: int, table: Table, left: tuple[int, int]
+def _next_gate_states(
+    gate: SmallGate, i: int, table: Table, lingering: tuple[int, int]
 ) -> Iterator[tuple[SmallGate, tuple[int, int]]]:
     replace = msgspec.structs.replace
     if not gate.alive:
         if gate.incarnation < 2:
-            fresh = SmallGate(gate.incarnation + 1, True, 0, (0, 0), (0, 0), (0, 0))
-            yield fresh, left
+            restarted = SmallGate(gate.incarnation + 1, True, 0, (0, 0), (0, 0), (0, 0))
+            yield restarted, lingering
         return
     if table.version > gate.version:
         number = table.member_id(f"g{i}", gate.incarnation)
@@ -342,34 +346,39 @@
                 held=(held[0], held[1]),
                 unripe=(unripe[0], unripe[1]),
             ),
-            left,
+            lingering,
         )
     for j in (0, 1):
-        if gate.unripe[j] and not left[j]:
-            yield replace(gate, unripe=_with(gate.unripe, j, -gate.unripe[j])), left
+        if gate.unripe[j] and not lingering[j]:
+            yield (
+                replace(gate, unripe=_add_at(gate.unripe, j, -gate.unripe[j])),
+                lingering,
+            )
         if gate.used[j] < gate.held[j] - gate.unripe[j]:
-            yield replace(gate, used=_with(gate.used, j, 1)), left
+            yield replace(gate, used=_add_at(gate.used, j, 1)), lingering
         if gate.used[j]:
-            yield replace(gate, used=_with(gate.used, j, -1)), left
-    died = (left[0] + gate.used[0], left[1] + gate.used[1])
-    yield replace(gate, alive=False, used=(0, 0)), died
+            yield replace(gate, used=_add_at(gate.used, j, -1)), lingering
+    lingering_work = (lingering[0] + gate.used[0], lingering[1] + gate.used[1])
+    yield replace(gate, alive=False, used=(0, 0)), lingering_work
 
 
-def test_no_slot_is_granted_twice_in_any_order() -> None:
+def test_no_target_exceeds_its_slots_in_any_order() -> None:
     none = (0, 0)
     gates = tuple(SmallGate(1, True, 0, none, none, none) for _ in VMS)
-    first = Small(serialize_table(Table("r")), gates, (), none, -1)
+    first = ExplorationState(serialize_table(Table("r")), gates, (), none, -1)
     seen = {first}
     queue = deque([first])
-    limit = 150_000
-    while queue and len(seen) < limit:
+    min_states = 150_000
+    while queue and len(seen) < min_states:
         state = queue.popleft()
         for j in (0, 1):
-            running = state.left[j] + sum(g.used[j] for g in state.gates if g.alive)
+            running = state.lingering[j] + sum(
+                g.used[j] for g in state.gates if g.alive
+            )
             assert running <= 2, state
-        for after in _steps(state):
+        for after in _next_states(state):
             if after not in seen:
                 seen.add(after)
                 queue.append(after)
-    assert len(seen) >= limit
+    assert len(seen) >= min_states
     print(f"{len(seen)} states")
