--- a/leverdoor/entry/configuration/catalog.py
+++ b/leverdoor/entry/configuration/catalog.py
@@ -21,7 +21,7 @@
 )
 from leverdoor.workspaces.directory import WorkspaceDirectory
 
-__all__ = ["Catalog", "EMPTY_CATALOG", "host_without_port"]
+__all__ = ["EMPTY_CATALOG", "Catalog", "host_without_port"]
 
 T = TypeVar("T")
 
@@ -52,14 +52,14 @@
         """
         self.revision = revision
         self.version = version
-        selected = list(resources)
-        self.regions = {r.name: r for r in _select(selected, Region)}
-        self.services = {s.name: s for s in _select(selected, Service)}
-        self.targets = {t.name: t for t in _select(selected, Target)}
-        self.limits = next(iter(_select(selected, ClientLimits)), DEFAULT_LIMITS)
-        self.workspaces = WorkspaceDirectory(_select(selected, Workspace))
-        drains = _select(selected, Drain)
-        self._routes = _by_host(_select(selected, Route))
+        all_resources = list(resources)
+        self.regions = {r.name: r for r in _select(all_resources, Region)}
+        self.services = {s.name: s for s in _select(all_resources, Service)}
+        self.targets = {t.name: t for t in _select(all_resources, Target)}
+        self.limits = next(iter(_select(all_resources, ClientLimits)), DEFAULT_LIMITS)
+        self.workspaces = WorkspaceDirectory(_select(all_resources, Workspace))
+        drains = _select(all_resources, Drain)
+        self._routes = _by_host(_select(all_resources, Route))
         self.by_service: dict[str, list[Target]] = {}
         """Targets of each service that may receive requests, sorted by name."""
         for target in sorted(self.targets.values(), key=lambda t: t.name):
@@ -114,8 +114,8 @@
         return None
 
 
-def _select(resources: list[Resource], kind: type[T]) -> list[T]:
-    return [r for r in resources if isinstance(r, kind)]
+def _select(resources: list[Resource], resource_type: type[T]) -> list[T]:
+    return [r for r in resources if isinstance(r, resource_type)]
 
 
 def _by_host(routes: list[Route]) -> dict[str, list[Route]]:
@@ -123,8 +123,8 @@
     groups: dict[str, list[Route]] = {}
     for route in routes:
         groups.setdefault(route.host.lower(), []).append(route)
-    for selected in groups.values():
-        selected.sort(key=lambda r: -len(r.prefix))
+    for host_routes in groups.values():
+        host_routes.sort(key=lambda r: -len(r.prefix))
     return groups
 
 
--- a/leverdoor/entry/configuration/outage.py
+++ b/leverdoor/entry/configuration/outage.py
@@ -24,14 +24,14 @@
 
     def __init__(self) -> None:
         """Create it without any known outage."""
-        self._is_unreachable = False
+        self._store_unreachable = False
         self._last_outage = LastOccurrence()
 
     def record_reachability(self, reachable: bool, now: float) -> None:
         """Record whether this entry can reach the store now."""
-        if self._is_unreachable or not reachable:
+        if self._store_unreachable or not reachable:
             self._last_outage.record(now)
-        self._is_unreachable = not reachable
+        self._store_unreachable = not reachable
 
     def record_peer_report(self, age_ms: int, now: float) -> None:
         """Record the age in ms of the last outage that another entry reports."""
@@ -39,10 +39,10 @@
 
     def age_ms(self, now: float) -> int:
         """Return the age of the last outage in ms; -1 if there was none recently."""
-        if self._is_unreachable:
+        if self._store_unreachable:
             return 0
         return self._last_outage.age_ms(now) if self.is_recent(now) else NEVER_MS
 
     def is_recent(self, now: float) -> bool:
         """Return whether an outage may have caused a registration to expire now."""
-        return self._is_unreachable or self._last_outage.within(EXPIRY_WINDOW_S, now)
+        return self._store_unreachable or self._last_outage.within(EXPIRY_WINDOW_S, now)
--- a/leverdoor/entry/membership/entry_selection.py
+++ b/leverdoor/entry/membership/entry_selection.py
@@ -24,7 +24,7 @@
 from leverdoor.entry.membership.member import SERVING, STARTING, EntryState, Member
 from leverdoor.entry.membership.members import Membership
 
-__all__ = ["MIN_SELECTED", "MAX_SELECTED", "SELECTION_TTL_S", "EntrySelector"]
+__all__ = ["MAX_SELECTED", "MIN_SELECTED", "SELECTION_TTL_S", "EntrySelector"]
 
 MAX_SELECTED = 64
 """Maximum number of entries in the response to a look-up.
--- a/leverdoor/entry/membership/liveness.py
+++ b/leverdoor/entry/membership/liveness.py
@@ -25,11 +25,11 @@
 from leverdoor.entry.membership.peer_record import LastSeen, PeerRecord
 
 __all__ = [
-    "REMOTE_SILENCE_S",
-    "RECORD_TTL_S",
-    "SUPERSEDE_SILENCE_S",
     "HEARTBEAT_S",
+    "RECORD_TTL_S",
+    "REMOTE_SILENCE_S",
     "SILENCE_S",
+    "SUPERSEDE_SILENCE_S",
     "is_expired",
     "is_live",
     "supersedes",
@@ -55,7 +55,8 @@
 """Time without any report after which the record of an entry is deleted, in seconds.
 
 With a shorter time, the share of an entry that is cut off is given to others while it
-still serves; with a longer one, replaced VMs are counted besides their successors.
+still serves. With a longer one, replaced VMs are counted in addition to their
+successors.
 """
 SUPERSEDE_SILENCE_S = 1.2
 """Silence after which an incarnation with a lower number may replace the recorded one.
--- a/leverdoor/entry/membership/members.py
+++ b/leverdoor/entry/membership/members.py
@@ -34,7 +34,7 @@
 )
 from leverdoor.entry.membership.peer_record import NEVER, LastSeen, PeerRecord
 
-__all__ = ["Membership", "LivenessChange"]
+__all__ = ["LivenessChange", "Membership"]
 
 
 class LivenessChange(NamedTuple):
