--- a/benchmarks/emulated_exchange.py
+++ b/benchmarks/emulated_exchange.py
@@ -25,7 +25,7 @@
 from leverdoor.entry.exchange.exchange_types import EntryStatus
 from leverdoor.entry.exchange.messages import ExchangeMessage
 from leverdoor.entry.membership.entry_selection import EntrySelector
-from leverdoor.entry.membership.liveness import HEARTBEAT_S
+from leverdoor.entry.membership.liveness import HEARTBEAT_INTERVAL_S
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
@@ -181,7 +181,7 @@
         for node in self.nodes.values():
             for member in members:
                 node.membership.update_member(member, 0.0)
-            first = self._rng.random() * HEARTBEAT_S
+            first = self._rng.random() * HEARTBEAT_INTERVAL_S
             self._at(first, lambda n=node: self._round(n))  # type: ignore[misc]
 
     def _at(self, time: float, call: Callable[[], None]) -> None:
@@ -197,7 +197,7 @@
     def restart(self, name: str, node: Node) -> None:
         """Start an entry's next incarnation, in place of the one that was killed."""
         self.nodes[name] = node
-        first = self._rng.random() * HEARTBEAT_S
+        first = self._rng.random() * HEARTBEAT_INTERVAL_S
         self._at(self.now + first, lambda: self._round(node))
 
     def _round(self, node: Node) -> None:
@@ -210,7 +210,7 @@
             for address in to:
                 self._send(own, message, self._by_address[address])
         late_s = self._rng.uniform(0.0, JITTER_S)
-        self._at(self.now + HEARTBEAT_S + late_s, lambda: self._round(node))
+        self._at(self.now + HEARTBEAT_INTERVAL_S + late_s, lambda: self._round(node))
 
     def _send(self, own: Member, message: object, to: Member) -> None:
         if self._rng.random() < self._loss:
@@ -292,7 +292,7 @@
     near_domains = set(membership.domains(membership.own.region))
     for domain in membership.all_domains():
         into = near if domain in near_domains else far
-        into += [now - s.at for s in membership.last_seen(domain)]
+        into += [now - s.at for s in membership.newest_heartbeats(domain)]
 
 
 def _deaths(site: KnowledgeSite, figures: Figures) -> None:
@@ -317,7 +317,9 @@
 ) -> None:
     since_s = site.now - began
     for node, selector in zip(site.probes(), selectors, strict=True):
-        named = selector.addresses(victim.region, victim.domain, SERVING, site.now)
+        named = selector.select_addresses(
+            victim.region, victim.domain, SERVING, site.now
+        )
         if victim.front not in named:
             continue
         if node.membership.own.region == victim.region:
--- a/benchmarks/emulated_following.py
+++ b/benchmarks/emulated_following.py
@@ -22,7 +22,7 @@
 from leverdoor.codec import pack
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.configuration.catalog_manager import CatalogManager
-from leverdoor.entry.configuration.confirmation import NUMBER_BITS, Confirmation
+from leverdoor.entry.configuration.confirmation import ANSWER_COUNTER_BITS, Confirmation
 from leverdoor.entry.context import EntryContext
 from leverdoor.entry.control_plane import ControlPlane
 from leverdoor.entry.events import Events
@@ -30,7 +30,7 @@
 from leverdoor.entry.exchange.messages import Message, RoomAnswer, RoomMessage
 from leverdoor.entry.exchange.peer_network import PeerNetwork
 from leverdoor.entry.log_writer import LineWriter
-from leverdoor.entry.membership.liveness import HEARTBEAT_S
+from leverdoor.entry.membership.liveness import HEARTBEAT_INTERVAL_S
 from leverdoor.entry.membership.member import (
     SERVING,
     STARTING,
@@ -166,7 +166,7 @@
         self.catalog_manager = CatalogManager(
             words,
             self.state,
-            Confirmation(member_id(name), self._rng.getrandbits(NUMBER_BITS)),
+            Confirmation(member_id(name), self._rng.getrandbits(ANSWER_COUNTER_BITS)),
             events,
             2.5,
             self._put_in_force,
@@ -193,10 +193,10 @@
     async def _rounds(self) -> None:
         await self.control.peers.open(Address(self.member.name, 1))
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(self._rng.random() * HEARTBEAT_S)
+        await asyncio.sleep(self._rng.random() * HEARTBEAT_INTERVAL_S)
         turn = 0
         while True:
-            await asyncio.sleep(HEARTBEAT_S + self._rng.random() * JITTER_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S + self._rng.random() * JITTER_S)
             turn += 1
             self.control.peers.round(loop.time())
             if turn % SWEEP_ROUNDS == 0:
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -21,9 +21,9 @@
 from leverdoor.entry.limits.limiter import Limiter
 from leverdoor.entry.limits.role import REMEMBERED_S, LimiterRole
 from leverdoor.entry.membership.entry_selection import EntrySelector
-from leverdoor.entry.membership.member import SERVING, Member, MemberRow, member_id
+from leverdoor.entry.membership.member import SERVING, DigestRow, Member, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.peer_record import LastSeen
+from leverdoor.entry.membership.peer_record import HeartbeatObservation
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.pauses import Pauses
 from leverdoor.entry.placement.fleet import Fleet
@@ -146,7 +146,7 @@
 
     report = EntryStatus(SERVING, 5, counts, {}, -1, [])
     heard = median_us(receive, 200)
-    named = median_us(lambda: selector.addresses("a", "a1", SERVING, 0.1), 20)
+    named = median_us(lambda: selector.select_addresses("a", "a1", SERVING, 0.1), 20)
     played = median_us(lambda: exchange.round(report, 0.1), 20)
     size = len(zlib.compress(pack(heartbeats[0]), 1))
     print(f"| {entries} | {heard:.1f} | {named:.0f} | {played:.0f} | {size} |")
@@ -158,8 +158,8 @@
     for i in range(1, entries):
         other = _limit_member(i)
         membership.update_member(other, 0.0)
-        row = MemberRow(member_id(other.name), 1, SERVING)
-        membership.record_heartbeat(LastSeen(row, 1e6), 0.0)
+        row = DigestRow(member_id(other.name), 1, SERVING)
+        membership.record_heartbeat(HeartbeatObservation(row, 1e6), 0.0)
     pauses = Pauses(-60.0, lambda: 0.0)
     role = LimiterRole(membership, lambda: SERVING, pauses)
     limited = [t for t in resources(30_000, 1) if isinstance(t, Target)]
--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -32,9 +32,9 @@
     Outgoing,
     measure,
 )
-from leverdoor.entry.membership.member import SERVING, Member, MemberRow, member_id
+from leverdoor.entry.membership.member import SERVING, DigestRow, Member, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.peer_record import LastSeen
+from leverdoor.entry.membership.peer_record import HeartbeatObservation
 
 RELAYED = 16
 """Items of others in one datagram of the relaying design: about 1,200 bytes."""
@@ -77,7 +77,7 @@
         return [(items, self._partners())]
 
     def _partners(self) -> list[str]:
-        near = [m.gossip for m in self.membership.in_own_region()]
+        near = [m.gossip for m in self.membership.known_in_own_region()]
         records = self.membership.records(self.membership.all_domains())
         far = sorted({r.member.gossip for r in records} - set(near))
         to = self._rng.sample(near, min(RELAY_NEAR, len(near)))
@@ -92,8 +92,8 @@
             before = self._items.get(name)
             if before is None or item.seq > before[2].seq:
                 self._items[name] = (at, 0, item)
-            row = MemberRow(member_id(name), item.member.incarnation, SERVING)
-            self.membership.record_heartbeat(LastSeen(row, at), now)
+            row = DigestRow(member_id(name), item.member.incarnation, SERVING)
+            self.membership.record_heartbeat(HeartbeatObservation(row, at), now)
 
 
 @click.command()
--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -208,7 +208,7 @@
     def _update_metrics(self, now: float) -> None:
         m = self._metrics
         m.revision.set(self._state.revision)
-        m.peers.set(len(self._peers.live(now)))
+        m.peers.set(len(self._peers.live_peers(now)))
         m.store_calls.set(self._store.calls)
         m.gossip_bytes.labels("sent").set(self._socket.sent_bytes)
         m.gossip_bytes.labels("received").set(self._socket.received_bytes)
@@ -227,14 +227,14 @@
     def leaving_vms(self) -> frozenset[str]:
         """Return the VMs that leave by any reading of the VM list in the region."""
         found = set(self._vm_watch.leaving)
-        for heartbeat in self._peers.live_in_region(self._now()):
+        for heartbeat in self._peers.live_heartbeats_in_region(self._now()):
             found |= set(heartbeat.leaving_vms)
         return frozenset(found)
 
     def departed(self) -> frozenset[str]:
         """Return the identities of processes proved to be gone by any such reading."""
         found = self._vm_watch.departed
-        for heartbeat in self._peers.live_in_region(self._now()):
+        for heartbeat in self._peers.live_heartbeats_in_region(self._now()):
             found |= set(heartbeat.departed)
         return frozenset(found)
 
--- a/leverdoor/agent/planning.py
+++ b/leverdoor/agent/planning.py
@@ -107,7 +107,7 @@
         Nothing is computed again while nothing that it rests on has changed.
         """
         now = asyncio.get_running_loop().time()
-        heartbeats = self._peers.live_in_region(now)
+        heartbeats = self._peers.live_heartbeats_in_region(now)
         live = [
             GateProcess(b.vm, b.gate, b.incarnation, b.domain)
             for b in heartbeats
--- a/leverdoor/agent/reports.py
+++ b/leverdoor/agent/reports.py
@@ -92,7 +92,7 @@
             await self._session.close()
 
     def _live(self) -> list[Peer]:
-        return self._peers.live(asyncio.get_running_loop().time())
+        return self._peers.live_peers(asyncio.get_running_loop().time())
 
     async def report(self, name: str) -> Report:
         """Compute a report.
--- a/leverdoor/agent/vm_watch.py
+++ b/leverdoor/agent/vm_watch.py
@@ -71,7 +71,7 @@
         self._read_at = _now()
         self.leaving = frozenset(v.vm for v in vms if v.state is VmState.LEAVING)
         absent = self._departures.observe({v.vm for v in vms}, known, began)
-        gone = absent - {b.identity for b in peers.live_in_region(_now())}
+        gone = absent - {b.identity for b in peers.live_heartbeats_in_region(_now())}
         self._departed.update(dict.fromkeys(gone, began))
         self._forget(began)
         return gone
--- a/leverdoor/emulator/site.py
+++ b/leverdoor/emulator/site.py
@@ -19,7 +19,7 @@
 from leverdoor.emulator.targets import EmulatedAnswer, EmulatedRun, EmulatedTarget
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.exchange.messages import ExchangeMessage
-from leverdoor.entry.membership.liveness import HEARTBEAT_S
+from leverdoor.entry.membership.liveness import HEARTBEAT_INTERVAL_S
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.model.resources import (
@@ -76,7 +76,7 @@
             self._renew(entry)
         rng = self.generator("phases")
         for entry in self._entries:
-            first = rng.random() * HEARTBEAT_S
+            first = rng.random() * HEARTBEAT_INTERVAL_S
             self.clock.at(first, partial(self._round, entry))
 
     @property
@@ -167,7 +167,7 @@
     def _round(self, entry: EmulatedEntry) -> None:
         if entry.member.name not in self._away:
             entry.round(lambda message, to: self._send(entry, message, to))
-        self.clock.after(HEARTBEAT_S, partial(self._round, entry))
+        self.clock.after(HEARTBEAT_INTERVAL_S, partial(self._round, entry))
 
     def _send(
         self, entry: EmulatedEntry, message: ExchangeMessage, to: list[str]
--- a/leverdoor/entry/configuration/catalog.py
+++ b/leverdoor/entry/configuration/catalog.py
@@ -60,13 +60,15 @@
         self.workspaces = WorkspaceDirectory(_select(all_resources, Workspace))
         drains = _select(all_resources, Drain)
         self._routes = _by_host(_select(all_resources, Route))
-        self.by_service: dict[str, list[Target]] = {}
+        self.usable_targets_by_service: dict[str, list[Target]] = {}
         """Targets of each service that may receive requests, sorted by name."""
         for target in sorted(self.targets.values(), key=lambda t: t.name):
             if target.draining or any(d.covers(target) for d in drains):
                 continue
-            self.by_service.setdefault(target.service, []).append(target)
-        self.in_service = {t.name for ts in self.by_service.values() for t in ts}
+            self.usable_targets_by_service.setdefault(target.service, []).append(target)
+        self.usable_target_names = {
+            t.name for ts in self.usable_targets_by_service.values() for t in ts
+        }
         """Names of the targets that may receive requests."""
 
     @property
--- a/leverdoor/entry/configuration/catalog_manager.py
+++ b/leverdoor/entry/configuration/catalog_manager.py
@@ -69,7 +69,7 @@
         self.source = "store"
         """Source of the state for the log: "store" or the address of a peer."""
 
-    def store_answered(self) -> None:
+    def record_store_answer(self) -> None:
         """Record that the store just confirmed the revision in force here."""
         self.confirmation.record_answer(asyncio.get_running_loop().time())
 
@@ -123,8 +123,8 @@
     def _log_targets(self, previous: Catalog, retained: list[Target]) -> None:
         """Log the changes of targets since the previous catalog."""
         catalog = self.catalog
-        added = sorted(catalog.in_service - previous.in_service)
-        removed = sorted(previous.in_service - catalog.in_service)
+        added = sorted(catalog.usable_target_names - previous.usable_target_names)
+        removed = sorted(previous.usable_target_names - catalog.usable_target_names)
         cold = [
             name
             for name, target in catalog.targets.items()
--- a/leverdoor/entry/configuration/confirmation.py
+++ b/leverdoor/entry/configuration/confirmation.py
@@ -18,11 +18,11 @@
 
 import msgspec
 
-__all__ = ["NO_ANSWER", "NUMBER_BITS", "Confirmation", "ReportedAnswer"]
+__all__ = ["NO_ANSWER", "ANSWER_COUNTER_BITS", "Confirmation", "ReportedAnswer"]
 
 NEVER_MS = -1
 """The age that is reported if the store never answered."""
-NUMBER_BITS = 32
+ANSWER_COUNTER_BITS = 32
 """Low bits of an answer's number, which count the answers to one entry."""
 MAX_KNOWN_ANSWERS = 32
 """Maximum number of recorded answers; the oldest are dropped.
@@ -64,7 +64,7 @@
             counted. It differs in each process, so that an answer to an earlier process
             is not mistaken for one to this process.
         """
-        self._last_number = (entry_id << NUMBER_BITS) + first_number
+        self._last_number = (entry_id << ANSWER_COUNTER_BITS) + first_number
         self._answer_times: dict[int, float] = {}
         """Loop time of each known answer, by its number."""
         self._pending: dict[int, tuple[int, float]] = {}
@@ -122,7 +122,7 @@
             revision_in_force, number, round((now - self._answer_times[number]) * 1000)
         )
 
-    def has_newer_answer(self, max_age_s: float, now: float) -> bool:
+    def has_answer_for_newer_revision(self, max_age_s: float, now: float) -> bool:
         """Return whether a known answer confirms a revision not in force here yet.
 
         Args:
--- a/leverdoor/entry/control_plane.py
+++ b/leverdoor/entry/control_plane.py
@@ -194,7 +194,7 @@
     def _take_store_answer(self) -> None:
         """Record that the store answered here, as `take_answer` does of others."""
         was_stale = self._store_role.is_stale(asyncio.get_running_loop().time())
-        self._catalog_manager.store_answered()
+        self._catalog_manager.record_store_answer()
         if was_stale:
             self.peers.spread_news()
 
@@ -231,7 +231,7 @@
         return asyncio.get_running_loop().time()
 
     def _has_joined(self) -> bool:
-        return self._now >= self._joining.may_follow_from
+        return self._now >= self._joining.may_follow_store_from
 
     def follows(self) -> bool:
         return self._has_joined() and self._role.follows(self._now)
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -18,7 +18,7 @@
 from leverdoor.entry.bounds import SHARE_UPDATE_ROUNDS, WARM_SENT_S
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.configuration.catalog_manager import CatalogManager
-from leverdoor.entry.configuration.confirmation import NUMBER_BITS, Confirmation
+from leverdoor.entry.configuration.confirmation import ANSWER_COUNTER_BITS, Confirmation
 from leverdoor.entry.configuration.left_out import LeftOutReporter
 from leverdoor.entry.context import EntryContext
 from leverdoor.entry.control_plane import ControlPlane, create_member
@@ -27,7 +27,7 @@
 from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate
 from leverdoor.entry.exchange.peer_network import PeerNetwork, SocketNetwork
 from leverdoor.entry.membership.entry_selection import EntrySelector
-from leverdoor.entry.membership.liveness import HEARTBEAT_S
+from leverdoor.entry.membership.liveness import HEARTBEAT_INTERVAL_S
 from leverdoor.entry.membership.member import LEAVING, SERVING, STARTING, member_id
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.metrics import EntryMetrics
@@ -159,7 +159,7 @@
         self._catalog_manager = CatalogManager(
             self._wire,
             self._store_copy,
-            Confirmation(member_id(s.name), rng.getrandbits(NUMBER_BITS)),
+            Confirmation(member_id(s.name), rng.getrandbits(ANSWER_COUNTER_BITS)),
             self._events,
             s.leave_s,
             self._take_catalog,
@@ -202,7 +202,7 @@
             self._store_copy,
             self._metrics,
             lambda: self._state == SERVING,
-            lambda region, domain, now: self._entry_selector.addresses(
+            lambda region, domain, now: self._entry_selector.select_addresses(
                 region, domain, self._state, now
             ),
             self._settings.lookup_ttl_s,
@@ -242,7 +242,7 @@
         loop = asyncio.get_running_loop()
         turn = 0
         while True:
-            await asyncio.sleep(HEARTBEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             turn += 1
             now = loop.time()
             self._data.count_entries()
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -182,7 +182,7 @@
         state = self.fleet.of(target, now)
         ejected_s = state.unreached(now)
         events.target_ejected(target.name, "ended", ejected_s)
-        left_service = target.name not in self._catalog().in_service
+        left_service = target.name not in self._catalog().usable_target_names
         if left_service or state.availability.leaving:
             return
         for run in runs:
@@ -213,7 +213,7 @@
         self.connections.most = {
             s.name: s.connections for s in catalog.services.values()
         }
-        for name in before.in_service - catalog.in_service:
+        for name in before.usable_target_names - catalog.usable_target_names:
             self.connections.drop(name)
         self.placement.renew(catalog)
 
--- a/leverdoor/entry/exchange/encoding.py
+++ b/leverdoor/entry/exchange/encoding.py
@@ -10,7 +10,7 @@
 
 import xxhash
 
-from leverdoor.entry.membership.member import MemberRow
+from leverdoor.entry.membership.member import DigestRow
 
 __all__ = [
     "AGE_STEP_S",
@@ -37,15 +37,15 @@
 """One hash of 32 bits."""
 
 
-def serialize_rows(rows: Iterable[MemberRow]) -> bytes:
+def serialize_rows(rows: Iterable[DigestRow]) -> bytes:
     """Serialize the incarnations and states of entries."""
     return b"".join(ROW.pack(r.id, r.incarnation, r.state) for r in rows)
 
 
-def parse_rows(data: bytes) -> list[MemberRow]:
+def parse_rows(data: bytes) -> list[DigestRow]:
     """Parse the incarnations and states of entries; a row cut short is left out."""
     whole = len(data) - len(data) % ROW.size
-    return [MemberRow(*fields) for fields in ROW.iter_unpack(data[:whole])]
+    return [DigestRow(*fields) for fields in ROW.iter_unpack(data[:whole])]
 
 
 def rows_hash(data: bytes) -> int:
--- a/leverdoor/entry/exchange/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -48,9 +48,9 @@
 from leverdoor.entry.exchange.use_lists import Use
 from leverdoor.entry.exchange.views import Views
 from leverdoor.entry.exchange.warm_news import WarmNews
-from leverdoor.entry.membership.member import Member, MemberRow, member_id
+from leverdoor.entry.membership.member import DigestRow, Member, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.peer_record import LastSeen
+from leverdoor.entry.membership.peer_record import HeartbeatObservation
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.quarantine.notices import parse_notices, serialize_notices
 
@@ -142,8 +142,8 @@
         if member.name == self._own.name or self._merger.is_old(heartbeat):
             return PeerUpdate()
         self._membership.update_member(member, now)
-        row = MemberRow(member_id(member.name), member.incarnation, heartbeat.state)
-        self._membership.record_heartbeat(LastSeen(row, now), now)
+        row = DigestRow(member_id(member.name), member.incarnation, heartbeat.state)
+        self._membership.record_heartbeat(HeartbeatObservation(row, now), now)
         known = self._membership.member(member.name)
         if known is None or known.incarnation != member.incarnation:
             return PeerUpdate()
@@ -162,7 +162,7 @@
         )
 
     def _take_digest(self, digest: Digest, revision: int, now: float) -> PeerUpdate:
-        self._roles.note_digest(digest.sender, now)
+        self._roles.record_digest(digest.sender, now)
         for view in digest.views:
             self._views.take(view, now)
         sender = self._membership.member(digest.sender)
@@ -268,7 +268,7 @@
 
     def announce_leave(self, status: EntryStatus) -> list[Sending]:
         """Return a heartbeat for the whole region: this entry must not be named."""
-        to = [m.gossip for m in self._membership.in_own_region()]
+        to = [m.gossip for m in self._membership.known_in_own_region()]
         return [Sending(self.heartbeat(status), to)]
 
     def news(self, revision: int, answer: ReportedAnswer, now: float) -> list[Sending]:
@@ -347,7 +347,7 @@
             return [m.gossip for m in self._recipients.near(now)]
         if scope == DigestScope.REGION:
             return [m.gossip for m in self._recipients.far(self._turn, now)]
-        return [m.gossip for m in self._membership.in_own_domain()]
+        return [m.gossip for m in self._membership.known_in_own_domain()]
 
     def _digests(self, status: EntryStatus, now: float) -> list[Sending]:
         """Return an aggregator's digests of a round, with their recipients."""
--- a/leverdoor/entry/exchange/recipients.py
+++ b/leverdoor/entry/exchange/recipients.py
@@ -12,7 +12,7 @@
 
 from typing import TypeVar
 
-from leverdoor.entry.membership.liveness import HEARTBEAT_S
+from leverdoor.entry.membership.liveness import HEARTBEAT_INTERVAL_S
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import NEVER
@@ -124,10 +124,10 @@
         and a half rounds; with turns of its own it would wait up to two.
         """
         at, first = self._other_round
-        if now - at > 2 * HEARTBEAT_S:
+        if now - at > 2 * HEARTBEAT_INTERVAL_S:
             return own
-        rounds, since_s = divmod(now - at, HEARTBEAT_S)
-        return first + int(rounds) + (since_s < HEARTBEAT_S / 2)
+        rounds, since_s = divmod(now - at, HEARTBEAT_INTERVAL_S)
+        return first + int(rounds) + (since_s < HEARTBEAT_INTERVAL_S / 2)
 
 
 def _paired(members: list[Member], place: int, senders: int, turn: int) -> list[Member]:
--- a/leverdoor/entry/exchange/use_exchange.py
+++ b/leverdoor/entry/exchange/use_exchange.py
@@ -157,7 +157,7 @@
         aggregator that is gone: see `UNREPORTED_PARTS`.
         """
         domain = self._own.domain
-        last_seen = self._membership.last_seen(domain)
+        last_seen = self._membership.newest_heartbeats(domain)
         never = self._membership.count_in_domain(domain) - 1 - len(last_seen)
         never = max(never, 0) if uptime_s <= HOLD_S else 0
         unreported = [
@@ -174,7 +174,7 @@
         return {
             domain
             for domain in self._membership.domains(self._own.region)
-            if domain != self._own.domain and self._membership.last_seen(domain)
+            if domain != self._own.domain and self._membership.newest_heartbeats(domain)
         }
 
     def _far(self) -> set[str]:
@@ -183,7 +183,7 @@
             region
             for region in self._membership.other_regions()
             for domain in self._membership.domains(region)
-            if self._membership.last_seen(domain)
+            if self._membership.newest_heartbeats(domain)
         }
 
     def summary(self, own: Use, uptime_s: float, now: float) -> UseSummary:
--- a/leverdoor/entry/exchange/views.py
+++ b/leverdoor/entry/exchange/views.py
@@ -21,9 +21,9 @@
     serialize_rows,
 )
 from leverdoor.entry.exchange.messages import DomainView
-from leverdoor.entry.membership.member import EntryState, MemberRow, member_id
+from leverdoor.entry.membership.member import DigestRow, EntryState, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.peer_record import LastSeen
+from leverdoor.entry.membership.peer_record import HeartbeatObservation
 
 __all__ = ["Views"]
 
@@ -49,7 +49,7 @@
         self._membership = membership
         self._own = membership.own
         self._own_id = member_id(self._own.name)
-        self._rows: OrderedDict[int, list[MemberRow]] = OrderedDict()
+        self._rows: OrderedDict[int, list[DigestRow]] = OrderedDict()
         """Rows received, by their hash."""
         self._changes: dict[str, tuple[int, float]] = {}
         """By failure domain, the hash of its rows here and since when it holds."""
@@ -70,7 +70,7 @@
         for row, steps in zip(rows, view.ages, strict=True):
             if steps < OLDEST_STEPS:
                 at = now - steps * AGE_STEP_S
-                self._membership.record_heartbeat(LastSeen(row, at), now)
+                self._membership.record_heartbeat(HeartbeatObservation(row, at), now)
 
     def own_seq(self, views: list[DomainView]) -> int:
         """Return the number of the own heartbeat that views rest on, modulo 256.
@@ -102,11 +102,11 @@
           turn: the round, in which one domain's rows are sent unchanged.
           now: monotonic time in seconds.
         """
-        last_seen = self._membership.last_seen(domain)
+        last_seen = self._membership.newest_heartbeats(domain)
         seqs = b""
         if domain == self._own.domain:
-            own = MemberRow(self._own_id, self._own.incarnation, state)
-            last_seen.append(LastSeen(own, now))
+            own = DigestRow(self._own_id, self._own.incarnation, state)
+            last_seen.append(HeartbeatObservation(own, now))
             names = [self._membership.name(s.row.id) for s in last_seen]
             seqs = bytes(seq(name or self._own.name) % 256 for name in names)
         rows = serialize_rows(s.row for s in last_seen)
--- a/leverdoor/entry/limits/role.py
+++ b/leverdoor/entry/limits/role.py
@@ -124,7 +124,7 @@
         Kept until an entry comes, goes or restarts: hashing all of a large region for
         each target would cost a percent of a core.
         """
-        made_of = (self._membership.version, self._membership.count)
+        made_of = (self._membership.change_count, self._membership.count)
         known = self._rankings.get(key)
         if known is not None and known.made_of == made_of:
             return known.names
--- a/leverdoor/entry/membership/entry_selection.py
+++ b/leverdoor/entry/membership/entry_selection.py
@@ -59,10 +59,10 @@
         self._own = membership.own
         self._cache: dict[tuple[str, str, EntryState], tuple[float, list[str]]] = {}
         """Time and addresses of each selection, by region, domain and own state."""
-        self._version = membership.version
+        self._version = membership.change_count
         """Version of the membership that the cached selections were made from."""
 
-    def addresses(
+    def select_addresses(
         self, region: str, domain: str, own_state: EntryState, now: float
     ) -> list[str]:
         """Return the addresses of the entries nearest to a caller.
@@ -74,8 +74,8 @@
           now: monotonic time in seconds.
         Returns: addresses as `ip:port`, ordered by entry name.
         """
-        if self._version != self._membership.version:
-            self._version = self._membership.version
+        if self._version != self._membership.change_count:
+            self._version = self._membership.change_count
             self._cache.clear()
         key = (region, domain, own_state)
         selected_at, selected = self._cache.get(key, (-1.0, []))
--- a/leverdoor/entry/membership/joining.py
+++ b/leverdoor/entry/membership/joining.py
@@ -7,7 +7,7 @@
 that have the state. Only the entries with the widest links of a region, and entries
 that find no peer with the state, list the whole store.
 
-Owns the time from which this entry may follow the store (`may_follow_from`); it is lost
+Owns the time from which this entry may follow the store (`may_follow_store_from`); it is lost
 with the process. Relies on `Roles` for the rank of this entry, on `PeerFollower` for
 fetches and on the store for the listing. If the store is unavailable, the error is
 logged and the listing counts as empty.
@@ -106,7 +106,7 @@
         self._events = events
         self._rng = rng
         self._has_state = asyncio.Event()
-        self.may_follow_from = 0.0
+        self.may_follow_store_from = 0.0
         """Monotonic time in seconds from which this entry may follow the store."""
         state.changes.subscribe(lambda _: self._has_state.set())
 
@@ -144,14 +144,14 @@
             await self._wait_for_state(self._list_delay_s(followers))
         if self._has_state.is_set():
             loop = asyncio.get_running_loop()
-            self.may_follow_from = loop.time() + FOLLOW_DELAY_S
+            self.may_follow_store_from = loop.time() + FOLLOW_DELAY_S
             self._events.process("joined", revision=self._state.revision)
 
     def _choose_peers(self) -> list[str]:
         """Choose random peers from the own failure domain, or region if too few."""
-        candidates = self._membership.in_own_domain()
+        candidates = self._membership.known_in_own_domain()
         if len(candidates) < PEERS_PER_ATTEMPT:
-            candidates = self._membership.in_own_region()
+            candidates = self._membership.known_in_own_region()
         chosen = self._rng.sample(candidates, min(PEERS_PER_ATTEMPT, len(candidates)))
         return [member.pull for member in chosen]
 
--- a/leverdoor/entry/membership/liveness.py
+++ b/leverdoor/entry/membership/liveness.py
@@ -22,10 +22,10 @@
 Owns no state.
 """
 
-from leverdoor.entry.membership.peer_record import LastSeen, PeerRecord
+from leverdoor.entry.membership.peer_record import HeartbeatObservation, PeerRecord
 
 __all__ = [
-    "HEARTBEAT_S",
+    "HEARTBEAT_INTERVAL_S",
     "RECORD_TTL_S",
     "REMOTE_SILENCE_S",
     "SILENCE_S",
@@ -35,7 +35,7 @@
     "supersedes",
 ]
 
-HEARTBEAT_S = 0.2
+HEARTBEAT_INTERVAL_S = 0.2
 """Interval between rounds of heartbeats and digests, in seconds.
 
 A shorter interval costs proportionally more datagrams and CPU time. A longer one makes
@@ -87,7 +87,7 @@
     return now - record.reported_at > RECORD_TTL_S
 
 
-def supersedes(record: PeerRecord, seen: LastSeen) -> bool:
+def supersedes(record: PeerRecord, seen: HeartbeatObservation) -> bool:
     """Return whether the observed incarnation replaces the recorded one.
 
     Incarnations are start times, so the higher number wins. After a clock was set back,
--- a/leverdoor/entry/membership/member.py
+++ b/leverdoor/entry/membership/member.py
@@ -17,7 +17,7 @@
     "STARTING",
     "EntryState",
     "Member",
-    "MemberRow",
+    "DigestRow",
     "link_sort_key",
     "member_id",
 ]
@@ -50,7 +50,7 @@
     """Bandwidth of the link of its VM, in Mbit/s; 0 if unknown."""
 
 
-class MemberRow(msgspec.Struct, frozen=True, array_like=True):
+class DigestRow(msgspec.Struct, frozen=True, array_like=True):
     """Incarnation and state of an entry, as encoded in digests."""
 
     id: int
--- a/leverdoor/entry/membership/members.py
+++ b/leverdoor/entry/membership/members.py
@@ -27,12 +27,16 @@
 from leverdoor.entry.membership.member import (
     LEAVING,
     STARTING,
+    DigestRow,
     Member,
-    MemberRow,
     link_sort_key,
     member_id,
 )
-from leverdoor.entry.membership.peer_record import NEVER, LastSeen, PeerRecord
+from leverdoor.entry.membership.peer_record import (
+    NEVER,
+    HeartbeatObservation,
+    PeerRecord,
+)
 
 __all__ = ["LivenessChange", "Membership"]
 
@@ -53,7 +57,7 @@
     def __init__(self, own: Member) -> None:
         """Create the membership of this entry, `own`, without any peers."""
         self.own = own
-        self.version = 0
+        self.change_count = 0
         """Incremented at each change of the state or incarnation of an entry."""
         self._records: dict[str, PeerRecord] = {}
         self._names_by_id: dict[int, str] = {}
@@ -107,9 +111,9 @@
         record.member = member
         record.state = STARTING
         record.heartbeat_at = NEVER
-        self.version += 1
+        self.change_count += 1
 
-    def record_heartbeat(self, seen: LastSeen, now: float) -> bool:
+    def record_heartbeat(self, seen: HeartbeatObservation, now: float) -> bool:
         """Record the newest heartbeat and the state of an incarnation of an entry.
 
         Within an incarnation the state only advances, from STARTING to LEAVING, so that
@@ -123,14 +127,16 @@
             return False
         if row.state > record.state:
             record.state = row.state
-            self.version += 1
+            self.change_count += 1
         if seen.at <= record.heartbeat_at:
             return False
         record.heartbeat_at = seen.at
         record.reported_at = max(record.reported_at, now)
         return True
 
-    def _accept_incarnation(self, record: PeerRecord, seen: LastSeen) -> bool:
+    def _accept_incarnation(
+        self, record: PeerRecord, seen: HeartbeatObservation
+    ) -> bool:
         """Record the observed incarnation if it is valid; return whether it is."""
         incarnation = seen.row.incarnation
         if incarnation == record.member.incarnation:
@@ -206,23 +212,23 @@
         """Return the name of the entry with a `member_id`; empty if unknown."""
         return self._names_by_id.get(entry_id, "")
 
-    def last_seen(self, domain: str) -> list[LastSeen]:
+    def newest_heartbeats(self, domain: str) -> list[HeartbeatObservation]:
         """Return the newest heartbeats of a failure domain, ordered by entry name."""
         records = self._records_by_domain.get(domain, {})
         return [
-            LastSeen(
-                MemberRow(member_id(name), r.member.incarnation, r.state),
+            HeartbeatObservation(
+                DigestRow(member_id(name), r.member.incarnation, r.state),
                 r.heartbeat_at,
             )
             for name, r in sorted(records.items())
             if r.heartbeat_at > NEVER
         ]
 
-    def in_own_region(self) -> list[Member]:
+    def known_in_own_region(self) -> list[Member]:
         """Return all known entries of the own region, including silent ones."""
         return [r.member for r in self.records(self.domains(self.own.region))]
 
-    def in_own_domain(self) -> list[Member]:
+    def known_in_own_domain(self) -> list[Member]:
         """Return all known entries of the own failure domain, ordered by name."""
         records = sorted(self._records_by_domain[self.own.domain].items())
         return [record.member for _, record in records]
--- a/leverdoor/entry/membership/peer_record.py
+++ b/leverdoor/entry/membership/peer_record.py
@@ -4,18 +4,18 @@
 
 import msgspec
 
-from leverdoor.entry.membership.member import STARTING, EntryState, Member, MemberRow
+from leverdoor.entry.membership.member import STARTING, DigestRow, EntryState, Member
 
-__all__ = ["NEVER", "LastSeen", "PeerRecord"]
+__all__ = ["NEVER", "HeartbeatObservation", "PeerRecord"]
 
 NEVER = -1e9
 """Time in seconds of an event that has not happened, earlier than any clock value."""
 
 
-class LastSeen(msgspec.Struct, frozen=True):
+class HeartbeatObservation(msgspec.Struct, frozen=True):
     """Time at which any entry received the newest heartbeat of an incarnation."""
 
-    row: MemberRow
+    row: DigestRow
     at: float
     """Monotonic time in seconds, by the clock of this entry."""
 
--- a/leverdoor/entry/membership/roles.py
+++ b/leverdoor/entry/membership/roles.py
@@ -61,7 +61,7 @@
 
     # Aggregators.
 
-    def note_digest(self, name: str, now: float) -> None:
+    def record_digest(self, name: str, now: float) -> None:
         """Record that this entry received a digest from another one, given by name."""
         record = self._membership.record(name)
         if record is not None:
@@ -182,7 +182,7 @@
         Silent entries are included, since a starting entry has received no heartbeats
         yet. Return None if no other entry of the region is known.
         """
-        known = self._membership.in_own_region()
+        known = self._membership.known_in_own_region()
         if not known:
             return None
         return sorted([*known, self._own], key=link_sort_key).index(self._own)
--- a/leverdoor/entry/placement/candidates.py
+++ b/leverdoor/entry/placement/candidates.py
@@ -54,7 +54,7 @@
         self._catalog = catalog
         regions: dict[tuple[str, str], list[Target]] = {}
         domains: dict[tuple[str, str], list[Target]] = {}
-        for service, targets in catalog.by_service.items():
+        for service, targets in catalog.usable_targets_by_service.items():
             for target in targets:
                 regions.setdefault((service, target.region), []).append(target)
                 domains.setdefault((service, target.domain), []).append(target)
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -142,7 +142,7 @@
 
         It may have left service, or said that it leaves or wants rest, meanwhile.
         """
-        if target.name not in self._catalog.in_service:
+        if target.name not in self._catalog.usable_target_names:
             return False
         return self._is_open(target, now)
 
--- a/leverdoor/entry/store_role.py
+++ b/leverdoor/entry/store_role.py
@@ -166,7 +166,7 @@
             return False
         # Unserved ones count here: as the first fail, the others must not ask faster.
         place = self._roles.rank_among_live(now, ())
-        alone = self._confirmation.has_newer_answer(STALE_S, now)
+        alone = self._confirmation.has_answer_for_newer_revision(STALE_S, now)
         step_s = self._step_s(ALONE_SHARE if alone else ASK_SHARE, now)
         if not alone:
             step_s = max(step_s, RANK_STEP_S)
--- a/leverdoor/gate/neighbours.py
+++ b/leverdoor/gate/neighbours.py
@@ -103,7 +103,7 @@
             n = self._known.get(heartbeat.vm)
             if n is None:
                 n = self._known[heartbeat.vm] = Neighbour(Peer(heartbeat, now))
-            elif n.peer.supersedes(heartbeat, now):
+            elif n.peer.is_superseded_by(heartbeat, now):
                 if heartbeat.incarnation != n.heartbeat.incarnation:
                     n.out_until = 0.0
                 n.peer.receive(heartbeat, now)
--- a/leverdoor/membership/ownership.py
+++ b/leverdoor/membership/ownership.py
@@ -118,7 +118,7 @@
     """Table version that a holder applied, and rows where its use exceeds its units."""
 
     version: int
-    over: list[str] = []
+    overused_rows: list[str] = []
 
 
 def slot_row_name(address: str) -> str:
@@ -242,7 +242,11 @@
 
 def _is_acknowledged(ack: Ack | None, name: str, release: Release) -> bool:
     """Return whether a holder applied the release and uses at most what it holds."""
-    return ack is not None and ack.version >= release.version and name not in ack.over
+    return (
+        ack is not None
+        and ack.version >= release.version
+        and name not in ack.overused_rows
+    )
 
 
 def assign_units(
--- a/leverdoor/membership/peers.py
+++ b/leverdoor/membership/peers.py
@@ -148,7 +148,7 @@
     superseded_agent: int = -1
     """Start time of an agent replaced by one with an earlier start time; -1 if none."""
 
-    def supersedes(self, heartbeat: AgentHeartbeat, now: float) -> bool:
+    def is_superseded_by(self, heartbeat: AgentHeartbeat, now: float) -> bool:
         """Return whether a heartbeat replaces the known one.
 
         The heartbeat with the later start time, then the higher sequence number wins.
@@ -212,7 +212,7 @@
             if peer is None:
                 self.known[heartbeat.vm] = Peer(heartbeat, now)
                 self._membership_changed = True
-            elif peer.supersedes(heartbeat, now):
+            elif peer.is_superseded_by(heartbeat, now):
                 peer.receive(heartbeat, now)
             else:
                 continue
@@ -243,12 +243,12 @@
         )
         del self._ring_neighbours[RING_NEIGHBOURS:]
 
-    def live(self, now: float) -> list[Peer]:
+    def live_peers(self, now: float) -> list[Peer]:
         """Return the peers that are not silent, sorted by VM."""
         found = [p for p in self.known.values() if not p.is_silent(now)]
         return sorted(found, key=lambda p: p.heartbeat.vm)
 
-    def live_in_region(self, now: float) -> list[AgentHeartbeat]:
+    def live_heartbeats_in_region(self, now: float) -> list[AgentHeartbeat]:
         """Return the heartbeats of the own region's live VMs, sorted by VM."""
         self._update_groups()
         names = sorted(
--- a/leverdoor/storage/following.py
+++ b/leverdoor/storage/following.py
@@ -128,7 +128,7 @@
       now: monotonic time in seconds.
       unserved: whether the store does not answer this agent.
     """
-    live = [b for b in peers.live_in_region(now) if b.vm != vm]
+    live = [b for b in peers.live_heartbeats_in_region(now) if b.vm != vm]
     served = {b.vm for b in live if not b.unserved}
     if unserved and served:
         return -1
--- a/tests/test_clock_set_back.py
+++ b/tests/test_clock_set_back.py
@@ -22,7 +22,7 @@
     peers = Peers("vm0", "r0")
     peers.merge([heartbeat(AHEAD, 9)], 0.0)
     peers.merge([heartbeat(BEHIND, 1)], SOON_S)
-    assert [b.vm for b in peers.live_in_region(SOON_S)] == ["vm1"]
+    assert [b.vm for b in peers.live_heartbeats_in_region(SOON_S)] == ["vm1"]
 
 
 def test_heartbeats_of_the_former_agent_that_others_pass_on_count_no_more() -> None:
--- a/tests/test_entry_digests.py
+++ b/tests/test_entry_digests.py
@@ -29,10 +29,10 @@
     MOST_COUNTED,
     TargetLists,
 )
-from leverdoor.entry.membership.member import SERVING, Member, MemberRow
+from leverdoor.entry.membership.member import SERVING, DigestRow, Member
 
 ROWS = st.builds(
-    MemberRow,
+    DigestRow,
     st.integers(0, 2**32 - 1),
     st.integers(0, 2**64 - 1),
     st.sampled_from([0, 1, 2]),
@@ -41,7 +41,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(ROWS, max_size=40))
-def test_rows_come_back(rows: list[MemberRow]) -> None:
+def test_rows_come_back(rows: list[DigestRow]) -> None:
     assert parse_rows(serialize_rows(rows)) == rows
 
 
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -12,7 +12,7 @@
 from leverdoor.entry.exchange.exchange_types import EntryStatus, PeerUpdate, Sending
 from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat, News
 from leverdoor.entry.membership.entry_selection import EntrySelector
-from leverdoor.entry.membership.liveness import HEARTBEAT_S
+from leverdoor.entry.membership.liveness import HEARTBEAT_INTERVAL_S
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
@@ -47,7 +47,7 @@
 
     def round(self, rounds: int = 1) -> None:
         for _ in range(rounds):
-            self.now += HEARTBEAT_S
+            self.now += HEARTBEAT_INTERVAL_S
             for name, exchange in self.exchanges.items():
                 if name not in self.silent:
                     sendings, heard = exchange.round(self.reports[name], self.now)
@@ -222,11 +222,11 @@
     s.report("a1-4", state=LEAVING)
     s.send("a1-4", s.exchanges["a1-4"].announce_leave(s.reports["a1-4"]))
     for name in ("a1-0", "a1-5", "a2-5"):
-        named = s.selectors[name].addresses("a", "a1", SERVING, s.now)
+        named = s.selectors[name].select_addresses("a", "a1", SERVING, s.now)
         assert "f/a1-4" not in named
     s.round(6)
     for name in ("a1-0", "a1-5", "a2-5"):
-        named = s.selectors[name].addresses("a", "a1", SERVING, s.now)
+        named = s.selectors[name].select_addresses("a", "a1", SERVING, s.now)
         assert "f/a1-4" not in named
 
 
--- a/tests/test_entry_joining.py
+++ b/tests/test_entry_joining.py
@@ -120,10 +120,10 @@
         api.startswith("p/a1-") for apis in starting.puller.requested for api in apis
     )
     loop = asyncio.get_running_loop()
-    assert starting.joining.may_follow_from > loop.time(), (
+    assert starting.joining.may_follow_store_from > loop.time(), (
         "it must not follow the store yet"
     )
-    assert starting.joining.may_follow_from <= loop.time() + FOLLOW_DELAY_S
+    assert starting.joining.may_follow_store_from <= loop.time() + FOLLOW_DELAY_S
 
 
 async def test_an_entry_with_a_wide_link_lists_the_store_immediately() -> None:
@@ -132,7 +132,7 @@
     await starting.joining.discover_peers()
     await starting.joining.fetch_state(followers=2)
     assert starting.puller.requested == []
-    assert starting.joining.may_follow_from == 0.0, (
+    assert starting.joining.may_follow_store_from == 0.0, (
         "it may follow the store immediately"
     )
 
@@ -147,7 +147,7 @@
     )
     await starting.joining.fetch_state(followers=2)
     assert starting.state.revision == 3
-    assert starting.joining.may_follow_from > 0.0
+    assert starting.joining.may_follow_store_from > 0.0
 
 
 async def test_an_entry_that_finds_no_peer_with_the_state_lists_the_store() -> None:
@@ -156,7 +156,7 @@
     await starting.joining.discover_peers()
     await starting.joining.fetch_state(followers=2)
     assert starting.state.revision == 0
-    assert starting.joining.may_follow_from == 0.0
+    assert starting.joining.may_follow_store_from == 0.0
 
 
 async def test_an_unavailable_store_does_not_block_the_start() -> None:
--- a/tests/test_entry_membership.py
+++ b/tests/test_entry_membership.py
@@ -19,12 +19,12 @@
     LEAVING,
     SERVING,
     STARTING,
+    DigestRow,
     Member,
-    MemberRow,
     member_id,
 )
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.peer_record import LastSeen
+from leverdoor.entry.membership.peer_record import HeartbeatObservation
 from leverdoor.entry.membership.roles import (
     AGGREGATOR_RETRY_S,
     AGGREGATOR_SILENCE_S,
@@ -68,7 +68,7 @@
     )
     view.update_member(described_member, now)
     return view.record_heartbeat(
-        LastSeen(MemberRow(member_id(name), incarnation, state), now), now
+        HeartbeatObservation(DigestRow(member_id(name), incarnation, state), now), now
     )
 
 
@@ -80,33 +80,41 @@
     view = entry_view()
     view.add_registered({"x": pack(member("a1-1")), "bad": b"\xff"}, 0.0)
     assert view.gossip_addresses() == ["g/a1-1"]
-    assert view.selector.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
+    assert view.selector.select_addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
     deliver_heartbeat(view, "a1-1", 0.1)
-    assert view.selector.addresses("a", "a1", SERVING, 0.2) == ["f/a1-0", "f/a1-1"]
+    assert view.selector.select_addresses("a", "a1", SERVING, 0.2) == [
+        "f/a1-0",
+        "f/a1-1",
+    ]
 
 
 def test_silent_entries_are_not_selected() -> None:
     view = entry_view()
     deliver_heartbeat(view, "a1-1", 0.0)
     after_silence = SILENCE_S + 0.1
-    assert view.selector.addresses("a", "a1", SERVING, after_silence) == ["f/a1-0"]
+    assert view.selector.select_addresses("a", "a1", SERVING, after_silence) == [
+        "f/a1-0"
+    ]
 
 
 def test_leaving_and_starting_entries_are_not_selected() -> None:
     view = entry_view()
     deliver_heartbeat(view, "a1-1", 0.0, LEAVING)
     deliver_heartbeat(view, "a1-2", 0.0, STARTING)
-    assert view.selector.addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
-    assert view.selector.addresses("a", "a1", LEAVING, 0.0) == ["f/a1-0"]
+    assert view.selector.select_addresses("a", "a1", SERVING, 0.0) == ["f/a1-0"]
+    assert view.selector.select_addresses("a", "a1", LEAVING, 0.0) == ["f/a1-0"]
     deliver_heartbeat(view, "a1-3", 0.0)
-    assert view.selector.addresses("a", "a1", LEAVING, 0.0) == ["f/a1-3"]
+    assert view.selector.select_addresses("a", "a1", LEAVING, 0.0) == ["f/a1-3"]
 
 
 def test_heartbeats_of_an_old_incarnation_are_ignored() -> None:
     view = entry_view()
     deliver_heartbeat(view, "a1-1", 0.0, incarnation=2)
     assert not deliver_heartbeat(view, "a1-1", 0.1, LEAVING, incarnation=1)
-    assert view.selector.addresses("a", "a1", SERVING, 0.1) == ["f/a1-0", "f/a1-1"]
+    assert view.selector.select_addresses("a", "a1", SERVING, 0.1) == [
+        "f/a1-0",
+        "f/a1-1",
+    ]
 
 
 def test_an_entry_is_selected_again_after_its_clock_was_set_back() -> None:
@@ -119,9 +127,12 @@
     assert not deliver_heartbeat(view, "a1-1", 0.2, incarnation=3)
     deliver_heartbeat(view, "a1-1", SUPERSEDE_SILENCE_S + 0.1, incarnation=3)
     now = SUPERSEDE_SILENCE_S + 0.2
-    assert view.selector.addresses("a", "a1", SERVING, now) == ["f/a1-0", "f/a1-1"]
+    assert view.selector.select_addresses("a", "a1", SERVING, now) == [
+        "f/a1-0",
+        "f/a1-1",
+    ]
     view.add_registered({"x": pack(member("a1-1", 9))}, now)
-    assert view.selector.addresses("a", "a1", SERVING, now + 0.2) == [
+    assert view.selector.select_addresses("a", "a1", SERVING, now + 0.2) == [
         "f/a1-0",
         "f/a1-1",
     ]
@@ -131,19 +142,22 @@
     view = entry_view()
     for name in ("a2-0", "a2-1", "b1-0"):
         deliver_heartbeat(view, name, 0.0)
-    assert view.selector.addresses("a", "a1", SERVING, 0.0) == [
+    assert view.selector.select_addresses("a", "a1", SERVING, 0.0) == [
         "f/a1-0",
         "f/a2-0",
         "f/a2-1",
     ]
-    assert view.selector.addresses("a", "a2", SERVING, 0.0) == ["f/a2-0", "f/a2-1"]
+    assert view.selector.select_addresses("a", "a2", SERVING, 0.0) == [
+        "f/a2-0",
+        "f/a2-1",
+    ]
 
 
 def test_other_regions_are_selected_only_if_the_callers_has_no_live_entry() -> None:
     view = entry_view()
     deliver_heartbeat(view, "b1-0", 0.0)
-    assert view.selector.addresses("b", "b1", SERVING, 0.0) == ["f/b1-0"]
-    assert view.selector.addresses("b", "b1", SERVING, 9.0) == ["f/a1-0"]
+    assert view.selector.select_addresses("b", "b1", SERVING, 0.0) == ["f/b1-0"]
+    assert view.selector.select_addresses("b", "b1", SERVING, 9.0) == ["f/a1-0"]
 
 
 def test_two_followers_are_elected_and_replaced_when_silent() -> None:
@@ -211,7 +225,7 @@
         deliver_heartbeat(view, m.name, 0.0, link_mbps=m.link_mbps)
     first, second = (m.name for m in view.roles.aggregators("a1", 0.0))
     after_silence = AGGREGATOR_SILENCE_S + 0.1
-    view.roles.note_digest(second, after_silence)
+    view.roles.record_digest(second, after_silence)
     assert after_silence < SILENCE_S
     chosen = [m.name for m in view.roles.aggregators("a1", after_silence)]
     assert first not in chosen
@@ -220,7 +234,7 @@
     assert first in [m.name for m in view.roles.recipients("a1", after_silence)], (
         "a skipped entry must remain a recipient"
     )
-    view.roles.note_digest(first, after_silence + 0.1)
+    view.roles.record_digest(first, after_silence + 0.1)
     assert [m.name for m in view.roles.aggregators("a1", after_silence + 0.1)] == [
         first,
         second,
@@ -261,7 +275,9 @@
     view = EntryView(members[0], Random(1))
     for m in members:
         deliver_heartbeat(view, m.name, 0.0)
-    assert view.selector.addresses("a", "a1", SERVING, SILENCE_S + 0.2) == ["f/a1-0"]
+    assert view.selector.select_addresses("a", "a1", SERVING, SILENCE_S + 0.2) == [
+        "f/a1-0"
+    ]
 
 
 def test_each_liveness_change_is_returned_once() -> None:
@@ -275,9 +291,9 @@
 
 OBSERVATIONS = st.lists(
     st.builds(
-        LastSeen,
+        HeartbeatObservation,
         st.builds(
-            MemberRow,
+            DigestRow,
             st.just(member_id("a1-1")),
             st.integers(1, 3),
             st.sampled_from([STARTING, SERVING, LEAVING]),
@@ -292,7 +308,7 @@
 @settings(derandomize=True, deadline=None)
 @given(OBSERVATIONS, st.randoms(use_true_random=False))
 def test_order_and_repetition_of_observations_do_not_matter(
-    observations: list[LastSeen], shuffle_rng: Random
+    observations: list[HeartbeatObservation], shuffle_rng: Random
 ) -> None:
     """The newest incarnation wins, with its latest state and newest heartbeat."""
     reordered = observations + observations[: len(observations) // 2]
@@ -303,12 +319,12 @@
         view.update_member(member("a1-1"), 0.0)
         for observation in sequence:
             view.record_heartbeat(observation, 1.0)
-        found.append(view.last_seen("a1"))
+        found.append(view.newest_heartbeats("a1"))
     assert found[0] == found[1]
     newest = max(s.row.incarnation for s in observations)
     of_newest = [s for s in observations if s.row.incarnation == newest]
-    row = MemberRow(member_id("a1-1"), newest, max(s.row.state for s in of_newest))
-    assert found[0] == [LastSeen(row, max(s.at for s in of_newest))]
+    row = DigestRow(member_id("a1-1"), newest, max(s.row.state for s in of_newest))
+    assert found[0] == [HeartbeatObservation(row, max(s.at for s in of_newest))]
 
 
 @settings(derandomize=True, deadline=None)
@@ -322,4 +338,4 @@
         now += 0.2
         deliver_heartbeat(view, "a1-1", now, incarnation=5)
         deliver_heartbeat(view, "a1-1", now, LEAVING, incarnation=incarnation)
-        assert "f/a1-1" in view.selector.addresses("a", "a1", SERVING, now)
+        assert "f/a1-1" in view.selector.select_addresses("a", "a1", SERVING, now)
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -23,13 +23,13 @@
 from leverdoor.entry.membership.member import (
     LEAVING,
     SERVING,
+    DigestRow,
     EntryState,
     Member,
-    MemberRow,
     member_id,
 )
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.peer_record import LastSeen
+from leverdoor.entry.membership.peer_record import HeartbeatObservation
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.pauses import PAUSE_S, Pauses
 from leverdoor.entry.placement.fleet import Fleet
@@ -69,8 +69,8 @@
 
     def hear(self, name: str, at: float, state: EntryState = SERVING) -> None:
         self.membership.update_member(member(name), at)
-        row = MemberRow(member_id(name), 1, state)
-        self.membership.record_heartbeat(LastSeen(row, at), at)
+        row = DigestRow(member_id(name), 1, state)
+        self.membership.record_heartbeat(HeartbeatObservation(row, at), at)
 
     def part(self, now: float) -> float:
         self.run_until(now)
@@ -215,8 +215,8 @@
         for name in ("a1-0", "a1-1"):
             if name != own:
                 membership.update_member(member(name), now)
-                row = MemberRow(member_id(name), 1, SERVING)
-                membership.record_heartbeat(LastSeen(row, now), now)
+                row = DigestRow(member_id(name), 1, SERVING)
+                membership.record_heartbeat(HeartbeatObservation(row, now), now)
         pauses = Pauses(now - 60.0, lambda: 0.0)
         return LimiterRole(membership, lambda: SERVING, pauses), pauses
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -43,10 +43,10 @@
     for i in range(40):
         frequent.merge([heartbeat("vm1", i)], i * 0.2)
         rare.merge([heartbeat("vm1", i)], i * 2.0)
-    assert frequent.live(39 * 0.2 + MIN_SILENCE_S)
-    assert not frequent.live(39 * 0.2 + MIN_SILENCE_S + 0.01)
-    assert rare.live(39 * 2.0 + 3 * MIN_SILENCE_S)
-    assert not rare.live(39 * 2.0 + MAX_SILENCE_S + 0.01)
+    assert frequent.live_peers(39 * 0.2 + MIN_SILENCE_S)
+    assert not frequent.live_peers(39 * 0.2 + MIN_SILENCE_S + 0.01)
+    assert rare.live_peers(39 * 2.0 + 3 * MIN_SILENCE_S)
+    assert not rare.live_peers(39 * 2.0 + MAX_SILENCE_S + 0.01)
 
 
 def test_each_vm_has_a_few_fixed_neighbours_in_a_large_region() -> None:
@@ -113,4 +113,4 @@
     peers.merge([heartbeat("vm0", 2)], 100.0)
     peers.forget(100.0)
     assert list(peers.known) == ["vm0"]
-    assert [b.vm for b in peers.live_in_region(100.0)] == ["vm0"]
+    assert [b.vm for b in peers.live_heartbeats_in_region(100.0)] == ["vm0"]
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -9,9 +9,9 @@
 from leverdoor.entry.configuration.confirmation import Confirmation, ReportedAnswer
 from leverdoor.entry.exchange.messages import Digest, DigestScope, EntryHeartbeat
 from leverdoor.entry.exchange.unserved import TRUST_S, UnservedEntries
-from leverdoor.entry.membership.member import SERVING, Member, MemberRow, member_id
+from leverdoor.entry.membership.member import SERVING, DigestRow, Member, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.peer_record import LastSeen
+from leverdoor.entry.membership.peer_record import HeartbeatObservation
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.settings import EntrySettings
 from leverdoor.entry.store_role import (
@@ -78,8 +78,8 @@
         """Hear from all others, none of which is dead."""
         for m in self.members:
             self.membership.update_member(m, now)
-            row = MemberRow(member_id(m.name), m.incarnation, SERVING)
-            self.membership.record_heartbeat(LastSeen(row, now), now)
+            row = DigestRow(member_id(m.name), m.incarnation, SERVING)
+            self.membership.record_heartbeat(HeartbeatObservation(row, now), now)
 
     def tell_unserved(self, name: str, unserved: bool, now: float) -> None:
         sender = next(m for m in self.members if m.name == name)
@@ -255,6 +255,6 @@
     later = AT + 10.0
     for m in alone.members:
         if m.region == "a":
-            row = MemberRow(member_id(m.name), m.incarnation, SERVING)
-            alone.membership.record_heartbeat(LastSeen(row, later), later)
+            row = DigestRow(member_id(m.name), m.incarnation, SERVING)
+            alone.membership.record_heartbeat(HeartbeatObservation(row, later), later)
     assert alone.role.wait_s(later, 0.0) <= 2 * CONFIRM_EVERY_S + SHORTEST_WAIT_S
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -21,7 +21,7 @@
     ShiftLine,
 )
 from leverdoor.entry.exchange import messages
-from leverdoor.entry.membership.member import LEAVING, SERVING, Member, MemberRow
+from leverdoor.entry.membership.member import LEAVING, SERVING, DigestRow, Member
 from leverdoor.errors import Code, Problem, Run
 from leverdoor.gate.keys import Key
 from leverdoor.gate.lookups import LookupAnswer, LookupEntry
@@ -61,8 +61,8 @@
 
 
 ROWS = [
-    MemberRow(0x01020304, 1_700_000_000_000_001, SERVING),
-    MemberRow(0xFFFFFFFE, 1_700_000_000_000_002, LEAVING),
+    DigestRow(0x01020304, 1_700_000_000_000_001, SERVING),
+    DigestRow(0xFFFFFFFE, 1_700_000_000_000_002, LEAVING),
 ]
 AGES_S = [0.0, 0.021, 1.0, 60.0]
 IDS = [1, 0x01020304, 0xFFFFFFFE]
@@ -149,7 +149,7 @@
 )
 ENTRY = KeyValue(key="servers/t1", value=b"{}", revision=70_000, lease=12)
 
-ACK = ownership.Ack(version=40, over=["t:10.0.0.9:80"])
+ACK = ownership.Ack(version=40, overused_rows=["t:10.0.0.9:80"])
 LOAD = Load(held=5, free=2, waiting=3, mean_ms=12.5)
 GATE_REPORT = GateReport(
     gate="10.0.0.1:80",
