--- a/leverdoor/entry/configuration/catalog.py
+++ b/leverdoor/entry/configuration/catalog.py
@@ -61,7 +61,7 @@
         drains = _select(all_resources, Drain)
         self._routes = _by_host(_select(all_resources, Route))
         self.usable_targets_by_service: dict[str, list[Target]] = {}
-        """Targets of each service that may receive requests, sorted by name."""
+        """Targets that may receive requests, by service and sorted by name."""
         for target in sorted(self.targets.values(), key=lambda t: t.name):
             if target.draining or any(d.covers(target) for d in drains):
                 continue
@@ -86,7 +86,7 @@
         """Names of all routes."""
         return {route.name for routes in self._routes.values() for route in routes}
 
-    def without_common_home(self) -> list[tuple[str, str]]:
+    def pairs_without_common_home(self) -> list[tuple[str, str]]:
         """Return each pair of route and workspace names without a common home region.
 
         Routes and workspaces without home regions are not included.
@@ -109,7 +109,7 @@
         return groups
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route of a host whose prefix of the path is longest, or None."""
+        """Return the host's route with the longest prefix of the path, or None."""
         for route in self._routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
--- a/leverdoor/entry/configuration/catalog_manager.py
+++ b/leverdoor/entry/configuration/catalog_manager.py
@@ -26,11 +26,11 @@
 MAX_LOGGED_PAIRS = 8
 """Maximum number of pairs without a common home region in one log line.
 
-This is enough to find the mistake; more pairs only make the line longer.
+This is enough to find the wrong home regions; more pairs only make the line longer.
 """
 
 CatalogListener: TypeAlias = Callable[[Catalog, Catalog, Configured], None]
-"""Receives the previous catalog, the new one and the configuration behind it."""
+"""Receives the previous catalog, the new one and its source configuration."""
 
 
 class CatalogManager:
@@ -48,12 +48,12 @@
         """Create the manager with an empty catalog.
 
         Args:
-          wire: translates the keys of the store.
+          wire: translates keys of the store to resources.
           state: the local copy of the store.
-          confirmation: tracks the newest answer behind the revision in force.
+          confirmation: tracks the newest answer that confirms the revision in force.
           events: the event log of this entry.
           leave_s: time within which requests to a leaving target must stop, in seconds.
-          on_change: called with each new catalog.
+          on_change: called at each new catalog; see `CatalogListener`.
         """
         self._wire = wire
         self._state = state
@@ -76,8 +76,8 @@
     def compile(self) -> None:
         """Compile the state into a catalog and put it in force.
 
-        Called at each change of the state. Schedules itself for the time at which the
-        next target with an expired registration is removed.
+        Called at each change of the state. Also schedules the next call for the time at
+        which the next retained target expires.
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
@@ -112,7 +112,7 @@
             self.source,
             self._confirmed_ms(),
         )
-        conflicts = catalog.without_common_home()
+        conflicts = catalog.pairs_without_common_home()
         if conflicts:
             self._events.homeless(len(conflicts), conflicts[:MAX_LOGGED_PAIRS])
 
@@ -125,12 +125,14 @@
         catalog = self.catalog
         added = sorted(catalog.usable_target_names - previous.usable_target_names)
         removed = sorted(previous.usable_target_names - catalog.usable_target_names)
-        cold = [
+        changed_cold_targets = [
             name
             for name, target in catalog.targets.items()
             if target.cold_ms and previous.targets.get(name) != target
         ]
         expired = sorted(t.name for t in retained)
-        if added or removed or cold or expired != self._logged_expired:
-            self._events.targets(added, removed, cold, expired, catalog.revision)
+        if added or removed or changed_cold_targets or expired != self._logged_expired:
+            self._events.targets(
+                added, removed, changed_cold_targets, expired, catalog.revision
+            )
         self._logged_expired = expired
--- a/leverdoor/entry/configuration/confirmation.py
+++ b/leverdoor/entry/configuration/confirmation.py
@@ -2,16 +2,16 @@
 # SPDX-License-Identifier: Apache-2.0
 """Tracks the age of the newest store answer that confirms the configuration in force.
 
-Every change that the store committed before that answer is in force here; later changes
-may be missing. Any entry may have received the answer. Each entry reports its revision
-and the newest answer that confirms it, and the answer also confirms the configuration
-of every entry that has this revision. All decisions that require an up-to-date
-configuration use this age.
-
-Owns the known answers, and answers for revisions that are not in force here yet; both
-are lost with the process. Messages carry ages, because clocks differ. A received age is
-too low by the latency of the message. Each answer has a number, so that an answer that
-is reported in a cycle does not become younger with each message.
+An answer of the store confirms a revision: every change that the store committed before
+the answer is part of it, and later changes may be missing. The answer is therefore
+valid for every entry with that revision, whichever entry received it. Entries report
+their revision together with its newest answer. All decisions that require an up-to-date
+configuration use the age of that answer.
+
+Owns the answers for the revision in force and for newer revisions; they are lost with
+the process. Messages carry ages, because clocks differ. A received age is too low by
+the latency of the message. Each answer has a number, so that an answer that is reported
+in a cycle does not become younger with each message.
 """
 
 from math import inf
@@ -23,17 +23,20 @@
 NEVER_MS = -1
 """The age that is reported if the store never answered."""
 ANSWER_COUNTER_BITS = 32
-"""Low bits of an answer's number, which count the answers to one entry."""
+"""Number of low bits of an answer's number that count the answers to one entry.
+
+The higher bits identify the entry.
+"""
 MAX_KNOWN_ANSWERS = 32
 """Maximum number of recorded answers; the oldest are dropped.
 
-More than the number of answers reported within `STALE_S`.
+More than the number of answers reported within `store_role.STALE_S`.
 """
 MAX_PENDING_REVISIONS = 16
 """Maximum number of newer revisions with recorded answers; the lowest are dropped.
 
-More than the number of revisions between two fetches. With fewer, an entry that keeps
-up counts as outdated while revisions arrive faster than fetches.
+More than the number of revisions between two fetches. With fewer, an entry that fetches
+regularly counts as outdated if many revisions arrive between two fetches.
 """
 
 
@@ -71,7 +74,7 @@
         """Number and loop time of the newest answer, by revision not in force here."""
 
     def record_answer(self, now: float) -> None:
-        """Record that the store answered this entry, with all changes in force here.
+        """Record an answer of the store to this entry that confirms what is in force.
 
         Args:
           now: loop time in seconds.
@@ -80,6 +83,7 @@
         self._record(self._last_number, now)
 
     def _record(self, number: int, at: float) -> None:
+        # A later time of the same answer results from the latency of messages.
         self._answer_times[number] = min(at, self._answer_times.get(number, at))
         if len(self._answer_times) > MAX_KNOWN_ANSWERS:
             del self._answer_times[
@@ -109,7 +113,7 @@
             del self._pending[min(self._pending)]
 
     def record_revision(self, revision_in_force: int) -> None:
-        """Record that a newer revision is in force here, with its known answers."""
+        """Record the revision in force, and count the pending answers for it."""
         for revision in [r for r in self._pending if r <= revision_in_force]:
             self._record(*self._pending.pop(revision))
 
--- a/leverdoor/entry/configuration/expired_registrations.py
+++ b/leverdoor/entry/configuration/expired_registrations.py
@@ -25,11 +25,11 @@
 to targets that are gone; with a shorter one, running targets are taken out of service.
 """
 RETENTION_MARGIN_S = 0.6
-"""Margin subtracted from the time bound for leaving targets, in seconds.
+"""Margin subtracted from the bound `leave_s` on retained targets, in seconds.
 
-It is the time until the change of a leaving target arrives here. With a greater margin,
-targets are retained for less time; with a smaller one, a target that left during the
-outage receives requests after the bound.
+It covers the time until this entry learns that a target is leaving. With a greater
+margin, targets are retained for less time; with a smaller one, a target that left
+during the outage receives requests after the bound.
 """
 
 
@@ -55,18 +55,18 @@
         self._retained: dict[str, _RetainedTarget] = {}
 
     def update(
-        self, targets: Mapping[str, Target], outage: bool, now: float
+        self, targets: Mapping[str, Target], outage_is_recent: bool, now: float
     ) -> list[Target]:
         """Update the registered targets and return the retained ones.
 
         Args:
           targets: the registered targets by name.
-          outage: whether the store was recently unavailable.
+          outage_is_recent: whether the store was recently unavailable.
           now: loop time in seconds.
-        Returns: the targets that are used without a registration. They exclude targets
-          that announced to leave or whose address now belongs to another target.
+        Returns: the targets that are used without a registration. They exclude draining
+          targets and those whose address now belongs to another target.
         """
-        if outage:
+        if outage_is_recent:
             for name, target in self._last_registered.items():
                 if name not in targets and not target.draining:
                     self._retained.setdefault(
--- a/leverdoor/entry/configuration/last_occurrence.py
+++ b/leverdoor/entry/configuration/last_occurrence.py
@@ -30,7 +30,7 @@
             return
         self.record(now - age_ms / 1000)
 
-    def within(self, max_age_s: float, now: float) -> bool:
+    def is_within(self, max_age_s: float, now: float) -> bool:
         """Return whether the last occurrence is at most `max_age_s` seconds old."""
         return self._at is not None and now - self._at <= max_age_s
 
--- a/leverdoor/entry/configuration/left_out.py
+++ b/leverdoor/entry/configuration/left_out.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Logs and counts registrations that are left out because they name no usable target.
+"""Logs and counts registrations that the catalog omits because of invalid values.
 
-Owns the set of logged registrations and the number of lines in the current minute; both
-are lost with the process. Relies on the wire to determine the registrations left out,
-and on the caller for the time.
+Owns the registrations reported last and the number of lines in the current minute; both
+are lost with the process. Relies on `wire` to determine the registrations left out, and
+on the caller for the time.
 """
 
 from collections import Counter
@@ -21,7 +21,8 @@
 
 It keeps a writer that constantly changes invalid values from flooding the log.
 """
-RATE_WINDOW_S = 60.0
+LINE_LIMIT_WINDOW_S = 60.0
+"""Length of the window to which the maximum applies, in seconds."""
 
 
 class LeftOutReporter:
@@ -31,12 +32,12 @@
         """Create the reporter without any registrations left out."""
         self._events = events
         self._metrics = metrics
-        self._logged: dict[str, int] = {}
-        """Revision of the logged value, by name of the registration."""
+        self._seen_revisions: dict[str, int] = {}
+        """Revision of each registration left out at the last call, by name."""
         self._lines_in_window = 0
         self._window_start = 0.0
-        """Monotonic time in seconds at which the current minute began."""
-        self._unlogged = 0
+        """Monotonic time in seconds at which the current window began."""
+        self._suppressed_count = 0
         """Registrations not logged since the last line, because of the maximum."""
 
     def take(self, left_out: Iterable[LeftOut], now: float) -> None:
@@ -50,9 +51,9 @@
         changed = [
             registration
             for name, registration in present.items()
-            if self._logged.get(name) != registration.revision
+            if self._seen_revisions.get(name) != registration.revision
         ]
-        self._logged = {
+        self._seen_revisions = {
             name: registration.revision for name, registration in present.items()
         }
         for registration in changed:
@@ -61,14 +62,17 @@
         self._metrics.show_left_out(causes)
 
     def _log(self, registration: LeftOut, now: float) -> None:
-        if now - self._window_start >= RATE_WINDOW_S:
+        if now - self._window_start >= LINE_LIMIT_WINDOW_S:
             self._window_start = now
             self._lines_in_window = 0
         if self._lines_in_window >= MAX_LINES_PER_MINUTE:
-            self._unlogged += 1
+            self._suppressed_count += 1
             return
         self._lines_in_window += 1
         self._events.registration_left_out(
-            registration.name, registration.cause, registration.detail, self._unlogged
+            registration.name,
+            registration.cause,
+            registration.detail,
+            self._suppressed_count,
         )
-        self._unlogged = 0
+        self._suppressed_count = 0
--- a/leverdoor/entry/configuration/outage.py
+++ b/leverdoor/entry/configuration/outage.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tracks when the store was last unavailable to this entry or to one that reports here.
+"""Tracks when the store was last unavailable to this entry or to one of its peers.
 
 Owns that time, which is lost with the process and restored by the next heartbeat of
 another entry.
@@ -11,9 +11,9 @@
 __all__ = ["EXPIRY_WINDOW_S", "Outage"]
 
 EXPIRY_WINDOW_S = 6.0
-"""Time after an outage within which it may cause a registration to expire, in seconds.
+"""Time after an outage during which registrations may expire because of it.
 
-A lease that was not renewed during the outage may expire up to this time after it. With
+In seconds. A lease not renewed during the outage may expire this long after it. With
 a longer time, dead targets are used for longer; with a shorter one, targets that only
 lost their registration are taken out of service.
 """
@@ -29,12 +29,13 @@
 
     def record_reachability(self, reachable: bool, now: float) -> None:
         """Record whether this entry can reach the store now."""
+        # The first success is recorded as well, as the end of the outage.
         if self._store_unreachable or not reachable:
             self._last_outage.record(now)
         self._store_unreachable = not reachable
 
     def record_peer_report(self, age_ms: int, now: float) -> None:
-        """Record the age in ms of the last outage that another entry reports."""
+        """Record the age in ms that another entry reports for the last outage."""
         self._last_outage.record_peer_report(age_ms, now)
 
     def age_ms(self, now: float) -> int:
@@ -44,5 +45,7 @@
         return self._last_outage.age_ms(now) if self.is_recent(now) else NEVER_MS
 
     def is_recent(self, now: float) -> bool:
-        """Return whether an outage may have caused a registration to expire now."""
-        return self._store_unreachable or self._last_outage.within(EXPIRY_WINDOW_S, now)
+        """Return whether an outage lasts or ended within `EXPIRY_WINDOW_S`."""
+        return self._store_unreachable or self._last_outage.is_within(
+            EXPIRY_WINDOW_S, now
+        )
--- a/leverdoor/entry/membership/entry_selection.py
+++ b/leverdoor/entry/membership/entry_selection.py
@@ -8,8 +8,8 @@
 1. the caller's failure domain, if it has at least `MIN_SELECTED` candidates;
 2. the caller's region, if it has any;
 3. all regions, if any has one;
-4. this entry alone, which is reachable because it received the look-up, unless it has
-   no configuration yet (STARTING).
+4. this entry alone, if it has a configuration (is not STARTING). It is reachable, since
+   it received the look-up.
 
 The first `MAX_SELECTED` candidates by name are selected. A selection is cached for
 `SELECTION_TTL_S`, unless the state or incarnation of any entry changes earlier.
@@ -34,8 +34,8 @@
 MIN_SELECTED = 2
 """Number of candidates in a failure domain below which the whole region is used.
 
-One of two may be gone. A higher number sends callers over links to other failure
-domains without need; with 1, callers have no alternative when the entry ends.
+With two, callers have an alternative when one entry fails; with one, they have none. A
+higher number sends callers over links to other failure domains without need.
 """
 SELECTION_TTL_S = 0.1
 """Time for which a selection is reused, in seconds.
@@ -103,7 +103,7 @@
     def _selectable(
         self, domains: Iterable[str], own_state: EntryState, now: float
     ) -> list[Member]:
-        """Return the candidates in some failure domains, this entry included."""
+        """Return the candidates in the given failure domains, this entry included."""
         candidates = [
             record.member
             for record in self._membership.records(domains)
--- a/leverdoor/entry/membership/joining.py
+++ b/leverdoor/entry/membership/joining.py
@@ -7,10 +7,10 @@
 that have the state. Only the entries with the widest links of a region, and entries
 that find no peer with the state, list the whole store.
 
-Owns the time from which this entry may follow the store (`may_follow_store_from`); it is lost
-with the process. Relies on `Roles` for the rank of this entry, on `PeerFollower` for
-fetches and on the store for the listing. If the store is unavailable, the error is
-logged and the listing counts as empty.
+Owns the time from which this entry may follow the store (`may_follow_store_from`); it
+is lost with the process. Relies on `Roles` for the rank of this entry, on
+`PeerFollower` for fetches and on the store for the listing. If the store is
+unavailable, the error is logged and the listing counts as empty.
 """
 
 import asyncio
@@ -28,25 +28,26 @@
 __all__ = ["JoinProcedure"]
 
 MAX_ATTEMPTS = 3
-"""Maximum number of groups of peers that are asked for the state, in sequence.
+"""Maximum number of attempts to fetch the state from peers.
 
-With `ATTEMPT_TIMEOUT_S`, a start without any live peer waits at most 0.75 s.
+With `ATTEMPT_TIMEOUT_S`, the attempts take at most 0.75 s if no peer is live.
 """
 PEERS_PER_ATTEMPT = 2
-"""Peers asked in parallel, since one may be dead.
+"""Number of peers from which the state is requested in parallel; one may be dead.
 
 A higher value transfers redundant copies of the state.
 """
 ATTEMPT_TIMEOUT_S = 0.25
-"""Timeout for one group of peers, in seconds.
+"""Timeout of one attempt, in seconds.
 
 A response takes about 10 ms within a region. A shorter timeout gives up on busy peers;
-a longer one delays a start among dead peers.
+a longer one delays the start if the chosen peers are dead.
 """
 LIST_STAGGER_S = 0.1
-"""Additional delay of each further group by link rank before it lists the store.
+"""Additional delay in seconds of each further group before it lists the store.
 
-In seconds. The announcement of a state that the first group listed arrives within this
+Entries are ranked by link bandwidth, and each group has `follower_count` entries. After
+the first group listed the store, its announcement of a newer state arrives within this
 time. A shorter delay lets all entries list the store when all start at once; a longer
 one delays the start of the last groups.
 """
@@ -56,18 +57,18 @@
 It bounds the start time when no entry has a state.
 """
 MAX_LONE_DELAY_S = 1.0
-"""Maximum of the random delay of an entry that knows no peers, in seconds.
+"""Maximum random delay of an entry that knows no other in its region, in seconds.
 
 When all entries start for the first time, the first one that lists the store announces
 the state to the others. With a shorter delay, more entries list the store; with a
 longer one, a lone entry starts later.
 """
 FOLLOW_DELAY_S = 1.0
-"""Time after joining during which an entry with a peer's state is no follower.
+"""Time in seconds for which an entry that joined must not follow the store.
 
-In seconds: five rounds of heartbeats, after which it knows the followers. With a
-shorter time, it lists and watches the store needlessly; with a longer one, changes are
-delayed if no other entry follows the store.
+It applies if a peer provided the state. After it, five rounds of heartbeats, the entry
+knows the followers. With a shorter time, it lists and watches the store needlessly;
+with a longer one, changes are delayed if no other entry follows the store.
 """
 
 
@@ -122,17 +123,18 @@
         self._membership.add_registered({k: e.value for k, e in found.items()}, now)
         return found
 
-    async def fetch_state(self, followers: int) -> None:
-        """Fetch the state from a peer, or return if this entry has to list the store.
+    async def fetch_state(self, follower_count: int) -> None:
+        """Fetch the state from a peer, if one has it.
 
-        Entries with the widest links return immediately and list the store, so that
-        the others can fetch the state from them after all entries were killed.
+        The state is still empty afterwards if this entry has to list the store. Entries
+        with the widest links return immediately and list the store, so that the others
+        can fetch the state from them when all entries start at the same time.
 
         Args:
-          followers: number of entries per region that list the store immediately.
+          follower_count: number of entries per region that list the store immediately.
         """
         rank = self._roles.rank_among_known()
-        if rank is not None and rank < followers:
+        if rank is not None and rank < follower_count:
             return
         for _ in range(MAX_ATTEMPTS):
             peers = self._choose_peers()
@@ -141,26 +143,26 @@
             if await self._puller.pull_any(peers, ATTEMPT_TIMEOUT_S):
                 break
         if not self._has_state.is_set():
-            await self._wait_for_state(self._list_delay_s(followers))
+            await self._wait_for_state(self._list_delay_s(follower_count))
         if self._has_state.is_set():
             loop = asyncio.get_running_loop()
             self.may_follow_store_from = loop.time() + FOLLOW_DELAY_S
             self._events.process("joined", revision=self._state.revision)
 
     def _choose_peers(self) -> list[str]:
-        """Choose random peers from the own failure domain, or region if too few."""
+        """Choose random peers of this failure domain, or of the region if too few."""
         candidates = self._membership.known_in_own_domain()
         if len(candidates) < PEERS_PER_ATTEMPT:
             candidates = self._membership.known_in_own_region()
         chosen = self._rng.sample(candidates, min(PEERS_PER_ATTEMPT, len(candidates)))
         return [member.pull for member in chosen]
 
-    def _list_delay_s(self, followers: int) -> float:
+    def _list_delay_s(self, follower_count: int) -> float:
         """Return the wait for a peer's state before listing the store, in seconds."""
         rank = self._roles.rank_among_known()
         if rank is None:
             return self._rng.random() * MAX_LONE_DELAY_S
-        return min(rank // followers * LIST_STAGGER_S, MAX_LIST_STAGGER_S)
+        return min(rank // follower_count * LIST_STAGGER_S, MAX_LIST_STAGGER_S)
 
     async def _wait_for_state(self, delay_s: float) -> None:
         try:
--- a/leverdoor/entry/membership/liveness.py
+++ b/leverdoor/entry/membership/liveness.py
@@ -3,20 +3,23 @@
 """Rules for the liveness and the current incarnation of entries, as pure functions.
 
 An entry is live as long as the newest heartbeat that any entry received from it is
-recent enough; most entries know most others only from digests. No message reports that
-an entry is dead. The table lists all effects of a silent entry by the age of its newest
-heartbeat:
+recent enough. Most entries know most others only from digests: messages of aggregators
+that carry the incarnations, states and heartbeat ages of a failure domain's entries. No
+message reports that an entry is dead.
 
-| s | constant | what happens |
+The table lists all effects of a silent entry by the age of the last information that it
+sent: its heartbeat, unless the effect names digests or sums.
+
+| age in s | constant | effect |
 | --- | --- | --- |
-| 0.7 | `use_merging.FRESH_S` | its share of quotas is reserved (other regions: 1.2) |
-| 0.8 | `roles.AGGREGATOR_SILENCE_S` | if it sends no digests, another aggregates |
+| 0.7 | `use_merging.FRESH_S` | its quota share is kept for it (other regions: 1.2) |
+| 0.8 | `roles.AGGREGATOR_SILENCE_S` | without digests, another entry aggregates |
 | 1.0 | `merging.HEARTBEAT_TRUST_S` | its requests in flight are no longer counted |
 | 1.2 | `SUPERSEDE_SILENCE_S` | an incarnation with a lower number may replace it |
 | 1.6 | `SILENCE_S` | not live: not in look-ups, no role, logged as silent |
-| 2.5 | `merging.PART_TRUST_S` | the sums of its failure domain or region expire |
+| 2.5 | `merging.PART_TRUST_S` | the request sums that it sent as aggregator expire |
 | 3.2 | `REMOTE_SILENCE_S` | not live, as seen from other regions |
-| 20 | `workspaces.quota.HOLD_S` | its share of quotas is released |
+| 20 | `workspaces.quota.HOLD_S` | its quota share is available to others again |
 | 60 | `RECORD_TTL_S` | its record is deleted |
 
 Owns no state.
@@ -32,7 +35,7 @@
     "SUPERSEDE_SILENCE_S",
     "is_expired",
     "is_live",
-    "supersedes",
+    "is_superseded",
 ]
 
 HEARTBEAT_INTERVAL_S = 0.2
@@ -42,29 +45,32 @@
 all information about peers older and requires longer timeouts below.
 """
 SILENCE_S = 1.6
-"""Heartbeat age above which an entry of the own region is not live, in seconds.
+"""Heartbeat age above which an entry of the same region is not live, in seconds.
 
 Heartbeats are up to 0.6 s old when a digest carries their age (p99, at 195 entries and
-5% of datagrams lost, benchmarks/knowledge.py); five more may be missed. With a shorter
-timeout, lost datagrams make live entries silent; with a longer one, callers receive
-the address of a dead entry for longer.
+5% of datagrams lost, benchmarks/knowledge.py). The rest allows for five missed
+heartbeats. With a shorter timeout, lost datagrams make live entries silent; with a
+longer one, callers receive the address of a dead entry for longer.
 """
 REMOTE_SILENCE_S = 3.2
-"""The same limit for other regions, whose ages arrive about once a second."""
+"""Heartbeat age above which an entry of another region is not live, in seconds.
+
+Digests with heartbeat ages arrive from other regions about once a second.
+"""
 RECORD_TTL_S = 60.0
 """Time without any report after which the record of an entry is deleted, in seconds.
 
-With a shorter time, the share of an entry that is cut off is given to others while it
-still serves. With a longer one, replaced VMs are counted in addition to their
+With a shorter time, the quota share of a partitioned entry is given to others although
+it still serves. With a longer one, replaced VMs are counted in addition to their
 successors.
 """
 SUPERSEDE_SILENCE_S = 1.2
-"""Silence after which an incarnation with a lower number may replace the recorded one.
+"""Silence in seconds after which a lower incarnation may replace the recorded one.
 
-In seconds: six heartbeats, and less than `SILENCE_S`. With a shorter time, a late
+It equals six heartbeats and is less than `SILENCE_S`. With a shorter time, a late
 datagram of a process that ended is mistaken for a restart with the clock set back. With
-a longer one, look-ups omit an entry whose clock was set back for longer after its
-restart.
+a longer one, an entry that restarted after its clock was set back is missing from
+look-ups for longer.
 """
 
 
@@ -87,13 +93,14 @@
     return now - record.reported_at > RECORD_TTL_S
 
 
-def supersedes(record: PeerRecord, seen: HeartbeatObservation) -> bool:
+def is_superseded(record: PeerRecord, observation: HeartbeatObservation) -> bool:
     """Return whether the observed incarnation replaces the recorded one.
 
-    Incarnations are start times, so the higher number wins. After a clock was set back,
-    the new incarnation has a lower number; it replaces the recorded one only when that
-    has been silent for `SUPERSEDE_SILENCE_S`.
+    Incarnations are start times, so a higher number replaces a lower one, unless its
+    heartbeat is more than `SUPERSEDE_SILENCE_S` older than the recorded one. After a
+    clock was set back, the new incarnation has a lower number. It replaces the recorded
+    one only after that one has been silent for `SUPERSEDE_SILENCE_S`.
     """
-    if seen.row.incarnation < record.member.incarnation:
-        return seen.at - record.heartbeat_at > SUPERSEDE_SILENCE_S
-    return record.heartbeat_at - seen.at <= SUPERSEDE_SILENCE_S
+    if observation.row.incarnation < record.member.incarnation:
+        return observation.at - record.heartbeat_at > SUPERSEDE_SILENCE_S
+    return record.heartbeat_at - observation.at <= SUPERSEDE_SILENCE_S
--- a/leverdoor/entry/membership/member.py
+++ b/leverdoor/entry/membership/member.py
@@ -71,8 +71,8 @@
 def link_sort_key(member: Member) -> tuple[int, int]:
     """Return the sort key for roles: widest link first, then hash of the name.
 
-    Entries with the widest links take the roles because roles send the most data. A
-    change took 3.3 to 3.5 s on 74 VMs with narrow links and 0.6 to 0.8 s with the
-    widest ones.
+    Entries with the widest links take the roles because roles send the most data. On 74
+    VMs, a change reached all entries in 3.3 to 3.5 s if entries with narrow links had
+    the roles, and in 0.6 to 0.8 s if those with the widest links had them.
     """
     return -member.link_mbps, xxhash.xxh3_64_intdigest(member.name.encode())
--- a/leverdoor/entry/membership/members.py
+++ b/leverdoor/entry/membership/members.py
@@ -22,7 +22,7 @@
     SUPERSEDE_SILENCE_S,
     is_expired,
     is_live,
-    supersedes,
+    is_superseded,
 )
 from leverdoor.entry.membership.member import (
     LEAVING,
@@ -52,19 +52,19 @@
 
 
 class Membership:
-    """All known entries except this one."""
+    """Records of all known entries except this one."""
 
     def __init__(self, own: Member) -> None:
         """Create the membership of this entry, `own`, without any peers."""
         self.own = own
         self.change_count = 0
-        """Incremented at each change of the state or incarnation of an entry."""
+        """Number of changes of the state or incarnation of any entry."""
         self._records: dict[str, PeerRecord] = {}
         self._names_by_id: dict[int, str] = {}
         self._records_by_domain: dict[str, dict[str, PeerRecord]] = {own.domain: {}}
         self._domains_by_region: dict[str, set[str]] = {own.region: {own.domain}}
-        self._logged_live: set[str] = set()
-        """Names of the entries whose last reported change was to live."""
+        self._live_at_last_call: set[str] = set()
+        """Names of the entries that were live at the last call of `changes`."""
 
     # Updates.
 
@@ -113,42 +113,46 @@
         record.heartbeat_at = NEVER
         self.change_count += 1
 
-    def record_heartbeat(self, seen: HeartbeatObservation, now: float) -> bool:
+    def record_heartbeat(self, observation: HeartbeatObservation, now: float) -> bool:
         """Record the newest heartbeat and the state of an incarnation of an entry.
 
-        Within an incarnation the state only advances, from STARTING to LEAVING, so that
-        an older row does not revert a newer one.
+        Within an incarnation the state only advances, from STARTING to LEAVING, so an
+        older message does not revert it. The state may advance even if the heartbeat is
+        not newer.
 
         Returns: whether the heartbeat is newer than the recorded one.
         """
-        row = seen.row
+        row = observation.row
         record = self._records.get(self._names_by_id.get(row.id, ""))
-        if record is None or not self._accept_incarnation(record, seen):
+        if record is None or not self._accept_incarnation(record, observation):
             return False
         if row.state > record.state:
             record.state = row.state
             self.change_count += 1
-        if seen.at <= record.heartbeat_at:
+        if observation.at <= record.heartbeat_at:
             return False
-        record.heartbeat_at = seen.at
+        record.heartbeat_at = observation.at
         record.reported_at = max(record.reported_at, now)
         return True
 
     def _accept_incarnation(
-        self, record: PeerRecord, seen: HeartbeatObservation
+        self, record: PeerRecord, observation: HeartbeatObservation
     ) -> bool:
-        """Record the observed incarnation if it is valid; return whether it is."""
-        incarnation = seen.row.incarnation
+        """Return whether the observed incarnation is the recorded one.
+
+        Records it first if it replaces the recorded one.
+        """
+        incarnation = observation.row.incarnation
         if incarnation == record.member.incarnation:
             return True
-        if not supersedes(record, seen):
+        if not is_superseded(record, observation):
             return False
         changed = msgspec.structs.replace(record.member, incarnation=incarnation)
         self._replace_incarnation(record, changed)
         return True
 
     def forget(self, now: float) -> None:
-        """Delete the records of entries that nothing reported for `RECORD_TTL_S`."""
+        """Delete the records of entries without any report for `RECORD_TTL_S`."""
         expired = [n for n, r in self._records.items() if is_expired(r, now)]
         for name in expired:
             member = self._records.pop(name).member
@@ -164,16 +168,17 @@
         live = {m.name for m in self.live(now)}
         found = [
             LivenessChange(name, "heard", 0.0)
-            for name in sorted(live - self._logged_live)
+            for name in sorted(live - self._live_at_last_call)
         ]
-        for name in sorted(self._logged_live - live):
+        for name in sorted(self._live_at_last_call - live):
             record = self._records.get(name)
+            # The record may have been deleted since the last call.
             silent_s = now - record.heartbeat_at if record else RECORD_TTL_S
             found.append(LivenessChange(name, "silent", silent_s))
-        self._logged_live = live
+        self._live_at_last_call = live
         return found
 
-    # Entries.
+    # Queries by entry.
 
     def live(self, now: float) -> list[Member]:
         """Return the live entries."""
@@ -183,7 +188,7 @@
         return is_live(record, self.own.region, now)
 
     def live_in_own_region(self, now: float) -> list[Member]:
-        """Return the live entries of the own region that are not leaving."""
+        """Return the live entries of this entry's region that are not leaving."""
         return [
             record.member
             for record in self.records(self._domains_by_region[self.own.region])
@@ -195,7 +200,7 @@
         return self._records.get(name)
 
     def records(self, domains: Iterable[str]) -> Iterator[PeerRecord]:
-        """Yield the records of the entries in some failure domains."""
+        """Yield the records of the entries in the given failure domains."""
         for domain in domains:
             yield from self._records_by_domain.get(domain, {}).values()
 
@@ -225,16 +230,19 @@
         ]
 
     def known_in_own_region(self) -> list[Member]:
-        """Return all known entries of the own region, including silent ones."""
+        """Return all known entries of this entry's region, including silent ones."""
         return [r.member for r in self.records(self.domains(self.own.region))]
 
     def known_in_own_domain(self) -> list[Member]:
-        """Return all known entries of the own failure domain, ordered by name."""
+        """Return all known entries of this failure domain, including silent ones.
+
+        Ordered by name.
+        """
         records = sorted(self._records_by_domain[self.own.domain].items())
         return [record.member for _, record in records]
 
     def own_domain_by_liveness(self, now: float) -> tuple[list[Member], list[Member]]:
-        """Return the known entries of the own failure domain: live, then silent.
+        """Return the known entries of this failure domain: live, then silent.
 
         An entry without any heartbeat yet, such as one that just started, counts as
         live.
@@ -247,10 +255,10 @@
             group.append(record.member)
         return live, silent
 
-    # Failure domains, regions and numbers.
+    # Queries by failure domain and region.
 
     def live_regions(self, now: float) -> list[str]:
-        """Return the own region and all regions with live entries, sorted by name."""
+        """Return this entry's region and all with live entries, sorted by name."""
         return sorted(
             region
             for region, domains in self._domains_by_region.items()
@@ -259,7 +267,7 @@
         )
 
     def all_domains(self) -> list[str]:
-        """Return all failure domains with known entries, sorted by name."""
+        """Return all known failure domains, including this entry's, sorted by name."""
         return sorted(self._records_by_domain)
 
     def domains(self, region: str) -> list[str]:
@@ -267,17 +275,17 @@
         return sorted(self._domains_by_region.get(region, ()))
 
     def other_regions(self) -> list[str]:
-        """Return all known regions except the own one, sorted by name."""
+        """Return all known regions except this entry's, sorted by name."""
         return sorted(r for r in self._domains_by_region if r != self.own.region)
 
     def count_in_domain(self, domain: str) -> int:
-        """Count the recorded entries of a failure domain, including silent ones."""
+        """Count the known entries of a domain, including silent ones and this one."""
         return len(self._records_by_domain.get(domain, ())) + (
             domain == self.own.domain
         )
 
     def count_in_region(self, region: str) -> int:
-        """Count the recorded entries of a region, including silent ones."""
+        """Count the known entries of a region, including silent ones and this one."""
         return sum(self.count_in_domain(d) for d in self.domains(region))
 
     @property
--- a/leverdoor/entry/membership/peer_record.py
+++ b/leverdoor/entry/membership/peer_record.py
@@ -13,11 +13,11 @@
 
 
 class HeartbeatObservation(msgspec.Struct, frozen=True):
-    """Time at which any entry received the newest heartbeat of an incarnation."""
+    """Newest heartbeat of an incarnation of an entry, as received by any entry."""
 
     row: DigestRow
     at: float
-    """Monotonic time in seconds, by the clock of this entry."""
+    """Monotonic time in seconds at which it was received, by this entry's clock."""
 
 
 class PeerRecord(msgspec.Struct):
@@ -30,8 +30,8 @@
     heartbeat_at: float = NEVER
     """Time at which any entry received its newest heartbeat; digests carry the age."""
     reported_at: float = NEVER
-    """Time of the last heartbeat, digest or store entry that reported this peer."""
+    """Time of the last heartbeat, digest or registration that reported the peer."""
     digest_at: float = NEVER
-    """Time at which this entry received its last digest; written by `Roles`."""
+    """Time of the last digest received from the peer; written by `Roles`."""
     digest_expected_since: float = NEVER
-    """Time from which it is expected to send digests; written by `Roles`."""
+    """Time from which the peer is expected to send digests; written by `Roles`."""
--- a/leverdoor/entry/membership/registration.py
+++ b/leverdoor/entry/membership/registration.py
@@ -25,15 +25,16 @@
 LEASE_TTL_S = 15.0
 """Time to live of an entry's lease, in seconds.
 
-It exceeds the usual outages of the store, since all entries would register again after
-a longer one. With a longer lease, starting entries read keys of VMs that are gone.
+It exceeds the usual outages of the store. An outage longer than the lease makes all
+entries register again. With a longer lease, starting entries read more keys of VMs that
+no longer exist.
 """
 RENEW_INTERVAL_S = 5.0
 """Interval between renewals in seconds: a third of the lease, so that two may fail."""
 MIN_MEAN_PAUSE_S = 0.5
 """Minimum of the mean pause after a failed call, in seconds.
 
-It bounds the calls that a few entries make to an unavailable store; see
+It applies at sites with few entries and bounds their calls to an unavailable store; see
 `mean_retry_pause_s`. With a longer pause, entries are discovered later after an outage.
 """
 WRITES_PER_REGISTRATION = 2
@@ -45,10 +46,10 @@
 after an outage; with a smaller one, entries are discovered later.
 """
 MIN_PAUSE_FACTOR = 0.5
-"""Shortest pause as a fraction of the mean; the longest is as far above the mean.
+"""Shortest pause as a fraction of the mean pause.
 
-Pauses are spread over an interval as long as the mean, so that entries that lost the
-store at the same time do not call it at the same time.
+Pauses are uniformly distributed between 0.5 and 1.5 of the mean, so that entries whose
+calls failed at the same time do not retry at the same time.
 """
 
 
@@ -97,28 +98,30 @@
         self._rng = rng
         self._mean_pause_s = mean_pause_s
         self._lease = 0
+        """Identifier of the lease; 0 without a lease."""
         self._ended = False
-        """Whether the entry is leaving, so that its key must not be written again."""
+        """Whether `end` was called, so that the key must not be written again."""
 
-    def adopt(self, registered: KeyValue | None) -> None:
-        """Take over the key and lease of a former incarnation, if its value matches.
+    def adopt(self, registered_key: KeyValue | None) -> None:
+        """Take over the key and lease of a former incarnation, if it matches.
 
-        This saves the two write calls at each start. If the lease has expired, the next
-        renewal reports it.
+        The descriptions must be equal except for the incarnation, which stays outdated
+        in the key. This saves the two write calls at each start. If the lease has
+        expired, the next renewal fails and the key is written again.
 
         Args:
           registered: the key of this entry in the store, or None if there is none.
         """
-        if registered is None or not registered.lease:
+        if registered_key is None or not registered_key.lease:
             return
         try:
-            former = unpack(registered.value, Member)
+            former = unpack(registered_key.value, Member)
         except msgspec.MsgspecError as e:
             self._events.process("registration not readable", error=str(e))
             return
         same = msgspec.structs.replace(former, incarnation=self._member.incarnation)
         if same == self._member:
-            self._lease = registered.lease
+            self._lease = registered_key.lease
             self._events.process("registration adopted", lease=self._lease)
 
     async def run(self) -> None:
--- a/leverdoor/entry/membership/roles.py
+++ b/leverdoor/entry/membership/roles.py
@@ -24,9 +24,9 @@
 AGGREGATORS = 2
 """Number of entries per failure domain that merge the reports of the others.
 
-One of two may be gone. With a single aggregator, its death leaves the failure domain
-without digests until it is replaced; each further one costs digests to every other
-aggregator.
+With two, one may fail. With a single aggregator, its death leaves the failure domain
+without digests until it is replaced; each further one exchanges digests with every
+other aggregator.
 """
 AGGREGATOR_SILENCE_S = 0.8
 """Time without a digest after which the next entry replaces an aggregator, in seconds.
@@ -38,14 +38,14 @@
 AGGREGATOR_RETRY_S = 5.0
 """Time after which an aggregator that sent no digest is tried again, in seconds.
 
-It is long compared with `AGGREGATOR_SILENCE_S`, so that such an entry holds the role
-for a small part of the time. With a longer time, an entry that recovered stays replaced
-by one with a narrower link.
+An entry that sends no digests is an aggregator for `AGGREGATOR_SILENCE_S` of every such
+period, which is a small part of the time. With a longer period, an entry that recovered
+remains replaced by one with a narrower link for longer.
 """
 
 
 class Roles:
-    """Roles of the entries, as computed by this entry."""
+    """Elects aggregators and followers of the store among the known entries."""
 
     def __init__(self, membership: Membership, rng: Random) -> None:
         """Create the roles on the records of the known entries.
@@ -85,8 +85,8 @@
     def recipients(self, domain: str, now: float) -> list[Member]:
         """Return the recipients of messages for the aggregators of a failure domain.
 
-        Skipped entries remain recipients while they are live. Otherwise two entries
-        that skipped each other would never exchange messages again.
+        Entries that `aggregators` skips remain recipients while they are live.
+        Otherwise two entries that skip each other would never exchange messages again.
         """
         candidates = self._candidates(domain, now)
         if not candidates:
@@ -110,23 +110,25 @@
     def _probe_recipients(self, domain: str) -> list[Member]:
         """Return the entries to probe in a failure domain without live entries.
 
-        These are the entries with the widest links among all and among those live until
-        the partition, and a random one, so that both sides exchange messages soon after
-        the partition heals.
+        These are up to `AGGREGATORS` entries with the widest links of all, as many of
+        those that were live last, and a random one. Both sides of a partition then
+        exchange messages soon after it heals.
         """
         records = sorted(
             self._membership.records([domain]), key=lambda r: r.link_sort_key
         )
         newest = max((r.heartbeat_at for r in records), default=NEVER)
         last_live = [r for r in records if r.heartbeat_at >= newest - SILENCE_S]
-        chance = self._rng.sample(records, min(1, len(records)))
-        probed = [*records[:AGGREGATORS], *last_live[:AGGREGATORS], *chance]
+        random_entry = self._rng.sample(records, min(1, len(records)))
+        probed = [*records[:AGGREGATORS], *last_live[:AGGREGATORS], *random_entry]
         return list({r.member.name: r.member for r in probed}.values())
 
     def _sends_digests(self, record: PeerRecord, now: float) -> bool:
-        """Return whether an entry sends digests, or may still send its first one.
+        """Return whether an entry sends digests, or is due to send its first one.
 
-        Aggregators of other regions take turns and send too rarely to be judged.
+        Begins a new period of `AGGREGATOR_RETRY_S` if the last one is over. Entries of
+        other regions always count, since their aggregators take turns and send too
+        rarely for this timeout.
         """
         if record is self._own_record or record.member.region != self._own.region:
             return True
@@ -139,7 +141,7 @@
 
     def follows_store(
         self,
-        followers: int,
+        follower_count: int,
         now: float,
         unserved: Collection[int] = (),
         own_unserved: bool = False,
@@ -151,17 +153,17 @@
         store answers none of them, all are eligible.
 
         Args:
-          followers: number of followers per region.
+          follower_count: number of followers per region.
           now: monotonic time in seconds.
           unserved: `member_id` of each other entry that the store does not answer.
           own_unserved: whether the store does not answer this entry.
         """
         if not own_unserved:
-            return self.rank_among_live(now, unserved) < followers
+            return self.rank_among_live(now, unserved) < follower_count
         others = self._membership.live_in_own_region(now)
         if any(member_id(m.name) not in unserved for m in others):
             return False
-        return self.rank_among_live(now, ()) < followers
+        return self.rank_among_live(now, ()) < follower_count
 
     def rank_among_live(self, now: float, unserved: Collection[int]) -> int:
         """Return the rank of this entry by link among the region's live ones, from 0.
--- a/leverdoor/membership/__init__.py
+++ b/leverdoor/membership/__init__.py
@@ -1,3 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Membership of agents and gates by gossip, and the ownership of limited resources."""
+"""Gossip membership of VMs with agents and gates, and ownership of limited resources.
+
+Entries have a membership of their own in `leverdoor.entry.membership`.
+"""
--- a/leverdoor/membership/gossip.py
+++ b/leverdoor/membership/gossip.py
@@ -22,7 +22,10 @@
 __all__ = ["GossipSocket"]
 
 MAX_MESSAGE_BYTES = 60_000
-"""Maximum size of a decompressed message, in bytes; UDP carries up to 65,507."""
+"""Maximum size of a decompressed message, in bytes; a UDP datagram carries 65,507.
+
+Longer messages are truncated and then dropped as undecodable.
+"""
 
 M = TypeVar("M")
 
@@ -59,8 +62,8 @@
         if self._transport is None or self._transport.is_closing():
             return
         data = zlib.compress(pack(message), 1)
-        for text in to:
-            address = parse_address(text)
+        for recipient in to:
+            address = parse_address(recipient)
             self.sent_bytes += len(data)
             self._transport.sendto(data, (address.host, address.port))
 
--- a/leverdoor/membership/ownership.py
+++ b/leverdoor/membership/ownership.py
@@ -2,23 +2,32 @@
 # SPDX-License-Identifier: Apache-2.0
 """The ownership table: which processes hold units of each limited resource.
 
-Each row is one limited resource: the slots of a target or the units of a shift cap. The
-sum of held units and units being released never exceeds the capacity that the row had
-when the units were granted. Moving units takes two writes: the first releases them from
-the holder, and the second grants them to another one. The second is made only after the
-holder acknowledged the release or is proved to be dead.
-
-The rules of docs/DESIGN.md are implemented as follows: *hold* by `assign_units`,
-*release* by `_release`, *acknowledge* by `_complete_releases`, *grant* by `_grant`,
-*proof of death* by `_remove_dead` and `_add_members`. The holder implements *ripen* and
-*cool* (`gate/holdings.py`). Owns no state: the table is kept in the store and written
-by compare-and-swap (`agent/planning.py`).
-
-The units of a dead VM can be used again after three steps: two reads of the VM list
-without that VM, further apart than the lag of the list (`vm_list_lag_ms`,
-`agent/vm_watch.py`); the next round of a planner (PLAN_INTERVAL_S,
-`agent/planning.py`); and the ripening of the units, for the `linger_ms` of the service
-or the window of the cap (`gate/holdings.py`).
+Each row is one limited resource: the slots of a target or the units of a shift cap.
+Moving units takes two writes: the first releases them from the holder, and the second
+grants them to another one. The second is made only after the holder acknowledged the
+release or is proved to be dead. Units are granted only while the sum of held units and
+units being released is below the capacity of the row, so the sum never exceeds the
+capacity that the row had when the units were granted.
+
+The rules of docs/DESIGN.md are implemented as follows:
+
+- *hold* (which process should hold which units): `assign_units`
+- *release*: `_release`
+- *acknowledge*: `_complete_releases`
+- *grant*: `_grant`
+- *proof of death*: `_remove_dead` and `_add_members`
+- *ripen* (granted units cannot be used for some time) and *cool* (returned units stay
+  counted for some time): by the holder, in `gate/holdings.py`
+
+The units of a dead VM can be used again after three steps:
+
+1. Two reads of the VM list omit the VM. They are further apart than the lag of the list
+   (`vm_list_lag_ms`, `agent/vm_watch.py`).
+2. The next round of a planner grants the units (PLAN_INTERVAL_S, `agent/planning.py`).
+3. The units ripen, for the `linger_ms` of the service or the window of the cap.
+
+Owns no state: the table is kept in the store and written by compare-and-swap
+(`agent/planning.py`).
 """
 
 from collections.abc import Iterable, Mapping
@@ -43,13 +52,13 @@
 HOLDERS_PER_TARGET = 2
 """Number of processes that hold the slots of a target.
 
-With two, half of the slots stay usable when one process dies. With one, the death of
-its VM makes all slots unusable; with more, each holds fewer slots. The latency does not
-depend on the number: p99 at 95% load was 109, 108 and 108 ms with one, two and all
-processes as holders (docs/MEASUREMENTS.md).
+With two, half of the slots stay usable when one process dies. With one holder, the
+death of that holder's VM makes all slots unusable; with more, each holds fewer slots.
+The latency does not depend on the number: p99 at 95% load was 109, 108 and 108 ms with
+one, two and all processes as holders (docs/MEASUREMENTS.md).
 """
-MAX_LOAD_RATIO = 1.25
-"""Maximum load of a holder, as a ratio to the mean load.
+PREFERRED_LOAD_RATIO = 1.25
+"""Number of assigned units up to which a member is preferred, relative to the mean.
 
 With a lower ratio, more units move when a process joins or leaves, and units cannot be
 used while they move. With a higher one, some gates forward more requests.
@@ -57,10 +66,11 @@
 
 
 class GateProcess(msgspec.Struct, frozen=True, array_like=True):
-    """A gate process, given by its VM, its address and its incarnation."""
+    """A gate process, identified by its VM, its address and its incarnation."""
 
     vm: str
     gate: str
+    """Address of the gate."""
     incarnation: int
     domain: str = ""
 
@@ -74,8 +84,10 @@
     """Units released from a member that has not acknowledged the release yet."""
 
     member: int
+    """Member number of the holder."""
     units: int
     version: int
+    """Version of the table that released the units."""
 
 
 class Row(msgspec.Struct, array_like=True):
@@ -85,8 +97,8 @@
     held: dict[int, int] = {}
     releases: list[Release] = []
 
-    def committed(self) -> int:
-        """Return the number of units that any member may be using."""
+    def committed_units(self) -> int:
+        """Return the number of units that are held or being released."""
         return sum(self.held.values()) + sum(r.units for r in self.releases)
 
 
@@ -108,21 +120,24 @@
 
 
 class RowSpec(msgspec.Struct, frozen=True):
-    """Desired capacity of a row and number of its holders; 0 for all members."""
+    """Desired capacity and holders of a row."""
 
     capacity: int
     holders: int = HOLDERS_PER_TARGET
+    """Number of members that hold units of the row; 0 for all members."""
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True):
-    """Table version that a holder applied, and rows where its use exceeds its units."""
+    """Acknowledgement of a table version by a holder."""
 
     version: int
+    """Version of the table that the holder applied."""
     overused_rows: list[str] = []
+    """Names of the rows of which the holder uses more units than it holds."""
 
 
 def slot_row_name(address: str) -> str:
-    """Return the name of the row for a target's slots, by address of its machine."""
+    """Return the name of the row for the slots of the target with this address."""
     return "t:" + address
 
 
@@ -160,23 +175,23 @@
       acks: acknowledgements by process identity.
     Returns: the next table, or None if nothing changes.
     """
-    after = _copy(table)
-    after.version = table.version + 1
-    _remove_dead(after, gone)
-    _add_members(after, live, leaving)
-    _complete_releases(after, acks or {})
-    eligible = [n for n, m in after.members.items() if m.vm not in leaving]
-    wanted = assign_units(after, specs, eligible)
-    for name in sorted(set(after.rows) | set(specs)):
-        row = after.rows.setdefault(name, Row(0, {}, []))
+    next_table = _copy(table)
+    next_table.version = table.version + 1
+    _remove_dead(next_table, gone)
+    _add_members(next_table, live, leaving)
+    _complete_releases(next_table, acks or {})
+    eligible = [n for n, m in next_table.members.items() if m.vm not in leaving]
+    desired = assign_units(next_table, specs, eligible)
+    for name in sorted(set(next_table.rows) | set(specs)):
+        row = next_table.rows.setdefault(name, Row(0, {}, []))
         spec = specs.get(name)
         row.capacity = spec.capacity if spec else 0
-        _release(row, wanted.get(name, {}), after.version)
-        _grant(row, wanted.get(name, {}))
-        if spec is None and not row.committed():
-            del after.rows[name]
-    _remove_idle(after, {m.identity for m in live}, leaving)
-    return None if _has_equal_content(table, after) else after
+        _release(row, desired.get(name, {}), next_table.version)
+        _grant(row, desired.get(name, {}))
+        if spec is None and not row.committed_units():
+            del next_table.rows[name]
+    _remove_members_without_units(next_table, {m.identity for m in live}, leaving)
+    return None if _has_equal_content(table, next_table) else next_table
 
 
 def _copy(table: Table) -> Table:
@@ -214,6 +229,8 @@
 ) -> None:
     """Add new processes, and remove earlier ones at the same address.
 
+    Processes on leaving VMs are not added.
+
     A process binds its address before it sends its first heartbeat. A later incarnation
     at the same address of the same VM therefore proves that the earlier one is dead.
     """
@@ -231,17 +248,17 @@
 
 
 def _complete_releases(table: Table, acks: Mapping[str, Ack]) -> None:
-    """Delete the releases that their holders have acknowledged."""
+    """Delete the releases that are complete."""
     for name, row in table.rows.items():
         row.releases = [
             r
             for r in row.releases
-            if not _is_acknowledged(acks.get(table.members[r.member].identity), name, r)
+            if not _is_complete(acks.get(table.members[r.member].identity), name, r)
         ]
 
 
-def _is_acknowledged(ack: Ack | None, name: str, release: Release) -> bool:
-    """Return whether a holder applied the release and uses at most what it holds."""
+def _is_complete(ack: Ack | None, name: str, release: Release) -> bool:
+    """Return whether a holder applied the release and does not overuse the row."""
     return (
         ack is not None
         and ack.version >= release.version
@@ -260,45 +277,52 @@
     """
     if not eligible:
         return {}
-    max_load = _max_load(specs, len(eligible))
+    preferred_load = _preferred_load(specs, len(eligible))
     load = dict.fromkeys(eligible, 0)
-    wanted: dict[str, dict[int, int]] = {}
+    desired: dict[str, dict[int, int]] = {}
     for name in sorted(specs):
         spec = specs[name]
         by_hash = sorted(eligible, key=lambda n: _hash(name, table.members[n].gate))
         if spec.holders <= 0 or spec.holders >= len(by_hash):
             chosen = by_hash
         else:
-            chosen = _choose_holders(table, by_hash, load, max_load, spec)
-        wanted[name] = _split_evenly(spec.capacity, chosen)
-        for n, units in wanted[name].items():
+            chosen = _choose_holders(table, by_hash, load, preferred_load, spec)
+        desired[name] = _split_evenly(spec.capacity, chosen)
+        for n, units in desired[name].items():
             load[n] += units
-    return wanted
+    return desired
 
 
 def _hash(name: str, gate: str) -> int:
     return xxhash.xxh3_64_intdigest(f"{name}\0{gate}".encode())
 
 
-def _max_load(specs: Mapping[str, RowSpec], members: int) -> float:
+def _preferred_load(specs: Mapping[str, RowSpec], members: int) -> float:
+    """Return the load up to which a member is preferred, in units.
+
+    Rows that all members hold are ignored, since they have no choice of holders.
+    """
     total = sum(s.capacity for s in specs.values() if 0 < s.holders < members)
-    return total / members * MAX_LOAD_RATIO
+    return total / members * PREFERRED_LOAD_RATIO
 
 
 def _choose_holders(
     table: Table,
     by_hash: list[int],
     load: dict[int, int],
-    max_load: float,
+    preferred_load: float,
     spec: RowSpec,
 ) -> list[int]:
-    """Choose the holders of a row: by hash within the load limit, then least loaded.
+    """Choose the holders of a row.
+
+    Members within the preferred load come first, in hash order; then come the others,
+    least loaded first.
 
     The first pass chooses holders in different failure domains, the second pass chooses
     the remaining ones in any.
     """
-    share = -(-spec.capacity // spec.holders)
-    within_limit = [n for n in by_hash if load[n] + share <= max_load]
+    share = -(-spec.capacity // spec.holders)  # Rounded up.
+    within_limit = [n for n in by_hash if load[n] + share <= preferred_load]
     over_limit = sorted(
         (n for n in by_hash if n not in within_limit), key=lambda n: load[n]
     )
@@ -321,10 +345,10 @@
     return {n: u for n, u in shares.items() if u}
 
 
-def _release(row: Row, wanted: Mapping[int, int], version: int) -> None:
-    """Release the excess units of each holder; the first of the two writes."""
+def _release(row: Row, desired: Mapping[int, int], version: int) -> None:
+    """Release the excess units of each holder, so that they can be granted later."""
     for n, units in sorted(row.held.items()):
-        excess = units - wanted.get(n, 0)
+        excess = units - desired.get(n, 0)
         if excess <= 0:
             continue
         row.releases.append(Release(n, excess, version))
@@ -334,23 +358,25 @@
             row.held[n] = units - excess
 
 
-def _grant(row: Row, wanted: Mapping[int, int]) -> None:
-    """Grant units that are neither held nor being released; the second write."""
-    free = row.capacity - row.committed()
-    for n, units in sorted(wanted.items()):
+def _grant(row: Row, desired: Mapping[int, int]) -> None:
+    """Grant units that are neither held nor being released."""
+    free = row.capacity - row.committed_units()
+    for n, units in sorted(desired.items()):
         granted = min(free, units - row.held.get(n, 0))
         if granted > 0:
             row.held[n] = row.held.get(n, 0) + granted
             free -= granted
 
 
-def _remove_idle(table: Table, live: set[str], leaving: frozenset[str]) -> None:
-    """Remove members without units that are leaving or have no recent heartbeat."""
-    busy = {n for row in table.rows.values() for n in row.held}
-    busy |= {r.member for row in table.rows.values() for r in row.releases}
-    idle = {
+def _remove_members_without_units(
+    table: Table, live: set[str], leaving: frozenset[str]
+) -> None:
+    """Remove members that are leaving or silent, if they have no units."""
+    with_units = {n for row in table.rows.values() for n in row.held}
+    with_units |= {r.member for row in table.rows.values() for r in row.releases}
+    without_units = {
         n
         for n, m in table.members.items()
-        if n not in busy and (m.vm in leaving or m.identity not in live)
+        if n not in with_units and (m.vm in leaving or m.identity not in live)
     }
-    _remove_members(table, idle)
+    _remove_members(table, without_units)
--- a/leverdoor/membership/peers.py
+++ b/leverdoor/membership/peers.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Membership of a plain site: heartbeats of agents and gates, spread by gossip.
+"""Membership of VMs at a site of agents and gates: heartbeats, spread by gossip.
 
 Owns the latest heartbeat of each VM, its arrival time and the mean gap between
 arrivals. The state is lost with the process; a new process contacts others through its
@@ -8,8 +8,8 @@
 newer than the known one.
 
 A heartbeat alone never moves units, which requires an acknowledgement or a proof of
-death (`ownership.py`). A live VM that is taken for silent therefore costs slots for
-some time, but violates no limit.
+death (`ownership.py`). If a live VM is wrongly considered silent, its slots may stay
+unused for some time, but no limit is exceeded.
 """
 
 from collections.abc import Iterable
@@ -24,45 +24,46 @@
 __all__ = ["AgentHeartbeat", "GateState", "Gossip", "Load", "Peer", "Peers"]
 
 MIN_SILENCE_S = 1.5
-"""Lower bound of the silence after which a VM is not used, in seconds.
+"""Minimum silence after which a VM counts as silent, in seconds.
 
-Seven heartbeats at 0.2 s. A lower bound drops live VMs when some datagrams are lost; a
-higher one sends requests to dead VMs for longer.
+Seven heartbeats at 0.2 s. With a smaller value, live VMs count as silent when some
+datagrams are lost; with a larger one, requests are sent to dead VMs for longer.
 """
 MAX_SILENCE_S = 10.0
-"""Upper bound of the silence after which a VM is not used, in seconds.
+"""Maximum silence before a VM counts as silent, in seconds.
 
-Heartbeats from VMs of other regions are rare and arrive through other VMs. A lower
-bound drops live VMs of other regions; a higher one retains dead VMs for longer.
+Heartbeats from VMs of other regions are rare and arrive through other VMs. With a
+smaller value, live VMs of other regions count as silent; with a larger one, dead VMs
+count as live for longer.
 """
-SILENCE_GAPS = 4
-"""Number of mean gaps between heartbeats after which a VM is silent.
+SILENCE_TIMEOUT_GAPS = 4
+"""Number of mean gaps between heartbeats after which a VM counts as silent.
 
-A VM is dropped only after more than three lost datagrams in a row.
+It allows for three lost datagrams in a row, within the bounds above.
 """
 GAP_WEIGHT = 0.2
 """Weight of one gap in the moving average, which covers about the last five gaps."""
 RING_NEIGHBOURS = 8
-"""Number of next VMs on the ring of the region to which this VM sends in turn.
+"""Number of VMs that follow this VM on the hash ring of its region.
 
-Each VM thus receives frequent heartbeats from a few others. With more neighbours, each
-of them receives heartbeats less often; with fewer, news spreads more slowly over the
-ring.
+One of them receives a message in each round, so that each VM receives frequent
+heartbeats from a few others. With more neighbours, each of them receives heartbeats
+less often; with fewer, changes propagate more slowly over the ring.
 """
 RING_POSITIONS = 1 << 64
 """Number of positions on the ring: the range of the 64-bit hash."""
 PEER_TTL_S = 60.0
 """Silence after which the record of a VM is deleted, in seconds.
 
-It is much longer than a paused process or a link failure, after which the heartbeats of
-the VM are used again.
+It is much longer than the usual pause of a process or failure of a link, so that the
+record still exists when heartbeats resume.
 """
 MAX_FORWARDED_HEARTBEATS = 5
 """Maximum number of heartbeats of other VMs per message, so that it fits a packet."""
 OWN_REGION_SHARE = 0.75
-"""Share of the forwarded heartbeats that come from the own region.
+"""Share of the forwarded heartbeats that come from this VM's region.
 
-Requests go to gates of the own region first, so that their loads must be more recent.
+Requests go to gates of the same region first, so their loads must be more recent.
 """
 
 
@@ -76,46 +77,54 @@
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True):
-    """Load of a gate for one service.
-
-    Consists of held and free slots, waiting requests without bulk uploads, and the mean
-    run time in ms, which is 0 before the first response.
-    """
+    """Load of a gate for one service."""
 
     held: int
+    """Slots that the gate holds, including the free ones."""
     free: int
+    """Held slots that are free."""
     waiting: int
+    """Waiting requests without bulk uploads."""
     mean_ms: float = 0.0
+    """Mean run time in ms; 0 before the first response."""
 
 
 class AgentHeartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """Heartbeat of a VM with the state of its agent and its gate.
-
-    `agent` and `incarnation` are the start times of the agent and of the gate in
-    microseconds since the epoch. `seq` increases with each heartbeat of the agent.
-    `departed` lists the processes that are proved to be dead, and `leaving_vms` the VMs
-    that are leaving according to the VM list.
-    """
+    """Heartbeat of a VM with the state of its agent and its gate."""
 
     vm: str
     region: str
     domain: str
     gossip: str
+    """Gossip address of the agent."""
     api: str
+    """API address of the agent."""
     agent: int
+    """Start time of the agent, in microseconds since the epoch."""
     seq: int
+    """Sequence number, which increases with each heartbeat of the agent."""
     revision: int = 0
+    """Revision of the agent's copy of the store."""
     gate: str = ""
+    """Address of the gate; empty without a report from it."""
     relay: str = ""
+    """Address of the gate for requests of other gates."""
     incarnation: int = 0
+    """Start time of the gate, in microseconds since the epoch."""
     gate_revision: int = 0
+    """Revision of the configuration in force at the gate."""
     ack: Ack = Ack(0)
     state: GateState = GateState.NONE
     loads: dict[str, Load] = {}
+    """Load of the gate by service."""
     caps: dict[str, int] = {}
+    """Free units of shift caps at the gate, by name of the row."""
     departed: list[str] = []
+    """Identities of gate processes that are proved to be dead."""
     leaving_vms: list[str] = []
+    """VMs that are leaving according to the VM list."""
     draining: dict[str, int] = {}
+    """Requests in flight by target that is being drained."""
     unserved: bool = False
     """Whether the store does not answer the agent of this VM."""
 
@@ -145,18 +154,21 @@
     heartbeat: AgentHeartbeat
     last_seen: float
     gap_s: float = 0.0
-    superseded_agent: int = -1
-    """Start time of an agent replaced by one with an earlier start time; -1 if none."""
+    previous_agent: int = -1
+    """Start time of the previous agent if its clock was ahead; -1 if none.
+
+    Late heartbeats of that agent are rejected.
+    """
 
     def is_superseded_by(self, heartbeat: AgentHeartbeat, now: float) -> bool:
         """Return whether a heartbeat replaces the known one.
 
-        The heartbeat with the later start time, then the higher sequence number wins.
+        Heartbeats are ordered by the start time of the agent, then by sequence number.
         After a clock was set back, the new agent has an earlier start time; it is
-        accepted once the former agent is silent. Heartbeats of the former agent that
-        other VMs still forward are then rejected.
+        accepted once the previous agent is silent. Heartbeats of the previous agent
+        that other VMs still forward are then rejected.
         """
-        if heartbeat.agent == self.superseded_agent:
+        if heartbeat.agent == self.previous_agent:
             return False
         earlier_start = heartbeat.agent < self.heartbeat.agent
         return heartbeat.is_newer_than(self.heartbeat) or (
@@ -166,22 +178,24 @@
     def receive(self, heartbeat: AgentHeartbeat, now: float) -> None:
         """Record a heartbeat that supersedes the known one."""
         if heartbeat.agent < self.heartbeat.agent:
-            self.superseded_agent = self.heartbeat.agent
+            self.previous_agent = self.heartbeat.agent
         self.gap_s += GAP_WEIGHT * (now - self.last_seen - self.gap_s)
         self.heartbeat = heartbeat
         self.last_seen = now
 
     def is_silent(self, now: float) -> bool:
-        """Return whether no heartbeat arrived for `SILENCE_GAPS` mean gaps.
+        """Return whether no heartbeat arrived for `SILENCE_TIMEOUT_GAPS` mean gaps.
 
         `MIN_SILENCE_S` and `MAX_SILENCE_S` bound this time.
         """
-        bound_s = max(MIN_SILENCE_S, min(SILENCE_GAPS * self.gap_s, MAX_SILENCE_S))
+        bound_s = max(
+            MIN_SILENCE_S, min(SILENCE_TIMEOUT_GAPS * self.gap_s, MAX_SILENCE_S)
+        )
         return now - self.last_seen > bound_s
 
 
 class Peers:
-    """Heartbeats of all VMs that one agent knows, including its own."""
+    """Latest heartbeats of all VMs that one agent knows, including its own VM."""
 
     def __init__(self, vm: str, region: str) -> None:
         """Create it without any heartbeats.
@@ -197,7 +211,7 @@
         self._own_region_vms: list[str] = []
         self._other_region_vms: list[str] = []
         self._ring_neighbours: list[str] = []
-        self.known: dict[str, Peer] = {}
+        self.peers_by_vm: dict[str, Peer] = {}
 
     def merge(
         self, heartbeats: Iterable[AgentHeartbeat], now: float
@@ -208,9 +222,9 @@
         """
         accepted = []
         for heartbeat in heartbeats:
-            peer = self.known.get(heartbeat.vm)
+            peer = self.peers_by_vm.get(heartbeat.vm)
             if peer is None:
-                self.known[heartbeat.vm] = Peer(heartbeat, now)
+                self.peers_by_vm[heartbeat.vm] = Peer(heartbeat, now)
                 self._membership_changed = True
             elif peer.is_superseded_by(heartbeat, now):
                 peer.receive(heartbeat, now)
@@ -220,19 +234,21 @@
         return accepted
 
     def forget(self, now: float) -> None:
-        """Delete VMs without a heartbeat for `PEER_TTL_S`."""
-        expired = [vm for vm, p in self.known.items() if now - p.last_seen > PEER_TTL_S]
+        """Delete the records of VMs without a heartbeat for `PEER_TTL_S`."""
+        expired = [
+            vm for vm, p in self.peers_by_vm.items() if now - p.last_seen > PEER_TTL_S
+        ]
         for vm in expired:
-            del self.known[vm]
+            del self.peers_by_vm[vm]
             self._membership_changed = True
 
     def _update_groups(self) -> None:
-        """Group the peers by region and update the ring if peers came or went."""
+        """Group the VMs by region and update the ring if one was added or deleted."""
         if not self._membership_changed:
             return
         self._membership_changed = False
         others = [
-            p.heartbeat for p in self.known.values() if p.heartbeat.vm != self._vm
+            p.heartbeat for p in self.peers_by_vm.values() if p.heartbeat.vm != self._vm
         ]
         self._own_region_vms = [b.vm for b in others if b.region == self._region]
         self._other_region_vms = [b.vm for b in others if b.region != self._region]
@@ -244,23 +260,26 @@
         del self._ring_neighbours[RING_NEIGHBOURS:]
 
     def live_peers(self, now: float) -> list[Peer]:
-        """Return the peers that are not silent, sorted by VM."""
-        found = [p for p in self.known.values() if not p.is_silent(now)]
+        """Return the records of the VMs that are not silent, sorted by VM."""
+        found = [p for p in self.peers_by_vm.values() if not p.is_silent(now)]
         return sorted(found, key=lambda p: p.heartbeat.vm)
 
     def live_heartbeats_in_region(self, now: float) -> list[AgentHeartbeat]:
-        """Return the heartbeats of the own region's live VMs, sorted by VM."""
+        """Return the heartbeats of the live VMs in this VM's region, sorted by VM."""
         self._update_groups()
         names = sorted(
-            [*self._own_region_vms, *([self._vm] if self._vm in self.known else [])]
+            [
+                *self._own_region_vms,
+                *([self._vm] if self._vm in self.peers_by_vm else []),
+            ]
         )
-        peers = [self.known[vm] for vm in names]
+        peers = [self.peers_by_vm[vm] for vm in names]
         return [p.heartbeat for p in peers if not p.is_silent(now)]
 
     def acks(self) -> dict[str, Ack]:
-        """Return the latest acknowledgement of each gate process of the own region."""
+        """Return the latest acknowledgement of each gate process in this region."""
         self._update_groups()
-        peers = [self.known.get(vm) for vm in (*self._own_region_vms, self._vm)]
+        peers = [self.peers_by_vm.get(vm) for vm in (*self._own_region_vms, self._vm)]
         return {
             p.heartbeat.identity: p.heartbeat.ack
             for p in peers
@@ -268,9 +287,9 @@
         }
 
     def compose_message(self, rng: Random, now: float) -> Gossip:
-        """Compose a gossip message of the own heartbeat and a sample of live peers."""
+        """Compose a gossip message of this VM's heartbeat and a sample of live ones."""
         self._update_groups()
-        own = self.known.get(self._vm)
+        own = self.peers_by_vm.get(self._vm)
         own_region_count = round(MAX_FORWARDED_HEARTBEATS * OWN_REGION_SHARE)
         picked = self._sample(self._own_region_vms, own_region_count, rng, now)
         picked += self._sample(
@@ -283,16 +302,17 @@
     ) -> list[AgentHeartbeat]:
         """Return heartbeats of a random sample of VMs, without the silent ones."""
         drawn = rng.sample(names, min(len(names), count))
-        peers = [self.known[vm] for vm in drawn]
+        peers = [self.peers_by_vm[vm] for vm in drawn]
         return [p.heartbeat for p in peers if not p.is_silent(now)]
 
     def choose_recipients(self, rng: Random, seeds: Iterable[str]) -> list[str]:
-        """Choose the recipients of the next message: one per group, and rarely a seed.
+        """Choose the recipients of the next message.
 
         Within the region, a few fixed neighbours on a ring of all its VMs are chosen in
         turn, so that each VM receives frequent heartbeats from some neighbours in a
-        region of any size. Outside the region, a random VM is chosen. Occasional
-        messages to a seed let partitions rejoin.
+        region of any size. Outside the region, a random VM is chosen. A seed is added
+        with a probability of 1 / (1 + number of other VMs), which lets partitions
+        rejoin.
 
         Args:
           rng: source of randomness.
@@ -308,7 +328,7 @@
             )
         if self._other_region_vms:
             chosen.append(rng.choice(self._other_region_vms))
-        addresses = {self.known[vm].heartbeat.gossip for vm in chosen}
+        addresses = {self.peers_by_vm[vm].heartbeat.gossip for vm in chosen}
         seed_addresses = list(seeds)
         others = len(self._own_region_vms) + len(self._other_region_vms)
         if seed_addresses and rng.random() < 1 / (1 + others):
--- a/tests/test_entry_confirmation.py
+++ b/tests/test_entry_confirmation.py
@@ -32,10 +32,9 @@
 
 
 def test_an_answer_for_a_newer_revision_does_not_confirm_the_one_in_force() -> None:
-    """An answer for a newer revision must not confirm an older one.
+    """Otherwise an entry that cannot fetch a newer revision would accept its old keys.
 
-    Otherwise an entry that cannot fetch a change counts that change's confirmation as
-    its own, and accepts a key that the change revoked.
+    One of them may have been revoked by the newer revision.
     """
     tracker = Confirmation(3)
     tracker.record_peer_answer(ReportedAnswer(8, 1, 500), 7, 10.0)
@@ -51,8 +50,8 @@
     """A received age is too low by the latency of its message.
 
     Without numbers of answers, two entries in different regions that report to each
-    other make an answer younger by 45 ms with each message. A bound of 5 s became
-    6.5 s, during which keys that may have been revoked were accepted.
+    other make an answer younger by 45 ms with each message. A bound of 5 s then becomes
+    6.5 s, during which keys that may have been revoked are accepted.
     """
     latency_s = 0.045
     first, second = Confirmation(1), Confirmation(2)
@@ -67,8 +66,11 @@
     assert second.age_s(now) >= now - 10.0 - latency_s - 0.001
 
 
-def test_an_entry_one_revision_behind_is_not_outdated() -> None:
-    """Revisions may arrive faster than an entry fetches them."""
+def test_pending_answers_count_when_their_revision_is_in_force() -> None:
+    """Revisions may arrive faster than an entry fetches them.
+
+    An entry that is always one revision behind must not count as outdated.
+    """
     tracker = Confirmation(3)
     for i in range(100):
         now = 10.0 + i / 10
@@ -84,6 +86,7 @@
     create_entry = site._entry
 
     def with_bounds(*args: object) -> object:
+        """Create an entry with `bounds` in its settings."""
         entry = create_entry(*args)  # type: ignore[arg-type]
         settings = json.loads(entry.settings.read_bytes())
         entry.settings.write_bytes(serialize_json({**settings, "bounds": bounds}))
--- a/tests/test_entry_expired_registrations.py
+++ b/tests/test_entry_expired_registrations.py
@@ -47,7 +47,7 @@
     assert registrations.update({}, True, 1.0) == []
 
 
-def test_a_target_whose_address_another_target_has_is_not_retained() -> None:
+def test_a_target_is_not_retained_after_its_address_was_reused() -> None:
     registrations = ExpiredRegistrations(2.5)
     registrations.update(by_name(ONE), True, 0.0)
     assert (
--- a/tests/test_entry_joining.py
+++ b/tests/test_entry_joining.py
@@ -114,7 +114,7 @@
     starting = StartingEntry(member("a1-9"), store, {f"p/a1-{i}" for i in range(4)})
     found = await starting.joining.discover_peers()
     assert found.keys() == {PREFIX + m.name for m in others}
-    await starting.joining.fetch_state(followers=2)
+    await starting.joining.fetch_state(follower_count=2)
     assert starting.state.revision == 5
     assert all(
         api.startswith("p/a1-") for apis in starting.puller.requested for api in apis
@@ -130,7 +130,7 @@
     store = FakeStore(registered(*[member(f"a1-{i}") for i in range(4)]))
     starting = StartingEntry(member("a1-9", 200), store, set())
     await starting.joining.discover_peers()
-    await starting.joining.fetch_state(followers=2)
+    await starting.joining.fetch_state(follower_count=2)
     assert starting.puller.requested == []
     assert starting.joining.may_follow_store_from == 0.0, (
         "it may follow the store immediately"
@@ -145,7 +145,7 @@
     loop.call_later(
         0.01, lambda: starting.state.apply(Delta(0, 3, True, [Event(3, "k", b"v")]))
     )
-    await starting.joining.fetch_state(followers=2)
+    await starting.joining.fetch_state(follower_count=2)
     assert starting.state.revision == 3
     assert starting.joining.may_follow_store_from > 0.0
 
@@ -154,7 +154,7 @@
     others = [member(f"a1-{i}", 200) for i in range(4)]
     starting = StartingEntry(member("a1-9"), FakeStore(registered(*others)), set())
     await starting.joining.discover_peers()
-    await starting.joining.fetch_state(followers=2)
+    await starting.joining.fetch_state(follower_count=2)
     assert starting.state.revision == 0
     assert starting.joining.may_follow_store_from == 0.0
 
--- a/tests/test_entry_membership.py
+++ b/tests/test_entry_membership.py
@@ -153,7 +153,7 @@
     ]
 
 
-def test_other_regions_are_selected_only_if_the_callers_has_no_live_entry() -> None:
+def test_other_regions_are_selected_only_without_live_entries_in_the_region() -> None:
     view = entry_view()
     deliver_heartbeat(view, "b1-0", 0.0)
     assert view.selector.select_addresses("b", "b1", SERVING, 0.0) == ["f/b1-0"]
@@ -270,7 +270,7 @@
 
 
 def test_the_silence_timeout_does_not_grow_with_the_number_of_entries() -> None:
-    """A timeout that followed the number of entries was 13.6 s at 195 in a region."""
+    """A timeout in proportion to the number of entries would be 13.6 s at 195."""
     members = [member(f"a1-{i}") for i in range(195)]
     view = EntryView(members[0], Random(1))
     for m in members:
--- a/tests/test_entry_registration_end.py
+++ b/tests/test_entry_registration_end.py
@@ -23,8 +23,8 @@
     """A store that counts writes of keys and revocations of leases."""
 
     def __init__(self) -> None:
-        self.held = 0
-        self.ended = 0
+        self.key_writes = 0
+        self.revocations = 0
 
     async def read(self, prefix: str) -> Listing:
         raise AssertionError(prefix)
@@ -36,14 +36,14 @@
         raise AssertionError(prefix)
 
     async def hold(self, key: str, value: bytes, ttl_s: float) -> int:
-        self.held += 1
-        return self.held
+        self.key_writes += 1
+        return self.key_writes
 
     async def keep(self, lease: int) -> bool:
         return True
 
     async def let_go(self, lease: int) -> None:
-        self.ended += 1
+        self.revocations += 1
 
 
 async def test_a_leaving_entry_is_not_registered_again(
@@ -66,7 +66,7 @@
     for _ in range(LOOP_ITERATIONS):
         await asyncio.sleep(0)
     task.cancel()
-    assert (store.held, store.ended) == (1, 1)
+    assert (store.key_writes, store.revocations) == (1, 1)
 
 
 async def test_a_key_written_while_the_entry_begins_to_leave_is_removed() -> None:
@@ -88,4 +88,4 @@
     await own_registration.end()
     written.set()
     await task
-    assert (store.held, store.ended) == (1, 1)
+    assert (store.key_writes, store.revocations) == (1, 1)
--- a/tests/test_entry_troubles.py
+++ b/tests/test_entry_troubles.py
@@ -54,15 +54,15 @@
 
 
 async def send_requests(
-    site: EntrySite, stop: asyncio.Event, number: int, unsafe_ids: set[str]
+    site: EntrySite, stop: asyncio.Event, client_number: int, unsafe_ids: set[str]
 ) -> list[Answer]:
     """Send requests in sequence, each to a random running entry, until `stop`."""
-    rng = Random(number)
+    rng = Random(client_number)
     collected: list[Answer] = []
     i = 0
     while not stop.is_set():
         i += 1
-        request_id = f"{number:08x}{i:08x}"
+        request_id = f"{client_number:08x}{i:08x}"
         running: list[EntryProcess] = [e for e in site.entries.values() if e.running]
         entry = rng.choice(running)
         headers = {"X-Affinity-Key": str(rng.randrange(20))}
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -32,7 +32,7 @@
     leaving = frozenset({"vm3"})
     released = plan(table, SPECS, LIVE, leaving)
     assert released is not None
-    assert all(r.committed() <= r.capacity for r in released.rows.values())
+    assert all(r.committed_units() <= r.capacity for r in released.rows.values())
     assert plan(released, SPECS, LIVE, leaving) is None
     outdated = {m.identity: Ack(released.version - 1) for m in LIVE}
     assert plan(released, SPECS, LIVE, leaving, acks=outdated) is None
@@ -64,7 +64,7 @@
     after = plan(table, SPECS, LIVE[:3], gone=frozenset({LIVE[3].identity}))
     assert after is not None
     assert len(after.members) == 3
-    assert all(r.committed() == r.capacity for r in after.rows.values())
+    assert all(r.committed_units() == r.capacity for r in after.rows.values())
 
 
 def test_a_later_incarnation_replaces_an_earlier_one_but_not_vice_versa() -> None:
@@ -77,7 +77,7 @@
     assert plan(after, SPECS, LIVE) is None
 
 
-def test_few_units_move_when_a_member_joins() -> None:
+def test_less_than_half_of_the_units_move_when_a_member_joins() -> None:
     table = plan_until_stable(Table("r"))
     joined = [*LIVE, GateProcess("vm4", "gate4", 1, "d0")]
     after = plan(table, SPECS, joined)
--- a/tests/test_ownership_machine.py
+++ b/tests/test_ownership_machine.py
@@ -54,14 +54,15 @@
             f"vm{number}", f"gate{number}", incarnation, f"d{number % 2}"
         )
         self.holdings = Holdings(f"gate{number}", incarnation)
-        self.work: list[str] = []
+        self.running_requests: list[str] = []
 
 
 class TableMachine(RuleBasedStateMachine):
     """Gates that apply the table late, die, freeze and restart.
 
-    A frozen gate is one that no rule picks for a while, so that it keeps acting on an
-    old table. Requests that run at targets are counted separately from the holdings.
+    A gate that no rule picks for some steps models a paused process: it keeps acting on
+    an old table. Requests that run at targets are counted separately from the holdings.
+    `cap_units_cool` tells whether used cap units stay counted for the window.
     """
 
     ripening_s = RIPENING_S
@@ -116,7 +117,7 @@
     @rule(i=gate_numbers, row=st.sampled_from(["t:a", "t:b"]))
     def fill_target(self, i: int, row: str) -> None:
         while self.alive[i] and self.gates[i].holdings.acquire(row, self.now):
-            self.gates[i].work.append(row)
+            self.gates[i].running_requests.append(row)
 
     @rule(i=gate_numbers)
     def send_shift(self, i: int) -> None:
@@ -126,14 +127,14 @@
             cool_s = WINDOW_S if self.cap_units_cool else 0.0
             gate.holdings.release("c:x", self.now, cool_s)
 
-    @rule(i=gate_numbers, lost=st.booleans())
-    def end_work(self, i: int, lost: bool) -> None:
+    @rule(i=gate_numbers, response_lost=st.booleans())
+    def end_requests(self, i: int, response_lost: bool) -> None:
         gate = self.gates[i]
-        while self.alive[i] and gate.work:
-            row = gate.work.pop()
-            if lost:
+        while self.alive[i] and gate.running_requests:
+            row = gate.running_requests.pop()
+            if response_lost:
                 self.lingering.append((row, self.now + LINGER_S))
-            gate.holdings.release(row, self.now, LINGER_S if lost else 0.0)
+            gate.holdings.release(row, self.now, LINGER_S if response_lost else 0.0)
 
     @rule(i=gate_numbers)
     def kill_vm(self, i: int) -> None:
@@ -144,7 +145,9 @@
     @rule(i=gate_numbers)
     def kill_gate(self, i: int) -> None:
         if self.alive[i]:
-            self.lingering += [(row, self.now + LINGER_S) for row in self.gates[i].work]
+            self.lingering += [
+                (row, self.now + LINGER_S) for row in self.gates[i].running_requests
+            ]
             self.alive[i] = False
 
     @rule(i=gate_numbers)
@@ -158,7 +161,7 @@
         running = [row for row, until in self.lingering if until > self.now]
         for i, gate in enumerate(self.gates):
             if self.alive[i]:
-                running += gate.work
+                running += gate.running_requests
         for row in ("t:a", "t:b"):
             assert running.count(row) <= SLOTS
 
@@ -192,8 +195,8 @@
     m.no_target_exceeds_its_slots()
 
 
-def _leave_unnoticed(m: TableMachine) -> None:
-    """VM 0 leaves, but its frozen gate does not receive the new table."""
+def _leave_without_applying_table(m: TableMachine) -> None:
+    """VM 0 leaves, but its paused gate does not apply the new table."""
     for _ in range(3):
         m.write_table({0}, True)
         m.apply_table({1, 2})
@@ -219,27 +222,27 @@
             m.no_window_exceeds_the_cap()
 
 
+# Each case, the model in which it violates a limit, and whether the check of
+# acknowledgements is disabled there.
 CASES = [
-    (_leave_unnoticed, TableMachine, True),
+    (_leave_without_applying_table, TableMachine, True),
     (_kill_vm_while_targets_run, NoRipening, False),
     (_reuse_cap_unit_immediately, NoCooling, False),
 ]
 
 
-@pytest.mark.parametrize(("case", "broken", "ack"), CASES)
+@pytest.mark.parametrize(("case", "model", "skip_ack_check"), CASES)
 def test_each_mechanism_is_needed(
     case: Callable[[TableMachine], None],
-    broken: type[TableMachine],
-    ack: bool,
+    model: type[TableMachine],
+    skip_ack_check: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     case(TableMachine())
-    if ack:
-        monkeypatch.setattr(
-            ownership, "_is_acknowledged", lambda ack, name, release: True
-        )
+    if skip_ack_check:
+        monkeypatch.setattr(ownership, "_is_complete", lambda ack, name, release: True)
     with pytest.raises(AssertionError):
-        case(broken())
+        case(model())
 
 
 # Breadth-first search over all orders of steps, bounded by the number of states, for
@@ -368,8 +371,8 @@
     first = ExplorationState(serialize_table(Table("r")), gates, (), none, -1)
     seen = {first}
     queue = deque([first])
-    min_states = 150_000
-    while queue and len(seen) < min_states:
+    state_limit = 150_000
+    while queue and len(seen) < state_limit:
         state = queue.popleft()
         for j in (0, 1):
             running = state.lingering[j] + sum(
@@ -380,5 +383,5 @@
             if after not in seen:
                 seen.add(after)
                 queue.append(after)
-    assert len(seen) >= min_states
+    assert len(seen) >= state_limit
     print(f"{len(seen)} states")
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -70,7 +70,7 @@
     rng = Random(1)
     for _ in range(20):
         regions = {
-            agent.known[name.split(":")[0]].heartbeat.region
+            agent.peers_by_vm[name.split(":")[0]].heartbeat.region
             for name in agent.choose_recipients(rng, [])
         }
         assert len(regions) == 2
@@ -90,16 +90,17 @@
             for to in agent.choose_recipients(rng, []):
                 peer = agents[to]
                 newest = max(b.revision for b in message.heartbeats)
-                own = peer.known[peer._vm].heartbeat
+                own = peer.peers_by_vm[peer._vm].heartbeat
                 if newest > own.revision:
                     peer.merge(
                         [AgentHeartbeat(*heartbeat_fields(own.vm, own.region), newest)],
                         0.0,
                     )
-    assert all(a.known[a._vm].heartbeat.revision == 99 for a in agents.values())
+    assert all(a.peers_by_vm[a._vm].heartbeat.revision == 99 for a in agents.values())
 
 
 def heartbeat_fields(vm: str, region: str) -> tuple[str, str, str, str, str, int, int]:
+    """Return the fields of a heartbeat up to `seq`, without `revision`."""
     return (vm, region, f"{region}-0", f"{vm}:1", f"{vm}:2", 1, 2)
 
 
@@ -112,5 +113,5 @@
     peers.merge([heartbeat("vm0"), heartbeat("vm1")], 0.0)
     peers.merge([heartbeat("vm0", 2)], 100.0)
     peers.forget(100.0)
-    assert list(peers.known) == ["vm0"]
+    assert list(peers.peers_by_vm) == ["vm0"]
     assert [b.vm for b in peers.live_heartbeats_in_region(100.0)] == ["vm0"]
