--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -254,7 +254,7 @@
         sizes.append((targets, len(serialize_table(first)) / 1000))
         costs.append((targets, cpu(lambda t=first, s=specs, m=members: plan(t, s, m))))  # type: ignore[misc]
         dead = frozenset({members[0].identity})
-        gone = plan(first, specs, members[1:], gone=dead)
+        gone = plan(first, specs, members[1:], dead_identities=dead)
         assert gone is not None
         moved = sum(r.units for row in gone.rows.values() for r in row.releases)
         after_gone.append((targets, moved / (targets * 6) * 100))
--- a/leverdoor/membership/ownership.py
+++ b/leverdoor/membership/ownership.py
@@ -161,7 +161,7 @@
     specs: Mapping[str, RowSpec],
     live: Iterable[GateProcess],
     leaving: frozenset[str] = frozenset(),
-    gone: frozenset[str] = frozenset(),
+    dead_identities: frozenset[str] = frozenset(),
     acks: Mapping[str, Ack] | None = None,
 ) -> Table | None:
     """Compute the next version of the table.
@@ -177,7 +177,7 @@
     """
     next_table = _copy(table)
     next_table.version = table.version + 1
-    _remove_dead(next_table, gone)
+    _remove_dead(next_table, dead_identities)
     _add_members(next_table, live, leaving)
     _complete_releases(next_table, acks or {})
     eligible = [n for n, m in next_table.members.items() if m.vm not in leaving]
@@ -208,9 +208,9 @@
     return a.members == b.members and a.rows == b.rows
 
 
-def _remove_dead(table: Table, gone: frozenset[str]) -> None:
+def _remove_dead(table: Table, dead_identities: frozenset[str]) -> None:
     """Remove processes proved to be dead by the VM list, and free their units."""
-    dead = {n for n, m in table.members.items() if m.identity in gone}
+    dead = {n for n, m in table.members.items() if m.identity in dead_identities}
     _remove_members(table, dead)
 
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -61,7 +61,7 @@
 
 def test_a_dead_member_is_replaced() -> None:
     table = plan_until_stable(Table("r"))
-    after = plan(table, SPECS, LIVE[:3], gone=frozenset({LIVE[3].identity}))
+    after = plan(table, SPECS, LIVE[:3], dead_identities=frozenset({LIVE[3].identity}))
     assert after is not None
     assert len(after.members) == 3
     assert all(r.committed_units() == r.capacity for r in after.rows.values())
