--- a/leverdoor/entry/configuration/expired_registrations.py
+++ b/leverdoor/entry/configuration/expired_registrations.py
@@ -22,7 +22,8 @@
 """Maximum time for which a target is used without a registration, in seconds.
 
 Running targets have registered again within this time. With a longer time, requests go
-to targets that are gone; with a shorter one, running targets are taken out of service.
+to targets that no longer run. With a shorter one, running targets are taken out of
+service.
 """
 RETENTION_MARGIN_S = 0.6
 """Margin subtracted from the bound `leave_s` on retained targets, in seconds.
--- a/leverdoor/entry/membership/registration.py
+++ b/leverdoor/entry/membership/registration.py
@@ -110,7 +110,7 @@
         expired, the next renewal fails and the key is written again.
 
         Args:
-          registered: the key of this entry in the store, or None if there is none.
+          registered_key: the key of this entry in the store, or None if there is none.
         """
         if registered_key is None or not registered_key.lease:
             return
--- a/tests/test_entry_troubles.py
+++ b/tests/test_entry_troubles.py
@@ -19,6 +19,7 @@
 async def inject_fault(site: EntrySite, rng: Random, ended_targets: set[str]) -> None:
     """Inject one random fault."""
     kind = rng.choice(["kill", "stop", "store", "history", "config", "target"])
+    # n3 keeps running, so that requests always find a running entry.
     entry = site.entries[rng.choice(sorted(set(site.entries) - {"n3"}))]
     if kind in ("kill", "stop") and entry.running:
         entry.send(signal.SIGKILL if kind == "kill" else signal.SIGTERM)
--- a/tests/test_ownership_machine.py
+++ b/tests/test_ownership_machine.py
@@ -75,7 +75,7 @@
         self.gates = [Gate(i, 1) for i in range(GATES)]
         self.alive = [True] * GATES
         self.acks: dict[str, Ack] = {}
-        self.gone: set[str] = set()
+        self.dead_identities: set[str] = set()
         self.lingering: list[tuple[str, float]] = []
         self.arrivals: list[float] = []
         self.write_table(set(), False)
@@ -96,7 +96,9 @@
         ]
         leaving = frozenset(f"vm{i}" for i in silent if silent_vms_leave)
         table = parse_table(self.table)
-        after = plan(table, SPECS, live, leaving, frozenset(self.gone), self.acks)
+        after = plan(
+            table, SPECS, live, leaving, frozenset(self.dead_identities), self.acks
+        )
         if after is not None:
             self.table = serialize_table(after)
 
@@ -140,7 +142,7 @@
     def kill_vm(self, i: int) -> None:
         if self.alive[i]:
             self.kill_gate(i)
-            self.gone.add(self.gates[i].member.identity)
+            self.dead_identities.add(self.gates[i].member.identity)
 
     @rule(i=gate_numbers)
     def kill_gate(self, i: int) -> None:
@@ -313,11 +315,15 @@
         for i, g in enumerate(s.gates)
         if g.alive
     ]
+    # Each acknowledgement is an identity, a table version and the overused rows.
     acks = {a[0]: Ack(a[1], list(a[2])) for a in s.acks}
-    gone = frozenset(_identity(i, g) for i, g in enumerate(s.gates) if not g.alive)
+    dead_identities = frozenset(
+        _identity(i, g) for i, g in enumerate(s.gates) if not g.alive
+    )
+    # At any step, the last VM may begin to leave.
     for leaving in {s.leaving, 2}:
         vms = frozenset() if leaving < 0 else frozenset({VMS[leaving]})
-        for dead in {frozenset[str](), gone}:
+        for dead in {frozenset[str](), dead_identities}:
             after = plan(table, SMALL_SPECS, live, vms, dead, acks)
             if after is not None:
                 yield msgspec.structs.replace(
