--- a/benchmarks/emulated_exchange.py
+++ b/benchmarks/emulated_exchange.py
@@ -24,10 +24,10 @@
 from leverdoor.entry.exchange.exchange import Exchange
 from leverdoor.entry.exchange.exchange_types import EntryStatus
 from leverdoor.entry.exchange.messages import ExchangeMessage
-from leverdoor.entry.membership.liveness import HEARTBEAT_S
+from leverdoor.entry.membership.entry_selection import EntrySelector
+from leverdoor.entry.membership.liveness import HEARTBEAT_INTERVAL_S
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.naming import Naming
 from leverdoor.entry.membership.roles import Roles
 
 __all__ = ["Figures", "KnowledgeSite", "MakeNode", "Node", "Outgoing", "measure"]
@@ -180,8 +180,8 @@
         self._by_address = {m.gossip: m for m in members}
         for node in self.nodes.values():
             for member in members:
-                node.membership.introduce(member, 0.0)
-            first = self._rng.random() * HEARTBEAT_S
+                node.membership.update_member(member, 0.0)
+            first = self._rng.random() * HEARTBEAT_INTERVAL_S
             self._at(first, lambda n=node: self._round(n))  # type: ignore[misc]
 
     def _at(self, time: float, call: Callable[[], None]) -> None:
@@ -197,7 +197,7 @@
     def restart(self, name: str, node: Node) -> None:
         """Start an entry's next incarnation, in place of the one that was killed."""
         self.nodes[name] = node
-        first = self._rng.random() * HEARTBEAT_S
+        first = self._rng.random() * HEARTBEAT_INTERVAL_S
         self._at(self.now + first, lambda: self._round(node))
 
     def _round(self, node: Node) -> None:
@@ -210,7 +210,7 @@
             for address in to:
                 self._send(own, message, self._by_address[address])
         late_s = self._rng.uniform(0.0, JITTER_S)
-        self._at(self.now + HEARTBEAT_S + late_s, lambda: self._round(node))
+        self._at(self.now + HEARTBEAT_INTERVAL_S + late_s, lambda: self._round(node))
 
     def _send(self, own: Member, message: object, to: Member) -> None:
         if self._rng.random() < self._loss:
@@ -292,7 +292,7 @@
     near_domains = set(membership.domains(membership.own.region))
     for domain in membership.all_domains():
         into = near if domain in near_domains else far
-        into += [now - s.at for s in membership.last_seen(domain)]
+        into += [now - s.at for s in membership.newest_heartbeats(domain)]
 
 
 def _deaths(site: KnowledgeSite, figures: Figures) -> None:
@@ -300,24 +300,26 @@
     names = list(site.nodes)
     victims = [site.nodes[n].membership.own for n in (names[0], names[-1])]
     site.dead.update(v.name for v in victims)
-    namings = [Naming(node.membership) for node in site.probes()]
+    selectors = [EntrySelector(node.membership) for node in site.probes()]
     began = site.now
     while site.now < began + WATCHED_S:
         site.run(site.now + STEP_S)
         for victim in victims:
-            _note_named(site, namings, victim, began, figures)
+            _note_named(site, selectors, victim, began, figures)
 
 
 def _note_named(
     site: KnowledgeSite,
-    namings: list[Naming],
+    selectors: list[EntrySelector],
     victim: Member,
     began: float,
     figures: Figures,
 ) -> None:
     since_s = site.now - began
-    for node, naming in zip(site.probes(), namings, strict=True):
-        named = naming.addresses(victim.region, victim.domain, SERVING, site.now)
+    for node, selector in zip(site.probes(), selectors, strict=True):
+        named = selector.select_addresses(
+            victim.region, victim.domain, SERVING, site.now
+        )
         if victim.front not in named:
             continue
         if node.membership.own.region == victim.region:
--- a/benchmarks/emulated_following.py
+++ b/benchmarks/emulated_following.py
@@ -21,8 +21,8 @@
 from emulated_store import EmulatedStore, StoreWay, WayFault
 from leverdoor.codec import pack
 from leverdoor.entry.configuration.catalog import Catalog
-from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
-from leverdoor.entry.configuration.confirmation import NUMBER_BITS, Confirmation
+from leverdoor.entry.configuration.catalog_manager import CatalogManager
+from leverdoor.entry.configuration.confirmation import ANSWER_COUNTER_BITS, Confirmation
 from leverdoor.entry.context import EntryContext
 from leverdoor.entry.control_plane import ControlPlane
 from leverdoor.entry.events import Events
@@ -30,12 +30,12 @@
 from leverdoor.entry.exchange.messages import Message, PermitMessage, PermitResponse
 from leverdoor.entry.exchange.peer_network import PeerNetwork
 from leverdoor.entry.log_writer import LineWriter
-from leverdoor.entry.membership.liveness import HEARTBEAT_S
+from leverdoor.entry.membership.liveness import HEARTBEAT_INTERVAL_S
 from leverdoor.entry.membership.member import (
     SERVING,
     STARTING,
     Member,
-    link_rank,
+    link_sort_key,
     member_id,
 )
 from leverdoor.entry.membership.members import Membership
@@ -163,10 +163,10 @@
         )
         self.membership = Membership(self.member)
         self.state.changes.subscribe(self._take_delta)
-        self.keeper = CatalogKeeper(
+        self.catalog_manager = CatalogManager(
             words,
             self.state,
-            Confirmation(member_id(name), self._rng.getrandbits(NUMBER_BITS)),
+            Confirmation(member_id(name), self._rng.getrandbits(ANSWER_COUNTER_BITS)),
             events,
             2.5,
             self._put_in_force,
@@ -174,7 +174,7 @@
         self.control = ControlPlane(
             context,
             self.state,
-            self.keeper,
+            self.catalog_manager,
             self.membership,
             self._status,
             self._take_update,
@@ -193,10 +193,10 @@
     async def _rounds(self) -> None:
         await self.control.peers.open(Address(self.member.name, 1))
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(self._rng.random() * HEARTBEAT_S)
+        await asyncio.sleep(self._rng.random() * HEARTBEAT_INTERVAL_S)
         turn = 0
         while True:
-            await asyncio.sleep(HEARTBEAT_S + self._rng.random() * JITTER_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S + self._rng.random() * JITTER_S)
             turn += 1
             self.control.peers.round(loop.time())
             if turn % SWEEP_ROUNDS == 0:
@@ -204,7 +204,7 @@
                 self.control.exchange.forget(loop.time())
 
     def _take_delta(self, _: Delta) -> None:
-        self.keeper.compile()
+        self.catalog_manager.compile()
         self._site.note_in_force(self.member.name, self.state.revision)
         self.control.peers.schedule_announcement()
 
@@ -213,7 +213,7 @@
         self.membership.add_registered(configured.peers, now)
 
     def _take_update(self, update: PeerUpdate, now: float) -> None:
-        self.keeper.outage.peer_reported(update.outage_age_ms, now)
+        self.catalog_manager.outage.record_peer_report(update.outage_age_ms, now)
         self.control.take_answer(update.answer, now)
 
     def _status(self) -> EntryStatus:
@@ -223,9 +223,11 @@
             self.state.revision,
             {},
             {},
-            self.keeper.outage.age_ms(now),
+            self.catalog_manager.outage.age_ms(now),
             [],
-            answer=self.keeper.confirmation.tell(self.state.revision, now),
+            answer=self.catalog_manager.confirmation.newest_answer(
+                self.state.revision, now
+            ),
             unserved=self.control.is_unserved(now),
         )
 
@@ -347,7 +349,7 @@
     def ranked(self, region: str) -> list[FollowingEntry]:
         """Return a region's entries, the widest links first."""
         here = [e for e in self.entries.values() if e.member.region == region]
-        return sorted(here, key=lambda e: link_rank(e.member))
+        return sorted(here, key=lambda e: link_sort_key(e.member))
 
     # Changes.
 
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -20,10 +20,10 @@
 from leverdoor.entry.exchange.messages import EntryHeartbeat, PermitRequest
 from leverdoor.entry.limits.limiter import Limiter
 from leverdoor.entry.limits.limiter_selector import SELECTION_CACHE_S, LimiterSelector
-from leverdoor.entry.membership.member import SERVING, Member, MemberRow, member_id
+from leverdoor.entry.membership.entry_selection import EntrySelector
+from leverdoor.entry.membership.member import SERVING, DigestRow, Member, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.naming import Naming
-from leverdoor.entry.membership.peer_record import LastSeen
+from leverdoor.entry.membership.peer_record import HeartbeatObservation
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.pauses import Pauses
 from leverdoor.entry.placement.fleet import Fleet
@@ -128,7 +128,7 @@
         )
 
     membership = Membership(member(0))
-    naming = Naming(membership)
+    selector = EntrySelector(membership)
     exchange = Exchange(membership, Roles(membership, Random(1)))
     exchange.target_count_codec.renew(
         {r: [f"i-{r}{i:07x}" for i in range(180)] for r in REGIONS}
@@ -148,7 +148,7 @@
 
     report = EntryStatus(SERVING, 5, counts, {}, -1, [])
     heard = median_us(receive, 200)
-    named = median_us(lambda: naming.addresses("a", "a1", SERVING, 0.1), 20)
+    named = median_us(lambda: selector.select_addresses("a", "a1", SERVING, 0.1), 20)
     played = median_us(lambda: exchange.round(report, 0.1), 20)
     size = len(zlib.compress(pack(heartbeats[0]), 1))
     print(f"| {entries} | {heard:.1f} | {named:.0f} | {played:.0f} | {size} |")
@@ -159,9 +159,9 @@
     membership = Membership(_limit_member(0))
     for i in range(1, entries):
         other = _limit_member(i)
-        membership.introduce(other, 0.0)
-        row = MemberRow(member_id(other.name), 1, SERVING)
-        membership.observe(LastSeen(row, 1e6), 0.0)
+        membership.update_member(other, 0.0)
+        row = DigestRow(member_id(other.name), 1, SERVING)
+        membership.record_heartbeat(HeartbeatObservation(row, 1e6), 0.0)
     pauses = Pauses(-60.0, lambda: 0.0)
     role = LimiterSelector(membership, lambda: SERVING, pauses)
     limited = [t for t in resources(30_000, 1) if isinstance(t, Target)]
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -254,7 +254,7 @@
         sizes.append((targets, len(serialize_table(first)) / 1000))
         costs.append((targets, cpu(lambda t=first, s=specs, m=members: plan(t, s, m))))  # type: ignore[misc]
         dead = frozenset({members[0].identity})
-        gone = plan(first, specs, members[1:], gone=dead)
+        gone = plan(first, specs, members[1:], dead_identities=dead)
         assert gone is not None
         moved = sum(r.units for row in gone.rows.values() for r in row.releases)
         after_gone.append((targets, moved / (targets * 6) * 100))
@@ -270,13 +270,13 @@
         peers = Peers("vm0000", "r0")
         peers.merge((heartbeat(i, f"r{i % 28}") for i in range(peers_known)), 0.0)
         rng = Random(1)
-        data = zlib.compress(pack(peers.message(rng, 0.0)), 1)
+        data = zlib.compress(pack(peers.compose_message(rng, 0.0)), 1)
         sent.append((peers_known, len(data)))
 
         def round_(p: Peers = peers, r: Random = rng) -> None:
             for _ in range(20):
-                message = p.message(r, 0.0)
-                p.partners(r, [])
+                message = p.compose_message(r, 0.0)
+                p.choose_recipients(r, [])
                 zlib.compress(pack(message), 1)
 
         points.append((peers_known, cpu(round_) / 20 * 1000))
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -23,7 +23,7 @@
     retries_saved,
 )
 from leverdoor.entry.configuration.catalog import Catalog
-from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
+from leverdoor.entry.configuration.catalog_manager import CatalogManager
 from leverdoor.entry.context import EntryContext
 from leverdoor.entry.exchange.exchange_types import PeerUpdate
 from leverdoor.entry.exchange.messages import PermitRequest
@@ -60,7 +60,7 @@
     def __init__(
         self,
         context: EntryContext,
-        keeper: CatalogKeeper,
+        catalog_manager: CatalogManager,
         membership: Membership,
         metrics: EntryMetrics,
         state: Callable[[], EntryState],
@@ -78,7 +78,7 @@
         """
         s = context.settings
         self._context = context
-        self._keeper = keeper
+        self._catalog_manager = catalog_manager
         self._membership = membership
         self.fleet = Fleet()
         self.limits = TargetLimits(
@@ -151,11 +151,11 @@
         )
 
     def _catalog(self) -> Catalog:
-        return self._keeper.catalog
+        return self._catalog_manager.catalog
 
     def _keys_confirmed(self, now: float) -> bool:
         longest_s = self._context.settings.confirm_within_s
-        return self._keeper.confirmation.holds(longest_s, now)
+        return self._catalog_manager.confirmation.holds(longest_s, now)
 
     def _tries(self, fingerprint: int) -> bool:
         """Return whether this entry tries a request that is held back, for all."""
@@ -186,7 +186,7 @@
         state = self.fleet.of(target, now)
         ejected_s = state.unreached(now)
         events.target_ejected(target.name, "ended", ejected_s)
-        left_service = target.name not in self._catalog().in_service
+        left_service = target.name not in self._catalog().usable_target_names
         if left_service or state.availability.leaving:
             return
         for run in runs:
@@ -201,7 +201,7 @@
     def create_connection(self) -> ClientConnection:
         """Create the protocol of a client's connection, with the limits in force."""
         loop = asyncio.get_running_loop()
-        limits = self._keeper.catalog.limits
+        limits = self._catalog_manager.catalog.limits
         return ClientConnection(self.server, loop, limits, self.handler.busy)
 
     def reload(self, settings: EntrySettings) -> None:
@@ -217,7 +217,7 @@
         self.connections.most = {
             s.name: s.connections for s in catalog.services.values()
         }
-        for name in before.in_service - catalog.in_service:
+        for name in before.usable_target_names - catalog.usable_target_names:
             self.connections.drop(name)
         self.placement.renew(catalog)
 
--- a/leverdoor/entry/exchange/domain_views.py
+++ b/leverdoor/entry/exchange/domain_views.py
@@ -23,9 +23,9 @@
     serialize_rows,
 )
 from leverdoor.entry.exchange.messages import DomainView
-from leverdoor.entry.membership.member import EntryState, MemberRow, member_id
+from leverdoor.entry.membership.member import DigestRow, EntryState, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.peer_record import LastSeen
+from leverdoor.entry.membership.peer_record import HeartbeatObservation
 
 __all__ = ["DomainViews"]
 
@@ -52,7 +52,7 @@
         self._membership = membership
         self._own = membership.own
         self._own_id = member_id(self._own.name)
-        self._rows: OrderedDict[int, list[MemberRow]] = OrderedDict()
+        self._rows: OrderedDict[int, list[DigestRow]] = OrderedDict()
         """Received rows by their hash."""
         self._row_changes: dict[str, tuple[int, float]] = {}
         """By failure domain: hash of the rows sent, and time of their last change."""
@@ -73,7 +73,7 @@
         for row, steps in zip(rows, view.ages, strict=True):
             if steps < MAX_AGE_STEPS:
                 at = now - steps * AGE_STEP_S
-                self._membership.observe(LastSeen(row, at), now)
+                self._membership.record_heartbeat(HeartbeatObservation(row, at), now)
 
     def own_heartbeat_seq(self, views: list[DomainView]) -> int:
         """Return the number, modulo 256, of the newest own heartbeat known to the
@@ -107,11 +107,11 @@
             unchanged rows are sent.
           now: monotonic time in seconds.
         """
-        last_seen = self._membership.last_seen(domain)
+        last_seen = self._membership.newest_heartbeats(domain)
         seqs = b""
         if domain == self._own.domain:
-            own = MemberRow(self._own_id, self._own.incarnation, state)
-            last_seen.append(LastSeen(own, now))
+            own = DigestRow(self._own_id, self._own.incarnation, state)
+            last_seen.append(HeartbeatObservation(own, now))
             names = [self._membership.name(s.row.id) for s in last_seen]
             # `Membership` has no name for the id of this entry.
             seqs = bytes(newest_seq(name or self._own.name) % 256 for name in names)
--- a/leverdoor/entry/exchange/encoding.py
+++ b/leverdoor/entry/exchange/encoding.py
@@ -11,7 +11,7 @@
 
 import xxhash
 
-from leverdoor.entry.membership.member import MemberRow
+from leverdoor.entry.membership.member import DigestRow
 
 __all__ = [
     "AGE_STEP_S",
@@ -39,15 +39,15 @@
 """A 32-bit hash."""
 
 
-def serialize_rows(rows: Iterable[MemberRow]) -> bytes:
+def serialize_rows(rows: Iterable[DigestRow]) -> bytes:
     """Serialize the ids, incarnations and states of entries."""
     return b"".join(ROW.pack(r.id, r.incarnation, r.state) for r in rows)
 
 
-def parse_rows(data: bytes) -> list[MemberRow]:
+def parse_rows(data: bytes) -> list[DigestRow]:
     """Parse the ids, incarnations and states of entries; ignore a truncated row."""
     complete_length = len(data) - len(data) % ROW.size
-    return [MemberRow(*fields) for fields in ROW.iter_unpack(data[:complete_length])]
+    return [DigestRow(*fields) for fields in ROW.iter_unpack(data[:complete_length])]
 
 
 def hash_rows(data: bytes) -> int:
--- a/leverdoor/entry/exchange/exchange.py
+++ b/leverdoor/entry/exchange/exchange.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from leverdoor.entry.configuration.confirmation import ToldAnswer
+from leverdoor.entry.configuration.confirmation import ReportedAnswer
 from leverdoor.entry.exchange.digest_builder import (
     SHARES_INTERVAL_ROUNDS,
     DigestBuilder,
@@ -60,9 +60,9 @@
 from leverdoor.entry.exchange.usage_encoding import Usage
 from leverdoor.entry.exchange.usage_exchange import UsageExchange
 from leverdoor.entry.exchange.warm_key_relay import WarmKeyRelay
-from leverdoor.entry.membership.member import Member, MemberRow, member_id
+from leverdoor.entry.membership.member import DigestRow, Member, member_id
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.peer_record import LastSeen
+from leverdoor.entry.membership.peer_record import HeartbeatObservation
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.quarantine.notices import parse_notices, serialize_notices
 
@@ -139,7 +139,7 @@
         if isinstance(message, RevisionAnnouncement):
             return PeerUpdate(
                 source=message.pull if message.revision > revision else "",
-                answer=ToldAnswer(
+                answer=ReportedAnswer(
                     message.revision, message.answer, message.confirmed_ms
                 ),
             )
@@ -157,9 +157,9 @@
         member = heartbeat.member
         if member.name == self._own.name or self._merger.is_outdated(heartbeat):
             return PeerUpdate()
-        self._membership.introduce(member, now)
-        row = MemberRow(member_id(member.name), member.incarnation, heartbeat.state)
-        self._membership.observe(LastSeen(row, now), now)
+        self._membership.update_member(member, now)
+        row = DigestRow(member_id(member.name), member.incarnation, heartbeat.state)
+        self._membership.record_heartbeat(HeartbeatObservation(row, now), now)
         known = self._membership.member(member.name)
         if known is None or known.incarnation != member.incarnation:
             return PeerUpdate()
@@ -172,13 +172,13 @@
             warm_keys=warm,
             outage_age_ms=heartbeat.outage_age_ms,
             source=member.pull if heartbeat.revision > revision else "",
-            answer=ToldAnswer(
+            answer=ReportedAnswer(
                 heartbeat.revision, heartbeat.answer, heartbeat.confirmed_ms
             ),
         )
 
     def _handle_digest(self, digest: Digest, revision: int, now: float) -> PeerUpdate:
-        self._roles.note_digest(digest.sender, now)
+        self._roles.record_digest(digest.sender, now)
         for view in digest.views:
             self._views.apply(view, now)
         sender = self._membership.member(digest.sender)
@@ -189,7 +189,7 @@
             warm_keys=parse_hashes(digest.warm_keys),
             outage_age_ms=digest.outage_age_ms,
             source=source,
-            answer=ToldAnswer(digest.revision, digest.answer, digest.confirmed_ms),
+            answer=ReportedAnswer(digest.revision, digest.answer, digest.confirmed_ms),
         )
         if sender.region == self._own.region:
             self.unserved.record_digest(digest, sender, now)
@@ -311,11 +311,11 @@
 
         Recipients then omit this entry from look-up responses at once.
         """
-        addresses = [m.gossip for m in self._membership.in_own_region()]
+        addresses = [m.gossip for m in self._membership.known_in_own_region()]
         return [OutgoingMessage(self.heartbeat(status), addresses)]
 
     def announce_revision(
-        self, revision: int, answer: ToldAnswer, now: float
+        self, revision: int, answer: ReportedAnswer, now: float
     ) -> list[OutgoingMessage]:
         """Return the announcement of a newer revision or of a newer confirmation.
 
@@ -408,7 +408,7 @@
                     self._round_number, now
                 )
             ]
-        return [m.gossip for m in self._membership.in_own_domain()]
+        return [m.gossip for m in self._membership.known_in_own_domain()]
 
     def _build_digests(self, status: EntryStatus, now: float) -> list[OutgoingMessage]:
         """Return an aggregator's digests of a round with their recipients."""
--- a/leverdoor/entry/exchange/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from leverdoor.entry.configuration.confirmation import NO_ANSWER, ToldAnswer
+from leverdoor.entry.configuration.confirmation import NO_ANSWER, ReportedAnswer
 from leverdoor.entry.exchange.messages import ExchangeMessage, Shares
 from leverdoor.entry.exchange.usage_encoding import Usage
 from leverdoor.entry.membership.member import EntryState
@@ -38,7 +38,7 @@
     """Requests of each workspace at this entry in the current quota window."""
     uptime_s: float = 0.0
     """Time since the start of this process, in seconds."""
-    answer: ToldAnswer = NO_ANSWER
+    answer: ReportedAnswer = NO_ANSWER
     """The newest answer of the store that confirms `revision`."""
     unserved: bool = False
     """Whether the store does not answer requests of this entry."""
@@ -66,7 +66,7 @@
     """As in `EntryStatus`."""
     source: str = ""
     """Address where a newer state can be fetched, as `ip:port`; empty if none."""
-    answer: ToldAnswer = NO_ANSWER
+    answer: ReportedAnswer = NO_ANSWER
     """The newest answer of the store that confirms the sender's revision."""
     use: OthersUse | None = None
     """Workspace usage of all other entries; None if unchanged."""
--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import TypeAlias
 
-from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
+from leverdoor.entry.configuration.catalog_manager import CatalogManager
 from leverdoor.entry.events import Events
 from leverdoor.entry.exchange.exchange import Exchange
 from leverdoor.entry.exchange.exchange_types import (
@@ -68,7 +68,7 @@
         exchange: Exchange,
         network: PeerNetwork,
         state: State,
-        keeper: CatalogKeeper,
+        catalog_manager: CatalogManager,
         events: Events,
         get_status: Callable[[], EntryStatus],
         on_update: PeerUpdateHandler,
@@ -89,7 +89,7 @@
         self._exchange = exchange
         self._network = network
         self._state = state
-        self._keeper = keeper
+        self._catalog_manager = catalog_manager
         self._events = events
         self._get_status = get_status
         self._on_update = on_update
@@ -141,7 +141,7 @@
         now = asyncio.get_running_loop().time()
         self._announced_at = now
         revision = self._state.revision
-        answer = self._keeper.confirmation.tell(revision, now)
+        answer = self._catalog_manager.confirmation.newest_answer(revision, now)
         self._send(self._exchange.announce_revision(revision, answer, now))
 
     def _send(self, outgoing: list[OutgoingMessage]) -> None:
@@ -178,9 +178,9 @@
             return
         delta = await self.peer_follower.fetch(address)
         # `apply` triggers a log line that contains the source.
-        self._keeper.source = address
+        self._catalog_manager.source = address
         applied = delta is not None and self._state.apply(delta)
-        self._keeper.source = "store"
+        self._catalog_manager.source = "store"
         took_s = loop.time() - started_at
         if not applied or took_s > SLOW_FETCH_S:
             self._events.fetch(
--- a/leverdoor/entry/exchange/recipients.py
+++ b/leverdoor/entry/exchange/recipients.py
@@ -13,7 +13,7 @@
 
 from typing import TypeVar
 
-from leverdoor.entry.membership.liveness import HEARTBEAT_S
+from leverdoor.entry.membership.liveness import HEARTBEAT_INTERVAL_S
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import NEVER
@@ -140,10 +140,10 @@
         own round number if no digest arrived for two rounds.
         """
         at, first_round = self._other_aggregator_round
-        if now - at > 2 * HEARTBEAT_S:
+        if now - at > 2 * HEARTBEAT_INTERVAL_S:
             return own_round
-        rounds, since_s = divmod(now - at, HEARTBEAT_S)
-        return first_round + int(rounds) + (since_s < HEARTBEAT_S / 2)
+        rounds, since_s = divmod(now - at, HEARTBEAT_INTERVAL_S)
+        return first_round + int(rounds) + (since_s < HEARTBEAT_INTERVAL_S / 2)
 
 
 def _select_in_region(
--- a/leverdoor/entry/exchange/usage_exchange.py
+++ b/leverdoor/entry/exchange/usage_exchange.py
@@ -174,7 +174,7 @@
         aggregator; see `UNKNOWN_USAGE_PARTS`.
         """
         domain = self._own.domain
-        last_seen = self._membership.last_seen(domain)
+        last_seen = self._membership.newest_heartbeats(domain)
         never_seen = self._membership.count_in_domain(domain) - 1 - len(last_seen)
         never_seen = max(never_seen, 0) if uptime_s <= HOLD_S else 0
         unreported = [
@@ -191,7 +191,7 @@
         return {
             domain
             for domain in self._membership.domains(self._own.region)
-            if domain != self._own.domain and self._membership.last_seen(domain)
+            if domain != self._own.domain and self._membership.newest_heartbeats(domain)
         }
 
     def _seen_regions(self) -> set[str]:
@@ -200,7 +200,7 @@
             region
             for region in self._membership.other_regions()
             for domain in self._membership.domains(region)
-            if self._membership.last_seen(domain)
+            if self._membership.newest_heartbeats(domain)
         }
 
     def build_digest_usage(
--- a/leverdoor/entry/limits/limiter_selector.py
+++ b/leverdoor/entry/limits/limiter_selector.py
@@ -136,7 +136,7 @@
         joins, leaves or restarts. Hashing all entries of a large region for each target
         would cost a percent of a core.
         """
-        membership_version = (self._membership.version, self._membership.count)
+        membership_version = (self._membership.change_count, self._membership.count)
         known = self._rankings.get(key)
         if known is not None and known.membership_version == membership_version:
             return known.names
--- a/leverdoor/entry/membership/peer_record.py
+++ b/leverdoor/entry/membership/peer_record.py
@@ -1,37 +1,37 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What this entry has on record of each other one."""
+"""Types of the records that an entry keeps about its peers. Owns no state."""
 
 import msgspec
 
-from leverdoor.entry.membership.member import STARTING, EntryState, Member, MemberRow
+from leverdoor.entry.membership.member import STARTING, DigestRow, EntryState, Member
 
-__all__ = ["NEVER", "LastSeen", "PeerRecord"]
+__all__ = ["NEVER", "HeartbeatObservation", "PeerRecord"]
 
 NEVER = -1e9
-"""Time in seconds of something that did not happen yet: before any clock's start."""
+"""Time in seconds of an event that has not happened, earlier than any clock value."""
 
 
-class LastSeen(msgspec.Struct, frozen=True):
-    """When the newest heartbeat of one incarnation of an entry reached anyone."""
+class HeartbeatObservation(msgspec.Struct, frozen=True):
+    """Newest heartbeat of an incarnation of an entry, as received by any entry."""
 
-    row: MemberRow
+    row: DigestRow
     at: float
-    """Monotonic time of this entry, in seconds."""
+    """Monotonic time in seconds at which it was received, by this entry's clock."""
 
 
 class PeerRecord(msgspec.Struct):
-    """The record of one other entry; all times are monotonic seconds of this entry."""
+    """Record of one peer; all times are monotonic seconds by this entry's clock."""
 
     member: Member
-    link_rank: tuple[int, int]
-    """See `member.link_rank`."""
+    link_sort_key: tuple[int, int]
+    """Order in which entries take roles; see `member.link_sort_key`."""
     state: EntryState = STARTING
     heartbeat_at: float = NEVER
-    """When its newest known heartbeat reached any entry; digests carry the age."""
+    """Time at which any entry received its newest heartbeat; digests carry the age."""
     reported_at: float = NEVER
-    """When a heartbeat, a digest or the store last confirmed that it exists."""
+    """Time of the last heartbeat, digest or registration that reported the peer."""
     digest_at: float = NEVER
-    """When a digest that it sent itself last came here; written by `Roles`."""
-    digest_due_since: float = NEVER
-    """Since when it is expected to send digests; written by `Roles`."""
+    """Time of the last digest received from the peer; written by `Roles`."""
+    digest_expected_since: float = NEVER
+    """Time from which the peer is expected to send digests; written by `Roles`."""
--- a/leverdoor/entry/placement/candidates.py
+++ b/leverdoor/entry/placement/candidates.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from itertools import islice
 
-from leverdoor.entry.configuration.catalog import EMPTY, Catalog
+from leverdoor.entry.configuration.catalog import EMPTY_CATALOG, Catalog
 from leverdoor.entry.placement.affinity import Ranking
 from leverdoor.entry.placement.placement_request import PlacementRequest
 from leverdoor.entry.placement.sizes import SizeBook
@@ -42,7 +42,7 @@
         """Create it for an entry of a region and failure domain, without targets."""
         self._region = region
         self._domain = domain
-        self._catalog = EMPTY
+        self._catalog = EMPTY_CATALOG
         self._by_region: dict[tuple[str, str], Ranking] = {}
         self._by_domain: dict[tuple[str, str], Ranking] = {}
         self._sizes = SizeBook()
@@ -54,7 +54,7 @@
         self._catalog = catalog
         regions: dict[tuple[str, str], list[Target]] = {}
         domains: dict[tuple[str, str], list[Target]] = {}
-        for service, targets in catalog.by_service.items():
+        for service, targets in catalog.usable_targets_by_service.items():
             for target in targets:
                 regions.setdefault((service, target.region), []).append(target)
                 domains.setdefault((service, target.domain), []).append(target)
--- a/tests/test_entry_exchange.py
+++ b/tests/test_entry_exchange.py
@@ -20,10 +20,10 @@
     EntryHeartbeat,
     RevisionAnnouncement,
 )
-from leverdoor.entry.membership.liveness import HEARTBEAT_S
+from leverdoor.entry.membership.entry_selection import EntrySelector
+from leverdoor.entry.membership.liveness import HEARTBEAT_INTERVAL_S
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.entry.membership.naming import Naming
 from leverdoor.entry.membership.roles import Roles
 
 TARGETS = {"a": ["ta1", "ta2"], "b": ["tb1"]}
@@ -36,7 +36,7 @@
         self.now = 100.0
         self.statuses: dict[str, EntryStatus] = {}
         self.exchanges: dict[str, Exchange] = {}
-        self.naming: dict[str, Naming] = {}
+        self.selectors: dict[str, EntrySelector] = {}
         self.updates: dict[str, PeerUpdate] = {}
         self.sent: list[tuple[str, OutgoingMessage]] = []
         self.silent: set[str] = set()
@@ -47,11 +47,11 @@
         for member in members:
             membership = Membership(member)
             for other in members:
-                membership.introduce(other, self.now)
+                membership.update_member(other, self.now)
             exchange = Exchange(membership, Roles(membership, Random(member.name)))
             exchange.target_count_codec.renew(TARGETS)
             self.exchanges[member.name] = exchange
-            self.naming[member.name] = Naming(membership)
+            self.selectors[member.name] = EntrySelector(membership)
             self.statuses[member.name] = EntryStatus(SERVING, 1, {}, {}, -1, [])
 
     def set_status(self, name: str, **fields: object) -> None:
@@ -59,7 +59,7 @@
 
     def round(self, rounds: int = 1) -> None:
         for _ in range(rounds):
-            self.now += HEARTBEAT_S
+            self.now += HEARTBEAT_INTERVAL_S
             for name, exchange in self.exchanges.items():
                 if name not in self.silent:
                     outgoing, received = exchange.round(self.statuses[name], self.now)
@@ -250,11 +250,15 @@
         "a1-4", cluster.exchanges["a1-4"].leave_messages(cluster.statuses["a1-4"])
     )
     for name in ("a1-0", "a1-5", "a2-5"):
-        named = cluster.naming[name].addresses("a", "a1", SERVING, cluster.now)
+        named = cluster.selectors[name].select_addresses(
+            "a", "a1", SERVING, cluster.now
+        )
         assert "f/a1-4" not in named
     cluster.round(6)
     for name in ("a1-0", "a1-5", "a2-5"):
-        named = cluster.naming[name].addresses("a", "a1", SERVING, cluster.now)
+        named = cluster.selectors[name].select_addresses(
+            "a", "a1", SERVING, cluster.now
+        )
         assert "f/a1-4" not in named
 
 
