--- a/benchmarks/emulated_limits.py
+++ b/benchmarks/emulated_limits.py
@@ -179,7 +179,7 @@
     def _ask(self, name: str, target: Target, per_s: float) -> None:
         node, now = self._node(name), self.site.now
         limiter = node.role.limiter(target, now)
-        missed = node.notes[target.name].take_missed(0)
+        missed = node.notes[target.name].take_skipped(0)
         if limiter is None:
             self._decided(name, target, UNANSWERED)
         elif limiter.name == name:
--- a/leverdoor/analysis/losses.py
+++ b/leverdoor/analysis/losses.py
@@ -28,7 +28,7 @@
     RequestLog,
     gather,
 )
-from leverdoor.entry.placement.times import ServiceTimes, first_times
+from leverdoor.entry.placement.run_times import RunTimeClusters, initial_run_times
 from leverdoor.errors import Code, LeverdoorError
 
 __all__ = ["Cause", "Kind", "Loss", "LossReport", "find_losses", "summarize"]
@@ -135,12 +135,12 @@
 
     def __init__(self, log: RequestLog) -> None:
         """Learn them from the answered runs that had a slot at once."""
-        self._by_key: dict[tuple[str, str], ServiceTimes] = {}
+        self._by_key: dict[tuple[str, str], RunTimeClusters] = {}
         runs: dict[tuple[str, str], list[AttemptEvent]] = defaultdict(list)
         for run in _runs_at_once(log):
             runs[run.route, run.service].append(run)
         for key, attempts in runs.items():
-            times = first_times(attempts[0].latency_target_ms)
+            times = initial_run_times(attempts[0].latency_target_ms)
             for _ in range(PASSES):
                 for attempt in attempts:
                     times.learn(attempt.took_ms)
--- a/leverdoor/emulator/clients.py
+++ b/leverdoor/emulator/clients.py
@@ -100,7 +100,9 @@
         self._tries += 1
         request = self._placement_request()
         work = EmulatedRequest(request, self._work_s)
-        self._site.clock.at(request.arrived, lambda: entry.serve(work, self._replied))
+        self._site.clock.at(
+            request.arrived_at, lambda: entry.serve(work, self._replied)
+        )
 
     def _placement_request(self) -> PlacementRequest:
         load = self._load
@@ -114,8 +116,8 @@
             service=load.service,
             key=self._key,
             version="1",
-            arrived=arrives,
-            until=until,
+            arrived_at=arrives,
+            expires_at=until,
         )
 
     def _replied(self, reply: EmulatedReply) -> None:
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -37,7 +37,7 @@
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
-from leverdoor.entry.placement.fleet import OTHERS, Fleet
+from leverdoor.entry.placement.fleet import PEERS_TOTAL, Fleet
 from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementRequest,
@@ -146,7 +146,7 @@
 
     def _report(self, now: float) -> EntryStatus:
         counts = self._experiment.shares_load and self._shared_fleet is None
-        warm = self._policy.shared_warmth.recent(WARM_SENT_S, now)
+        warm = self._policy.warm_keys.recent(WARM_SENT_S, now)
         return EntryStatus(
             SERVING,
             1,
@@ -163,8 +163,8 @@
     def _take_update(self, update: PeerUpdate) -> None:
         now = self._clock.now
         if update.others is not None and self._shared_fleet is None:
-            self.fleet.receive(OTHERS, update.others, now)
-        self._policy.shared_warmth.receive(update.warm, now)
+            self.fleet.receive(PEERS_TOTAL, update.others, now)
+        self._policy.warm_keys.receive(update.warm, now)
 
     # Requests.
 
@@ -186,7 +186,7 @@
         if isinstance(decision, Rejection):
             reply(EmulatedReply(lost or decision.refusal()))
             return
-        work.request.tried.add(decision.target.name)
+        work.request.tried_targets.add(decision.target.name)
         sending = _Sending(self, work, attempt, lost, decision, reply)
         sending.start()
 
@@ -268,7 +268,7 @@
         delay_s = self._entry.delay_s(self._placement)
         target = self._entry.emulated(self._placement)
         clock.after(delay_s, lambda: target.take(run))
-        clock.at(self._work.request.until, self._give_up)
+        clock.at(self._work.request.expires_at, self._give_up)
 
     def _done(self, answer: EmulatedAnswer) -> None:
         delay_s = self._entry.delay_s(self._placement)
--- a/leverdoor/emulator/exact.py
+++ b/leverdoor/emulator/exact.py
@@ -23,7 +23,7 @@
         super().__init__(target, now)
         self._emulated = emulated
 
-    def saw(self, key: str) -> bool:
+    def has_answered(self, key: str) -> bool:
         """Return whether the target keeps a key."""
         return self._emulated.keeps(key)
 
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -31,7 +31,7 @@
 from leverdoor.entry.membership.member import EntryState
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.metrics import EntryMetrics
-from leverdoor.entry.placement.fleet import OTHERS, Fleet
+from leverdoor.entry.placement.fleet import PEERS_TOTAL, Fleet
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.client_connection import ClientConnection
 from leverdoor.entry.requests.connections import Connections
@@ -107,7 +107,7 @@
         policy = PlacementPolicy(
             s.region, s.domain, self.fleet, self._context.rng, move_per_s
         )
-        policy.warms_up = lambda target: may_warm_up(self._membership, target)
+        policy.may_warm_up_target = lambda target: may_warm_up(self._membership, target)
         return policy
 
     def _create_reports(self, metrics: EntryMetrics) -> TargetReports:
@@ -222,8 +222,8 @@
         self.quarantine.receive(update.notices, now)
         self.limits.told(update.limits)
         if update.others is not None:
-            self.fleet.receive(OTHERS, update.others, now)
-        self.placement.shared_warmth.receive(update.warm, now)
+            self.fleet.receive(PEERS_TOTAL, update.others, now)
+        self.placement.warm_keys.receive(update.warm, now)
         if update.use is not None:
             self.count_entries()
             self.quotas.receive(update.use, now)
--- a/leverdoor/entry/exchange/merging.py
+++ b/leverdoor/entry/exchange/merging.py
@@ -30,7 +30,7 @@
 PART_TRUST_S = 2.5
 """Age up to which the sums of another domain or region are used, in seconds.
 
-As long as a count of other entries counts at a target (`PEER_TRUST_S` of the fleet).
+As long as a count of other entries counts at a target (`PEER_LOAD_TTL_S` of the fleet).
 Shorter, a region whose digests are late passes for idle; longer, requests that ended
 keep slots.
 """
--- a/leverdoor/entry/exchange/warm_news.py
+++ b/leverdoor/entry/exchange/warm_news.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """News of warm keys, which an aggregator passes on within its region.
 
-News are the 32-bit hashes of `SharedWarmth`, of keys that other targets than their
+News are the 32-bit hashes of `WarmKeyDigests`, of keys that other targets than their
 first answered lately and may have in their caches.
 
 Owns the news of the last moments, lost with the process: entries then find keys cold
--- a/leverdoor/entry/limits/asking.py
+++ b/leverdoor/entry/limits/asking.py
@@ -85,7 +85,7 @@
         if per_s is None:
             return True
         state = self._fleet.of(target, now)
-        missed = state.room.take_missed(request.priority)
+        missed = state.room.take_skipped(request.priority)
         decision = await self._ask(target, per_s, request.priority, missed, now)
         if not decision.granted:
             now = asyncio.get_running_loop().time()
--- a/leverdoor/entry/placement/candidates.py
+++ b/leverdoor/entry/placement/candidates.py
@@ -13,9 +13,9 @@
 from itertools import islice
 
 from leverdoor.entry.configuration.catalog import EMPTY, Catalog
-from leverdoor.entry.placement.affinity import Ranking
 from leverdoor.entry.placement.placement_request import PlacementRequest
-from leverdoor.entry.placement.sizes import SizeBook
+from leverdoor.entry.placement.rendezvous import RendezvousRanking
+from leverdoor.entry.placement.request_sizes import SizeBook
 from leverdoor.model.resources import Target
 
 __all__ = ["CandidateBook"]
@@ -43,8 +43,8 @@
         self._region = region
         self._domain = domain
         self._catalog = EMPTY
-        self._by_region: dict[tuple[str, str], Ranking] = {}
-        self._by_domain: dict[tuple[str, str], Ranking] = {}
+        self._by_region: dict[tuple[str, str], RendezvousRanking] = {}
+        self._by_domain: dict[tuple[str, str], RendezvousRanking] = {}
         self._sizes = SizeBook()
         self.targets_by_region: dict[tuple[str, str], list[Target]] = {}
         """All targets of the configuration, by service and region."""
@@ -120,12 +120,12 @@
 
 def _rankings(
     targets: dict[tuple[str, str], list[Target]],
-    before: dict[tuple[str, str], Ranking],
-) -> dict[tuple[str, str], Ranking]:
+    before: dict[tuple[str, str], RendezvousRanking],
+) -> dict[tuple[str, str], RendezvousRanking]:
     """Order the targets of each place, keeping what is known where none changed."""
     found = {}
     for place, ones in targets.items():
         known = before.get(place)
         same = known is not None and known.renew(ones)
-        found[place] = known if known is not None and same else Ranking(ones)
+        found[place] = known if known is not None and same else RendezvousRanking(ones)
     return found
--- a/leverdoor/entry/placement/warmth.py
+++ b/leverdoor/entry/placement/cold_run_rates.py
@@ -15,7 +15,7 @@
 
 from leverdoor.model.resources import Target
 
-__all__ = ["RANKS", "WarmthBook"]
+__all__ = ["RANKS", "ColdRunRates"]
 
 RANKS = 4
 """Ranks of targets for a key with a share each; further ones count as the last.
@@ -39,7 +39,7 @@
 """
 
 
-class WarmthBook:
+class ColdRunRates:
     """Shares of cold runs, by target and by rank."""
 
     def __init__(self) -> None:
--- a/leverdoor/entry/placement/fleet.py
+++ b/leverdoor/entry/placement/fleet.py
@@ -18,18 +18,18 @@
 from leverdoor.entry.placement.availability import Availability
 from leverdoor.entry.placement.health import Health
 from leverdoor.entry.placement.known_keys import KnownKeys
-from leverdoor.entry.placement.load import LoadEstimate
-from leverdoor.entry.placement.room_notes import RoomNotes
+from leverdoor.entry.placement.load_estimate import LoadEstimate
+from leverdoor.entry.placement.room_refusals import RoomRefusals
+from leverdoor.entry.placement.run_times import MeanRunTimes
 from leverdoor.entry.placement.slow_start import SlowStart, warm_up_limit_per_s
-from leverdoor.entry.placement.times import RunTimes
 from leverdoor.entry.wire import TargetLoad, TargetReport
 from leverdoor.limits.named import LimitBook
 from leverdoor.model.resources import Service, Target
 from leverdoor.model.target_id import target_id
 
-__all__ = ["OTHERS", "Fleet", "TargetState"]
+__all__ = ["PEERS_TOTAL", "Fleet", "TargetState"]
 
-OTHERS = "others"
+PEERS_TOTAL = "others"
 """Name of the peer under which the sums of all other entries' requests are kept."""
 
 
@@ -58,9 +58,9 @@
         self._health = Health(now)
         self._slow_start = SlowStart(target.cold_ms, now)
         self._known_keys = KnownKeys()
-        self.room = RoomNotes()
+        self.room = RoomRefusals()
         """What its limiter said of room there, if it is limited."""
-        self._times = RunTimes(0.0, 0.0)
+        self._times = MeanRunTimes(0.0, 0.0)
 
     def renew(self, target: Target, now: float) -> None:
         """Take a changed description of the target.
@@ -82,7 +82,7 @@
         """This entry's own requests there."""
         return self._load.in_flight
 
-    def sent(self, now: float, times: RunTimes | None = None) -> None:
+    def sent(self, now: float, times: MeanRunTimes | None = None) -> None:
         """Count a request that goes to the target.
 
         Args:
@@ -176,7 +176,7 @@
         """Note that the target answered a key now."""
         self._known_keys.add(key)
 
-    def saw(self, key: str) -> bool:
+    def has_answered(self, key: str) -> bool:
         """Return whether the target lately answered a key for this entry."""
         return key in self._known_keys
 
@@ -217,7 +217,7 @@
         """Return whether several requests are there and none was answered lately."""
         return self._health.silent(self._load.in_flight, self._times.cold_s, now)
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Return whether it is open and reached; warm-up and slowness aside."""
         if not self.availability.open(now):
             return False
@@ -226,9 +226,9 @@
     def admits(self, priority: int, now: float) -> bool:
         """Return whether a request of a priority may go there.
 
-        As `usable`, and after a rest only as many as the target takes then.
+        As `is_usable`, and after a rest only as many as the target takes then.
         """
-        if not self.usable(now):
+        if not self.is_usable(now):
             return False
         return self.availability.admits(priority, self._load.in_flight, now)
 
@@ -355,7 +355,7 @@
         slots = 0.0
         for target in targets:
             state = self.of(target, now)
-            if state.usable(now) and not state.cold(now) and not state.slow(now):
+            if state.is_usable(now) and not state.cold(now) and not state.slow(now):
                 load += state.load(now)
                 slots += state.usable_slots(self.limit_per_s(target))
         return load, slots
--- a/leverdoor/entry/placement/load.py
+++ b/leverdoor/entry/placement/load_estimate.py
@@ -16,7 +16,7 @@
 
 from leverdoor.entry.wire import TargetLoad
 
-__all__ = ["PEER_TRUST_S", "LoadEstimate"]
+__all__ = ["PEER_LOAD_TTL_S", "LoadEstimate"]
 
 REPORT_DECAY_S = 0.15
 """Least time in which a target's report of its load loses most of its meaning, in s.
@@ -33,7 +33,7 @@
 Greater: the correction outlives a change of load. Smaller: it follows the noise of
 single reports.
 """
-PEER_TRUST_S = 2.5
+PEER_LOAD_TTL_S = 2.5
 """Age up to which another entry's count is used, in seconds: twelve heartbeats.
 
 Greater: requests of an entry that died block slots. Smaller: a few lost datagrams make
@@ -145,8 +145,8 @@
         return self._peers_sum
 
     def _sum_peers(self, now: float) -> None:
-        fresh = {p: c for p, c in self._peers.items() if now - c.at <= PEER_TRUST_S}
+        fresh = {p: c for p, c in self._peers.items() if now - c.at <= PEER_LOAD_TTL_S}
         self._peers = fresh
         self._peers_sum = sum(count.in_flight for count in fresh.values())
         oldest = min((count.at for count in fresh.values()), default=now)
-        self._peers_until = oldest + PEER_TRUST_S
+        self._peers_until = oldest + PEER_LOAD_TTL_S
--- a/leverdoor/entry/placement/shared_rests.py
+++ b/leverdoor/entry/placement/peer_rests.py
@@ -8,16 +8,16 @@
 moment; it is a preference only, and what a target answers an entry counts for more.
 
 Owns the part under which this entry tells its rests, lost with the process. Relies on
-`SharedWarmth`, whose digests carry these as well.
+`WarmKeyDigests`, whose digests carry these as well.
 """
 
 from functools import lru_cache
 from random import Random
 
-from leverdoor.entry.placement.shared_warmth import SharedWarmth, target_digest
+from leverdoor.entry.placement.warm_key_digests import WarmKeyDigests, target_digest
 from leverdoor.model.resources import Target
 
-__all__ = ["AVOIDED_S", "PARTS", "QUORUM", "SharedRests"]
+__all__ = ["AVOIDED_S", "PARTS", "QUORUM", "PeerRests"]
 
 PARTS = 8
 """Digests of a target; each entry tells one of them, so that they count entries."""
@@ -30,10 +30,10 @@
 """Targets whose digests are kept; 2,500 entries are built for 3,000."""
 
 
-class SharedRests:
+class PeerRests:
     """Rests that targets asked several entries for."""
 
-    def __init__(self, digests: SharedWarmth, rng: Random) -> None:
+    def __init__(self, digests: WarmKeyDigests, rng: Random) -> None:
         """Create it without any.
 
         Args:
--- a/leverdoor/entry/placement/placement_request.py
+++ b/leverdoor/entry/placement/placement_request.py
@@ -27,15 +27,15 @@
     key: str
     version: str
     """The configuration by which it was routed."""
-    arrived: float
+    arrived_at: float
     """Time at which the entry took it in, in seconds."""
-    until: float
+    expires_at: float
     """Time at which it is given up, in seconds."""
     workspace: Workspace | None = None
     """Whose request it is; None without workspaces, or without a key."""
-    tried: set[str] = msgspec.field(default_factory=set)
+    tried_targets: set[str] = msgspec.field(default_factory=set)
     """Names of the targets that earlier attempts went to."""
-    without_room: set[str] = msgspec.field(default_factory=set)
+    targets_without_room: set[str] = msgspec.field(default_factory=set)
     """Names of the limited targets that had no room for it."""
     fingerprint: int = 0
     """By which it is known when it comes again; 0 until its body was read."""
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -20,27 +20,27 @@
 
 from leverdoor.entry.configuration.catalog import EMPTY, Catalog
 from leverdoor.entry.placement.candidates import CandidateBook
-from leverdoor.entry.placement.choice import Option, TargetChooser
 from leverdoor.entry.placement.fleet import Fleet, TargetState
-from leverdoor.entry.placement.overflow import OverflowBudget
+from leverdoor.entry.placement.overflow_budget import OverflowBudget
+from leverdoor.entry.placement.peer_rests import AVOIDED_S, PeerRests
 from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementReason,
     PlacementRequest,
 )
+from leverdoor.entry.placement.queue_wait import URGENT_PRIORITY
 from leverdoor.entry.placement.refusals import (
     describe_loads,
     limited_retry_after_ms,
     resting_retry_after_ms,
     retry_after_ms,
 )
+from leverdoor.entry.placement.region_share_table import ShareBook
+from leverdoor.entry.placement.region_shares import MOVE_PER_S, NO_SLOTS_UTILIZATION
 from leverdoor.entry.placement.service_weights import ServiceWeights
-from leverdoor.entry.placement.shared_rests import AVOIDED_S, SharedRests
-from leverdoor.entry.placement.shared_warmth import SharedWarmth
-from leverdoor.entry.placement.sharing import ShareBook
-from leverdoor.entry.placement.spill import MOVE_PER_S, NO_SLOTS_UTILIZATION
+from leverdoor.entry.placement.target_chooser import Option, TargetChooser
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
-from leverdoor.entry.placement.waiting import URGENT_PRIORITY
+from leverdoor.entry.placement.warm_key_digests import WarmKeyDigests
 from leverdoor.entry.wire import TargetReport
 from leverdoor.errors import Code, Rejection
 from leverdoor.model.resources import Route, Target
@@ -84,11 +84,11 @@
         self._catalog = EMPTY
         self._candidates = CandidateBook(region, domain)
         self._chooser = TargetChooser(region, domain, fleet, tuning)
-        self._rests = SharedRests(self._chooser.shared_warmth, rng)
+        self._rests = PeerRests(self._chooser.warm_keys, rng)
         self._overflow = OverflowBudget(tuning.overflow_earn)
         self._weights = ServiceWeights(rng)
         self.shares = ShareBook(region, fleet, move_per_s, tuning)
-        self.warms_up: Callable[[Target], bool] = lambda _: True
+        self.may_warm_up_target: Callable[[Target], bool] = lambda _: True
         """Whether this entry may use a cold target. The entry sets it to its rule,
         which knows the members."""
 
@@ -104,9 +104,9 @@
         return self._weights.pick(route)
 
     @property
-    def shared_warmth(self) -> SharedWarmth:
+    def warm_keys(self) -> WarmKeyDigests:
         """The keys that are warm at a second target, exchanged by heartbeats."""
-        return self._chooser.shared_warmth
+        return self._chooser.warm_keys
 
     def place(self, request: PlacementRequest, now: float) -> Placement | Rejection:
         """Choose a target for a request and count it there, or refuse it at once.
@@ -133,11 +133,11 @@
             return self._refuse_unplaced(request, regions, first, now)
         return placement
 
-    def leaves(self, target: Target, now: float) -> bool:
+    def is_leaving(self, target: Target, now: float) -> bool:
         """Return whether a target reported that it leaves."""
         return self._fleet.of(target, now).availability.leaving
 
-    def still_takes(self, target: Target, now: float) -> bool:
+    def accepts_requests(self, target: Target, now: float) -> bool:
         """Return whether a target that was chosen before takes requests now.
 
         It may have left service, or said that it leaves or wants rest, meanwhile.
@@ -229,11 +229,11 @@
         target = state.target
         if not state.cold(now) or not state.admits(request.priority, now):
             return False
-        if target.name in request.tried or state.load(now) >= target.slots:
+        if target.name in request.tried_targets or state.load(now) >= target.slots:
             return False
         if self._chooser.lacks_room(request, state, now):
             return False
-        return self.warms_up(target)
+        return self.may_warm_up_target(target)
 
     def _refuse_without_region(self, request: PlacementRequest) -> Rejection:
         """Refuse what no region may serve, or none has a target for."""
@@ -297,7 +297,7 @@
         if self._fleet.limits.is_empty:
             return None
         states = [self._fleet.of(t, now) for t in targets]
-        usable = [s for s in states if s.usable(now) and not s.cold(now)]
+        usable = [s for s in states if s.is_usable(now) and not s.cold(now)]
         limited = [s for s in usable if self._chooser.lacks_room(request, s, now)]
         if not usable or len(limited) < len(usable):
             return None
--- a/leverdoor/entry/placement/waiting.py
+++ b/leverdoor/entry/placement/queue_wait.py
@@ -7,7 +7,7 @@
 """
 
 from leverdoor.entry.placement.placement_request import PlacementRequest
-from leverdoor.entry.placement.times import DEFAULT_LATENCY_MS
+from leverdoor.entry.placement.run_times import DEFAULT_LATENCY_MS
 from leverdoor.entry.placement.tuning import Tuning
 
 __all__ = ["URGENT_PRIORITY", "longest_wait_ms"]
@@ -44,10 +44,10 @@
       now: monotonic time in seconds.
     """
     aim_ms = request.route.target_latency_ms or DEFAULT_LATENCY_MS
-    spent_ms = (now - request.arrived) * MS_PER_S
+    spent_ms = (now - request.arrived_at) * MS_PER_S
     least_ms = tuning.least_wait_share * aim_ms
     wait_ms = max(aim_ms - spent_ms - warm_run_ms * RUN_SPREAD_X, least_ms)
     if request.priority > URGENT_PRIORITY:
         wait_ms *= tuning.less_urgent
-    left_ms = (request.until - now) * MS_PER_S - warm_run_ms
+    left_ms = (request.expires_at - now) * MS_PER_S - warm_run_ms
     return min(wait_ms, left_ms)
--- a/leverdoor/entry/placement/refusals.py
+++ b/leverdoor/entry/placement/refusals.py
@@ -85,7 +85,7 @@
     for target in targets:
         state = fleet.of(target, now)
         cold = " cold" if state.cold(now) else ""
-        out = "" if state.usable(now) else f" {_why_out(state, now)}"
+        out = "" if state.is_usable(now) else f" {_why_out(state, now)}"
         age_ms = state.load_age_ms(now)
         per_s = fleet.limit_per_s(target)
         limit = "" if per_s is None else f" limit {per_s:g}/s"
--- a/leverdoor/entry/placement/sharing.py
+++ b/leverdoor/entry/placement/region_share_table.py
@@ -10,10 +10,10 @@
 from collections.abc import Iterable, Mapping
 
 from leverdoor.entry.placement.fleet import Fleet
-from leverdoor.entry.placement.spill import (
+from leverdoor.entry.placement.region_shares import (
     NO_SLOTS_UTILIZATION,
     RegionShares,
-    first_shares,
+    initial_shares,
 )
 from leverdoor.entry.placement.tuning import Tuning
 from leverdoor.model.resources import Target
@@ -86,7 +86,7 @@
             utilizations = {r: self.utilization(service, r, now) for r in state.shares}
             if not state.begun and not reported:
                 # Targets may have come or gone since it was created.
-                state.begin_from(first_shares(self._region, self._slots(service)))
+                state.begin_from(initial_shares(self._region, self._slots(service)))
             state.update(utilizations, reported, now)
 
     def _of(
@@ -95,7 +95,7 @@
         """Return the shares of a service; new ones start from a reported one."""
         found = self._shares.get(service)
         if found is None:
-            first = first_shares(self._region, self._slots(service))
+            first = initial_shares(self._region, self._slots(service))
             if reported:
                 first |= reported[0]
             found = RegionShares(
@@ -118,7 +118,7 @@
             if state.begun
         }
 
-    def moved(self) -> Mapping[str, dict[str, float]]:
+    def take_changed(self) -> Mapping[str, dict[str, float]]:
         """Return the shares that moved noticeably since the last call."""
         found = {}
         for service, state in self._shares.items():
--- a/leverdoor/entry/placement/spill.py
+++ b/leverdoor/entry/placement/region_shares.py
@@ -10,7 +10,7 @@
 
 `RegionShares` owns the shares of one service and the smoothed utilization (load over
 slots) of each region. Both are lost with the process; a start takes the shares of the
-other entries of its region, or else computes them from slots (`first_shares`).
+other entries of its region, or else computes them from slots (`initial_shares`).
 
 Relies on `update` being called several times a second with the utilization that this
 entry estimates and with the shares that other entries of its region use.
@@ -19,10 +19,10 @@
 import math
 from collections.abc import Iterable, Mapping
 
-from leverdoor.entry.placement.affinity import LEAST_PLACE, key_place
+from leverdoor.entry.placement.rendezvous import LEAST_PLACE, key_place
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
 
-__all__ = ["MOVE_PER_S", "NO_SLOTS_UTILIZATION", "RegionShares", "first_shares"]
+__all__ = ["MOVE_PER_S", "NO_SLOTS_UTILIZATION", "RegionShares", "initial_shares"]
 
 MOVE_PER_S = 0.04
 """Most of a service's keys that change region in a second, in tests and benchmarks.
@@ -199,7 +199,7 @@
         self.shares[sink] += moved
 
 
-def first_shares(own: str, slots: Mapping[str, int]) -> dict[str, float]:
+def initial_shares(own: str, slots: Mapping[str, int]) -> dict[str, float]:
     """Return the shares to start from, before any load is known.
 
     A region with less than the mean of slots will be short of them when its
--- a/leverdoor/entry/placement/affinity.py
+++ b/leverdoor/entry/placement/rendezvous.py
@@ -13,7 +13,7 @@
 
 from leverdoor.model.resources import Target
 
-__all__ = ["LEAST_PLACE", "Ranking", "key_place"]
+__all__ = ["LEAST_PLACE", "RendezvousRanking", "key_place"]
 
 CACHED_KEYS = 4_096
 """Keys whose order is kept for each service and region; 1 MB at 20 targets.
@@ -32,7 +32,7 @@
     return xxhash.xxh3_64_intdigest(f"{salt}|{key}".encode()) / HASHES
 
 
-class Ranking:
+class RendezvousRanking:
     """The order of some targets for each key; it moves little as they change.
 
     The weight of a target is its slots: a target with twice as many is first
--- a/leverdoor/entry/placement/room_notes.py
+++ b/leverdoor/entry/placement/room_refusals.py
@@ -9,10 +9,10 @@
 requests that kept from asking; lost with the process.
 """
 
-__all__ = ["RoomNotes"]
+__all__ = ["RoomRefusals"]
 
 
-class RoomNotes:
+class RoomRefusals:
     """The refusals of one target's limiter."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         self._until[priority] = now + wait_s
         self._room_at = now + room_s
 
-    def closed(self, priority: int, now: float) -> bool:
+    def suppresses(self, priority: int, now: float) -> bool:
         """Return whether requests of a priority are not to ask now."""
         return any(now < t and p <= priority for p, t in self._until.items())
 
@@ -42,7 +42,7 @@
         """Count a request that would have asked."""
         self._missed[priority] = self._missed.get(priority, 0) + 1
 
-    def take_missed(self, priority: int) -> int:
+    def take_skipped(self, priority: int) -> int:
         """Return how many requests of a priority did not ask since the last did."""
         return self._missed.pop(priority, 0)
 
--- a/leverdoor/entry/placement/times.py
+++ b/leverdoor/entry/placement/run_times.py
@@ -16,10 +16,10 @@
 
 __all__ = [
     "DEFAULT_LATENCY_MS",
-    "RunTimes",
-    "ServiceTimes",
+    "MeanRunTimes",
+    "RunTimeClusters",
     "TimeBook",
-    "first_times",
+    "initial_run_times",
 ]
 
 FIRST_WARM_RUN_X = 0.4
@@ -54,14 +54,14 @@
 """
 
 
-class RunTimes(msgspec.Struct, frozen=True):
+class MeanRunTimes(msgspec.Struct, frozen=True):
     """Mean times of warm and cold runs, in seconds; 0 if unknown."""
 
     warm_s: float
     cold_s: float
 
 
-class ServiceTimes(msgspec.Struct):
+class RunTimeClusters(msgspec.Struct):
     """Times of one route's requests at one service: two clusters."""
 
     warm_run_ms: float
@@ -86,14 +86,14 @@
         return self.warm_run_ms + cold_share * (self.cold_run_ms - self.warm_run_ms)
 
 
-def first_times(target_latency_ms: float) -> ServiceTimes:
+def initial_run_times(target_latency_ms: float) -> RunTimeClusters:
     """Return the run times to start from, before any was measured.
 
     Args:
       target_latency_ms: the route's, or 0 if it has none.
     """
     aim_ms = target_latency_ms or DEFAULT_LATENCY_MS
-    return ServiceTimes(FIRST_WARM_RUN_X * aim_ms, FIRST_COLD_RUN_X * aim_ms)
+    return RunTimeClusters(FIRST_WARM_RUN_X * aim_ms, FIRST_COLD_RUN_X * aim_ms)
 
 
 class TimeBook:
@@ -101,13 +101,13 @@
 
     def __init__(self) -> None:
         """Create an empty book."""
-        self._known: dict[tuple[str, str], ServiceTimes] = {}
+        self._known: dict[tuple[str, str], RunTimeClusters] = {}
 
-    def of(self, route: Route, service: str) -> ServiceTimes:
+    def of(self, route: Route, service: str) -> RunTimeClusters:
         """Return the times of a route's requests at a service."""
         found = self._known.get((route.name, service))
         if found is None:
-            found = first_times(route.target_latency_ms)
+            found = initial_run_times(route.target_latency_ms)
             self._known[(route.name, service)] = found
         return found
 
--- a/leverdoor/entry/placement/choice.py
+++ b/leverdoor/entry/placement/target_chooser.py
@@ -3,7 +3,7 @@
 """Which of some targets answers a request first: by warmth, load and distance.
 
 Owns the run times by route and service (times.py), the shares of cold runs
-(warmth.py) and the keys that are warm at a second target (shared_warmth.py); all are
+(warmth.py) and the keys that are warm at a second target (warm_keys.py); all are
 lost with the process and learned again from answers.
 
 Relies on the states of targets (fleet.py), and on candidates in the key's order, which
@@ -12,17 +12,17 @@
 
 import msgspec
 
+from leverdoor.entry.placement.cold_run_rates import RANKS, ColdRunRates
 from leverdoor.entry.placement.fleet import Fleet, TargetState
 from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementReason,
     PlacementRequest,
 )
-from leverdoor.entry.placement.shared_warmth import SharedWarmth
-from leverdoor.entry.placement.times import RunTimes, ServiceTimes, TimeBook
+from leverdoor.entry.placement.queue_wait import longest_wait_ms
+from leverdoor.entry.placement.run_times import MeanRunTimes, RunTimeClusters, TimeBook
 from leverdoor.entry.placement.tuning import Tuning
-from leverdoor.entry.placement.waiting import longest_wait_ms
-from leverdoor.entry.placement.warmth import RANKS, WarmthBook
+from leverdoor.entry.placement.warm_key_digests import WarmKeyDigests
 from leverdoor.model.resources import Target
 
 __all__ = ["Option", "TargetChooser"]
@@ -40,7 +40,7 @@
 target that is near. Smaller: chance decides between domains.
 """
 
-MOST_QUESTIONS = 3
+MAX_ROOM_REQUESTS = 3
 """Limited targets that are asked for room for one request. Each question may take a
 way to another region and back; a request that finds none is to be refused at once."""
 
@@ -80,8 +80,8 @@
         self._domain = domain
         self._fleet = fleet
         self._times = TimeBook()
-        self._warmth = WarmthBook()
-        self.shared_warmth = SharedWarmth()
+        self._warmth = ColdRunRates()
+        self.warm_keys = WarmKeyDigests()
 
     def keep_only(self, routes: set[str], targets: set[str]) -> None:
         """Forget routes and targets that are gone."""
@@ -124,7 +124,7 @@
         """Weigh the first usable, warm targets that were not tried."""
         options: list[Option] = []
         for target in candidates:
-            if target.name in request.tried:
+            if target.name in request.tried_targets:
                 continue
             state = self._fleet.of(target, now)
             if not state.admits(request.priority, now) or state.cold(now):
@@ -149,11 +149,11 @@
         target = state.target
         if self._fleet.room_per_s(target, now) is None:
             return False
-        if target.name in request.without_room:
+        if target.name in request.targets_without_room:
             return True
-        if len(request.without_room) >= MOST_QUESTIONS:
+        if len(request.targets_without_room) >= MAX_ROOM_REQUESTS:
             return True
-        return state.room.closed(request.priority, now)
+        return state.room.suppresses(request.priority, now)
 
     def _option(
         self, request: PlacementRequest, state: TargetState, rank: int, now: float
@@ -189,10 +189,10 @@
 
     def _seen(self, key: str, state: TargetState, now: float) -> bool:
         """Return whether any entry had an answer for a key from a target."""
-        if state.saw(key):
+        if state.has_answered(key):
             return True
         since = state.cold_until
-        return self.shared_warmth.warm(state.target, key, since, now)
+        return self.warm_keys.warm(state.target, key, since, now)
 
     def _may_run(self, option: Option, now: float) -> bool:
         """Return whether a request may run there, its likely cold run considered.
@@ -210,13 +210,13 @@
             return False
         return state.load(now) < self._tuning.cold_room * state.target.slots
 
-    def _times_of(self, request: PlacementRequest) -> ServiceTimes:
+    def _times_of(self, request: PlacementRequest) -> RunTimeClusters:
         return self._times.of(request.route, request.service)
 
-    def run_times(self, request: PlacementRequest) -> RunTimes:
+    def run_times(self, request: PlacementRequest) -> MeanRunTimes:
         """Return how long runs of such requests take."""
         times = self._times_of(request)
-        return RunTimes(times.warm_run_ms / 1000, times.cold_run_ms / 1000)
+        return MeanRunTimes(times.warm_run_ms / 1000, times.cold_run_ms / 1000)
 
     def warm_up_option(self, request: PlacementRequest, state: TargetState) -> Option:
         """Return the option of a target in its warm-up, where all runs are cold."""
@@ -243,7 +243,7 @@
             self._learn_run(request, placement, took_ms)
         self._fleet.of(placement.target, now).remember(request.key)
         if request.route.affinity and placement.rank > 0:
-            self.shared_warmth.note(placement.target, request.key, now)
+            self.warm_keys.note(placement.target, request.key, now)
 
     def _learn_run(
         self, request: PlacementRequest, placement: Placement, took_ms: float
--- a/leverdoor/entry/placement/shared_warmth.py
+++ b/leverdoor/entry/placement/warm_key_digests.py
@@ -19,7 +19,7 @@
 
 from leverdoor.model.resources import Target
 
-__all__ = ["KEPT_S", "MOST_SENT_DIGESTS", "SharedWarmth", "target_digest"]
+__all__ = ["KEPT_S", "MOST_SENT_DIGESTS", "WarmKeyDigests", "target_digest"]
 
 KEPT_S = 20.0
 """How long an answer counts as a sign that its key is warm, in seconds.
@@ -50,7 +50,7 @@
     digest: int
 
 
-class SharedWarmth:
+class WarmKeyDigests:
     """Keys that were answered by other targets than their first, of all entries."""
 
     def __init__(self) -> None:
--- a/leverdoor/entry/requests/bodies.py
+++ b/leverdoor/entry/requests/bodies.py
@@ -48,7 +48,7 @@
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(CONTINUE)
         request.writer.output_size = 0
-    first, ended = await _read_first(request, taken.placement_request.until)
+    first, ended = await _read_first(request, taken.placement_request.expires_at)
     if ended:
         taken.body = first
         return BodyStart(first, len(first))
--- a/leverdoor/entry/requests/forwarding.py
+++ b/leverdoor/entry/requests/forwarding.py
@@ -121,7 +121,7 @@
         loop = asyncio.get_running_loop()
         placement_request = request.placement_request
         placement = await self._place(placement_request)
-        placement_request.tried.add(placement.target.name)
+        placement_request.tried_targets.add(placement.target.name)
         began = loop.time()
         outcome = "cancelled"
         try:
@@ -165,7 +165,7 @@
                     self._policy.ended(placement, loop.time())
             if granted:
                 return placement
-            request.without_room.add(placement.target.name)
+            request.targets_without_room.add(placement.target.name)
 
     async def _send(self, request: EntryRequest, placement: Placement) -> TargetReply:
         """Send a request to a target and wait for its whole answer.
@@ -177,13 +177,15 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         sent = outgoing(request, placement.target, self._headers, began)
-        give_up_at = give_up_on_target_at(request.placement_request.until)
+        give_up_at = give_up_on_target_at(request.placement_request.expires_at)
         try:
             async with asyncio.timeout_at(give_up_at):
                 reply = await self._connections.exchange(
                     placement.target,
                     sent,
-                    lambda: self._policy.still_takes(placement.target, loop.time()),
+                    lambda: self._policy.accepts_requests(
+                        placement.target, loop.time()
+                    ),
                 )
         except NotSent as e:
             self._outcomes.unreached(placement, "not reached")
--- a/leverdoor/entry/requests/intake.py
+++ b/leverdoor/entry/requests/intake.py
@@ -70,8 +70,8 @@
             service=self._pick_service(route),
             key=request.headers.get(self._headers.affinity, request_id),
             version=catalog.version,
-            arrived=arrived,
-            until=self._until(request, route, arrived),
+            arrived_at=arrived,
+            expires_at=self._until(request, route, arrived),
             workspace=workspace,
         )
         headers = self._passing(request, workspace)
--- a/leverdoor/entry/requests/outgoing.py
+++ b/leverdoor/entry/requests/outgoing.py
@@ -42,7 +42,7 @@
     placement_request = request.placement_request
     lines = [f"{request.method} {request.path} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in request.headers]
-    lines.append(f"{names.deadline_ms}: {ms_left(placement_request.until, now)}")
+    lines.append(f"{names.deadline_ms}: {ms_left(placement_request.expires_at, now)}")
     lines.append(f"{names.instance}: {target.name}")
     lines += _framing(request)
     head = ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
--- a/leverdoor/entry/requests/target_reports.py
+++ b/leverdoor/entry/requests/target_reports.py
@@ -54,7 +54,7 @@
         now = asyncio.get_running_loop().time()
         self._named_limits.answered(target, reply, now)
         report = self._parse(target, reply)
-        if report.leaving and not self._policy.leaves(target, now):
+        if report.leaving and not self._policy.is_leaving(target, now):
             self._events.target_leaving(target.name)
         if report.rest_s:
             self._metrics.rests.labels(target.service).inc()
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -57,7 +57,7 @@
     return Service(name="s", work=WorkClass.ONCE, warmup_per_s=per_s)
 
 
-class Desk:
+class PlacementHarness:
     """A placement with a catalogue and a clock."""
 
     def __init__(self, *resources: Resource, region: str = "a") -> None:
@@ -72,7 +72,7 @@
         self.fleet.renew(catalog.targets, self.now, catalog.services.values())
         self.placement.renew(catalog)
 
-    def ask(self, key: str = "k", route: Route = ROUTE) -> PlacementRequest:
+    def new_request(self, key: str = "k", route: Route = ROUTE) -> PlacementRequest:
         self._numbers += 1
         return PlacementRequest(
             request_id=str(self._numbers),
@@ -80,12 +80,12 @@
             service=self.placement.pick_service(route),
             key=key,
             version="v",
-            arrived=self.now,
-            until=self.now + 2.0,
+            arrived_at=self.now,
+            expires_at=self.now + 2.0,
         )
 
     def place(self, key: str = "k", route: Route = ROUTE) -> Placement | Rejection:
-        return self.placement.place(self.ask(key, route), self.now)
+        return self.placement.place(self.new_request(key, route), self.now)
 
     def name(self, key: str = "k", route: Route = ROUTE) -> str:
         found = self.place(key, route)
@@ -93,15 +93,15 @@
         self.placement.ended(found, self.now)
         return found.target.name
 
-    def serve(self, key: str, took_ms: float) -> str:
+    def place_and_answer(self, key: str, took_ms: float) -> str:
         """Place a request and answer it; return the target's name."""
-        asked = self.ask(key)
+        asked = self.new_request(key)
         found = self.placement.place(asked, self.now)
         assert isinstance(found, Placement), found
         self.placement.ended(found, self.now)
         self.placement.answered(asked, found, took_ms, 100, self.now)
         return found.target.name
 
-    def fill(self, target: Target, load: int) -> None:
+    def set_load(self, target: Target, load: int) -> None:
         state = self.fleet.of(target, self.now)
         state.reported_by_peer("other", load, self.now)
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from desk import SLOTS, Desk, target
+from desk import SLOTS, PlacementHarness, target
 from leverdoor.entry.placement.availability import (
     FIRST_WINDOW,
     MOST_REST_S,
@@ -20,9 +20,9 @@
 )
 from leverdoor.entry.placement.candidates import CANDIDATES
 from leverdoor.entry.placement.fleet import AVAILABILITY_KEPT_S
+from leverdoor.entry.placement.peer_rests import AVOIDED_S, PARTS, PeerRests
 from leverdoor.entry.placement.placement_request import Placement
-from leverdoor.entry.placement.shared_rests import AVOIDED_S, PARTS, SharedRests
-from leverdoor.entry.placement.shared_warmth import SharedWarmth
+from leverdoor.entry.placement.warm_key_digests import WarmKeyDigests
 from leverdoor.entry.wire import TargetLoad, TargetReport
 from leverdoor.errors import Code, Rejection
 from leverdoor.model.resources import Target
@@ -35,7 +35,7 @@
     return TargetReport(not_run=True, rest_s=seconds)
 
 
-def hear(desk: Desk, report: TargetReport, *targets: Target) -> None:
+def hear(desk: PlacementHarness, report: TargetReport, *targets: Target) -> None:
     """Let targets answer a request of this entry."""
     for t in targets:
         state = desk.fleet.of(t, desk.now)
@@ -46,20 +46,20 @@
 
 def test_a_target_that_said_that_it_leaves_gets_nothing_and_others_serve() -> None:
     one, two = target("t1"), target("t2")
-    desk = Desk(one, two)
+    desk = PlacementHarness(one, two)
     home = {"t1": one, "t2": two}[desk.name("k")]
     hear(desk, LEAVES, home)
     assert desk.name("k") != home.name
     hear(desk, ANSWERED, home)
     desk.now += 1_000.0
     assert desk.name("k") != home.name
-    assert not desk.placement.still_takes(home, desk.now)
+    assert not desk.placement.accepts_requests(home, desk.now)
 
 
 def test_a_target_that_leaves_still_does_after_its_registration_was_gone() -> None:
     """Registrations expire in an outage, and are back as ready."""
     one, two = target("t1"), target("t2")
-    desk = Desk(one, two)
+    desk = PlacementHarness(one, two)
     home = {"t1": one, "t2": two}[desk.name("k")]
     hear(desk, LEAVES, home)
     desk.take()
@@ -76,7 +76,7 @@
 
 def test_another_target_at_the_address_of_one_that_left_is_used() -> None:
     old = target("t1")
-    desk = Desk(old)
+    desk = PlacementHarness(old)
     hear(desk, LEAVES, old)
     desk.take(target("t2"))
     assert desk.name("k") == "t2"
@@ -84,7 +84,7 @@
 
 def test_where_all_targets_leave_requests_are_refused_at_once() -> None:
     one, two = target("t1"), target("t2", "b1")
-    desk = Desk(one, two)
+    desk = PlacementHarness(one, two)
     hear(desk, LEAVES, one, two)
     found = desk.place()
     assert isinstance(found, Rejection)
@@ -94,7 +94,7 @@
 
 def test_a_resting_target_gets_nothing_until_its_rest_is_over() -> None:
     one, two = target("t1"), target("t2")
-    desk = Desk(one, two)
+    desk = PlacementHarness(one, two)
     home = {"t1": one, "t2": two}[desk.name("k")]
     hear(desk, rest(3.0), home)
     desk.now += 2.99
@@ -124,7 +124,7 @@
 def test_after_a_rest_few_are_sent_first_and_more_with_each_answer() -> None:
     """All entries return at about the same moment."""
     only = target("t1", slots=32)
-    desk = Desk(only)
+    desk = PlacementHarness(only)
     state = desk.fleet.of(only, desk.now)
     hear(desk, rest(1.0), only)
     desk.now += 1.0 + RETURN_SPREAD_S
@@ -159,7 +159,7 @@
 
 def test_where_all_rest_refusals_say_when_the_first_rest_ends() -> None:
     one, two, far = target("t1"), target("t2"), target("t3", "b1")
-    desk = Desk(one, two, far)
+    desk = PlacementHarness(one, two, far)
     hear(desk, rest(4.0), one, far)
     hear(desk, rest(2.0), two)
     times = []
@@ -186,7 +186,7 @@
 def test_targets_beyond_the_usual_candidates_serve_while_those_rest() -> None:
     """Six targets of a key are looked at; all of them may rest at once."""
     targets = [target(f"t{i}") for i in range(CANDIDATES + 3)]
-    desk = Desk(*targets)
+    desk = PlacementHarness(*targets)
     served = set()
     while len(served) < len(targets):
         found = desk.place("k")
@@ -198,14 +198,14 @@
 
 def test_a_resting_target_counts_no_slots_for_its_region() -> None:
     one, two = target("t1"), target("t2")
-    desk = Desk(one, two)
+    desk = PlacementHarness(one, two)
     hear(desk, rest(2.0), one)
     assert desk.fleet.load([one, two], desk.now)[1] == SLOTS
 
 
 def test_an_answer_that_turned_a_request_away_reports_no_load() -> None:
     only = target("t1")
-    desk = Desk(only)
+    desk = PlacementHarness(only)
     hear(desk, TargetReport(not_run=True, load=TargetLoad(4, 4, 4)), only)
     assert desk.fleet.of(only, desk.now).load(desk.now) == 0.0
 
@@ -235,13 +235,13 @@
             ends = max(ends, at + rest_s)
 
 
-def tell_of_rests(desk: Desk, told: Target, entries: int) -> None:
+def tell_of_rests(desk: PlacementHarness, told: Target, entries: int) -> None:
     """Let other entries tell that a target asked each of them for rest."""
     for number in range(entries):
-        digests = SharedWarmth()
-        SharedRests(digests, Random(number)).note(told, desk.now)
+        digests = WarmKeyDigests()
+        PeerRests(digests, Random(number)).note(told, desk.now)
         recent = digests.recent(1.0, desk.now)
-        desk.placement.shared_warmth.receive(recent, desk.now)
+        desk.placement.warm_keys.receive(recent, desk.now)
 
 
 def test_a_target_that_turns_many_entries_away_is_not_tried_by_each_of_the_others() -> (
@@ -249,7 +249,7 @@
 ):
     """At 195 entries one in thirty requests was refused beside targets with room."""
     one, two = target("t1"), target("t2")
-    desk = Desk(one, two)
+    desk = PlacementHarness(one, two)
     home = {"t1": one, "t2": two}[desk.name("k")]
     tell_of_rests(desk, home, 2 * PARTS)
     assert desk.name("k") != home.name
@@ -259,7 +259,7 @@
 
 def test_one_entry_that_is_turned_away_keeps_no_other_from_a_target() -> None:
     one, two = target("t1"), target("t2")
-    desk = Desk(one, two)
+    desk = PlacementHarness(one, two)
     home = {"t1": one, "t2": two}[desk.name("k")]
     tell_of_rests(desk, home, 1)
     assert desk.name("k") == home.name
@@ -267,7 +267,7 @@
 
 def test_what_a_target_answers_here_counts_for_more_than_what_others_tell() -> None:
     one, two = target("t1"), target("t2")
-    desk = Desk(one, two)
+    desk = PlacementHarness(one, two)
     home = {"t1": one, "t2": two}[desk.name("k")]
     tell_of_rests(desk, home, 2 * PARTS)
     hear(desk, ANSWERED, home)
@@ -276,15 +276,15 @@
 
 def test_where_no_other_target_can_serve_one_that_others_tell_of_does() -> None:
     only = target("t1")
-    desk = Desk(only)
+    desk = PlacementHarness(only)
     tell_of_rests(desk, only, 2 * PARTS)
     assert desk.name("k") == "t1"
 
 
 def test_a_rest_asked_of_this_entry_is_told_to_others_once_a_moment() -> None:
     only = target("t1")
-    desk = Desk(only)
+    desk = PlacementHarness(only)
     for _ in range(3):
         desk.placement.take_report(only, rest(1.0), desk.now)
         desk.now += 0.1
-    assert len(desk.placement.shared_warmth.recent(1.0, desk.now)) == 1
+    assert len(desk.placement.warm_keys.recent(1.0, desk.now)) == 1
--- a/tests/test_entry_fleet.py
+++ b/tests/test_entry_fleet.py
@@ -7,11 +7,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from desk import SLOTS, Desk, target
+from desk import SLOTS, PlacementHarness, target
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.health import SILENT_REQUESTS, SILENT_RUNS
-from leverdoor.entry.placement.load import PEER_TRUST_S
-from leverdoor.entry.placement.times import RunTimes
+from leverdoor.entry.placement.load_estimate import PEER_LOAD_TTL_S
+from leverdoor.entry.placement.run_times import MeanRunTimes
 from leverdoor.entry.wire import TargetLoad
 
 
@@ -28,7 +28,7 @@
     state = Fleet().of(target("t"), 0.0)
     assert not any(state.overran(0.5, 1.0) for _ in range(50))
     assert any(state.overran(8.0, 1.0) for _ in range(4))
-    assert state.usable(1.0)
+    assert state.is_usable(1.0)
 
 
 def test_a_target_is_ejected_after_several_lost_answers_in_a_row_only() -> None:
@@ -37,8 +37,8 @@
         assert state.lost(1.0) == state.lost(1.0) == 0.0
         state.answered(1.0, 1.0)
     assert [state.lost(1.0) > 0 for _ in range(3)] == [False, False, True]
-    assert not state.usable(1.0)
-    assert state.usable(2.0)
+    assert not state.is_usable(1.0)
+    assert state.is_usable(2.0)
 
 
 def test_a_fresh_report_counts_what_others_have_there() -> None:
@@ -78,8 +78,8 @@
     state.reported_by_peer("p", 3, 10.0)
     state.reported_by_peer("q", 2, 10.5)
     assert state.load(10.6) == 5
-    assert state.load(10.2 + PEER_TRUST_S) == 2
-    assert state.load(10.6 + PEER_TRUST_S) == 0
+    assert state.load(10.2 + PEER_LOAD_TTL_S) == 2
+    assert state.load(10.6 + PEER_LOAD_TTL_S) == 0
 
 
 def test_what_a_peer_no_longer_names_it_no_longer_has() -> None:
@@ -93,7 +93,7 @@
 
 
 def test_a_target_that_goes_cold_again_is_cold_from_then() -> None:
-    desk = Desk(target("t"))
+    desk = PlacementHarness(target("t"))
     assert desk.name() == "t"
     desk.take(target("t", cold_ms=3_000))
     state = desk.fleet.of(target("t"), desk.now)
@@ -133,7 +133,7 @@
     """Cold runs of 3.5 s outlast the least silence three times."""
     state = Fleet().of(target("t"), 0.0)
     for _ in range(SILENT_REQUESTS):
-        state.sent(0.0, RunTimes(1.1, 3.5))
+        state.sent(0.0, MeanRunTimes(1.1, 3.5))
     assert not state.silent(3.6)
     assert state.silent(SILENT_RUNS * 3.5 + 0.1)
 
@@ -141,7 +141,7 @@
 def test_a_report_counts_for_as_long_as_a_run_takes() -> None:
     """After 0.3 s most of the requests that it told of still run."""
     state = Fleet().of(target("t"), 0.0)
-    state.sent(0.0, RunTimes(1.1, 3.5))
+    state.sent(0.0, MeanRunTimes(1.1, 3.5))
     state.ended()
     state.reported(TargetLoad(4, 0, SLOTS), 1.0)
     assert state.load(1.3) > 3.0
--- a/tests/test_entry_placement.py
+++ b/tests/test_entry_placement.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from desk import ROUTE, SLOTS, Desk, target
-from leverdoor.entry.placement.affinity import Ranking
+from desk import ROUTE, SLOTS, PlacementHarness, target
 from leverdoor.entry.placement.placement_request import Placement
-from leverdoor.entry.placement.shared_warmth import SharedWarmth
+from leverdoor.entry.placement.rendezvous import RendezvousRanking
+from leverdoor.entry.placement.warm_key_digests import WarmKeyDigests
 from leverdoor.errors import Code, Rejection
 from leverdoor.model.resources import Drain, Resource, Route, WorkClass
 
 
 def test_a_key_stays_with_its_target() -> None:
-    desk = Desk(*(target(f"t{i}") for i in range(6)))
+    desk = PlacementHarness(*(target(f"t{i}") for i in range(6)))
     first = {f"k{i}": desk.name(f"k{i}") for i in range(40)}
     again = {f"k{i}": desk.name(f"k{i}") for i in range(40)}
     assert first == again
@@ -22,23 +22,23 @@
 
 def test_few_keys_move_when_a_target_goes() -> None:
     targets = [target(f"t{i}") for i in range(6)]
-    before = Ranking(targets)
-    after = Ranking(targets[:5])
+    before = RendezvousRanking(targets)
+    after = RendezvousRanking(targets[:5])
     keys = [f"k{i}" for i in range(300)]
     moved = [k for k in keys if before.order(k)[0] != after.order(k)[0]]
     assert all(before.order(k)[0].name == "t5" for k in moved)
 
 
 def test_keys_follow_slots() -> None:
-    ranking = Ranking([target("small", slots=2), target("large", slots=8)])
+    ranking = RendezvousRanking([target("small", slots=2), target("large", slots=8)])
     large = sum(ranking.order(f"k{i}")[0].name == "large" for i in range(2000))
     assert 0.75 < large / 2000 < 0.85
 
 
 def test_a_full_target_is_not_queued_at_for_long() -> None:
     only = target("t")
-    desk = Desk(only)
-    desk.fill(only, SLOTS * 4)
+    desk = PlacementHarness(only)
+    desk.set_load(only, SLOTS * 4)
     found = desk.place()
     assert isinstance(found, Rejection)
     assert found.code is Code.QUEUE_FULL
@@ -48,37 +48,37 @@
 def test_an_unseen_key_is_not_spread_to_busy_targets() -> None:
     """Cold runs at second choices are what makes all targets slow."""
     targets = [target(f"t{i}") for i in range(3)]
-    desk = Desk(*targets)
-    home = Ranking(targets).order("k")[0]
-    desk.fill(home, SLOTS * 4)
+    desk = PlacementHarness(*targets)
+    home = RendezvousRanking(targets).order("k")[0]
+    desk.set_load(home, SLOTS * 4)
     for other in targets:
         if other is not home:
-            desk.fill(other, SLOTS - 1)
+            desk.set_load(other, SLOTS - 1)
     assert isinstance(desk.place("k"), Rejection)
     for other in targets:
         if other is not home:
-            desk.fill(other, 0)
+            desk.set_load(other, 0)
     assert desk.name("k") != home.name
 
 
 def test_a_second_choice_that_saw_the_key_is_used_while_busy() -> None:
     targets = [target(f"t{i}") for i in range(2)]
-    desk = Desk(*targets)
-    home, second = Ranking(targets).order("k")
-    desk.fill(home, SLOTS * 4)
-    assert desk.serve("k", took_ms=600) == second.name
-    desk.fill(second, SLOTS)
+    desk = PlacementHarness(*targets)
+    home, second = RendezvousRanking(targets).order("k")
+    desk.set_load(home, SLOTS * 4)
+    assert desk.place_and_answer("k", took_ms=600) == second.name
+    desk.set_load(second, SLOTS)
     assert desk.name("k") == second.name
 
 
 def test_a_key_is_asked_for_at_its_first_two_targets_only() -> None:
     """All entries agree on these two; others would run it cold at each entry."""
     targets = [target(f"t{i}") for i in range(4)]
-    desk = Desk(*targets)
-    first, second, third, _ = Ranking(targets).order("k")
-    desk.fill(first, SLOTS * 4)
+    desk = PlacementHarness(*targets)
+    first, second, third, _ = RendezvousRanking(targets).order("k")
+    desk.set_load(first, SLOTS * 4)
     assert desk.name("k") == second.name
-    desk.fill(second, SLOTS * 4)
+    desk.set_load(second, SLOTS * 4)
     assert isinstance(desk.place("k"), Rejection)
     desk.fleet.of(first, desk.now).unreached(desk.now)
     assert desk.name("k") == third.name, "one that is out does not count"
@@ -86,39 +86,41 @@
 
 def test_a_second_target_that_another_entry_warmed_is_used_while_busy() -> None:
     targets = [target(f"t{i}") for i in range(2)]
-    desk = Desk(*targets)
-    home, second = Ranking(targets).order("k")
-    desk.fill(home, SLOTS * 4)
-    desk.fill(second, SLOTS)
+    desk = PlacementHarness(*targets)
+    home, second = RendezvousRanking(targets).order("k")
+    desk.set_load(home, SLOTS * 4)
+    desk.set_load(second, SLOTS)
     assert isinstance(desk.place("k"), Rejection)
-    other = SharedWarmth()
+    other = WarmKeyDigests()
     other.note(second, "k", desk.now)
-    desk.placement.shared_warmth.receive(other.recent(1.0, desk.now), desk.now)
+    desk.placement.warm_keys.receive(other.recent(1.0, desk.now), desk.now)
     assert desk.name("k") == second.name
 
 
 def test_a_target_that_forgets_its_keys_is_given_no_new_ones() -> None:
     targets = [target(f"t{i}") for i in range(2)]
-    desk = Desk(*targets)
-    home, second = Ranking(targets).order("k")
+    desk = PlacementHarness(*targets)
+    home, second = RendezvousRanking(targets).order("k")
     mine = [f"k{i}" for i in range(60)]
-    mine = [k for k in mine if Ranking(targets).order(k)[0].name == second.name]
+    mine = [
+        k for k in mine if RendezvousRanking(targets).order(k)[0].name == second.name
+    ]
     for _ in range(3):
         for key in mine[:10]:
-            assert desk.serve(key, took_ms=900) == second.name
-    desk.fill(home, SLOTS * 4)
+            assert desk.place_and_answer(key, took_ms=900) == second.name
+    desk.set_load(home, SLOTS * 4)
     assert isinstance(desk.place("k"), Rejection)
 
 
 def test_waits_are_reckoned_with_the_runs_that_are_there() -> None:
     """A queue of cold runs moves more slowly than one of warm runs."""
     only = target("t")
-    warm, cold = Desk(only), Desk(only)
+    warm, cold = PlacementHarness(only), PlacementHarness(only)
     for _ in range(20):
-        warm.serve("k", took_ms=200)
-        cold.serve("k", took_ms=650)
+        warm.place_and_answer("k", took_ms=200)
+        cold.place_and_answer("k", took_ms=650)
     for desk in (warm, cold):
-        desk.fill(only, SLOTS + 2)
+        desk.set_load(only, SLOTS + 2)
     ready, late = warm.place("k"), cold.place("k")
     assert isinstance(ready, Placement)
     assert isinstance(late, Rejection) or late.expected_ms > ready.expected_ms
@@ -126,7 +128,7 @@
 
 def test_the_least_urgent_are_refused_first() -> None:
     only = target("t")
-    desk = Desk(only)
+    desk = PlacementHarness(only)
     urgent = Route(
         **{f: getattr(ROUTE, f) for f in ROUTE.__struct_fields__}
         | {"name": "u", "priority": 0}
@@ -139,11 +141,11 @@
     refused_at = {}
     for route in (urgent, late):
         for load in loads:
-            desk.fill(only, load)
+            desk.set_load(only, load)
             if isinstance(desk.place("k", route), Rejection):
                 refused_at[route.name] = load
                 break
-        desk = Desk(only)
+        desk = PlacementHarness(only)
     assert refused_at["l"] < refused_at["u"]
 
 
@@ -153,9 +155,9 @@
         | {"name": "h", "homes": ["b"]}
     )
     away, at_home = target("away"), target("home", "b1")
-    desk = Desk(away, at_home)
+    desk = PlacementHarness(away, at_home)
     assert {desk.name(f"k{i}", home) for i in range(20)} == {"home"}
-    desk.fill(at_home, SLOTS * 4)
+    desk.set_load(at_home, SLOTS * 4)
     assert isinstance(desk.place("k", home), Rejection)
     desk.take(away)
     found = desk.place("k", home)
@@ -174,7 +176,7 @@
     ],
 )
 def test_what_leaves_gets_nothing_from_that_moment(leaving: list[Resource]) -> None:
-    desk = Desk(target("t0"), target("t1", "a2"))
+    desk = PlacementHarness(target("t0"), target("t1", "a2"))
     keys = [f"k{i}" for i in range(30)]
     assert {desk.name(k) for k in keys} == {"t0", "t1"}
     desk.take(target("t0"), *leaving)
@@ -182,20 +184,20 @@
 
 
 def test_what_was_tried_is_not_tried_again() -> None:
-    desk = Desk(target("t0"), target("t1"))
-    asked = desk.ask()
+    desk = PlacementHarness(target("t0"), target("t1"))
+    asked = desk.new_request()
     for _ in range(2):
         found = desk.placement.place(asked, desk.now)
         assert isinstance(found, Placement)
-        asked.tried.add(found.target.name)
+        asked.tried_targets.add(found.target.name)
     assert isinstance(desk.placement.place(asked, desk.now), Rejection)
-    assert asked.tried == {"t0", "t1"}
+    assert asked.tried_targets == {"t0", "t1"}
 
 
 def test_a_failed_target_is_ejected_and_comes_back() -> None:
     targets = [target("t0"), target("t1")]
-    desk = Desk(*targets)
-    home = Ranking(targets).order("k")[0]
+    desk = PlacementHarness(*targets)
+    home = RendezvousRanking(targets).order("k")[0]
     desk.fleet.of(home, desk.now).unreached(desk.now)
     assert desk.name("k") != home.name
     desk.now += 1.0
@@ -204,8 +206,8 @@
 
 def test_a_silent_target_is_ejected() -> None:
     targets = [target("t0"), target("t1")]
-    desk = Desk(*targets)
-    home = Ranking(targets).order("k")[0]
+    desk = PlacementHarness(*targets)
+    home = RendezvousRanking(targets).order("k")[0]
     for _ in range(3):
         desk.place("k")
     assert desk.fleet.of(home, desk.now).in_flight == 3
@@ -215,8 +217,8 @@
 
 def test_slow_targets_serve_only_when_no_other_can() -> None:
     targets = [target("t0"), target("t1")]
-    desk = Desk(*targets)
-    home, second = Ranking(targets).order("k")
+    desk = PlacementHarness(*targets)
+    home, second = RendezvousRanking(targets).order("k")
     for _ in range(10):
         desk.fleet.of(home, desk.now).overran(8.0, desk.now)
     assert desk.name("k") == second.name
@@ -226,19 +228,19 @@
 
 
 def test_a_cold_target_gets_nothing_while_others_have_room() -> None:
-    desk = Desk(target("cold", cold_ms=60_000), target("warm"))
+    desk = PlacementHarness(target("cold", cold_ms=60_000), target("warm"))
     assert {desk.name(f"k{i}") for i in range(30)} == {"warm"}
 
 
 def test_who_may_not_warm_it_up_sends_nothing_to_a_cold_target() -> None:
-    desk = Desk(target("t", cold_ms=60_000))
-    desk.placement.warms_up = lambda _: False
+    desk = PlacementHarness(target("t", cold_ms=60_000))
+    desk.placement.may_warm_up_target = lambda _: False
     assert isinstance(desk.place(), Rejection)
 
 
 def test_a_cold_target_without_room_gets_nothing() -> None:
-    desk = Desk(target("t", cold_ms=60_000))
-    asked = desk.ask()
+    desk = PlacementHarness(target("t", cold_ms=60_000))
+    asked = desk.new_request()
     found = desk.placement.place(asked, desk.now)
     assert isinstance(found, Placement)
     assert found.reason == "cold"
@@ -251,7 +253,7 @@
 
 
 def test_a_region_without_targets_is_served_elsewhere_at_once() -> None:
-    desk = Desk(target("t", "b1"))
+    desk = PlacementHarness(target("t", "b1"))
     assert {desk.name(f"k{i}") for i in range(20)} == {"t"}
 
 
@@ -263,7 +265,7 @@
         work=WorkClass.LOOKUP,
         services={"s": 90, "u": 10},
     )
-    desk = Desk()
+    desk = PlacementHarness()
     picked = [desk.placement.pick_service(split) for _ in range(300)]
     assert abs(picked.count("u") - 30) <= 2
 
@@ -278,9 +280,9 @@
     targets = [
         target(f"{domain}-{i}", domain) for domain in ("a1", "a2") for i in range(each)
     ]
-    desk = Desk(*targets)
+    desk = PlacementHarness(*targets)
     for i in range(30):
-        asked = desk.ask(f"k{i}")
+        asked = desk.new_request(f"k{i}")
         found = desk.placement.place(asked, desk.now)
         assert isinstance(found, Placement)
         desk.placement.ended(found, desk.now)
@@ -291,5 +293,5 @@
 
 def test_a_domain_may_be_named_as_its_region() -> None:
     named_alike = target("t0", "a", region="a")
-    desk = Desk(named_alike, target("t1", "a2"))
+    desk = PlacementHarness(named_alike, target("t1", "a2"))
     assert {desk.name(f"k{i}") for i in range(30)} == {"t0", "t1"}
--- a/tests/test_entry_spill.py
+++ b/tests/test_entry_spill.py
@@ -6,8 +6,12 @@
 
 import pytest
 
-from desk import Desk, target
-from leverdoor.entry.placement.spill import MOVE_PER_S, RegionShares, first_shares
+from desk import PlacementHarness, target
+from leverdoor.entry.placement.region_shares import (
+    MOVE_PER_S,
+    RegionShares,
+    initial_shares,
+)
 
 
 def utilizations(own: float, other: float = 0.2) -> dict[str, float]:
@@ -64,17 +68,17 @@
 
 
 def test_first_shares_follow_slots() -> None:
-    shares = first_shares("a", {"a": 18, "b": 99, "c": 99})
+    shares = initial_shares("a", {"a": 18, "b": 99, "c": 99})
     part = 18 / 72
     assert shares["a"] == pytest.approx(part)
     assert shares["b"] == shares["c"] == pytest.approx((1 - part) / 2)
-    assert first_shares("a", {"a": 9, "b": 0})["a"] == 1.0
-    assert first_shares("a", {"a": 0, "b": 9})["b"] == 1.0
+    assert initial_shares("a", {"a": 9, "b": 0})["a"] == 1.0
+    assert initial_shares("a", {"a": 0, "b": 9})["b"] == 1.0
 
 
 def test_first_shares_do_not_depend_on_the_order_of_arrival() -> None:
     """Targets appear one by one before there is any load."""
-    desk = Desk(target("b0", "b1"))
+    desk = PlacementHarness(target("b0", "b1"))
     for _ in range(20):
         desk.now += 0.3
         desk.placement.shares.update([], desk.now)
--- a/tests/test_entry_warmth.py
+++ b/tests/test_entry_warmth.py
@@ -3,17 +3,17 @@
 """What run times show of caches: warm and cold runs, targets that forget."""
 
 from desk import target
-from leverdoor.entry.placement.shared_warmth import (
+from leverdoor.entry.placement.cold_run_rates import RANKS, ColdRunRates
+from leverdoor.entry.placement.run_times import RunTimeClusters
+from leverdoor.entry.placement.warm_key_digests import (
     KEPT_S,
     MOST_SENT_DIGESTS,
-    SharedWarmth,
+    WarmKeyDigests,
 )
-from leverdoor.entry.placement.times import ServiceTimes
-from leverdoor.entry.placement.warmth import RANKS, WarmthBook
 
 
 def test_times_fall_into_two_clusters_whatever_was_expected() -> None:
-    times = ServiceTimes(warm_run_ms=200.0, cold_run_ms=650.0)
+    times = RunTimeClusters(warm_run_ms=200.0, cold_run_ms=650.0)
     for turn in range(400):
         times.learn(90.0 if turn % 4 else 320.0)
     assert 85 < times.warm_run_ms < 95
@@ -23,7 +23,7 @@
 
 
 def test_one_cluster_alone_moves_the_other_with_it() -> None:
-    times = ServiceTimes(warm_run_ms=200.0, cold_run_ms=650.0)
+    times = RunTimeClusters(warm_run_ms=200.0, cold_run_ms=650.0)
     for _ in range(400):
         times.learn(300.0)
     assert 290 < times.warm_run_ms < 310
@@ -31,7 +31,7 @@
 
 
 def test_first_choices_pass_for_warm_and_others_for_cold_until_seen() -> None:
-    book = WarmthBook()
+    book = ColdRunRates()
     one = target("t")
     assert book.cold_share(one, 0, seen=False) == 0.0
     assert book.cold_share(one, 1, seen=False) == 1.0
@@ -39,7 +39,7 @@
 
 
 def test_the_share_of_cold_runs_follows_what_runs_show() -> None:
-    book = WarmthBook()
+    book = ColdRunRates()
     one = target("t")
     for _ in range(40):
         book.learn(one, 0, seen=False, cold=True)
@@ -50,7 +50,7 @@
 
 
 def test_a_target_that_runs_known_keys_cold_forgets() -> None:
-    book = WarmthBook()
+    book = ColdRunRates()
     one, other = target("t"), target("u")
     for _ in range(20):
         book.learn(one, 0, seen=True, cold=True)
@@ -62,7 +62,7 @@
 
 
 def test_what_one_entry_had_answered_is_warm_for_the_others() -> None:
-    mine, other = SharedWarmth(), SharedWarmth()
+    mine, other = WarmKeyDigests(), WarmKeyDigests()
     one = target("t")
     mine.note(one, "k", 10.0)
     other.receive(mine.recent(0.4, 10.2), 10.2)
@@ -73,7 +73,7 @@
 
 
 def test_an_answer_is_told_for_a_while_and_again_much_later() -> None:
-    mine = SharedWarmth()
+    mine = WarmKeyDigests()
     one = target("t")
     for at in (10.0, 10.1, 10.2):
         mine.note(one, "k", at)
@@ -84,7 +84,7 @@
 
 
 def test_a_heartbeat_tells_a_bounded_number() -> None:
-    mine = SharedWarmth()
+    mine = WarmKeyDigests()
     for i in range(500):
         mine.note(target("t"), f"k{i}", 10.0)
     assert len(mine.recent(1.0, 10.0)) == MOST_SENT_DIGESTS
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -269,9 +269,9 @@
     )
     now = asyncio.get_running_loop().time()
     state = desk.fleet.of(TARGET, now)
-    assert state.usable(now)
-    assert state.room.closed(2, now)
-    assert not state.room.closed(1, now)
+    assert state.is_usable(now)
+    assert state.room.suppresses(2, now)
+    assert not state.room.suppresses(1, now)
 
 
 async def test_the_limiter_itself_needs_no_message() -> None:
@@ -304,7 +304,7 @@
     now = asyncio.get_running_loop().time()
     late = RoomAnswer(desk.sent[0][0].number, True, 0, 0)
     desk.asking.answered(late)
-    assert desk.fleet.of(TARGET, now).room.closed(2, now)
+    assert desk.fleet.of(TARGET, now).room.suppresses(2, now)
 
 
 @pytest.mark.parametrize("per_s", [float("nan"), float("inf"), -1.0])
