--- a/leverdoor/entry/placement/availability.py
+++ b/leverdoor/entry/placement/availability.py
@@ -12,20 +12,26 @@
 
 import math
 
-__all__ = ["FIRST_WINDOW", "MOST_REST_S", "RETURN_S", "RETURN_SPREAD_S", "Availability"]
-
-MOST_REST_S = 300.0
+__all__ = [
+    "INITIAL_WINDOW",
+    "MAX_REST_S",
+    "RAMP_UP_S",
+    "REST_END_SPREAD_S",
+    "Availability",
+]
+
+MAX_REST_S = 300.0
 """Longest rest that is heeded, in seconds: an absurd one shuts no target out for good.
 """
-RETURN_SPREAD_S = 0.1
+REST_END_SPREAD_S = 0.1
 """Time over which entries return after a rest, in seconds, since those that were asked
 together would come back together."""
-FIRST_WINDOW = 2
+INITIAL_WINDOW = 2
 """Requests of this entry that may be in flight at first after a rest."""
-RETURN_S = 1.0
+RAMP_UP_S = 1.0
 """Time after a rest in which requests in flight are bounded, in seconds. A target that
 still wants rest turns requests away at once."""
-URGENT_FIRST_S = 0.25
+URGENT_ONLY_S = 0.25
 """Time after a rest, without an answer yet, that is left to the most urgent of the
 requests that were refused meanwhile, in seconds."""
 
@@ -47,7 +53,7 @@
         self._most_urgent: int | None = None
         """Least priority number of the requests that were refused for the rest."""
 
-    def leave(self) -> None:
+    def set_leaving(self) -> None:
         """Record that the target leaves."""
         self.leaving = True
 
@@ -60,17 +66,17 @@
           in_flight: this entry's requests there, without the one that was answered.
           now: monotonic time in seconds.
         """
-        until = now + min(rest_s, MOST_REST_S) + RETURN_SPREAD_S * chance
-        if not self.resting(now):
+        until = now + min(rest_s, MAX_REST_S) + REST_END_SPREAD_S * chance
+        if not self.is_resting(now):
             self._most_urgent = None
         self._rest_until = max(self._rest_until, until)
-        self._window = FIRST_WINDOW
+        self._window = INITIAL_WINDOW
         self._sent_before = in_flight
 
     def answered(self, slots: int, now: float) -> None:
         """Count an answer that turned nothing away; after a rest, more may be sent."""
         self.answered_at = now
-        if not self._window or self.resting(now):
+        if not self._window or self.is_resting(now):
             return
         self._window *= 2
         if self._window >= slots:
@@ -85,17 +91,17 @@
         if self._most_urgent is None or priority < self._most_urgent:
             self._most_urgent = priority
 
-    def resting(self, now: float) -> bool:
+    def is_resting(self, now: float) -> bool:
         """Return whether it wants nothing of this entry now."""
         return now < self._rest_until
 
-    def rest_left_s(self, now: float) -> float:
+    def remaining_rest_s(self, now: float) -> float:
         """Return the rest that is left, in seconds."""
         return max(self._rest_until - now, 0.0)
 
     def open(self, now: float) -> bool:
         """Return whether it neither leaves nor rests."""
-        return not self.leaving and not self.resting(now)
+        return not self.leaving and not self.is_resting(now)
 
     def admits(self, priority: int, in_flight: int, now: float) -> bool:
         """Return whether it takes one more request now.
@@ -107,7 +113,7 @@
         """
         if not self.open(now):
             return False
-        if not self._window or now - self._rest_until >= RETURN_S:
+        if not self._window or now - self._rest_until >= RAMP_UP_S:
             return True
         if self._left_to_others(priority, now):
             return False
@@ -117,8 +123,8 @@
         """Return whether the first requests after a rest are for more urgent ones."""
         if self._most_urgent is None or priority <= self._most_urgent:
             return False
-        return self._window == FIRST_WINDOW and now - self._rest_until < URGENT_FIRST_S
+        return self._window == INITIAL_WINDOW and now - self._rest_until < URGENT_ONLY_S
 
-    def matters(self, now: float) -> bool:
+    def affects_requests(self, now: float) -> bool:
         """Return whether it still bears on requests."""
-        return self.leaving or now - self._rest_until < RETURN_S
+        return self.leaving or now - self._rest_until < RAMP_UP_S
--- a/leverdoor/entry/placement/candidates.py
+++ b/leverdoor/entry/placement/candidates.py
@@ -15,18 +15,18 @@
 from leverdoor.entry.configuration.catalog import EMPTY, Catalog
 from leverdoor.entry.placement.placement_request import PlacementRequest
 from leverdoor.entry.placement.rendezvous import RendezvousRanking
-from leverdoor.entry.placement.request_sizes import SizeBook
+from leverdoor.entry.placement.request_sizes import RequestSizes
 from leverdoor.model.resources import Target
 
-__all__ = ["CandidateBook"]
+__all__ = ["CandidateSelector"]
 
-CANDIDATES = 6
+MAX_CANDIDATES = 6
 """Targets of a key that are looked at, for the two that may serve it.
 
 Enough that two are usable while some are ejected or in their warm-up. Greater: more
 processor time a request. Smaller: refusals while a few targets are out.
 """
-MANY_TARGETS = 8
+DOMAIN_AFFINITY_MIN_TARGETS = 8
 """Targets of a failure domain from which on it keeps large requests to itself.
 
 Greater: more bytes between domains (uploads of 60 kB where domains have fewer than
@@ -35,7 +35,7 @@
 """
 
 
-class CandidateBook:
+class CandidateSelector:
     """The targets that may serve a request."""
 
     def __init__(self, region: str, domain: str) -> None:
@@ -45,7 +45,7 @@
         self._catalog = EMPTY
         self._by_region: dict[tuple[str, str], RendezvousRanking] = {}
         self._by_domain: dict[tuple[str, str], RendezvousRanking] = {}
-        self._sizes = SizeBook()
+        self._sizes = RequestSizes()
         self.targets_by_region: dict[tuple[str, str], list[Target]] = {}
         """All targets of the configuration, by service and region."""
 
@@ -62,7 +62,7 @@
         self._by_domain = _rankings(domains, self._by_domain)
         self.targets_by_region = regions
 
-    def learn_size(self, service: str, size: int) -> None:
+    def record_size(self, service: str, size: int) -> None:
         """Take the bytes of one request of a service and its answer."""
         self._sizes.learn(service, size)
 
@@ -83,7 +83,7 @@
         """Return all of a region's targets, the one that the key belongs to first."""
         return self._by_region[(request.service, region)].order(request.key)
 
-    def nearest(
+    def candidates(
         self, request: PlacementRequest, region: str, is_open: Callable[[Target], bool]
     ) -> list[Target]:
         """Return the targets of a region that are looked at for a key, in order.
@@ -100,15 +100,15 @@
         """
         whole = self.order(request, region)
         if region != self._region:
-            return _first(whole, CANDIDATES, is_open)
+            return _first(whole, MAX_CANDIDATES, is_open)
         own = self._by_domain.get((request.service, self._domain))
-        many = own is not None and len(own) >= MANY_TARGETS
+        many = own is not None and len(own) >= DOMAIN_AFFINITY_MIN_TARGETS
         if own is None or not many or not self._sizes.heavy(request.service):
-            return _first(whole, CANDIDATES, is_open)
-        near = _first(whole, 2 * CANDIDATES, is_open)
+            return _first(whole, MAX_CANDIDATES, is_open)
+        near = _first(whole, 2 * MAX_CANDIDATES, is_open)
         others = [t for t in near if t.domain != self._domain]
-        first = _first(own.order(request.key), CANDIDATES, is_open)
-        return first + others[:CANDIDATES]
+        first = _first(own.order(request.key), MAX_CANDIDATES, is_open)
+        return first + others[:MAX_CANDIDATES]
 
 
 def _first(
--- a/leverdoor/entry/placement/cold_run_rates.py
+++ b/leverdoor/entry/placement/cold_run_rates.py
@@ -22,15 +22,15 @@
 
 The two that may serve a key, one spare, and the last for overflow and warm-up.
 """
-TARGET_WEIGHT = 0.1
+TARGET_RATE_WEIGHT = 0.1
 """Weight of one run in a target's share: about the last ten runs.
 
 Greater: one cold run in two stops new keys. Smaller: a target that has started again,
 or got more keys, is noticed late.
 """
-RANK_WEIGHT = 0.1
+RANK_RATE_WEIGHT = 0.1
 """Weight of one run in a rank's share: about the last ten runs."""
-FORGETS = 0.3
+MAX_EVICTION_RATE = 0.3
 """Share of cold runs among known keys from which on a target is given no new ones.
 
 It then gets more keys than it keeps. Between the share of a target that keeps
@@ -52,13 +52,13 @@
         for name in self._targets.keys() - names:
             del self._targets[name]
 
-    def forgotten_share(self, target: Target) -> float:
+    def eviction_rate(self, target: Target) -> float:
         """Return the share of cold runs among keys sent to a target before."""
         return self._targets.get(target.name, 0.0)
 
-    def forgets(self, target: Target) -> bool:
+    def evicts_keys(self, target: Target) -> bool:
         """Return whether a target gets more keys than it keeps."""
-        return self.forgotten_share(target) > FORGETS
+        return self.eviction_rate(target) > MAX_EVICTION_RATE
 
     def cold_share(self, target: Target, rank: int, seen: bool) -> float:
         """Return how likely a run is cold.
@@ -69,18 +69,18 @@
           seen: whether an entry had an answer for the key from there.
         """
         if seen:
-            return self.forgotten_share(target)
+            return self.eviction_rate(target)
         return self._of_ranks(target)[min(rank, RANKS - 1)]
 
     def learn(self, target: Target, rank: int, seen: bool, cold: bool) -> None:
         """Take a run whose time shows whether it was cold."""
         if seen:
-            before = self.forgotten_share(target)
-            self._targets[target.name] = before + TARGET_WEIGHT * (cold - before)
+            before = self.eviction_rate(target)
+            self._targets[target.name] = before + TARGET_RATE_WEIGHT * (cold - before)
             return
         shares = self._of_ranks(target)
         place = min(rank, RANKS - 1)
-        shares[place] += RANK_WEIGHT * (cold - shares[place])
+        shares[place] += RANK_RATE_WEIGHT * (cold - shares[place])
 
     def _of_ranks(self, target: Target) -> list[float]:
         """Return the shares by rank of a target's service and region.
--- a/leverdoor/entry/placement/fleet.py
+++ b/leverdoor/entry/placement/fleet.py
@@ -33,7 +33,7 @@
 """Name of the peer under which the sums of all other entries' requests are kept."""
 
 
-AVAILABILITY_KEPT_S = 600.0
+AVAILABILITY_TTL_S = 600.0
 """How long the availability of a target is kept that the configuration no longer has,
 in seconds: a registration that expired in an outage may be back, and its target still
 leaves."""
@@ -111,7 +111,7 @@
           now: monotonic time in seconds.
         """
         if report.leaving:
-            self.availability.leave()
+            self.availability.set_leaving()
         if report.rest_s:
             in_flight = self._load.in_flight - 1
             self.availability.rest(report.rest_s, rng.random(), in_flight, now)
@@ -168,11 +168,11 @@
         """Monotonic time at which its warm-up ends or ended, in seconds."""
         return self._slow_start.cold_until
 
-    def cold(self, now: float) -> bool:
+    def in_warm_up(self, now: float) -> bool:
         """Return whether the target is in its warm-up."""
-        return self._slow_start.cold(now)
+        return self._slow_start.in_warm_up(now)
 
-    def remember(self, key: str) -> None:
+    def record_key(self, key: str) -> None:
         """Note that the target answered a key now."""
         self._known_keys.add(key)
 
@@ -209,19 +209,19 @@
         """Record a lost answer; return its ejection in seconds, 0 for none."""
         return self._health.lost(now)
 
-    def slow(self, now: float) -> bool:
+    def is_slow(self, now: float) -> bool:
         """Return whether the target is ejected as slow; it serves if no other can."""
-        return self._health.slow(now)
+        return self._health.is_slow(now)
 
-    def silent(self, now: float) -> bool:
+    def is_silent(self, now: float) -> bool:
         """Return whether several requests are there and none was answered lately."""
-        return self._health.silent(self._load.in_flight, self._times.cold_s, now)
+        return self._health.is_silent(self._load.in_flight, self._times.cold_s, now)
 
     def is_usable(self, now: float) -> bool:
         """Return whether it is open and reached; warm-up and slowness aside."""
         if not self.availability.open(now):
             return False
-        return not self._health.ejected(now) and not self.silent(now)
+        return not self._health.is_ejected(now) and not self.is_silent(now)
 
     def admits(self, priority: int, now: float) -> bool:
         """Return whether a request of a priority may go there.
@@ -278,7 +278,7 @@
         ]
         for name in gone:
             availability = self._states.pop(name).availability
-            if availability.matters(now):
+            if availability.affects_requests(now):
                 self._gone[name] = availability, now
         return gone
 
@@ -297,7 +297,7 @@
         self._gone = {
             name: (availability, since)
             for name, (availability, since) in self._gone.items()
-            if now - since <= AVAILABILITY_KEPT_S and availability.matters(now)
+            if now - since <= AVAILABILITY_TTL_S and availability.affects_requests(now)
         }
 
     def leaving_count(self) -> int:
@@ -306,7 +306,7 @@
 
     def resting_count(self, now: float) -> int:
         """Return how many targets of the configuration want rest of this entry."""
-        return sum(s.availability.resting(now) for s in self._states.values())
+        return sum(s.availability.is_resting(now) for s in self._states.values())
 
     def limit_per_s(self, target: Target) -> float | None:
         """Return the requests a second that a target takes from all entries.
@@ -324,7 +324,7 @@
         """
         named = self.limit_per_s(target)
         warm_up = self.warm_up_per_s.get(target.service, 0.0)
-        if not warm_up or not self.of(target, now).cold(now):
+        if not warm_up or not self.of(target, now).in_warm_up(now):
             return named
         allowed = warm_up_limit_per_s(warm_up)
         return allowed if named is None else min(named, allowed)
@@ -355,7 +355,11 @@
         slots = 0.0
         for target in targets:
             state = self.of(target, now)
-            if state.is_usable(now) and not state.cold(now) and not state.slow(now):
+            if (
+                state.is_usable(now)
+                and not state.in_warm_up(now)
+                and not state.is_slow(now)
+            ):
                 load += state.load(now)
                 slots += state.usable_slots(self.limit_per_s(target))
         return load, slots
--- a/leverdoor/entry/placement/known_keys.py
+++ b/leverdoor/entry/placement/known_keys.py
@@ -6,7 +6,7 @@
 
 __all__ = ["KnownKeys"]
 
-REMEMBERED_KEYS = 256
+MAX_KNOWN_KEYS = 256
 """Keys remembered for each target.
 
 Greater: keys count as warm that the target has dropped.
@@ -28,7 +28,7 @@
         """Note that the target answered a key now."""
         self._keys[key] = None
         self._keys.move_to_end(key)
-        if len(self._keys) > REMEMBERED_KEYS:
+        if len(self._keys) > MAX_KNOWN_KEYS:
             self._keys.popitem(last=False)
 
     def clear(self) -> None:
--- a/leverdoor/entry/placement/load_estimate.py
+++ b/leverdoor/entry/placement/load_estimate.py
@@ -18,7 +18,7 @@
 
 __all__ = ["PEER_LOAD_TTL_S", "LoadEstimate"]
 
-REPORT_DECAY_S = 0.15
+MIN_REPORT_DECAY_S = 0.15
 """Least time in which a target's report of its load loses most of its meaning, in s.
 
 Where warm runs take longer, it is one warm run: after that the requests that were
@@ -27,7 +27,7 @@
 guards against dropping a report of requests that still run, where a warm run takes
 1.1 s; with runs of 0.2 to 0.6 s it made no difference (27 entries).
 """
-UNCOUNTED_MEMORY_S = 1.0
+UNCOUNTED_AVERAGING_S = 1.0
 """Time over which load that no heartbeat accounts for is averaged, in seconds.
 
 Greater: the correction outlives a change of load. Smaller: it follows the noise of
@@ -39,7 +39,7 @@
 Greater: requests of an entry that died block slots. Smaller: a few lost datagrams make
 a busy target look free.
 """
-SHED_LOAD_X = 2
+REFUSED_LOAD_X = 2
 """Load over slots that a target counts as having when it refuses a request.
 
 Above any load at which a request may wait there, so that it gets nothing until the
@@ -89,15 +89,15 @@
         """
         own = self.in_flight - answered
         others = max(load.running + load.waiting - own, 0)
-        elapsed_s = now - self._report.at if self._report else UNCOUNTED_MEMORY_S
-        weight = 1.0 - math.exp(-max(elapsed_s, 0.0) / UNCOUNTED_MEMORY_S)
+        elapsed_s = now - self._report.at if self._report else UNCOUNTED_AVERAGING_S
+        weight = 1.0 - math.exp(-max(elapsed_s, 0.0) / UNCOUNTED_AVERAGING_S)
         gap = others - self._in_flight_of_peers(now)
         self._uncounted += weight * (gap - self._uncounted)
         self._report = _Report(now, others)
 
     def refused(self, slots: int, now: float) -> None:
         """Take the target's refusal of a request as a report that it is overloaded."""
-        self._report = _Report(now, max(slots * SHED_LOAD_X - self.in_flight, 0))
+        self._report = _Report(now, max(slots * REFUSED_LOAD_X - self.in_flight, 0))
 
     def reported_by_peer(self, peer: str, in_flight: int, now: float) -> None:
         """Take how many requests another entry has in flight there."""
@@ -122,7 +122,7 @@
         """
         others = max(self._in_flight_of_peers(now) + self._uncounted, 0.0)
         if self._report is not None:
-            decay_s = max(REPORT_DECAY_S, warm_run_s)
+            decay_s = max(MIN_REPORT_DECAY_S, warm_run_s)
             weight = math.exp(-max(now - self._report.at, 0.0) / decay_s)
             others += weight * (self._report.others - others)
         return self.in_flight + others
--- a/leverdoor/entry/placement/overflow_budget.py
+++ b/leverdoor/entry/placement/overflow_budget.py
@@ -11,7 +11,7 @@
 
 __all__ = ["OverflowBudget"]
 
-MOST_OVERFLOWS_SAVED = 3.0
+MAX_SAVED_OVERFLOWS = 3.0
 """Most requests saved up.
 
 Greater: a burst of them changes region at once, which the shift cap is there to
@@ -29,11 +29,11 @@
           earned: what a request earns, in requests.
         """
         self._earned = earned
-        self._saved = MOST_OVERFLOWS_SAVED
+        self._saved = MAX_SAVED_OVERFLOWS
 
     def earn(self) -> None:
         """Count a request that is to be placed."""
-        self._saved = min(MOST_OVERFLOWS_SAVED, self._saved + self._earned)
+        self._saved = min(MAX_SAVED_OVERFLOWS, self._saved + self._earned)
 
     def spend(self) -> bool:
         """Take one request if there is one."""
--- a/leverdoor/entry/placement/peer_rests.py
+++ b/leverdoor/entry/placement/peer_rests.py
@@ -17,16 +17,16 @@
 from leverdoor.entry.placement.warm_key_digests import WarmKeyDigests, target_digest
 from leverdoor.model.resources import Target
 
-__all__ = ["AVOIDED_S", "PARTS", "QUORUM", "PeerRests"]
+__all__ = ["REST_DIGEST_TTL_S", "DIGESTS_PER_TARGET", "REST_QUORUM", "PeerRests"]
 
-PARTS = 8
+DIGESTS_PER_TARGET = 8
 """Digests of a target; each entry tells one of them, so that they count entries."""
-QUORUM = 3
+REST_QUORUM = 3
 """Digests that must be known: a target that turns one entry away may serve others."""
-AVOIDED_S = 1.0
+REST_DIGEST_TTL_S = 1.0
 """How long such a digest counts, in seconds: a target that is well again is used again
 in about that time."""
-CACHED_TARGETS = 8_192
+MAX_CACHED_TARGETS = 8_192
 """Targets whose digests are kept; 2,500 entries are built for 3,000."""
 
 
@@ -44,23 +44,23 @@
         self._rng = rng
         self._part: int | None = None
 
-    def note(self, target: Target, now: float) -> None:
+    def record_rest(self, target: Target, now: float) -> None:
         """Tell others that a target asked this entry for rest."""
         if self._part is None:
-            self._part = self._rng.randrange(PARTS)
+            self._part = self._rng.randrange(DIGESTS_PER_TARGET)
         digest = _digests(target.name)[self._part]
-        self._digests.note_digest(digest, AVOIDED_S, now)
+        self._digests.record_digest(digest, REST_DIGEST_TTL_S, now)
 
-    def rests(self, target: Target, now: float) -> bool:
+    def is_resting(self, target: Target, now: float) -> bool:
         """Return whether a target lately asked several entries for rest."""
         known = 0
         for digest in _digests(target.name):
-            at = self._digests.noted_at(digest)
-            known += at is not None and now - at <= AVOIDED_S
-        return known >= QUORUM
+            at = self._digests.last_recorded_at(digest)
+            known += at is not None and now - at <= REST_DIGEST_TTL_S
+        return known >= REST_QUORUM
 
 
-@lru_cache(CACHED_TARGETS)
+@lru_cache(MAX_CACHED_TARGETS)
 def _digests(name: str) -> tuple[int, ...]:
     # No key of a request holds a line feed, so none has the same digest.
-    return tuple(target_digest(name, f"\n{part}") for part in range(PARTS))
+    return tuple(target_digest(name, f"\n{part}") for part in range(DIGESTS_PER_TARGET))
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -19,10 +19,10 @@
 from random import Random
 
 from leverdoor.entry.configuration.catalog import EMPTY, Catalog
-from leverdoor.entry.placement.candidates import CandidateBook
+from leverdoor.entry.placement.candidates import CandidateSelector
 from leverdoor.entry.placement.fleet import Fleet, TargetState
 from leverdoor.entry.placement.overflow_budget import OverflowBudget
-from leverdoor.entry.placement.peer_rests import AVOIDED_S, PeerRests
+from leverdoor.entry.placement.peer_rests import REST_DIGEST_TTL_S, PeerRests
 from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementReason,
@@ -35,10 +35,10 @@
     resting_retry_after_ms,
     retry_after_ms,
 )
-from leverdoor.entry.placement.region_share_table import ShareBook
+from leverdoor.entry.placement.region_share_table import RegionShareTable
 from leverdoor.entry.placement.region_shares import MOVE_PER_S, NO_SLOTS_UTILIZATION
 from leverdoor.entry.placement.service_weights import ServiceWeights
-from leverdoor.entry.placement.target_chooser import Option, TargetChooser
+from leverdoor.entry.placement.target_chooser import ScoredTarget, TargetChooser
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
 from leverdoor.entry.placement.warm_key_digests import WarmKeyDigests
 from leverdoor.entry.wire import TargetReport
@@ -47,7 +47,7 @@
 
 __all__ = ["PlacementPolicy"]
 
-LOGGED_TARGETS = 3
+MAX_LOGGED_TARGETS = 3
 """Targets that the log names when none could take a request.
 
 A line that can be read, with the two that may serve the key and the next.
@@ -82,12 +82,12 @@
         self._fleet = fleet
         self._rng = rng
         self._catalog = EMPTY
-        self._candidates = CandidateBook(region, domain)
+        self._candidates = CandidateSelector(region, domain)
         self._chooser = TargetChooser(region, domain, fleet, tuning)
         self._rests = PeerRests(self._chooser.warm_keys, rng)
         self._overflow = OverflowBudget(tuning.overflow_earn)
         self._weights = ServiceWeights(rng)
-        self.shares = ShareBook(region, fleet, move_per_s, tuning)
+        self.shares = RegionShareTable(region, fleet, move_per_s, tuning)
         self.may_warm_up_target: Callable[[Target], bool] = lambda _: True
         """Whether this entry may use a cold target. The entry sets it to its rule,
         which knows the members."""
@@ -160,13 +160,13 @@
         Targets that are ejected as slow, or lately asked other entries for rest, serve
         only if no other can.
         """
-        candidates = self._candidates.nearest(
+        candidates = self._candidates.candidates(
             request, region, lambda target: self._is_open(target, now)
         )
         sound = [t for t in candidates if not self._avoided(t, now)]
-        found = self._chooser.quickest(request, sound, reason, now)
+        found = self._chooser.choose(request, sound, reason, now)
         if found is None and len(sound) < len(candidates):
-            found = self._chooser.quickest(request, candidates, reason, now)
+            found = self._chooser.choose(request, candidates, reason, now)
         return None if found is None else self._take(request, found, reason, now)
 
     def _is_open(self, target: Target, now: float) -> bool:
@@ -175,11 +175,11 @@
 
     def _avoided(self, target: Target, now: float) -> bool:
         state = self._fleet.of(target, now)
-        if self._tuning.avoids_slow and state.slow(now):
+        if self._tuning.avoids_slow and state.is_slow(now):
             return True
-        if now - state.availability.answered_at <= AVOIDED_S:
+        if now - state.availability.answered_at <= REST_DIGEST_TTL_S:
             return False
-        return self._rests.rests(target, now)
+        return self._rests.is_resting(target, now)
 
     def _place_in_overflow(
         self, request: PlacementRequest, first: str, others: list[str], now: float
@@ -218,7 +218,7 @@
                 state = self._fleet.of(target, now)
                 if not self._may_warm_up(request, state, now):
                     continue
-                option = self._chooser.warm_up_option(request, state)
+                option = self._chooser.score_cold_target(request, state)
                 return self._take(request, option, "cold", now)
         return None
 
@@ -227,7 +227,7 @@
     ) -> bool:
         """Return whether a target is cold, has a slot, and may have room."""
         target = state.target
-        if not state.cold(now) or not state.admits(request.priority, now):
+        if not state.in_warm_up(now) or not state.admits(request.priority, now):
             return False
         if target.name in request.tried_targets or state.load(now) >= target.slots:
             return False
@@ -264,7 +264,7 @@
         """Refuse what targets take after a rest only; urgent ones come back first."""
         for state in states:
             state.availability.refused(request.priority)
-        rest_s = min(state.availability.rest_left_s(now) for state in states)
+        rest_s = min(state.availability.remaining_rest_s(now) for state in states)
         urgent = request.priority <= URGENT_PRIORITY
         wait_ms = resting_retry_after_ms(rest_s, urgent, self._rng.random())
         reason = f"{request.service}: {len(states)} targets, {rest_s:.2f} s left"
@@ -275,7 +275,7 @@
     ) -> Rejection:
         """Refuse what no target can take, with the loads in the key's region."""
         targets = self._candidates.order(request, first)
-        loads = describe_loads(targets[:LOGGED_TARGETS], self._fleet, now)
+        loads = describe_loads(targets[:MAX_LOGGED_TARGETS], self._fleet, now)
         reason = f"{request.service} in {first}: {loads}"
         room_s = self._limited_room_s(request, targets, now)
         if room_s is None:
@@ -297,7 +297,7 @@
         if self._fleet.limits.is_empty:
             return None
         states = [self._fleet.of(t, now) for t in targets]
-        usable = [s for s in states if s.is_usable(now) and not s.cold(now)]
+        usable = [s for s in states if s.is_usable(now) and not s.in_warm_up(now)]
         limited = [s for s in usable if self._chooser.lacks_room(request, s, now)]
         if not usable or len(limited) < len(usable):
             return None
@@ -309,7 +309,7 @@
     def _take(
         self,
         request: PlacementRequest,
-        option: Option,
+        option: ScoredTarget,
         reason: PlacementReason,
         now: float,
     ) -> Placement:
@@ -323,7 +323,7 @@
             rank=option.rank,
             seen=option.seen,
             cold_share=option.cold_share,
-            expected_ms=option.takes_ms,
+            expected_ms=option.response_ms,
             load=load,
             load_age_ms=age_ms,
             reason=reason,
@@ -342,7 +342,7 @@
         """
         self._fleet.of(target, now).take(report, self._rng, now)
         if report.rest_s:
-            self._rests.note(target, now)
+            self._rests.record_rest(target, now)
 
     def answered(
         self,
@@ -362,7 +362,7 @@
           now: monotonic time in seconds.
         Returns: whether the target is so slow that it is ejected now.
         """
-        self._candidates.learn_size(request.service, size)
+        self._candidates.record_size(request.service, size)
         state = self._fleet.of(placement.target, now)
         ejected = state.answered(took_ms / max(placement.expected_ms, 1.0), now)
         self._chooser.learn(request, placement, took_ms, now)
--- a/leverdoor/entry/placement/queue_wait.py
+++ b/leverdoor/entry/placement/queue_wait.py
@@ -10,9 +10,9 @@
 from leverdoor.entry.placement.run_times import DEFAULT_LATENCY_MS
 from leverdoor.entry.placement.tuning import Tuning
 
-__all__ = ["URGENT_PRIORITY", "longest_wait_ms"]
+__all__ = ["URGENT_PRIORITY", "max_queue_wait_ms"]
 
-RUN_SPREAD_X = 1.2
+RUN_TIME_MARGIN_X = 1.2
 """Times the mean warm run that is kept free for the run itself.
 
 Runs vary by 15%. Greater: requests are refused that would be in time. Smaller: more of
@@ -27,7 +27,7 @@
 """Milliseconds in a second: times of requests are in s, run times in ms."""
 
 
-def longest_wait_ms(
+def max_queue_wait_ms(
     request: PlacementRequest, warm_run_ms: float, tuning: Tuning, now: float
 ) -> float:
     """Return the longest wait at a target that still makes sense, in ms.
@@ -46,7 +46,7 @@
     aim_ms = request.route.target_latency_ms or DEFAULT_LATENCY_MS
     spent_ms = (now - request.arrived_at) * MS_PER_S
     least_ms = tuning.least_wait_share * aim_ms
-    wait_ms = max(aim_ms - spent_ms - warm_run_ms * RUN_SPREAD_X, least_ms)
+    wait_ms = max(aim_ms - spent_ms - warm_run_ms * RUN_TIME_MARGIN_X, least_ms)
     if request.priority > URGENT_PRIORITY:
         wait_ms *= tuning.less_urgent
     left_ms = (request.expires_at - now) * MS_PER_S - warm_run_ms
--- a/leverdoor/entry/placement/refusals.py
+++ b/leverdoor/entry/placement/refusals.py
@@ -17,7 +17,7 @@
     "retry_after_ms",
 ]
 
-LEAST_RETRY_AFTER_MS = 150
+MIN_RETRY_AFTER_MS = 150
 """Least time after which a refused request should come back, in ms.
 
 About one warm run: before that the same requests still run. Greater: a caller waits
@@ -34,13 +34,13 @@
 def retry_after_ms(chance: float) -> int:
     """Return when a request that placement refused should come back, in ms.
 
-    Between LEAST_RETRY_AFTER_MS and the sum of both bounds, evenly spread. It doesn't
+    Between MIN_RETRY_AFTER_MS and the sum of both bounds, evenly spread. It doesn't
     depend on the load, which is another by then.
 
     Args:
       chance: a random number of [0, 1).
     """
-    return int(LEAST_RETRY_AFTER_MS + RETRY_AFTER_SPREAD_MS * chance)
+    return int(MIN_RETRY_AFTER_MS + RETRY_AFTER_SPREAD_MS * chance)
 
 
 def limited_retry_after_ms(room_s: float, chance: float) -> int:
@@ -53,7 +53,7 @@
       room_s: until any target should have room, in seconds.
       chance: a random number of [0, 1).
     """
-    least_ms = max(room_s * 1000, LEAST_RETRY_AFTER_MS)
+    least_ms = max(room_s * 1000, MIN_RETRY_AFTER_MS)
     return int(least_ms * (1 + chance))
 
 
@@ -68,7 +68,7 @@
       urgent: whether it goes before others.
       chance: a random number of [0, 1).
     """
-    least_ms = max(rest_s * 1000, LEAST_RETRY_AFTER_MS)
+    least_ms = max(rest_s * 1000, MIN_RETRY_AFTER_MS)
     half_ms = RETRY_AFTER_SPREAD_MS / 2
     first_ms = 0.0 if urgent else half_ms
     return int(least_ms + first_ms + half_ms * chance)
@@ -84,8 +84,8 @@
     loads = []
     for target in targets:
         state = fleet.of(target, now)
-        cold = " cold" if state.cold(now) else ""
-        out = "" if state.is_usable(now) else f" {_why_out(state, now)}"
+        cold = " cold" if state.in_warm_up(now) else ""
+        out = "" if state.is_usable(now) else f" {_unusable_reason(state, now)}"
         age_ms = state.load_age_ms(now)
         per_s = fleet.limit_per_s(target)
         limit = "" if per_s is None else f" limit {per_s:g}/s"
@@ -94,8 +94,8 @@
     return ", ".join(loads)
 
 
-def _why_out(state: TargetState, now: float) -> str:
+def _unusable_reason(state: TargetState, now: float) -> str:
     """Return why a target gets no requests."""
     if state.availability.leaving:
         return "leaving"
-    return "resting" if state.availability.resting(now) else "ejected"
+    return "resting" if state.availability.is_resting(now) else "ejected"
--- a/leverdoor/entry/placement/region_share_table.py
+++ b/leverdoor/entry/placement/region_share_table.py
@@ -18,16 +18,16 @@
 from leverdoor.entry.placement.tuning import Tuning
 from leverdoor.model.resources import Target
 
-__all__ = ["ShareBook"]
+__all__ = ["RegionShareTable"]
 
 REPORTED_DIGITS = 4
 """Decimal digits of a share in heartbeats: far below any move of a round."""
-LOGGED_MOVE = 0.05
+MIN_LOGGED_CHANGE = 0.05
 """Change of a share that is worth a line in the log: some lines a minute while keys
 move at the bounded rate."""
 
 
-class ShareBook:
+class RegionShareTable:
     """Shares by service, and the utilization that moves them."""
 
     def __init__(
@@ -84,9 +84,9 @@
             reported = [p[service] for p in peers if service in p]
             state = self._of(service, reported, now)
             utilizations = {r: self.utilization(service, r, now) for r in state.shares}
-            if not state.begun and not reported:
+            if not state.has_seen_load and not reported:
                 # Targets may have come or gone since it was created.
-                state.begin_from(initial_shares(self._region, self._slots(service)))
+                state.replace(initial_shares(self._region, self._slots(service)))
             state.update(utilizations, reported, now)
 
     def _of(
@@ -115,7 +115,7 @@
         return {
             service: {r: round(v, REPORTED_DIGITS) for r, v in state.shares.items()}
             for service, state in self._shares.items()
-            if state.begun
+            if state.has_seen_load
         }
 
     def take_changed(self) -> Mapping[str, dict[str, float]]:
@@ -129,4 +129,6 @@
 
 
 def _differ(before: Mapping[str, float], after: Mapping[str, float]) -> bool:
-    return any(abs(v - before.get(r, 0.0)) > LOGGED_MOVE for r, v in after.items())
+    return any(
+        abs(v - before.get(r, 0.0)) > MIN_LOGGED_CHANGE for r, v in after.items()
+    )
--- a/leverdoor/entry/placement/region_shares.py
+++ b/leverdoor/entry/placement/region_shares.py
@@ -19,7 +19,7 @@
 import math
 from collections.abc import Iterable, Mapping
 
-from leverdoor.entry.placement.rendezvous import LEAST_PLACE, key_place
+from leverdoor.entry.placement.rendezvous import MIN_UNIT_HASH, unit_hash
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
 
 __all__ = ["MOVE_PER_S", "NO_SLOTS_UTILIZATION", "RegionShares", "initial_shares"]
@@ -31,18 +31,18 @@
 the same rule: entry/data_plane.py, entry/bounds.py). Agreement between entries may move
 AGREEMENT_MOVE_PART as much besides.
 """
-MARGIN = 0.1
+MIN_MOVE_DIFFERENCE = 0.1
 """Least difference of utilization for which the own region gives keys away.
 
 No move for noise. Greater: keys stay in a region that is too full. Smaller: keys move
 where it gains nothing, and run cold.
 """
-IMBALANCE = 0.25
+MAX_REMOTE_IMBALANCE = 0.25
 """Difference of utilization between two other regions that moves keys between them.
 
-They differ for certain. Greater and smaller: as for MARGIN.
+They differ for certain. Greater and smaller: as for MIN_MOVE_DIFFERENCE.
 """
-SMOOTHING_S = 1.0
+UTILIZATION_SMOOTHING_S = 1.0
 """Time over which utilization is smoothed, in seconds.
 
 Several reports. Greater: shares follow a change of load late. Smaller: they follow
@@ -61,7 +61,7 @@
 With entry/bounds.py:MOVED_SHARE both together stay within 0.8 of the operator's cap.
 Greater: nearer to it. Smaller: a gap between entries stays longer.
 """
-LONGEST_STEP_S = 1.0
+MAX_STEP_S = 1.0
 """Most time that one update makes up for, in seconds.
 
 Guards against a jump of the shares after a pause of the process.
@@ -69,7 +69,7 @@
 NO_SLOTS_UTILIZATION = 9.0
 """Utilization of a region that has no usable slots, or about which nothing is known:
 above any other, so that such a region gives all keys away."""
-LEAST_SHARE = 1e-9
+MIN_SHARE = 1e-9
 """A share up to this counts as none; keeps divisions by it finite."""
 
 
@@ -95,7 +95,7 @@
         """
         self._tuning = tuning
         self.own = own
-        self.begun = False
+        self.has_seen_load = False
         """Whether there was any load yet; before, shares follow the slots alone."""
         self._move_per_s = move_per_s
         self.shares = dict(first)
@@ -107,12 +107,12 @@
         """Return the region that a key belongs to, among those allowed."""
 
         def score(region: str) -> float:
-            share = max(self.shares.get(region, 0.0), LEAST_SHARE)
-            return -math.log(max(key_place(key, region), LEAST_PLACE)) / share
+            share = max(self.shares.get(region, 0.0), MIN_SHARE)
+            return -math.log(max(unit_hash(key, region), MIN_UNIT_HASH)) / share
 
         return min(allowed, key=score)
 
-    def begin_from(self, shares: Mapping[str, float]) -> None:
+    def replace(self, shares: Mapping[str, float]) -> None:
         """Start from other shares, while there was no load."""
         self.shares = dict(shares)
 
@@ -129,11 +129,11 @@
           peers: the shares that other entries of the region use.
           now: monotonic time in seconds.
         """
-        elapsed_s = min(now - self._at, LONGEST_STEP_S)
+        elapsed_s = min(now - self._at, MAX_STEP_S)
         self._at = now
         loaded = any(0 < p < NO_SLOTS_UTILIZATION for p in utilizations.values())
-        self.begun = self.begun or loaded
-        if not self.begun:
+        self.has_seen_load = self.has_seen_load or loaded
+        if not self.has_seen_load:
             return
         self._smooth(utilizations, elapsed_s)
         self._agree([p for p in peers if p], elapsed_s)
@@ -144,7 +144,7 @@
 
     def _smooth(self, utilizations: Mapping[str, float], elapsed_s: float) -> None:
         """Take the utilization of each region into its mean."""
-        weight = min(1.0, elapsed_s / SMOOTHING_S)
+        weight = min(1.0, elapsed_s / UTILIZATION_SMOOTHING_S)
         smoothed = {}
         for region, utilization in utilizations.items():
             before = self._utilizations.get(region, utilization)
@@ -177,15 +177,18 @@
         if not others:
             return None
         least = min(others, key=lambda r: others[r])
-        if own > self._tuning.high_pressure and others[least] + MARGIN < own:
+        if (
+            own > self._tuning.high_pressure
+            and others[least] + MIN_MOVE_DIFFERENCE < own
+        ):
             return self.own, least
-        used = [r for r in others if self.shares[r] > LEAST_SHARE]
+        used = [r for r in others if self.shares[r] > MIN_SHARE]
         if not used:
             return None
         most = max(used, key=lambda r: others[r])
         if own < self._tuning.low_pressure:
             return most, self.own
-        if others[most] - others[least] > IMBALANCE:
+        if others[most] - others[least] > MAX_REMOTE_IMBALANCE:
             return most, least
         return None
 
--- a/leverdoor/entry/placement/rendezvous.py
+++ b/leverdoor/entry/placement/rendezvous.py
@@ -13,23 +13,23 @@
 
 from leverdoor.model.resources import Target
 
-__all__ = ["LEAST_PLACE", "RendezvousRanking", "key_place"]
+__all__ = ["MIN_UNIT_HASH", "RendezvousRanking", "unit_hash"]
 
-CACHED_KEYS = 4_096
+MAX_CACHED_KEYS = 4_096
 """Keys whose order is kept for each service and region; 1 MB at 20 targets.
 
 More than the keys of a service that are in use at a time. Greater: more memory.
 Smaller: the order is computed anew for each request.
 """
-HASHES = float(1 << 64)
+HASH_RANGE = float(1 << 64)
 """Count of the hash values, which are mapped to the unit interval."""
-LEAST_PLACE = 1e-18
+MIN_UNIT_HASH = 1e-18
 """Least place on the unit interval, so that logarithms stay finite."""
 
 
-def key_place(key: str, salt: str = "") -> float:
+def unit_hash(key: str, salt: str = "") -> float:
     """Return where a key lies on the unit interval, alike at every entry."""
-    return xxhash.xxh3_64_intdigest(f"{salt}|{key}".encode()) / HASHES
+    return xxhash.xxh3_64_intdigest(f"{salt}|{key}".encode()) / HASH_RANGE
 
 
 class RendezvousRanking:
@@ -52,7 +52,7 @@
         """Return the targets, the one that a key belongs to first."""
         found = self._cache.get(key)
         if found is None:
-            if len(self._cache) >= CACHED_KEYS:
+            if len(self._cache) >= MAX_CACHED_KEYS:
                 self._cache.clear()
             found = sorted(self._targets, key=lambda t: self._score(key, t))
             self._cache[key] = found
@@ -61,7 +61,7 @@
     @staticmethod
     def _score(key: str, target: Target) -> float:
         """Return the weighted rendezvous score, smallest first."""
-        place = max(key_place(key, target.name), LEAST_PLACE)
+        place = max(unit_hash(key, target.name), MIN_UNIT_HASH)
         return -math.log(place) / target.slots
 
     def renew(self, targets: list[Target]) -> bool:
--- a/leverdoor/entry/placement/request_sizes.py
+++ b/leverdoor/entry/placement/request_sizes.py
@@ -7,22 +7,22 @@
 
 import msgspec
 
-__all__ = ["SizeBook"]
+__all__ = ["RequestSizes"]
 
-HEAVY_BYTES = 2_500
+LARGE_REQUEST_BYTES = 2_500
 """Mean bytes of a request and its answer from which on domains matter.
 
 Found where bytes between domains cost 0.09 of worth. Greater: they cost that again.
 Smaller: keys of small requests run cold in each domain.
 """
-LIGHT_BYTES = 1_250
+SMALL_REQUEST_BYTES = 1_250
 """Mean bytes below which they no longer do: half, so that it does not flap."""
-SIZE_WEIGHT = 0.02
+MEAN_SIZE_WEIGHT = 0.02
 """Weight of one request in the mean of bytes.
 
 About the last fifty. Greater: a few large requests change the order of targets.
 """
-LEAST_SAMPLES = 20
+MIN_SAMPLES = 20
 """Requests before the mean counts: one large request says nothing yet."""
 
 
@@ -35,7 +35,7 @@
     heavy: bool = False
 
 
-class SizeBook:
+class RequestSizes:
     """How many bytes a request and its answer have, by service."""
 
     def __init__(self) -> None:
@@ -46,10 +46,10 @@
         """Take the bytes of one request and its answer."""
         known = self._known.setdefault(service, _Sizes())
         known.samples += 1
-        weight = max(SIZE_WEIGHT, 1.0 / known.samples)
+        weight = max(MEAN_SIZE_WEIGHT, 1.0 / known.samples)
         known.mean += weight * (size - known.mean)
-        if known.samples >= LEAST_SAMPLES:
-            bound = LIGHT_BYTES if known.heavy else HEAVY_BYTES
+        if known.samples >= MIN_SAMPLES:
+            bound = SMALL_REQUEST_BYTES if known.heavy else LARGE_REQUEST_BYTES
             known.heavy = known.mean > bound
 
     def heavy(self, service: str) -> bool:
--- a/leverdoor/entry/placement/run_times.py
+++ b/leverdoor/entry/placement/run_times.py
@@ -18,17 +18,17 @@
     "DEFAULT_LATENCY_MS",
     "MeanRunTimes",
     "RunTimeClusters",
-    "TimeBook",
+    "RunTimeTable",
     "initial_run_times",
 ]
 
-FIRST_WARM_RUN_X = 0.4
+INITIAL_WARM_RUN_X = 0.4
 """First guess of a warm run over the latency target: 0.38 to 0.43 was seen.
 
 Greater: the first requests are refused where they would be in time. Smaller: they wait
 too long.
 """
-FIRST_COLD_RUN_X = 1.3
+INITIAL_COLD_RUN_X = 1.3
 """First guess of a cold run over the latency target: 3.3 warm runs, as was seen.
 
 Greater: the first cold runs count as warm until the mean has moved. Smaller: long warm
@@ -40,7 +40,7 @@
 Greater: the mean follows single runs, which vary by 15%. Smaller: it lags when a
 service becomes slower.
 """
-LEAST_RATIO = 1.5
+MIN_COLD_TO_WARM_RATIO = 1.5
 """Least ratio of a cold run's time to a warm one's; closer, they are one cluster.
 
 Greater: a cold run's time is taken for longer than it is where caches gain little.
@@ -79,7 +79,9 @@
             self.cold_run_ms += CLUSTER_WEIGHT * (took_ms - self.cold_run_ms)
         else:
             self.warm_run_ms += CLUSTER_WEIGHT * (took_ms - self.warm_run_ms)
-        self.cold_run_ms = max(self.cold_run_ms, LEAST_RATIO * self.warm_run_ms)
+        self.cold_run_ms = max(
+            self.cold_run_ms, MIN_COLD_TO_WARM_RATIO * self.warm_run_ms
+        )
 
     def run_ms(self, cold_share: float) -> float:
         """Return the mean time of runs of which a share is cold."""
@@ -93,10 +95,10 @@
       target_latency_ms: the route's, or 0 if it has none.
     """
     aim_ms = target_latency_ms or DEFAULT_LATENCY_MS
-    return RunTimeClusters(FIRST_WARM_RUN_X * aim_ms, FIRST_COLD_RUN_X * aim_ms)
+    return RunTimeClusters(INITIAL_WARM_RUN_X * aim_ms, INITIAL_COLD_RUN_X * aim_ms)
 
 
-class TimeBook:
+class RunTimeTable:
     """Times by route and service."""
 
     def __init__(self) -> None:
--- a/leverdoor/entry/placement/slow_start.py
+++ b/leverdoor/entry/placement/slow_start.py
@@ -13,7 +13,7 @@
 
 __all__ = ["SlowStart", "warm_up_limit_per_s"]
 
-ALLOWANCE_PART = 0.75
+WARM_UP_LIMIT_FACTOR = 0.75
 """Part of what a cold target bears that is planned with. The bound on it is one of
 single seconds; the rest is for what its limiter saves up, and for a limiter that
 another
@@ -26,7 +26,7 @@
     Args:
       allowed_per_s: what the target's service allows all entries together.
     """
-    return ALLOWANCE_PART * allowed_per_s
+    return WARM_UP_LIMIT_FACTOR * allowed_per_s
 
 
 class SlowStart:
@@ -45,6 +45,6 @@
         """Begin again, without ending sooner than before."""
         self.cold_until = max(self.cold_until, now + cold_ms / 1000)
 
-    def cold(self, now: float) -> bool:
+    def in_warm_up(self, now: float) -> bool:
         """Return whether the target is in its warm-up."""
         return now < self.cold_until
--- a/leverdoor/entry/placement/target_chooser.py
+++ b/leverdoor/entry/placement/target_chooser.py
@@ -19,21 +19,25 @@
     PlacementReason,
     PlacementRequest,
 )
-from leverdoor.entry.placement.queue_wait import longest_wait_ms
-from leverdoor.entry.placement.run_times import MeanRunTimes, RunTimeClusters, TimeBook
+from leverdoor.entry.placement.queue_wait import max_queue_wait_ms
+from leverdoor.entry.placement.run_times import (
+    MeanRunTimes,
+    RunTimeClusters,
+    RunTimeTable,
+)
 from leverdoor.entry.placement.tuning import Tuning
 from leverdoor.entry.placement.warm_key_digests import WarmKeyDigests
 from leverdoor.model.resources import Target
 
-__all__ = ["Option", "TargetChooser"]
+__all__ = ["ScoredTarget", "TargetChooser"]
 
-LIKELY_COLD = 0.5
+COLD_RUN_THRESHOLD = 0.5
 """Share of cold runs from which on a choice counts as cold.
 
 The likelier of two. Greater: more cold runs at second targets, which make busy targets
 slower. Smaller: refusals where a warm run was likely.
 """
-OTHER_DOMAIN_MS = 8.0
+OTHER_DOMAIN_PENALTY_MS = 8.0
 """What a target in another failure domain must be sooner by, in ms.
 
 Saves bytes between domains where targets are equally good. Greater: requests wait for a
@@ -45,7 +49,7 @@
 way to another region and back; a request that finds none is to be refused at once."""
 
 
-class Option(msgspec.Struct, frozen=True):
+class ScoredTarget(msgspec.Struct, frozen=True):
     """One target for a request, weighed."""
 
     state: TargetState
@@ -57,9 +61,9 @@
     """Likelihood of a cold run."""
     wait_ms: float
     """Expected time in the target's queue."""
-    takes_ms: float
+    response_ms: float
     """Wait and run, as expected."""
-    price_ms: float
+    cost_ms: float
     """What options are compared by."""
 
 
@@ -79,7 +83,7 @@
         self._region = region
         self._domain = domain
         self._fleet = fleet
-        self._times = TimeBook()
+        self._times = RunTimeTable()
         self._warmth = ColdRunRates()
         self.warm_keys = WarmKeyDigests()
 
@@ -88,13 +92,13 @@
         self._times.keep_only(routes)
         self._warmth.keep_only(targets)
 
-    def quickest(
+    def choose(
         self,
         request: PlacementRequest,
         candidates: list[Target],
         reason: PlacementReason,
         now: float,
-    ) -> Option | None:
+    ) -> ScoredTarget | None:
         """Return the best of some targets; None if the wait is too long at each.
 
         Only the key's first targets that are usable count (`Tuning.targets_a_key`).
@@ -106,35 +110,35 @@
           now: monotonic time in seconds.
         """
         times = self._times_of(request)
-        most_ms = longest_wait_ms(request, times.warm_run_ms, self._tuning, now)
+        most_ms = max_queue_wait_ms(request, times.warm_run_ms, self._tuning, now)
         fitting = [
             option
-            for option in self._options(request, candidates, reason, now)
-            if option.wait_ms <= most_ms and self._may_run(option, now)
+            for option in self._score_candidates(request, candidates, reason, now)
+            if option.wait_ms <= most_ms and self._is_acceptable(option, now)
         ]
-        return min(fitting, key=lambda o: o.price_ms, default=None)
+        return min(fitting, key=lambda o: o.cost_ms, default=None)
 
-    def _options(
+    def _score_candidates(
         self,
         request: PlacementRequest,
         candidates: list[Target],
         reason: PlacementReason,
         now: float,
-    ) -> list[Option]:
+    ) -> list[ScoredTarget]:
         """Weigh the first usable, warm targets that were not tried."""
-        options: list[Option] = []
+        options: list[ScoredTarget] = []
         for target in candidates:
             if target.name in request.tried_targets:
                 continue
             state = self._fleet.of(target, now)
-            if not state.admits(request.priority, now) or state.cold(now):
+            if not state.admits(request.priority, now) or state.in_warm_up(now):
                 continue
             if self.lacks_room(request, state, now):
                 if not options:
                     state.room.miss(request.priority)
                 continue
             rank = RANKS - 1 if reason == "overflow" else len(options)
-            options.append(self._option(request, state, rank, now))
+            options.append(self._score_target(request, state, rank, now))
             if len(options) >= self._tuning.targets_a_key:
                 break
         return options
@@ -155,9 +159,9 @@
             return True
         return state.room.suppresses(request.priority, now)
 
-    def _option(
+    def _score_target(
         self, request: PlacementRequest, state: TargetState, rank: int, now: float
-    ) -> Option:
+    ) -> ScoredTarget:
         """Weigh one target.
 
         Its queue is the load beyond its slots, this request included, served at the
@@ -165,36 +169,36 @@
         """
         target = state.target
         times = self._times_of(request)
-        seen = not request.route.affinity or self._seen(request.key, state, now)
+        seen = not request.route.affinity or self._has_answered(request.key, state, now)
         cold_share = self._warmth.cold_share(target, rank, seen)
         ahead = max(state.load(now) - target.slots + 1, 0.0)
-        run_ms = times.run_ms(self._warmth.forgotten_share(target))
+        run_ms = times.run_ms(self._warmth.eviction_rate(target))
         wait_ms = ahead * run_ms / target.slots
-        takes_ms = wait_ms + times.run_ms(cold_share)
-        price_ms = takes_ms
+        response_ms = wait_ms + times.run_ms(cold_share)
+        cost_ms = response_ms
         if rank == 0 and not seen:
             # It must become warm somewhere: a cold run here is no reason to go on.
-            price_ms = wait_ms + times.warm_run_ms
+            cost_ms = wait_ms + times.warm_run_ms
         if target.domain != self._domain:
-            price_ms += OTHER_DOMAIN_MS
-        return Option(
+            cost_ms += OTHER_DOMAIN_PENALTY_MS
+        return ScoredTarget(
             state=state,
             rank=rank,
             seen=seen,
             cold_share=cold_share,
             wait_ms=wait_ms,
-            takes_ms=takes_ms,
-            price_ms=price_ms,
+            response_ms=response_ms,
+            cost_ms=cost_ms,
         )
 
-    def _seen(self, key: str, state: TargetState, now: float) -> bool:
+    def _has_answered(self, key: str, state: TargetState, now: float) -> bool:
         """Return whether any entry had an answer for a key from a target."""
         if state.has_answered(key):
             return True
         since = state.cold_until
-        return self.warm_keys.warm(state.target, key, since, now)
+        return self.warm_keys.is_warm(state.target, key, since, now)
 
-    def _may_run(self, option: Option, now: float) -> bool:
+    def _is_acceptable(self, option: ScoredTarget, now: float) -> bool:
         """Return whether a request may run there, its likely cold run considered.
 
         A likely cold run is allowed at the key's first target, and at its second one
@@ -203,10 +207,10 @@
         free slots costs one at each entry and target, and makes a loaded region slower
         still (six targets a key: worth 0.584 beside 0.678, 65 entries).
         """
-        if option.rank == 0 or option.cold_share < LIKELY_COLD:
+        if option.rank == 0 or option.cold_share < COLD_RUN_THRESHOLD:
             return True
         state = option.state
-        if self._warmth.forgets(state.target):
+        if self._warmth.evicts_keys(state.target):
             return False
         return state.load(now) < self._tuning.cold_room * state.target.slots
 
@@ -218,17 +222,19 @@
         times = self._times_of(request)
         return MeanRunTimes(times.warm_run_ms / 1000, times.cold_run_ms / 1000)
 
-    def warm_up_option(self, request: PlacementRequest, state: TargetState) -> Option:
+    def score_cold_target(
+        self, request: PlacementRequest, state: TargetState
+    ) -> ScoredTarget:
         """Return the option of a target in its warm-up, where all runs are cold."""
         cold_run_ms = self._times_of(request).cold_run_ms
-        return Option(
+        return ScoredTarget(
             state=state,
             rank=RANKS,
             seen=False,
             cold_share=1.0,
             wait_ms=0.0,
-            takes_ms=cold_run_ms,
-            price_ms=cold_run_ms,
+            response_ms=cold_run_ms,
+            cost_ms=cold_run_ms,
         )
 
     def learn(
@@ -241,9 +247,9 @@
         """Learn from a whole answer."""
         if placement.load < placement.target.slots:
             self._learn_run(request, placement, took_ms)
-        self._fleet.of(placement.target, now).remember(request.key)
+        self._fleet.of(placement.target, now).record_key(request.key)
         if request.route.affinity and placement.rank > 0:
-            self.warm_keys.note(placement.target, request.key, now)
+            self.warm_keys.record_answer(placement.target, request.key, now)
 
     def _learn_run(
         self, request: PlacementRequest, placement: Placement, took_ms: float
--- a/leverdoor/entry/placement/warm_key_digests.py
+++ b/leverdoor/entry/placement/warm_key_digests.py
@@ -19,26 +19,26 @@
 
 from leverdoor.model.resources import Target
 
-__all__ = ["KEPT_S", "MOST_SENT_DIGESTS", "WarmKeyDigests", "target_digest"]
+__all__ = ["WARM_KEY_TTL_S", "MAX_SENT_DIGESTS", "WarmKeyDigests", "target_digest"]
 
-KEPT_S = 20.0
+WARM_KEY_TTL_S = 20.0
 """How long an answer counts as a sign that its key is warm, in seconds.
 
 For keys that are requested each 0.3 to 4 s in their region. Greater: the target may
 have dropped the key. Smaller: the key is refused at a target where it is warm.
 """
-RESENT_AFTER_S = 5.0
-"""Time after which the same answer is sent again, in seconds; a quarter of `KEPT_S`.
+RESEND_AFTER_S = 5.0
+"""Time after which the same answer is sent again, in seconds; a quarter of `WARM_KEY_TTL_S`.
 
 Three more chances before the first one is void. Smaller: longer heartbeats.
 """
-MOST_SENT_DIGESTS = 64
+MAX_SENT_DIGESTS = 64
 """Digests in one heartbeat at most: 320 bytes.
 
 Greater: longer heartbeats. Smaller: a busy entry's oldest ones are not sent.
 """
-MOST_KNOWN_DIGESTS = 8_192
-"""Digests kept: beyond what 65 entries send in `KEPT_S`. The one that was renewed
+MAX_KNOWN_DIGESTS = 8_192
+"""Digests kept: beyond what 65 entries send in `WARM_KEY_TTL_S`. The one that was renewed
 longest ago goes first."""
 
 
@@ -55,15 +55,15 @@
 
     def __init__(self) -> None:
         """Create it knowing nothing."""
-        self._recent: deque[_Sending] = deque(maxlen=MOST_SENT_DIGESTS)
+        self._recent: deque[_Sending] = deque(maxlen=MAX_SENT_DIGESTS)
         self._known: OrderedDict[int, float] = OrderedDict()
         """When each digest was last renewed, monotonic time in seconds."""
 
-    def note(self, target: Target, key: str, now: float) -> None:
+    def record_answer(self, target: Target, key: str, now: float) -> None:
         """Note an answer for the next heartbeats, unless it was sent lately."""
-        self.note_digest(target_digest(target.name, key), RESENT_AFTER_S, now)
+        self.record_digest(target_digest(target.name, key), RESEND_AFTER_S, now)
 
-    def note_digest(self, digest: int, again_after_s: float, now: float) -> None:
+    def record_digest(self, digest: int, again_after_s: float, now: float) -> None:
         """Note a digest for the next heartbeats, unless it was noted lately.
 
         Args:
@@ -76,7 +76,7 @@
             self._recent.append(_Sending(now, digest))
         self._remember(digest, now)
 
-    def noted_at(self, digest: int) -> float | None:
+    def last_recorded_at(self, digest: int) -> float | None:
         """Return when a digest was last noted here or by another entry, if known."""
         return self._known.get(digest)
 
@@ -91,7 +91,7 @@
         for digest in digests:
             self._remember(digest, now)
 
-    def warm(self, target: Target, key: str, since: float, now: float) -> bool:
+    def is_warm(self, target: Target, key: str, since: float, now: float) -> bool:
         """Return whether an entry had an answer for a key from a target.
 
         Args:
@@ -101,12 +101,12 @@
           now: monotonic time in seconds.
         """
         at = self._known.get(target_digest(target.name, key))
-        return at is not None and at >= since and now - at <= KEPT_S
+        return at is not None and at >= since and now - at <= WARM_KEY_TTL_S
 
     def _remember(self, digest: int, now: float) -> None:
         self._known[digest] = now
         self._known.move_to_end(digest)
-        if len(self._known) > MOST_KNOWN_DIGESTS:
+        if len(self._known) > MAX_KNOWN_DIGESTS:
             self._known.popitem(last=False)
 
 
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -11,16 +11,20 @@
 
 from desk import SLOTS, PlacementHarness, target
 from leverdoor.entry.placement.availability import (
-    FIRST_WINDOW,
-    MOST_REST_S,
-    RETURN_S,
-    RETURN_SPREAD_S,
-    URGENT_FIRST_S,
+    INITIAL_WINDOW,
+    MAX_REST_S,
+    RAMP_UP_S,
+    REST_END_SPREAD_S,
+    URGENT_ONLY_S,
     Availability,
 )
-from leverdoor.entry.placement.candidates import CANDIDATES
-from leverdoor.entry.placement.fleet import AVAILABILITY_KEPT_S
-from leverdoor.entry.placement.peer_rests import AVOIDED_S, PARTS, PeerRests
+from leverdoor.entry.placement.candidates import MAX_CANDIDATES
+from leverdoor.entry.placement.fleet import AVAILABILITY_TTL_S
+from leverdoor.entry.placement.peer_rests import (
+    DIGESTS_PER_TARGET,
+    REST_DIGEST_TTL_S,
+    PeerRests,
+)
 from leverdoor.entry.placement.placement_request import Placement
 from leverdoor.entry.placement.warm_key_digests import WarmKeyDigests
 from leverdoor.entry.wire import TargetLoad, TargetReport
@@ -68,7 +72,7 @@
     desk.take(one, two)
     assert desk.name("k") != home.name
     desk.take()
-    desk.now += AVAILABILITY_KEPT_S + 1.0
+    desk.now += AVAILABILITY_TTL_S + 1.0
     desk.fleet.forget(desk.now)
     desk.take(one, two)
     assert desk.name("k") == home.name
@@ -99,7 +103,7 @@
     hear(desk, rest(3.0), home)
     desk.now += 2.99
     assert desk.name("k") != home.name
-    desk.now += RETURN_SPREAD_S + 0.01
+    desk.now += REST_END_SPREAD_S + 0.01
     assert desk.name("k") == home.name
 
 
@@ -107,18 +111,18 @@
     availability = Availability()
     availability.rest(3.0, 0.0, 0, 0.0)
     availability.rest(1.0, 0.0, 0, 1.0)
-    assert availability.resting(2.99)
+    assert availability.is_resting(2.99)
     availability.rest(3.0, 0.0, 0, 2.5)
     availability.answered(SLOTS, 2.6)
-    assert availability.resting(5.49)
-    assert not availability.resting(5.5)
+    assert availability.is_resting(5.49)
+    assert not availability.is_resting(5.5)
 
 
 @pytest.mark.parametrize("seconds", [1e9, math.inf])
 def test_an_absurd_rest_shuts_no_target_out_for_good(seconds: float) -> None:
     availability = Availability()
     availability.rest(seconds, 0.5, 0, 0.0)
-    assert availability.open(MOST_REST_S + RETURN_SPREAD_S)
+    assert availability.open(MAX_REST_S + REST_END_SPREAD_S)
 
 
 def test_after_a_rest_few_are_sent_first_and_more_with_each_answer() -> None:
@@ -127,7 +131,7 @@
     desk = PlacementHarness(only)
     state = desk.fleet.of(only, desk.now)
     hear(desk, rest(1.0), only)
-    desk.now += 1.0 + RETURN_SPREAD_S
+    desk.now += 1.0 + REST_END_SPREAD_S
     sent = []
     for _ in range(4):
         before = state.in_flight
@@ -137,24 +141,24 @@
         for _ in range(state.in_flight):
             state.take(ANSWERED, Random(1), desk.now)
             state.ended()
-    assert sent[:2] == [FIRST_WINDOW, FIRST_WINDOW * 2**FIRST_WINDOW]
+    assert sent[:2] == [INITIAL_WINDOW, INITIAL_WINDOW * 2**INITIAL_WINDOW]
     assert sent[-1] >= only.slots
 
 
 def test_one_that_does_not_answer_at_once_returns_in_full_after_a_while() -> None:
     availability = Availability()
     availability.rest(1.0, 0.0, 0, 0.0)
-    assert not availability.admits(0, FIRST_WINDOW, 1.0 + RETURN_S / 2)
-    assert availability.admits(0, FIRST_WINDOW, 1.0 + RETURN_S)
+    assert not availability.admits(0, INITIAL_WINDOW, 1.0 + RAMP_UP_S / 2)
+    assert availability.admits(0, INITIAL_WINDOW, 1.0 + RAMP_UP_S)
 
 
 def test_requests_sent_before_a_rest_do_not_keep_others_from_returning() -> None:
     """An upload may run for longer than the rest lasts."""
     availability = Availability()
     availability.rest(1.0, 0.0, 3, 0.0)
-    assert availability.admits(0, 3 + FIRST_WINDOW - 1, 1.0)
+    assert availability.admits(0, 3 + INITIAL_WINDOW - 1, 1.0)
     availability.ended(2)
-    assert not availability.admits(0, 3 + FIRST_WINDOW - 1, 1.0)
+    assert not availability.admits(0, 3 + INITIAL_WINDOW - 1, 1.0)
 
 
 def test_where_all_rest_refusals_say_when_the_first_rest_ends() -> None:
@@ -169,7 +173,7 @@
         assert found.code is Code.TARGETS_RESTING
         times.append(found.retry_after_ms)
     assert min(times) >= 2_000
-    assert max(times) <= 2_000 + 1000 * RETURN_SPREAD_S + 500
+    assert max(times) <= 2_000 + 1000 * REST_END_SPREAD_S + 500
     assert max(times) - min(times) > 100
 
 
@@ -180,12 +184,12 @@
     availability.refused(1)
     assert availability.admits(1, 0, 1.0)
     assert not availability.admits(2, 0, 1.0)
-    assert availability.admits(2, 0, 1.0 + URGENT_FIRST_S)
+    assert availability.admits(2, 0, 1.0 + URGENT_ONLY_S)
 
 
 def test_targets_beyond_the_usual_candidates_serve_while_those_rest() -> None:
     """Six targets of a key are looked at; all of them may rest at once."""
-    targets = [target(f"t{i}") for i in range(CANDIDATES + 3)]
+    targets = [target(f"t{i}") for i in range(MAX_CANDIDATES + 3)]
     desk = PlacementHarness(*targets)
     served = set()
     while len(served) < len(targets):
@@ -239,7 +243,7 @@
     """Let other entries tell that a target asked each of them for rest."""
     for number in range(entries):
         digests = WarmKeyDigests()
-        PeerRests(digests, Random(number)).note(told, desk.now)
+        PeerRests(digests, Random(number)).record_rest(told, desk.now)
         recent = digests.recent(1.0, desk.now)
         desk.placement.warm_keys.receive(recent, desk.now)
 
@@ -251,9 +255,9 @@
     one, two = target("t1"), target("t2")
     desk = PlacementHarness(one, two)
     home = {"t1": one, "t2": two}[desk.name("k")]
-    tell_of_rests(desk, home, 2 * PARTS)
+    tell_of_rests(desk, home, 2 * DIGESTS_PER_TARGET)
     assert desk.name("k") != home.name
-    desk.now += AVOIDED_S + 0.01
+    desk.now += REST_DIGEST_TTL_S + 0.01
     assert desk.name("k") == home.name
 
 
@@ -269,7 +273,7 @@
     one, two = target("t1"), target("t2")
     desk = PlacementHarness(one, two)
     home = {"t1": one, "t2": two}[desk.name("k")]
-    tell_of_rests(desk, home, 2 * PARTS)
+    tell_of_rests(desk, home, 2 * DIGESTS_PER_TARGET)
     hear(desk, ANSWERED, home)
     assert desk.name("k") == home.name
 
@@ -277,7 +281,7 @@
 def test_where_no_other_target_can_serve_one_that_others_tell_of_does() -> None:
     only = target("t1")
     desk = PlacementHarness(only)
-    tell_of_rests(desk, only, 2 * PARTS)
+    tell_of_rests(desk, only, 2 * DIGESTS_PER_TARGET)
     assert desk.name("k") == "t1"
 
 
--- a/tests/test_entry_fleet.py
+++ b/tests/test_entry_fleet.py
@@ -9,7 +9,7 @@
 
 from desk import SLOTS, PlacementHarness, target
 from leverdoor.entry.placement.fleet import Fleet
-from leverdoor.entry.placement.health import SILENT_REQUESTS, SILENT_RUNS
+from leverdoor.entry.placement.health import SILENCE_COLD_RUNS, SILENCE_MIN_REQUESTS
 from leverdoor.entry.placement.load_estimate import PEER_LOAD_TTL_S
 from leverdoor.entry.placement.run_times import MeanRunTimes
 from leverdoor.entry.wire import TargetLoad
@@ -20,8 +20,8 @@
     state = Fleet().of(only, 0.0)
     rested = [state.answered(6.0, 1.0) for _ in range(10)]
     assert True in rested
-    assert state.slow(1.0)
-    assert not state.slow(4.0)
+    assert state.is_slow(1.0)
+    assert not state.is_slow(4.0)
 
 
 def test_requests_whose_time_was_over_show_a_slow_target() -> None:
@@ -97,8 +97,8 @@
     assert desk.name() == "t"
     desk.take(target("t", cold_ms=3_000))
     state = desk.fleet.of(target("t"), desk.now)
-    assert state.cold(desk.now)
-    assert not state.cold(desk.now + 3.1)
+    assert state.in_warm_up(desk.now)
+    assert not state.in_warm_up(desk.now + 3.1)
 
 
 @settings(derandomize=True, deadline=None)
@@ -132,10 +132,10 @@
 def test_a_target_that_runs_cold_requests_is_not_taken_for_silent() -> None:
     """Cold runs of 3.5 s outlast the least silence three times."""
     state = Fleet().of(target("t"), 0.0)
-    for _ in range(SILENT_REQUESTS):
+    for _ in range(SILENCE_MIN_REQUESTS):
         state.sent(0.0, MeanRunTimes(1.1, 3.5))
-    assert not state.silent(3.6)
-    assert state.silent(SILENT_RUNS * 3.5 + 0.1)
+    assert not state.is_silent(3.6)
+    assert state.is_silent(SILENCE_COLD_RUNS * 3.5 + 0.1)
 
 
 def test_a_report_counts_for_as_long_as_a_run_takes() -> None:
--- a/tests/test_entry_placement.py
+++ b/tests/test_entry_placement.py
@@ -92,7 +92,7 @@
     desk.set_load(second, SLOTS)
     assert isinstance(desk.place("k"), Rejection)
     other = WarmKeyDigests()
-    other.note(second, "k", desk.now)
+    other.record_answer(second, "k", desk.now)
     desk.placement.warm_keys.receive(other.recent(1.0, desk.now), desk.now)
     assert desk.name("k") == second.name
 
--- a/tests/test_entry_warmth.py
+++ b/tests/test_entry_warmth.py
@@ -6,8 +6,8 @@
 from leverdoor.entry.placement.cold_run_rates import RANKS, ColdRunRates
 from leverdoor.entry.placement.run_times import RunTimeClusters
 from leverdoor.entry.placement.warm_key_digests import (
-    KEPT_S,
-    MOST_SENT_DIGESTS,
+    MAX_SENT_DIGESTS,
+    WARM_KEY_TTL_S,
     WarmKeyDigests,
 )
 
@@ -55,36 +55,36 @@
     for _ in range(20):
         book.learn(one, 0, seen=True, cold=True)
         book.learn(other, 0, seen=True, cold=False)
-    assert book.forgets(one)
-    assert not book.forgets(other)
+    assert book.evicts_keys(one)
+    assert not book.evicts_keys(other)
     book.keep_only({"u"})
-    assert not book.forgets(one)
+    assert not book.evicts_keys(one)
 
 
 def test_what_one_entry_had_answered_is_warm_for_the_others() -> None:
     mine, other = WarmKeyDigests(), WarmKeyDigests()
     one = target("t")
-    mine.note(one, "k", 10.0)
+    mine.record_answer(one, "k", 10.0)
     other.receive(mine.recent(0.4, 10.2), 10.2)
-    assert other.warm(one, "k", since=0.0, now=11.0)
-    assert not other.warm(one, "another", since=0.0, now=11.0)
-    assert not other.warm(one, "k", since=10.5, now=11.0), "it was emptied since"
-    assert not other.warm(one, "k", since=0.0, now=11.0 + KEPT_S)
+    assert other.is_warm(one, "k", since=0.0, now=11.0)
+    assert not other.is_warm(one, "another", since=0.0, now=11.0)
+    assert not other.is_warm(one, "k", since=10.5, now=11.0), "it was emptied since"
+    assert not other.is_warm(one, "k", since=0.0, now=11.0 + WARM_KEY_TTL_S)
 
 
 def test_an_answer_is_told_for_a_while_and_again_much_later() -> None:
     mine = WarmKeyDigests()
     one = target("t")
     for at in (10.0, 10.1, 10.2):
-        mine.note(one, "k", at)
+        mine.record_answer(one, "k", at)
     assert len(mine.recent(0.4, 10.3)) == 1
     assert mine.recent(0.4, 11.0) == []
-    mine.note(one, "k", 18.0)
+    mine.record_answer(one, "k", 18.0)
     assert len(mine.recent(0.4, 18.1)) == 1
 
 
 def test_a_heartbeat_tells_a_bounded_number() -> None:
     mine = WarmKeyDigests()
     for i in range(500):
-        mine.note(target("t"), f"k{i}", 10.0)
-    assert len(mine.recent(1.0, 10.0)) == MOST_SENT_DIGESTS
+        mine.record_answer(target("t"), f"k{i}", 10.0)
+    assert len(mine.recent(1.0, 10.0)) == MAX_SENT_DIGESTS
