--- a/leverdoor/entry/placement/__init__.py
+++ b/leverdoor/entry/placement/__init__.py
@@ -1,3 +1,3 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which target serves a request, or when it should come back; starts in policy.py."""
+"""Selects the target of each request, or rejects it; policy.py is the entry point."""
--- a/leverdoor/entry/placement/candidates.py
+++ b/leverdoor/entry/placement/candidates.py
@@ -1,12 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which regions and which targets may serve a request, in the order of its key.
+"""Lists the regions and targets that may serve a request, ordered by its key.
 
-Owns the order of targets by service and region, and by service and failure domain
-(rebuilt from each configuration), and the mean bytes of each service's requests (lost
-with the process).
+Owns the target rankings by service and region and by service and failure domain, which
+are rebuilt from each configuration, and the mean request size of each service, which is
+lost with the process.
 
-Relies on the configuration; knows nothing of loads and health.
+Relies on the configuration; does not consider load or health.
 """
 
 from collections.abc import Callable, Iterable
@@ -21,25 +21,31 @@
 __all__ = ["CandidateSelector"]
 
 MAX_CANDIDATES = 6
-"""Targets of a key that are looked at, for the two that may serve it.
+"""Maximum targets considered for a key, of which two may serve it.
 
-Enough that two are usable while some are ejected or in their warm-up. Greater: more
-processor time a request. Smaller: refusals while a few targets are out.
+Enough to find two usable targets while others are ejected or in their warm-up. A
+greater value uses more processor time for each request. A smaller one causes
+rejections while a few targets are unavailable.
 """
 DOMAIN_AFFINITY_MIN_TARGETS = 8
-"""Targets of a failure domain from which on it keeps large requests to itself.
+"""Minimum targets with which a failure domain keeps its large requests.
 
-Greater: more bytes between domains (uploads of 60 kB where domains have fewer than
-eight targets). Smaller: each key runs cold once a domain where that is much of what it
-has.
+A greater value sends more bytes between domains (uploads of 60 kB where domains have
+fewer than eight targets). With a smaller one, each key has a cold run in every domain,
+even if a key is requested too seldom to make up for it.
 """
 
 
 class CandidateSelector:
-    """The targets that may serve a request."""
+    """Selects the targets that may serve a request."""
 
     def __init__(self, region: str, domain: str) -> None:
-        """Create it for an entry of a region and failure domain, without targets."""
+        """Create a selector without targets.
+
+        Args:
+          region: this entry's region.
+          domain: this entry's failure domain.
+        """
         self._region = region
         self._domain = domain
         self._catalog = EMPTY
@@ -50,7 +56,7 @@
         """All targets of the configuration, by service and region."""
 
     def renew(self, catalog: Catalog) -> None:
-        """Take a new configuration."""
+        """Apply a new configuration."""
         self._catalog = catalog
         regions: dict[tuple[str, str], list[Target]] = {}
         domains: dict[tuple[str, str], list[Target]] = {}
@@ -58,16 +64,24 @@
             for target in targets:
                 regions.setdefault((service, target.region), []).append(target)
                 domains.setdefault((service, target.domain), []).append(target)
-        self._by_region = _rankings(regions, self._by_region)
-        self._by_domain = _rankings(domains, self._by_domain)
+        self._by_region = _update_rankings(regions, self._by_region)
+        self._by_domain = _update_rankings(domains, self._by_domain)
         self.targets_by_region = regions
 
     def record_size(self, service: str, size: int) -> None:
-        """Take the bytes of one request of a service and its answer."""
-        self._sizes.learn(service, size)
+        """Record the size of one request and its answer.
+
+        Args:
+          service: the service that answered.
+          size: bytes of the request and the answer.
+        """
+        self._sizes.record(service, size)
 
     def regions(self, request: PlacementRequest) -> list[str]:
-        """Return the homes of a request's route and workspace that have a target."""
+        """Return the regions that may serve a request.
+
+        Each is a home of the request's route and workspace, and has a target.
+        """
         return [
             region
             for region in self._catalog.regions
@@ -80,52 +94,55 @@
         return any(request.may_run_in(region) for region in self._catalog.regions)
 
     def order(self, request: PlacementRequest, region: str) -> list[Target]:
-        """Return all of a region's targets, the one that the key belongs to first."""
+        """Return all targets of a region by descending rank for the request's key."""
         return self._by_region[(request.service, region)].order(request.key)
 
     def candidates(
         self, request: PlacementRequest, region: str, is_open: Callable[[Target], bool]
     ) -> list[Target]:
-        """Return the targets of a region that are looked at for a key, in order.
+        """Return the highest-ranked open targets of a region.
 
-        A key has one target in the whole region, so that few runs are cold. In the
-        own region, where requests are large and the own failure domain has many
-        targets, it has one in each domain, so that bytes stay there.
+        A key normally has one first target in the region, which limits cold runs.
+        In this entry's region, large requests prefer the targets of this entry's
+        failure domain if it has many. The key then has a first target in each domain,
+        which avoids traffic between domains.
 
         Args:
-          request: what is to be placed.
-          region: where.
-          is_open: returns whether a target neither leaves nor rests; others are
-            passed over.
+          request: the request to place.
+          region: the region to search.
+          is_open: returns whether a target is neither leaving nor resting; other
+            targets are skipped.
         """
-        whole = self.order(request, region)
+        in_region = self.order(request, region)
         if region != self._region:
-            return _first(whole, MAX_CANDIDATES, is_open)
-        own = self._by_domain.get((request.service, self._domain))
-        many = own is not None and len(own) >= DOMAIN_AFFINITY_MIN_TARGETS
-        if own is None or not many or not self._sizes.heavy(request.service):
-            return _first(whole, MAX_CANDIDATES, is_open)
-        near = _first(whole, 2 * MAX_CANDIDATES, is_open)
-        others = [t for t in near if t.domain != self._domain]
-        first = _first(own.order(request.key), MAX_CANDIDATES, is_open)
-        return first + others[:MAX_CANDIDATES]
-
-
-def _first(
+            return _first_open(in_region, MAX_CANDIDATES, is_open)
+        in_domain = self._by_domain.get((request.service, self._domain))
+        many = in_domain is not None and len(in_domain) >= DOMAIN_AFFINITY_MIN_TARGETS
+        if in_domain is None or not many or not self._sizes.is_large(request.service):
+            return _first_open(in_region, MAX_CANDIDATES, is_open)
+        open_targets = _first_open(in_region, 2 * MAX_CANDIDATES, is_open)
+        other_domains = [t for t in open_targets if t.domain != self._domain]
+        local = _first_open(in_domain.order(request.key), MAX_CANDIDATES, is_open)
+        return local + other_domains[:MAX_CANDIDATES]
+
+
+def _first_open(
     targets: Iterable[Target], count: int, is_open: Callable[[Target], bool]
 ) -> list[Target]:
-    """Return the first of some targets that take requests."""
+    """Return the first `count` open targets."""
     return list(islice(filter(is_open, targets), count))
 
 
-def _rankings(
+def _update_rankings(
     targets: dict[tuple[str, str], list[Target]],
-    before: dict[tuple[str, str], RendezvousRanking],
+    previous: dict[tuple[str, str], RendezvousRanking],
 ) -> dict[tuple[str, str], RendezvousRanking]:
-    """Order the targets of each place, keeping what is known where none changed."""
-    found = {}
-    for place, ones in targets.items():
-        known = before.get(place)
-        same = known is not None and known.renew(ones)
-        found[place] = known if known is not None and same else RendezvousRanking(ones)
-    return found
+    """Return a ranking for each group, reusing those with unchanged names and slots."""
+    rankings = {}
+    for group, members in targets.items():
+        known = previous.get(group)
+        reusable = known is not None and known.update(members)
+        rankings[group] = (
+            known if known is not None and reusable else RendezvousRanking(members)
+        )
+    return rankings
--- a/leverdoor/entry/placement/fleet.py
+++ b/leverdoor/entry/placement/fleet.py
@@ -114,7 +114,7 @@
             self.availability.set_leaving()
         if report.rest_s:
             in_flight = self._load.in_flight - 1
-            self.availability.rest(report.rest_s, rng.random(), in_flight, now)
+            self.availability.start_rest(report.rest_s, rng.random(), in_flight, now)
         if report.not_run:
             return
         self.availability.answered(self.target.slots, now)
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -263,7 +263,7 @@
     ) -> Rejection:
         """Refuse what targets take after a rest only; urgent ones come back first."""
         for state in states:
-            state.availability.refused(request.priority)
+            state.availability.rejected(request.priority)
         rest_s = min(state.availability.remaining_rest_s(now) for state in states)
         urgent = request.priority <= URGENT_PRIORITY
         wait_ms = resting_retry_after_ms(rest_s, urgent, self._rng.random())
--- a/leverdoor/entry/placement/request_sizes.py
+++ b/leverdoor/entry/placement/request_sizes.py
@@ -1,8 +1,8 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which services have requests and answers so large that bytes between domains matter.
+"""Tracks which services have such large requests that domain traffic is costly.
 
-Owns the mean bytes of each service's requests; lost with the process.
+Owns the mean bytes of a request and its answer for each service, lost with the process.
 """
 
 import msgspec
@@ -10,49 +10,52 @@
 __all__ = ["RequestSizes"]
 
 LARGE_REQUEST_BYTES = 2_500
-"""Mean bytes of a request and its answer from which on domains matter.
+"""Mean bytes of a request and its answer above which a service counts as large.
 
-Found where bytes between domains cost 0.09 of worth. Greater: they cost that again.
-Smaller: keys of small requests run cold in each domain.
+Set where bytes between domains cost 0.09 of worth. A greater value incurs that cost
+again. With a smaller one, the keys of small requests run cold in each domain.
 """
 SMALL_REQUEST_BYTES = 1_250
-"""Mean bytes below which they no longer do: half, so that it does not flap."""
+"""Mean bytes at or below which a service no longer counts as large.
+
+Half the upper threshold; the hysteresis prevents flapping.
+"""
 MEAN_SIZE_WEIGHT = 0.02
-"""Weight of one request in the mean of bytes.
+"""Weight of one request in the mean, which covers about the last fifty.
 
-About the last fifty. Greater: a few large requests change the order of targets.
+With a greater weight, a few large requests change the order of targets.
 """
 MIN_SAMPLES = 20
-"""Requests before the mean counts: one large request says nothing yet."""
+"""Minimum requests before the mean is used; one large request is not conclusive."""
 
 
-class _Sizes(msgspec.Struct):
-    """What is known of one service."""
+class _SizeStatistics(msgspec.Struct):
+    """The size statistics of one service."""
 
     mean: float = 0.0
     """Mean bytes of a request and its answer."""
     samples: int = 0
-    heavy: bool = False
+    is_large: bool = False
 
 
 class RequestSizes:
-    """How many bytes a request and its answer have, by service."""
+    """The mean size of a request and its answer, by service."""
 
     def __init__(self) -> None:
-        """Create an empty book."""
-        self._known: dict[str, _Sizes] = {}
-
-    def learn(self, service: str, size: int) -> None:
-        """Take the bytes of one request and its answer."""
-        known = self._known.setdefault(service, _Sizes())
-        known.samples += 1
-        weight = max(MEAN_SIZE_WEIGHT, 1.0 / known.samples)
-        known.mean += weight * (size - known.mean)
-        if known.samples >= MIN_SAMPLES:
-            bound = SMALL_REQUEST_BYTES if known.heavy else LARGE_REQUEST_BYTES
-            known.heavy = known.mean > bound
-
-    def heavy(self, service: str) -> bool:
-        """Return whether the bytes of a service are worth saving."""
-        known = self._known.get(service)
-        return known is not None and known.heavy
+        """Create it without statistics."""
+        self._by_service: dict[str, _SizeStatistics] = {}
+
+    def record(self, service: str, size: int) -> None:
+        """Record the bytes of one request and its answer."""
+        statistics = self._by_service.setdefault(service, _SizeStatistics())
+        statistics.samples += 1
+        weight = max(MEAN_SIZE_WEIGHT, 1.0 / statistics.samples)
+        statistics.mean += weight * (size - statistics.mean)
+        if statistics.samples >= MIN_SAMPLES:
+            bound = SMALL_REQUEST_BYTES if statistics.is_large else LARGE_REQUEST_BYTES
+            statistics.is_large = statistics.mean > bound
+
+    def is_large(self, service: str) -> bool:
+        """Return whether the requests of a service count as large."""
+        statistics = self._by_service.get(service)
+        return statistics is not None and statistics.is_large
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -109,10 +109,10 @@
 
 def test_a_later_rest_prolongs_and_a_shorter_one_does_not_shorten() -> None:
     availability = Availability()
-    availability.rest(3.0, 0.0, 0, 0.0)
-    availability.rest(1.0, 0.0, 0, 1.0)
+    availability.start_rest(3.0, 0.0, 0, 0.0)
+    availability.start_rest(1.0, 0.0, 0, 1.0)
     assert availability.is_resting(2.99)
-    availability.rest(3.0, 0.0, 0, 2.5)
+    availability.start_rest(3.0, 0.0, 0, 2.5)
     availability.answered(SLOTS, 2.6)
     assert availability.is_resting(5.49)
     assert not availability.is_resting(5.5)
@@ -121,7 +121,7 @@
 @pytest.mark.parametrize("seconds", [1e9, math.inf])
 def test_an_absurd_rest_shuts_no_target_out_for_good(seconds: float) -> None:
     availability = Availability()
-    availability.rest(seconds, 0.5, 0, 0.0)
+    availability.start_rest(seconds, 0.5, 0, 0.0)
     assert availability.open(MAX_REST_S + REST_END_SPREAD_S)
 
 
@@ -147,7 +147,7 @@
 
 def test_one_that_does_not_answer_at_once_returns_in_full_after_a_while() -> None:
     availability = Availability()
-    availability.rest(1.0, 0.0, 0, 0.0)
+    availability.start_rest(1.0, 0.0, 0, 0.0)
     assert not availability.admits(0, INITIAL_WINDOW, 1.0 + RAMP_UP_S / 2)
     assert availability.admits(0, INITIAL_WINDOW, 1.0 + RAMP_UP_S)
 
@@ -155,7 +155,7 @@
 def test_requests_sent_before_a_rest_do_not_keep_others_from_returning() -> None:
     """An upload may run for longer than the rest lasts."""
     availability = Availability()
-    availability.rest(1.0, 0.0, 3, 0.0)
+    availability.start_rest(1.0, 0.0, 3, 0.0)
     assert availability.admits(0, 3 + INITIAL_WINDOW - 1, 1.0)
     availability.ended(2)
     assert not availability.admits(0, 3 + INITIAL_WINDOW - 1, 1.0)
@@ -179,9 +179,9 @@
 
 def test_the_most_urgent_that_were_refused_return_first() -> None:
     availability = Availability()
-    availability.rest(1.0, 0.0, 0, 0.0)
-    availability.refused(2)
-    availability.refused(1)
+    availability.start_rest(1.0, 0.0, 0, 0.0)
+    availability.rejected(2)
+    availability.rejected(1)
     assert availability.admits(1, 0, 1.0)
     assert not availability.admits(2, 0, 1.0)
     assert availability.admits(2, 0, 1.0 + URGENT_ONLY_S)
@@ -235,7 +235,7 @@
         if rest_s is None:
             availability.answered(SLOTS, at)
         else:
-            availability.rest(rest_s, 0.0, 0, at)
+            availability.start_rest(rest_s, 0.0, 0, at)
             ends = max(ends, at + rest_s)
 
 
