--- a/leverdoor/entry/placement/cold_run_rates.py
+++ b/leverdoor/entry/placement/cold_run_rates.py
@@ -1,15 +1,15 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How likely a run is cold, as earlier run times show.
+"""Estimates the probability of a cold run from earlier run times.
 
-A target answers about three times sooner when it has lately seen a request's key. No
-target says so, and one entry sees only a part of what a target gets. Run times fall
-into two clusters, though (times.py), so each answer shows afterwards whether the run
-was cold. From that an entry learns how often a target forgets keys that it was sent
-before, and how often the first, second, ... target of a key is cold for an entry that
-has not sent the key there itself.
+A run is warm if the target has the request's key in its cache, and then takes about a
+third of the time of a cold run. Targets do not report which it was, and one entry
+sees only part of a target's requests. The run time shows it afterwards (run_times.py).
+From this, an entry learns how often a target evicts keys that it was sent before, and
+how often the first, second, ... target of a key is cold if the entry has not yet sent
+the key there.
 
-Owns these shares of cold runs, by target and by rank; lost with the process and learned
+Owns these rates by target and by rank. They are lost with the process and learned
 again from the next ten runs of each.
 """
 
@@ -18,77 +18,80 @@
 __all__ = ["RANKS", "ColdRunRates"]
 
 RANKS = 4
-"""Ranks of targets for a key with a share each; further ones count as the last.
+"""Number of ranks with a rate of their own; further ranks use the last rate.
 
-The two that may serve a key, one spare, and the last for overflow and warm-up.
+Covers the two targets that may serve a key, one spare, and the last rank for overflow
+and warm-up.
 """
 TARGET_RATE_WEIGHT = 0.1
-"""Weight of one run in a target's share: about the last ten runs.
+"""Weight of one run in a target's rate, which covers about the last ten runs.
 
-Greater: one cold run in two stops new keys. Smaller: a target that has started again,
-or got more keys, is noticed late.
+With a greater weight, one cold run in two keeps new keys away. With a smaller one, a
+target that restarted or received more keys is detected late.
 """
 RANK_RATE_WEIGHT = 0.1
-"""Weight of one run in a rank's share: about the last ten runs."""
+"""Weight of one run in a rank's rate, which covers about the last ten runs."""
 MAX_EVICTION_RATE = 0.3
-"""Share of cold runs among known keys from which on a target is given no new ones.
+"""Rate of cold runs among known keys above which a target gets no new keys.
 
-It then gets more keys than it keeps. Between the share of a target that keeps
-all (0) and one that gets twice as many as it keeps, in turn (near 1). Greater: such a
-target goes on running cold. Smaller: a few late runs close a second target.
+Such a target receives more keys than its cache holds. The threshold lies between the
+rate of a target that keeps all keys (0) and of one that receives twice as many as it
+holds, in turn (near 1). With a greater value, an overfilled target continues to run
+keys cold. With a smaller one, a few late runs exclude a second target.
 """
 
 
 class ColdRunRates:
-    """Shares of cold runs, by target and by rank."""
+    """Rates of cold runs, by target and by rank."""
 
     def __init__(self) -> None:
-        """Create an empty book."""
-        self._targets: dict[str, float] = {}
-        self._ranks: dict[tuple[str, str], list[float]] = {}
+        """Create it without rates."""
+        self._by_target: dict[str, float] = {}
+        self._by_group: dict[tuple[str, str], list[float]] = {}
+        """Rates by rank, for each service and region."""
 
     def keep_only(self, names: set[str]) -> None:
-        """Forget the targets that are gone."""
-        for name in self._targets.keys() - names:
-            del self._targets[name]
+        """Remove the rates of all other targets."""
+        for name in self._by_target.keys() - names:
+            del self._by_target[name]
 
     def eviction_rate(self, target: Target) -> float:
-        """Return the share of cold runs among keys sent to a target before."""
-        return self._targets.get(target.name, 0.0)
+        """Return the rate of cold runs among keys that the target has answered."""
+        return self._by_target.get(target.name, 0.0)
 
     def evicts_keys(self, target: Target) -> bool:
-        """Return whether a target gets more keys than it keeps."""
+        """Return whether a target receives more keys than its cache holds."""
         return self.eviction_rate(target) > MAX_EVICTION_RATE
 
     def cold_share(self, target: Target, rank: int, seen: bool) -> float:
-        """Return how likely a run is cold.
+        """Return the probability that a run is cold.
 
         Args:
-          target: where it would run.
-          rank: place of the target in the order of its region for the key.
-          seen: whether an entry had an answer for the key from there.
+          target: the target that would run the request.
+          rank: index of the target in its region's order for the key.
+          seen: whether any entry received an answer for the key from the target.
         """
         if seen:
             return self.eviction_rate(target)
-        return self._of_ranks(target)[min(rank, RANKS - 1)]
+        return self._rates_by_rank(target)[min(rank, RANKS - 1)]
 
-    def learn(self, target: Target, rank: int, seen: bool, cold: bool) -> None:
-        """Take a run whose time shows whether it was cold."""
+    def record(self, target: Target, rank: int, seen: bool, cold: bool) -> None:
+        """Record whether a run was cold; arguments as for `cold_share`."""
         if seen:
-            before = self.eviction_rate(target)
-            self._targets[target.name] = before + TARGET_RATE_WEIGHT * (cold - before)
+            rate = self.eviction_rate(target)
+            self._by_target[target.name] = rate + TARGET_RATE_WEIGHT * (cold - rate)
             return
-        shares = self._of_ranks(target)
-        place = min(rank, RANKS - 1)
-        shares[place] += RANK_RATE_WEIGHT * (cold - shares[place])
+        rates = self._rates_by_rank(target)
+        index = min(rank, RANKS - 1)
+        rates[index] += RANK_RATE_WEIGHT * (cold - rates[index])
 
-    def _of_ranks(self, target: Target) -> list[float]:
-        """Return the shares by rank of a target's service and region.
+    def _rates_by_rank(self, target: Target) -> list[float]:
+        """Return the rates by rank for a target's service and region.
 
-        All ranks but the first count as cold until runs show otherwise.
+        All ranks except the first count as cold until runs show otherwise.
         """
-        place = (target.service, target.region)
-        found = self._ranks.get(place)
-        if found is None:
-            found = self._ranks[place] = [0.0] + [1.0] * (RANKS - 1)
-        return found
+        group = (target.service, target.region)
+        rates = self._by_group.get(group)
+        if rates is None:
+            rates = self._by_group[group] = [0.0] + [1.0] * (RANKS - 1)
+        return rates
--- a/leverdoor/entry/placement/load_estimate.py
+++ b/leverdoor/entry/placement/load_estimate.py
@@ -1,13 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How many requests one target has, estimated from several noisy counts.
+"""Estimates the number of requests at one target from several noisy counts.
 
-Owns, for each target: this entry's own requests in flight (exact), the load that the
-target reported last, the counts of other entries, and the mean by which those counts
+Owns, for each target, this entry's requests in flight (exact), the load that the target
+last reported, the counts of other entries, and the mean amount by which those counts
 were too low. All of it is lost with the process and learned again within seconds.
 
-Relies on reports that come with answers (entry/requests) and on counts in heartbeats
-and digests (entry/exchange). Works without either, with less precision.
+Relies on reports in answers (entry/requests) and on counts in heartbeats and digests
+(entry/exchange). Works with only one of them, or none, at lower precision.
 """
 
 import math
@@ -19,41 +19,42 @@
 __all__ = ["PEER_LOAD_TTL_S", "LoadEstimate"]
 
 MIN_REPORT_DECAY_S = 0.15
-"""Least time in which a target's report of its load loses most of its meaning, in s.
-
-Where warm runs take longer, it is one warm run: after that the requests that were
-reported are done, and others have come. Greater: an old report hides newer counts.
-Smaller: only counts decide, which miss what no heartbeat has carried yet. The run time
-guards against dropping a report of requests that still run, where a warm run takes
-1.1 s; with runs of 0.2 to 0.6 s it made no difference (27 entries).
+"""Minimum time constant with which the weight of a load report decays, in seconds.
+
+If a warm run takes longer, its duration is used: by then the reported requests have
+ended and others have arrived. With a greater value, an old report hides newer counts.
+With a smaller one, only the counts matter, which lack the requests that no heartbeat
+has carried yet. The duration of a warm run prevents discarding a report of requests
+that still run, if a warm run takes 1.1 s; with runs of 0.2 to 0.6 s it made no
+difference (27 entries).
 """
 UNCOUNTED_AVERAGING_S = 1.0
-"""Time over which load that no heartbeat accounts for is averaged, in seconds.
+"""Averaging period of the load missing from heartbeats, in seconds.
 
-Greater: the correction outlives a change of load. Smaller: it follows the noise of
-single reports.
+With a greater value, the correction outlasts a change of load. With a smaller one, it
+follows the noise of single reports.
 """
 PEER_LOAD_TTL_S = 2.5
-"""Age up to which another entry's count is used, in seconds: twelve heartbeats.
+"""Lifetime of another entry's count in seconds: twelve heartbeats.
 
-Greater: requests of an entry that died block slots. Smaller: a few lost datagrams make
-a busy target look free.
+With a greater value, the requests of a crashed entry occupy slots. With a smaller one,
+a few lost datagrams make a busy target look free.
 """
 REFUSED_LOAD_X = 2
-"""Load over slots that a target counts as having when it refuses a request.
+"""Ratio of load to slots assumed for a target that rejects a request.
 
-Above any load at which a request may wait there, so that it gets nothing until the
-figure fades like a report.
+Above any load at which a request may wait for the target, so that the target receives
+nothing until the assumption decays like a report.
 """
 
 
 class _Report(msgspec.Struct, frozen=True):
-    """What a target last said of its load."""
+    """The last load report of a target."""
 
     at: float
     """Monotonic time of its arrival, in seconds."""
     others: float
-    """Requests of other entries in it."""
+    """Reported requests of other entries."""
 
 
 class _PeerCount(msgspec.Struct, frozen=True):
@@ -68,56 +69,57 @@
     """The load of one target."""
 
     def __init__(self) -> None:
-        """Create it for a target about which nothing is known."""
+        """Create it for a target with unknown load."""
         self.in_flight = 0
-        """This entry's own requests there."""
+        """This entry's requests at the target."""
         self._report: _Report | None = None
         self._uncounted = 0.0
-        """Mean load beyond what heartbeats account for; may be negative."""
+        """Mean load missing from heartbeats; may be negative."""
         self._peers: dict[str, _PeerCount] = {}
         self._peers_sum = 0
-        self._peers_until = 0.0
-        """Until when the sum holds: then the oldest count in it is too old."""
+        self._peers_sum_until = 0.0
+        """Monotonic time at which the oldest summed count expires, in seconds."""
 
     def reported(self, load: TargetLoad, now: float, answered: int = 0) -> None:
-        """Take the load that the target reports; own requests are part of it.
+        """Record the load that the target reports, which includes own requests.
 
         Args:
-          load: what it reports.
+          load: the reported load.
           now: monotonic time in seconds.
-          answered: own requests that have ended there and still count as in flight.
+          answered: own requests that ended at the target but still count as in flight.
         """
         own = self.in_flight - answered
         others = max(load.running + load.waiting - own, 0)
         elapsed_s = now - self._report.at if self._report else UNCOUNTED_AVERAGING_S
         weight = 1.0 - math.exp(-max(elapsed_s, 0.0) / UNCOUNTED_AVERAGING_S)
-        gap = others - self._in_flight_of_peers(now)
-        self._uncounted += weight * (gap - self._uncounted)
+        uncounted = others - self._in_flight_of_peers(now)
+        self._uncounted += weight * (uncounted - self._uncounted)
         self._report = _Report(now, others)
 
     def refused(self, slots: int, now: float) -> None:
-        """Take the target's refusal of a request as a report that it is overloaded."""
+        """Record a rejection by the target as a report of an overload."""
         self._report = _Report(now, max(slots * REFUSED_LOAD_X - self.in_flight, 0))
 
     def reported_by_peer(self, peer: str, in_flight: int, now: float) -> None:
-        """Take how many requests another entry has in flight there."""
+        """Record the number of requests that another entry has in flight there."""
         if in_flight:
             self._peers[peer] = _PeerCount(now, in_flight)
         else:
             self._peers.pop(peer, None)
-        self._peers_until = 0.0
+        self._peers_sum_until = 0.0
 
     def estimate(self, warm_run_s: float, now: float) -> float:
-        """Return the requests, running and waiting, that the target has.
+        """Estimate the running and waiting requests at the target.
 
-        Own requests are known. Those of others are what the target reported last,
-        and, the older the report, the more what heartbeats count, corrected by how
-        much they were off lately. Not the greater of the two: the greater of two
-        noisy figures is too high on average, and requests were refused where there
-        were free slots (an estimate without this bias was worth +0.021, 12 entries).
+        The number of own requests is exact. The requests of others are a mean of the
+        last report and of the counts in heartbeats, corrected by their recent error;
+        the weight of the report decreases with its age. The greater of the two figures
+        would be biased: the maximum of two noisy values is too high on average, and
+        requests were rejected beside free slots (an estimate without this bias was
+        worth +0.021, 12 entries).
 
         Args:
-          warm_run_s: mean time of a warm run there, in seconds; 0 if unknown.
+          warm_run_s: mean duration of a warm run there, in seconds; 0 if unknown.
           now: monotonic time in seconds.
         """
         others = max(self._in_flight_of_peers(now) + self._uncounted, 0.0)
@@ -128,10 +130,10 @@
         return self.in_flight + others
 
     def age_ms(self, now: float) -> int:
-        """Return the time since the last report, or count of a peer, arrived, in ms.
+        """Return the time since the last report or peer count arrived, in ms.
 
-        The counts themselves may be older: with 300 entries they
-        arrive within 0.79 s (p99). -1 if nothing has arrived.
+        The counts themselves may be older: with 300 entries, they arrive within 0.79 s
+        (p99). Returns -1 if nothing has arrived.
         """
         arrivals = [count.at for count in self._peers.values()]
         if self._report is not None:
@@ -139,14 +141,15 @@
         return round((now - max(arrivals)) * 1000) if arrivals else -1
 
     def _in_flight_of_peers(self, now: float) -> int:
-        """Return the sum of the other entries' counts that are not too old."""
-        if now >= self._peers_until:
+        """Return the sum of the other entries' unexpired counts."""
+        if now >= self._peers_sum_until:
             self._sum_peers(now)
         return self._peers_sum
 
     def _sum_peers(self, now: float) -> None:
+        """Remove expired counts and sum the others."""
         fresh = {p: c for p, c in self._peers.items() if now - c.at <= PEER_LOAD_TTL_S}
         self._peers = fresh
         self._peers_sum = sum(count.in_flight for count in fresh.values())
         oldest = min((count.at for count in fresh.values()), default=now)
-        self._peers_until = oldest + PEER_LOAD_TTL_S
+        self._peers_sum_until = oldest + PEER_LOAD_TTL_S
--- a/leverdoor/entry/placement/overflow_budget.py
+++ b/leverdoor/entry/placement/overflow_budget.py
@@ -1,43 +1,44 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How many requests of an entry may leave their key's region at once.
+"""Limits how many requests of an entry may leave their key's region at once.
 
-The shares of regions move slowly (spill.py). A few requests may go to another region
-in the meantime; they run cold there, so they are bound to a part of all requests.
+The shares of regions change slowly (region_shares.py). In the meantime, a few requests
+may go to another region. They run cold there, so they are limited to a fraction of all
+requests.
 
-Owns what an entry has saved up of that part; lost with the process, which starts with
-the most.
+Owns the saved tokens of this budget, lost with the process, which starts with the
+maximum.
 """
 
 __all__ = ["OverflowBudget"]
 
 MAX_SAVED_OVERFLOWS = 3.0
-"""Most requests saved up.
+"""Capacity of the token bucket, in requests.
 
-Greater: a burst of them changes region at once, which the shift cap is there to
-prevent. Smaller: two full targets in a row refuse a request.
+With a greater value, a burst of requests changes region at once, which the shift cap is
+there to prevent. With a smaller one, two full targets in a row reject a request.
 """
 
 
 class OverflowBudget:
-    """Requests that may leave their key's region: each request earns a part of one."""
+    """A token bucket that every request refills by a fraction of a token."""
 
     def __init__(self, earned: float) -> None:
-        """Create it with the most saved up.
+        """Create a full bucket.
 
         Args:
-          earned: what a request earns, in requests.
+          earned: tokens added by each request.
         """
         self._earned = earned
-        self._saved = MAX_SAVED_OVERFLOWS
+        self._tokens = MAX_SAVED_OVERFLOWS
 
     def earn(self) -> None:
-        """Count a request that is to be placed."""
-        self._saved = min(MAX_SAVED_OVERFLOWS, self._saved + self._earned)
+        """Add the tokens for one request."""
+        self._tokens = min(MAX_SAVED_OVERFLOWS, self._tokens + self._earned)
 
     def spend(self) -> bool:
-        """Take one request if there is one."""
-        if self._saved < 1.0:
+        """Take one token; return whether one was available."""
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
--- a/leverdoor/entry/placement/peer_rests.py
+++ b/leverdoor/entry/placement/peer_rests.py
@@ -1,14 +1,15 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which targets turn several entries away, told as short digests.
+"""Detects targets that requested a rest from several entries.
 
-A rest is asked of one entry. Where hundreds share a target, each sends it a request in
-seconds, and nearly all of these would be turned away before each entry was asked. So
-entries tell each other that they were asked, and others prefer other targets for a
-moment; it is a preference only, and what a target answers an entry counts for more.
+A target requests a rest from one entry at a time. If hundreds of entries share the
+target, each sends it a request within seconds and nearly all of these are rejected.
+Entries therefore exchange digests of the rests requested of them, and prefer other
+targets for a moment. This is only a preference: the target's answers to this entry
+take precedence.
 
-Owns the part under which this entry tells its rests, lost with the process. Relies on
-`WarmKeyDigests`, whose digests carry these as well.
+Owns the digest number that this entry uses, lost with the process. Relies on
+`WarmKeyDigests`, which carries these digests too.
 """
 
 from functools import lru_cache
@@ -17,50 +18,58 @@
 from leverdoor.entry.placement.warm_key_digests import WarmKeyDigests, target_digest
 from leverdoor.model.resources import Target
 
-__all__ = ["REST_DIGEST_TTL_S", "DIGESTS_PER_TARGET", "REST_QUORUM", "PeerRests"]
+__all__ = ["DIGESTS_PER_TARGET", "REST_DIGEST_TTL_S", "REST_QUORUM", "PeerRests"]
 
 DIGESTS_PER_TARGET = 8
-"""Digests of a target; each entry tells one of them, so that they count entries."""
+"""Number of distinct digests for each target.
+
+Each entry sends one of them, so the number of known digests approximates the number of
+entries.
+"""
 REST_QUORUM = 3
-"""Digests that must be known: a target that turns one entry away may serve others."""
+"""Number of known digests for which a target counts as resting.
+
+A target that rejects the requests of one entry may serve others.
+"""
 REST_DIGEST_TTL_S = 1.0
-"""How long such a digest counts, in seconds: a target that is well again is used again
-in about that time."""
+"""Lifetime of a digest in seconds; a recovered target is used again after about that.
+"""
 MAX_CACHED_TARGETS = 8_192
-"""Targets whose digests are kept; 2,500 entries are built for 3,000."""
+"""Maximum targets with cached digests; 2,500 entries are designed for 3,000 targets."""
 
 
 class PeerRests:
-    """Rests that targets asked several entries for."""
+    """Rests that targets requested of this and other entries."""
 
     def __init__(self, digests: WarmKeyDigests, rng: Random) -> None:
-        """Create it without any.
+        """Create it without rests.
 
         Args:
-          digests: carries them between entries.
-          rng: chooses the part of this entry.
+          digests: exchanges digests with other entries.
+          rng: selects the digest number of this entry.
         """
         self._digests = digests
         self._rng = rng
-        self._part: int | None = None
+        self._number: int | None = None
 
     def record_rest(self, target: Target, now: float) -> None:
-        """Tell others that a target asked this entry for rest."""
-        if self._part is None:
-            self._part = self._rng.randrange(DIGESTS_PER_TARGET)
-        digest = _digests(target.name)[self._part]
+        """Record, and tell other entries, that a target requested a rest."""
+        if self._number is None:
+            self._number = self._rng.randrange(DIGESTS_PER_TARGET)
+        digest = _digests(target.name)[self._number]
         self._digests.record_digest(digest, REST_DIGEST_TTL_S, now)
 
     def is_resting(self, target: Target, now: float) -> bool:
-        """Return whether a target lately asked several entries for rest."""
-        known = 0
+        """Return whether a target recently requested a rest from several entries."""
+        count = 0
         for digest in _digests(target.name):
-            at = self._digests.last_recorded_at(digest)
-            known += at is not None and now - at <= REST_DIGEST_TTL_S
-        return known >= REST_QUORUM
+            recorded_at = self._digests.last_recorded_at(digest)
+            count += recorded_at is not None and now - recorded_at <= REST_DIGEST_TTL_S
+        return count >= REST_QUORUM
 
 
 @lru_cache(MAX_CACHED_TARGETS)
 def _digests(name: str) -> tuple[int, ...]:
-    # No key of a request holds a line feed, so none has the same digest.
-    return tuple(target_digest(name, f"\n{part}") for part in range(DIGESTS_PER_TARGET))
+    """Return the digests that report a rest of a target."""
+    # Request keys contain no line feed, so these inputs differ from those of keys.
+    return tuple(target_digest(name, f"\n{n}") for n in range(DIGESTS_PER_TARGET))
--- a/leverdoor/entry/placement/target_chooser.py
+++ b/leverdoor/entry/placement/target_chooser.py
@@ -258,6 +258,6 @@
         times = self._times_of(request)
         if request.route.affinity and self._tuning.learns_warmth:
             cold = times.is_cold(took_ms)
-            self._warmth.learn(placement.target, placement.rank, placement.seen, cold)
+            self._warmth.record(placement.target, placement.rank, placement.seen, cold)
         if placement.target.region == self._region:
             times.learn(took_ms)
--- a/leverdoor/entry/placement/warm_key_digests.py
+++ b/leverdoor/entry/placement/warm_key_digests.py
@@ -1,14 +1,14 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which keys are warm at another target than their first, over all entries.
+"""Exchanges which keys are warm at a target other than their first one.
 
-One entry sees only a part of a target's requests. Heartbeats carry, as short digests,
-which keys were answered by another than the key's first target: the second entry that
-needs such a target knows that the key is warm there.
+One entry sees only part of a target's requests. Heartbeats therefore carry short
+digests of the keys that were answered by a target other than the key's first one. An
+entry that needs such a target then knows that the key is warm there.
 
-Owns the digests that this entry sends and those that all entries sent; both are lost
-with the process and are back within seconds. Relies on heartbeats (entry/exchange);
-a digest that is lost costs a refusal or one cold run.
+Owns the digests that this entry sends and those of all entries. Both are lost with the
+process and restored within seconds. Relies on heartbeats (entry/exchange); a lost
+digest costs a rejection or one cold run.
 """
 
 from collections import OrderedDict, deque
@@ -19,91 +19,100 @@
 
 from leverdoor.model.resources import Target
 
-__all__ = ["WARM_KEY_TTL_S", "MAX_SENT_DIGESTS", "WarmKeyDigests", "target_digest"]
+__all__ = ["MAX_SENT_DIGESTS", "WARM_KEY_TTL_S", "WarmKeyDigests", "target_digest"]
 
 WARM_KEY_TTL_S = 20.0
-"""How long an answer counts as a sign that its key is warm, in seconds.
+"""Period after an answer in which its key counts as warm, in seconds.
 
-For keys that are requested each 0.3 to 4 s in their region. Greater: the target may
-have dropped the key. Smaller: the key is refused at a target where it is warm.
+Suits keys that are requested every 0.3 to 4 s in their region. With a greater value,
+the target may have evicted the key. With a smaller one, requests are rejected at a
+target where their key is warm.
 """
 RESEND_AFTER_S = 5.0
-"""Time after which the same answer is sent again, in seconds; a quarter of `WARM_KEY_TTL_S`.
+"""Period after which a digest is sent again, in seconds; a quarter of its lifetime.
 
-Three more chances before the first one is void. Smaller: longer heartbeats.
+Allows three more transmissions before the first one expires. A smaller value makes
+heartbeats longer.
 """
 MAX_SENT_DIGESTS = 64
-"""Digests in one heartbeat at most: 320 bytes.
+"""Maximum digests in one heartbeat, 320 bytes.
 
-Greater: longer heartbeats. Smaller: a busy entry's oldest ones are not sent.
+A greater value makes heartbeats longer. With a smaller one, a busy entry does not send
+its oldest digests.
 """
 MAX_KNOWN_DIGESTS = 8_192
-"""Digests kept: beyond what 65 entries send in `WARM_KEY_TTL_S`. The one that was renewed
-longest ago goes first."""
+"""Maximum digests stored; the least recently renewed one is evicted.
+
+Exceeds what 65 entries send in `WARM_KEY_TTL_S`.
+"""
 
 
-class _Sending(msgspec.Struct, frozen=True):
-    """One digest that goes into heartbeats."""
+class _QueuedDigest(msgspec.Struct, frozen=True):
+    """A digest to be sent in heartbeats."""
 
     at: float
-    """Monotonic time of the answer, in seconds."""
+    """Monotonic time at which it was recorded, in seconds."""
     digest: int
 
 
 class WarmKeyDigests:
-    """Keys that were answered by other targets than their first, of all entries."""
+    """Digests of keys that other targets than their first answered, of all entries."""
 
     def __init__(self) -> None:
-        """Create it knowing nothing."""
-        self._recent: deque[_Sending] = deque(maxlen=MAX_SENT_DIGESTS)
+        """Create it without digests."""
+        self._queue: deque[_QueuedDigest] = deque(maxlen=MAX_SENT_DIGESTS)
         self._known: OrderedDict[int, float] = OrderedDict()
-        """When each digest was last renewed, monotonic time in seconds."""
+        """Monotonic time at which each digest was last renewed, in seconds."""
 
     def record_answer(self, target: Target, key: str, now: float) -> None:
-        """Note an answer for the next heartbeats, unless it was sent lately."""
+        """Record a target's answer for a key, and queue its digest for heartbeats."""
         self.record_digest(target_digest(target.name, key), RESEND_AFTER_S, now)
 
-    def record_digest(self, digest: int, again_after_s: float, now: float) -> None:
-        """Note a digest for the next heartbeats, unless it was noted lately.
+    def record_digest(self, digest: int, resend_after_s: float, now: float) -> None:
+        """Record a digest, and queue it for heartbeats unless it is recent.
 
         Args:
           digest: 32 bits.
-          again_after_s: age from which on it is sent again, in seconds.
+          resend_after_s: age above which the digest is queued again, in seconds.
           now: monotonic time in seconds.
         """
-        at = self._known.get(digest)
-        if at is None or now - at > again_after_s:
-            self._recent.append(_Sending(now, digest))
-        self._remember(digest, now)
+        recorded_at = self._known.get(digest)
+        if recorded_at is None or now - recorded_at > resend_after_s:
+            self._queue.append(_QueuedDigest(now, digest))
+        self._renew(digest, now)
 
     def last_recorded_at(self, digest: int) -> float | None:
-        """Return when a digest was last noted here or by another entry, if known."""
+        """Return when this or another entry last recorded a digest, None if unknown."""
         return self._known.get(digest)
 
     def recent(self, span_s: float, now: float) -> list[int]:
-        """Return the digests of the last seconds, for a heartbeat."""
-        return [
-            sending.digest for sending in self._recent if now - sending.at <= span_s
-        ]
+        """Return the digests queued in the last `span_s` seconds, for a heartbeat."""
+        return [queued.digest for queued in self._queue if now - queued.at <= span_s]
 
     def receive(self, digests: Iterable[int], now: float) -> None:
-        """Take the digests of another entry's heartbeat."""
+        """Record the digests of another entry's heartbeat."""
         for digest in digests:
-            self._remember(digest, now)
+            self._renew(digest, now)
 
     def is_warm(self, target: Target, key: str, since: float, now: float) -> bool:
-        """Return whether an entry had an answer for a key from a target.
+        """Return whether a key is warm at a target, by an answer to any entry.
 
         Args:
-          target: which one.
+          target: the target.
           key: the key.
-          since: when the target last was empty; older answers are void.
+          since: monotonic time at which the target's cache was last empty, in
+            seconds; earlier answers are ignored.
           now: monotonic time in seconds.
         """
-        at = self._known.get(target_digest(target.name, key))
-        return at is not None and at >= since and now - at <= WARM_KEY_TTL_S
-
-    def _remember(self, digest: int, now: float) -> None:
+        recorded_at = self._known.get(target_digest(target.name, key))
+        return (
+            recorded_at is not None
+            and recorded_at >= since
+            and now - recorded_at <= WARM_KEY_TTL_S
+        )
+
+    def _renew(self, digest: int, now: float) -> None:
+        """Record a digest as the most recently renewed one."""
         self._known[digest] = now
         self._known.move_to_end(digest)
         if len(self._known) > MAX_KNOWN_DIGESTS:
@@ -111,5 +120,8 @@
 
 
 def target_digest(target: str, key: str) -> int:
-    """Return 32 bits for a key at a target, by its name; a clash costs one cold run."""
+    """Return a 32-bit digest of a target name and a key.
+
+    A hash collision costs one cold run.
+    """
     return xxhash.xxh32_intdigest(f"{target}|{key}".encode())
--- a/tests/test_entry_warmth.py
+++ b/tests/test_entry_warmth.py
@@ -42,8 +42,8 @@
     book = ColdRunRates()
     one = target("t")
     for _ in range(40):
-        book.learn(one, 0, seen=False, cold=True)
-        book.learn(one, 1, seen=False, cold=False)
+        book.record(one, 0, seen=False, cold=True)
+        book.record(one, 1, seen=False, cold=False)
     assert book.cold_share(one, 0, seen=False) > 0.9
     assert book.cold_share(one, 1, seen=False) < 0.1
     assert book.cold_share(one, RANKS + 3, seen=False) == 1.0
@@ -53,8 +53,8 @@
     book = ColdRunRates()
     one, other = target("t"), target("u")
     for _ in range(20):
-        book.learn(one, 0, seen=True, cold=True)
-        book.learn(other, 0, seen=True, cold=False)
+        book.record(one, 0, seen=True, cold=True)
+        book.record(other, 0, seen=True, cold=False)
     assert book.evicts_keys(one)
     assert not book.evicts_keys(other)
     book.keep_only({"u"})
