--- a/leverdoor/entry/placement/queue_wait.py
+++ b/leverdoor/entry/placement/queue_wait.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How long a request may wait at a target for a slot.
+"""Limits the time that a request may wait for a slot of a target.
 
-Owns no state; relies on the route's latency target and on the run times that were
-learned (times.py).
+Owns no state; relies on the route's latency target and on the learned run times
+(run_times.py).
 """
 
 from leverdoor.entry.placement.placement_request import PlacementRequest
@@ -13,15 +13,16 @@
 __all__ = ["URGENT_PRIORITY", "max_queue_wait_ms"]
 
 RUN_TIME_MARGIN_X = 1.2
-"""Times the mean warm run that is kept free for the run itself.
+"""Time reserved for the run, as a multiple of the mean warm run.
 
-Runs vary by 15%. Greater: requests are refused that would be in time. Smaller: more of
-those that waited are late.
+Run times vary by 15%. With a greater value, requests are rejected that would be in
+time. With a smaller one, more of the requests that waited are late.
 """
 URGENT_PRIORITY = 1
-"""Greatest priority number that counts as urgent; smaller is more urgent.
+"""Greatest priority number that counts as urgent; a lower number is more urgent.
 
-Greater: nearly all may wait to the last. Smaller: only one priority is urgent.
+With a greater value, nearly all requests may use the whole wait. With a smaller one,
+only one priority is urgent.
 """
 MS_PER_S = 1000
 """Milliseconds in a second: times of requests are in s, run times in ms."""
@@ -30,23 +31,25 @@
 def max_queue_wait_ms(
     request: PlacementRequest, warm_run_ms: float, tuning: Tuning, now: float
 ) -> float:
-    """Return the longest wait at a target that still makes sense, in ms.
+    """Return the maximum time that a request may wait at a target, in ms.
 
-    What is left of the latency target after a warm run, but at least a share of it: a
-    request that is refused comes back to the same load. Less for less urgent requests,
-    which are so refused first. Never past the time at which the caller gives up; below
-    0, no target is fit.
+    This is the part of the latency target that remains after a warm run, but at least
+    a fraction of the whole: a rejected request is retried against the same load. Less
+    urgent requests may wait less, and are therefore rejected first. The wait never
+    exceeds the caller's deadline; if it is negative, no target can serve the request.
 
     Args:
-      request: what is to be placed.
-      warm_run_ms: mean time of a warm run of such requests.
+      request: the request to place.
+      warm_run_ms: mean duration of a warm run of such requests.
       tuning: `least_wait_share` and `less_urgent`.
       now: monotonic time in seconds.
     """
-    aim_ms = request.route.target_latency_ms or DEFAULT_LATENCY_MS
-    spent_ms = (now - request.arrived_at) * MS_PER_S
-    least_ms = tuning.least_wait_share * aim_ms
-    wait_ms = max(aim_ms - spent_ms - warm_run_ms * RUN_TIME_MARGIN_X, least_ms)
+    latency_target_ms = request.route.target_latency_ms or DEFAULT_LATENCY_MS
+    elapsed_ms = (now - request.arrived_at) * MS_PER_S
+    least_ms = tuning.least_wait_share * latency_target_ms
+    wait_ms = max(
+        latency_target_ms - elapsed_ms - warm_run_ms * RUN_TIME_MARGIN_X, least_ms
+    )
     if request.priority > URGENT_PRIORITY:
         wait_ms *= tuning.less_urgent
     left_ms = (request.expires_at - now) * MS_PER_S - warm_run_ms
--- a/leverdoor/entry/placement/refusals.py
+++ b/leverdoor/entry/placement/refusals.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What a caller and the log learn when no target can take a request.
+"""Retry times and log details of requests that no target can take.
 
 Owns no state; relies on the states of the targets (fleet.py).
 """
@@ -18,24 +18,25 @@
 ]
 
 MIN_RETRY_AFTER_MS = 150
-"""Least time after which a refused request should come back, in ms.
+"""Minimum delay before a rejected request is retried, in ms.
 
-About one warm run: before that the same requests still run. Greater: a caller waits
-while slots are free. Smaller: it meets the same load.
+About one warm run; before that, the same requests are still running. With a greater
+value, a caller waits while slots are free. With a smaller one, the retry meets the same
+load.
 """
 RETRY_AFTER_SPREAD_MS = 350
-"""Spread of that time, in ms, so that refused requests come back one by one.
+"""Range over which retries are spread, in ms.
 
-Greater: some wait longer than the load lasts. Smaller: requests that were refused
-together come back together.
+With a greater value, some callers wait longer than the overload lasts. With a smaller
+one, requests that were rejected together are retried together.
 """
 
 
 def retry_after_ms(chance: float) -> int:
-    """Return when a request that placement refused should come back, in ms.
+    """Return the retry delay of a rejected request, in ms.
 
-    Between MIN_RETRY_AFTER_MS and the sum of both bounds, evenly spread. It doesn't
-    depend on the load, which is another by then.
+    The delay is evenly distributed between MIN_RETRY_AFTER_MS and the sum of both
+    constants. It does not depend on the load, which will have changed by then.
 
     Args:
       chance: a random number of [0, 1).
@@ -44,13 +45,13 @@
 
 
 def limited_retry_after_ms(room_s: float, chance: float) -> int:
-    """Return when a request should come back that targets' limits leave no room for.
+    """Return the retry delay of a request rejected by the limits of targets, in ms.
 
-    From the time when there should be room for it to twice that, so that those refused
-    together come one by one.
+    The delay is between once and twice the time until room is expected, so that
+    requests that were rejected together are retried one by one.
 
     Args:
-      room_s: until any target should have room, in seconds.
+      room_s: time until any target is expected to have room, in seconds.
       chance: a random number of [0, 1).
     """
     least_ms = max(room_s * 1000, MIN_RETRY_AFTER_MS)
@@ -58,44 +59,47 @@
 
 
 def resting_retry_after_ms(rest_s: float, urgent: bool, chance: float) -> int:
-    """Return when a request should come back that was refused since all targets rest.
+    """Return the retry delay of a request rejected because all targets rest, in ms.
 
-    Spread from the end of the first rest on: urgent ones over the first half of
-    `RETRY_AFTER_SPREAD_MS`, others over the second.
+    Retries start when the first rest ends. Urgent requests are spread over the first
+    half of `RETRY_AFTER_SPREAD_MS`, others over the second half.
 
     Args:
-      rest_s: until the first rest ends, in seconds.
-      urgent: whether it goes before others.
+      rest_s: time until the first rest ends, in seconds.
+      urgent: whether the request is urgent.
       chance: a random number of [0, 1).
     """
     least_ms = max(rest_s * 1000, MIN_RETRY_AFTER_MS)
     half_ms = RETRY_AFTER_SPREAD_MS / 2
-    first_ms = 0.0 if urgent else half_ms
-    return int(least_ms + first_ms + half_ms * chance)
+    offset_ms = 0.0 if urgent else half_ms
+    return int(least_ms + offset_ms + half_ms * chance)
 
 
 def describe_loads(targets: Iterable[Target], fleet: Fleet, now: float) -> str:
-    """Return, for the log, the loads of targets that could not take a request.
+    """Describe, for the log, the targets that could not take a request.
 
-    For each target: name, estimated load over slots, time since the last report of it
-    arrived, "cold" in its warm-up, "leaving" or "resting" if it said so, "ejected" if
-    it is ejected or silent, its limit.
+    The description of a target consists of its name, its estimated load over its slots,
+    the time since its last load report or count arrived, "cold" if it is in its
+    warm-up, "leaving", "resting" or "ejected" (also if silent) if it is unusable, and
+    its limit.
     """
-    loads = []
+    descriptions = []
     for target in targets:
         state = fleet.of(target, now)
         cold = " cold" if state.in_warm_up(now) else ""
-        out = "" if state.is_usable(now) else f" {_unusable_reason(state, now)}"
+        unusable = "" if state.is_usable(now) else f" {_unusable_reason(state, now)}"
         age_ms = state.load_age_ms(now)
         per_s = fleet.limit_per_s(target)
         limit = "" if per_s is None else f" limit {per_s:g}/s"
         load = f"{state.load(now):.1f}/{target.slots}"
-        loads.append(f"{target.name} {load} ({age_ms} ms){cold}{out}{limit}")
-    return ", ".join(loads)
+        descriptions.append(
+            f"{target.name} {load} ({age_ms} ms){cold}{unusable}{limit}"
+        )
+    return ", ".join(descriptions)
 
 
 def _unusable_reason(state: TargetState, now: float) -> str:
-    """Return why a target gets no requests."""
+    """Return why a target receives no requests."""
     if state.availability.leaving:
         return "leaving"
     return "resting" if state.availability.is_resting(now) else "ejected"
--- a/leverdoor/entry/placement/room_refusals.py
+++ b/leverdoor/entry/placement/room_refusals.py
@@ -1,51 +1,57 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry remembers of a limited target that had no room when it was asked for.
+"""Remembers the room requests that the limiter of one target rejected.
 
-Until its limiter expects room again, requests of that priority and less urgent ones go
-elsewhere without asking, so that neither they wait nor the limiter is flooded.
+Until the limiter expects room again, requests of the same or a less urgent priority go
+to other targets without a room request. This avoids waits for the requests and a flood
+of room requests to the limiter.
 
-Owns, for one target, until when it is not asked again by priority, and how many
-requests that kept from asking; lost with the process.
+Owns, for one target and by priority, until when no room is requested and how many
+room requests were skipped; lost with the process.
 """
 
 __all__ = ["RoomRefusals"]
 
 
 class RoomRefusals:
-    """The refusals of one target's limiter."""
+    """The rejections by one target's limiter."""
 
     def __init__(self) -> None:
-        """Create it without any."""
+        """Create it without rejections."""
         self._until: dict[int, float] = {}
-        """By priority, until when the limiter is not asked, in monotonic seconds."""
-        self._missed: dict[int, int] = {}
+        """By priority, the monotonic time until which no room is requested, in s."""
+        self._skipped: dict[int, int] = {}
+        """By priority, the number of skipped room requests."""
         self._room_at = 0.0
+        """Monotonic time at which the limiter expects room, in seconds."""
 
     def refused(self, priority: int, wait_s: float, room_s: float, now: float) -> None:
-        """Note that there was no room.
+        """Record that the limiter rejected a room request.
 
         Args:
-          priority: of the request that was refused.
-          wait_s: for how long not to ask again for such requests, in seconds.
-          room_s: when there should be room for them, in seconds.
+          priority: of the rejected request.
+          wait_s: period in which requests of this priority request no room, in seconds.
+          room_s: time until room is expected for them, in seconds.
           now: monotonic time in seconds.
         """
         self._until[priority] = now + wait_s
         self._room_at = now + room_s
 
     def suppresses(self, priority: int, now: float) -> bool:
-        """Return whether requests of a priority are not to ask now."""
+        """Return whether requests of a priority must not request room now.
+
+        A rejection applies to its priority and to all less urgent ones.
+        """
         return any(now < t and p <= priority for p, t in self._until.items())
 
-    def miss(self, priority: int) -> None:
-        """Count a request that would have asked."""
-        self._missed[priority] = self._missed.get(priority, 0) + 1
+    def count_skipped(self, priority: int) -> None:
+        """Count a skipped room request."""
+        self._skipped[priority] = self._skipped.get(priority, 0) + 1
 
     def take_skipped(self, priority: int) -> int:
-        """Return how many requests of a priority did not ask since the last did."""
-        return self._missed.pop(priority, 0)
+        """Return and reset the number of skipped room requests of a priority."""
+        return self._skipped.pop(priority, 0)
 
     def room_s(self, now: float) -> float:
-        """Return the time after which room is expected, in seconds."""
+        """Return the time until room is expected, in seconds."""
         return max(self._room_at - now, 0.0)
--- a/leverdoor/entry/placement/service_weights.py
+++ b/leverdoor/entry/placement/service_weights.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which of a route's services takes a request, so that the route's weights hold.
+"""Distributes the requests of a route over its services by their weights.
 
-Owns each route's credit by service; lost with the process. The first credit is drawn
-at random, so that entries that start together don't all begin with the same service.
+Owns the credit of each route's services, lost with the process. The initial credits
+are random, so that entries that start together begin with different services.
 """
 
 from random import Random
@@ -17,12 +17,12 @@
     """Smooth weighted round-robin over the services of each route."""
 
     def __init__(self, rng: Random) -> None:
-        """Create it; the first credits are drawn from `rng`."""
+        """Create it; `rng` draws the initial credits."""
         self._rng = rng
         self._credits: dict[str, dict[str, float]] = {}
 
     def pick(self, route: Route) -> str:
-        """Return the service with the greatest credit; it pays one for it."""
+        """Return the service with the greatest credit, and reduce that credit by 1."""
         if len(route.services) == 1:
             return next(iter(route.services))
         credit = self._credits.setdefault(route.name, {})
--- a/leverdoor/entry/placement/target_chooser.py
+++ b/leverdoor/entry/placement/target_chooser.py
@@ -135,7 +135,7 @@
                 continue
             if self.lacks_room(request, state, now):
                 if not options:
-                    state.room.miss(request.priority)
+                    state.room.count_skipped(request.priority)
                 continue
             rank = RANKS - 1 if reason == "overflow" else len(options)
             options.append(self._score_target(request, state, rank, now))
