--- a/leverdoor/entry/placement/fleet.py
+++ b/leverdoor/entry/placement/fleet.py
@@ -1,12 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The targets as one entry sees them, by name.
+"""Keeps the state of each target as known to one entry.
 
-Owns a `TargetState` for each target: its load (load.py), health (health.py), whether it
-takes requests by its own reports (availability.py), warm-up (slow_start.py), known keys
-(known_keys.py) and the run times of the requests last sent there. It is kept for as
-long as the configuration has the target or a request is in flight there, availability
-beyond that; all is lost with the process.
+Owns a `TargetState` for each target: load (load_estimate.py), health (health.py),
+availability as reported by the target (availability.py), warm-up (slow_start.py), keys
+answered recently (known_keys.py), rejections by its limiter (room_refusals.py), and the
+run times of the requests last sent there. A state is kept while the configuration
+contains the target or a request is in flight there, its availability for longer. All is
+lost with the process.
 
 Relies on the configuration for the targets, on answers (entry/requests) and on the
 counts of other entries (entry/exchange).
@@ -30,17 +31,17 @@
 __all__ = ["PEERS_TOTAL", "Fleet", "TargetState"]
 
 PEERS_TOTAL = "others"
-"""Name of the peer under which the sums of all other entries' requests are kept."""
-
+"""Peer name for counts that are sums over all other entries."""
 
 AVAILABILITY_TTL_S = 600.0
-"""How long the availability of a target is kept that the configuration no longer has,
-in seconds: a registration that expired in an outage may be back, and its target still
-leaves."""
+"""Period for which the availability of a removed target is kept, in seconds.
+
+A registration that expired in an outage may return while its target is still leaving.
+"""
 
 
 class TargetState:
-    """One target as this entry sees it."""
+    """The state of one target as known to this entry."""
 
     def __init__(
         self, target: Target, now: float, availability: Availability | None = None
@@ -49,8 +50,8 @@
 
         Args:
           target: its description.
-          now: monotonic time in seconds at which it is new.
-          availability: as known from before it was gone; None for nothing known.
+          now: monotonic time in seconds.
+          availability: known from before the target was removed; None if unknown.
         """
         self.target = target
         self.availability = availability or Availability()
@@ -59,13 +60,14 @@
         self._slow_start = SlowStart(target.cold_ms, now)
         self._known_keys = KnownKeys()
         self.room = RoomRefusals()
-        """What its limiter said of room there, if it is limited."""
-        self._times = MeanRunTimes(0.0, 0.0)
+        """Rejections by its limiter, if it has a limit."""
+        self._run_times = MeanRunTimes(0.0, 0.0)
 
     def renew(self, target: Target, now: float) -> None:
-        """Take a changed description of the target.
+        """Apply a new description of the target.
 
-        One that says that it is cold has started again: its keys are forgotten.
+        A changed description with a warm-up means that the target restarted, so its
+        known keys are cleared.
         """
         if target == self.target:
             return
@@ -79,18 +81,18 @@
 
     @property
     def in_flight(self) -> int:
-        """This entry's own requests there."""
+        """This entry's requests at the target."""
         return self._load.in_flight
 
     def sent(self, now: float, times: MeanRunTimes | None = None) -> None:
-        """Count a request that goes to the target.
+        """Count a request that is sent to the target.
 
         Args:
           now: monotonic time in seconds.
-          times: how long such requests run; None if nothing is known of it.
+          times: mean run times of such requests; None if unknown.
         """
         if times is not None:
-            self._times = times
+            self._run_times = times
         if self._load.in_flight == 0:
             self._health.first_request_sent(now)
         self._load.in_flight += 1
@@ -102,12 +104,12 @@
 
     # Load.
 
-    def take(self, report: TargetReport, rng: Random, now: float) -> None:
-        """Take what an answer reports of the target.
+    def apply_report(self, report: TargetReport, rng: Random, now: float) -> None:
+        """Apply the report in an answer of the target.
 
         Args:
-          report: of an answer whose request still counts as in flight.
-          rng: spreads the return after a rest.
+          report: the report; the answered request still counts as in flight.
+          rng: spreads the end of a rest.
           now: monotonic time in seconds.
         """
         if report.leaving:
@@ -122,42 +124,42 @@
             self.reported(report.load, now, answered=1)
 
     def reported(self, load: TargetLoad, now: float, answered: int = 0) -> None:
-        """Take the load that the target reports; own requests are part of it.
+        """Record the load that the target reports, which includes own requests.
 
         Args:
-          load: what it reports.
+          load: the reported load.
           now: monotonic time in seconds.
-          answered: own requests that have ended there and still count as in flight.
+          answered: own requests that ended at the target but still count as in flight.
         """
         self._load.reported(load, now, answered)
 
     def reported_by_peer(self, peer: str, in_flight: int, now: float) -> None:
-        """Take how many requests another entry has in flight there."""
+        """Record the number of requests that another entry has in flight there."""
         self._load.reported_by_peer(peer, in_flight, now)
 
     def refused(self, now: float) -> None:
-        """Record that the target refused a request because of its load."""
+        """Record that the target rejected a request because of its load."""
         self._load.refused(self.target.slots, now)
 
     def load(self, now: float) -> float:
-        """Estimate how many requests the target has, of all entries."""
-        return self._load.estimate(self._times.warm_s, now)
+        """Estimate the requests of all entries at the target."""
+        return self._load.estimate(self._run_times.warm_s, now)
 
     def usable_slots(self, limit_per_s: float | None) -> float:
         """Return the slots that requests within a limit can keep busy.
 
         Args:
-          limit_per_s: requests a second that it takes; None for any number.
+          limit_per_s: requests a second that the target accepts; None for no limit.
         """
-        run_s = self._times.warm_s
+        run_s = self._run_times.warm_s
         if limit_per_s is None or not run_s:
             return self.target.slots
         return min(limit_per_s * run_s, float(self.target.slots))
 
     def load_age_ms(self, now: float) -> int:
-        """Return the time since the last report or digest of its load arrived, in ms.
+        """Return the time since the last report or count of its load arrived, in ms.
 
-        Not the age of the counts in it, which may be older; -1 if none has arrived.
+        The counts themselves may be older; -1 if none has arrived.
         """
         return self._load.age_ms(now)
 
@@ -165,7 +167,7 @@
 
     @property
     def cold_until(self) -> float:
-        """Monotonic time at which its warm-up ends or ended, in seconds."""
+        """Monotonic time at which the warm-up ends or ended, in seconds."""
         return self._slow_start.cold_until
 
     def in_warm_up(self, now: float) -> bool:
@@ -173,36 +175,36 @@
         return self._slow_start.in_warm_up(now)
 
     def record_key(self, key: str) -> None:
-        """Note that the target answered a key now."""
+        """Record that the target answered a key now."""
         self._known_keys.add(key)
 
     def has_answered(self, key: str) -> bool:
-        """Return whether the target lately answered a key for this entry."""
+        """Return whether the target recently answered a key for this entry."""
         return key in self._known_keys
 
     # Health.
 
     def answered(self, took_ratio: float, now: float) -> bool:
-        """Record a whole answer; return whether the target is ejected as slow now.
+        """Record a complete answer; return whether the target is now ejected as slow.
 
         Args:
-          took_ratio: its time over the time expected.
+          took_ratio: ratio of actual to expected time.
           now: monotonic time in seconds.
         """
         return self._health.answered(took_ratio, now)
 
     def overran(self, took_ratio: float, now: float) -> bool:
-        """Record a request whose time was over before the target answered.
+        """Record a request that timed out before the target answered.
 
         Args:
-          took_ratio: the time it had over the time expected.
+          took_ratio: ratio of the elapsed to the expected time.
           now: monotonic time in seconds.
-        Returns: whether the target is ejected as slow now.
+        Returns: whether the target is now ejected as slow.
         """
         return self._health.overran(took_ratio, now)
 
     def unreached(self, now: float) -> float:
-        """Record that it was not reached; return its ejection in seconds."""
+        """Record that it could not be reached; return its ejection in seconds."""
         return self._health.unreached(now)
 
     def lost(self, now: float) -> float:
@@ -210,23 +212,26 @@
         return self._health.lost(now)
 
     def is_slow(self, now: float) -> bool:
-        """Return whether the target is ejected as slow; it serves if no other can."""
+        """Return whether the target is ejected as slow."""
         return self._health.is_slow(now)
 
     def is_silent(self, now: float) -> bool:
-        """Return whether several requests are there and none was answered lately."""
-        return self._health.is_silent(self._load.in_flight, self._times.cold_s, now)
+        """Return whether the target has several requests and recently answered none."""
+        return self._health.is_silent(self._load.in_flight, self._run_times.cold_s, now)
 
     def is_usable(self, now: float) -> bool:
-        """Return whether it is open and reached; warm-up and slowness aside."""
+        """Return whether the target is open, not ejected as failed, and not silent.
+
+        Targets that are slow or in their warm-up are usable.
+        """
         if not self.availability.open(now):
             return False
         return not self._health.is_ejected(now) and not self.is_silent(now)
 
     def admits(self, priority: int, now: float) -> bool:
-        """Return whether a request of a priority may go there.
+        """Return whether a request of a priority may be sent to the target.
 
-        As `is_usable`, and after a rest only as many as the target takes then.
+        The target must be usable, and after a rest have few requests in flight.
         """
         if not self.is_usable(now):
             return False
@@ -237,22 +242,23 @@
     """The states of all targets, by target name."""
 
     def __init__(self, limits: LimitBook | None = None) -> None:
-        """Create an empty one.
+        """Create it without targets.
 
         Args:
-          limits: what targets take from all entries together; none are known if left
-            out.
+          limits: the known limits of targets on the requests of all entries; none if
+            omitted.
         """
         self.limits = limits or LimitBook()
         self.warm_up_per_s: Mapping[str, float] = {}
-        """By service, requests a second that all entries may send to a cold target; 0
-        for any number. Set with each configuration."""
+        """By service, requests a second that all entries may send to a cold target.
+
+        0 for no limit. Set from each configuration.
+        """
         self._states: dict[str, TargetState] = {}
-        self._gone: dict[str, tuple[Availability, float]] = {}
-        """By targets that the configuration no longer has: their availability, and
-        since when they are gone."""
-        self._counted: dict[str, frozenset[str]] = {}
-        """By peer, the targets that its last message had counts for."""
+        self._removed: dict[str, tuple[Availability, float]] = {}
+        """Availability of removed targets, and the time of removal in seconds."""
+        self._targets_by_peer: dict[str, frozenset[str]] = {}
+        """By peer, the targets counted in its last message."""
 
     def renew(
         self,
@@ -260,9 +266,9 @@
         now: float,
         services: Iterable[Service] = (),
     ) -> list[str]:
-        """Take the targets and services of a new configuration.
+        """Apply the targets and services of a new configuration.
 
-        Returns: the names of those that are gone and have nothing in flight.
+        Returns: the names of the removed targets without requests in flight.
         """
         self.warm_up_per_s = {s.name: s.warmup_per_s for s in services}
         for name, target in targets.items():
@@ -271,85 +277,87 @@
                 self._create(target, now)
             else:
                 state.renew(target, now)
-        gone = [
+        removed = [
             name
             for name, state in self._states.items()
             if name not in targets and state.in_flight == 0
         ]
-        for name in gone:
+        for name in removed:
             availability = self._states.pop(name).availability
             if availability.affects_requests(now):
-                self._gone[name] = availability, now
-        return gone
+                self._removed[name] = availability, now
+        return removed
 
     def of(self, target: Target, now: float) -> TargetState:
-        """Return the state of a target."""
+        """Return the state of a target, created if necessary."""
         return self._states.get(target.name) or self._create(target, now)
 
     def _create(self, target: Target, now: float) -> TargetState:
-        """Create the state of a target that is new, or was gone for a while."""
-        known, _ = self._gone.pop(target.name, (None, now))
+        """Create the state of a new target, or of one that was removed before."""
+        known, _ = self._removed.pop(target.name, (None, now))
         state = self._states[target.name] = TargetState(target, now, known)
         return state
 
     def forget(self, now: float) -> None:
-        """Drop the availability of targets that have been gone for long."""
-        self._gone = {
+        """Drop the expired availability of removed targets."""
+        self._removed = {
             name: (availability, since)
-            for name, (availability, since) in self._gone.items()
+            for name, (availability, since) in self._removed.items()
             if now - since <= AVAILABILITY_TTL_S and availability.affects_requests(now)
         }
 
     def leaving_count(self) -> int:
-        """Return how many targets of the configuration said that they leave."""
+        """Return the number of targets that reported that they are leaving."""
         return sum(s.availability.leaving for s in self._states.values())
 
     def resting_count(self, now: float) -> int:
-        """Return how many targets of the configuration want rest of this entry."""
+        """Return the number of targets that this entry lets rest."""
         return sum(s.availability.is_resting(now) for s in self._states.values())
 
     def limit_per_s(self, target: Target) -> float | None:
-        """Return the requests a second that a target takes from all entries.
+        """Return the limit of a target on the requests a second of all entries.
 
-        None if it names no limit.
+        None if the target reports no limit.
         """
         if self.limits.is_empty:
             return None
         return self.limits.per_s(target_id(target.name))
 
     def room_per_s(self, target: Target, now: float) -> float | None:
-        """Return what bounds the requests a second of all entries to a target.
+        """Return the limit on the requests a second of all entries to a target.
 
-        The limit that it names, and what it bears in its warm-up; None for no bound.
+        The lower of the limit that the target reports and the one of its warm-up; None
+        for no limit.
         """
-        named = self.limit_per_s(target)
+        reported = self.limit_per_s(target)
         warm_up = self.warm_up_per_s.get(target.service, 0.0)
         if not warm_up or not self.of(target, now).in_warm_up(now):
-            return named
-        allowed = warm_up_limit_per_s(warm_up)
-        return allowed if named is None else min(named, allowed)
+            return reported
+        limit = warm_up_limit_per_s(warm_up)
+        return limit if reported is None else min(reported, limit)
 
     def in_flight(self) -> dict[str, int]:
-        """Return how many requests this entry has at each target, if any."""
+        """Return this entry's requests in flight by target, without zeros."""
         return {n: s.in_flight for n, s in self._states.items() if s.in_flight}
 
     def receive(self, peer: str, counts: Mapping[str, int], now: float) -> None:
-        """Take the counts of a peer; a target that it does not name has none of it."""
+        """Record the counts of a peer; omitted targets have none of its requests."""
         states = self._states
-        for name in self._counted.get(peer, frozenset()) - counts.keys():
+        for name in self._targets_by_peer.get(peer, frozenset()) - counts.keys():
             if name in states:
                 states[name].reported_by_peer(peer, 0, now)
         for name, count in counts.items():
             state = states.get(name)
             if state is not None:
                 state.reported_by_peer(peer, count, now)
-        self._counted[peer] = frozenset(counts)
+        self._targets_by_peer[peer] = frozenset(counts)
 
     def load(self, targets: Iterable[Target], now: float) -> tuple[float, float]:
-        """Return the load and the slots of the usable, warm ones of some targets.
+        """Return the total load and slots of targets that can serve normally.
 
-        Of one with a limit, only the slots that so many requests a second keep busy:
-        otherwise its region would look empty, and keys would stay that find no room.
+        Excludes targets that are unusable, slow or in their warm-up. A limited target
+        counts only the slots that its limit can keep busy. Otherwise its region would
+        appear idle, and keys would stay there without room.
         """
         load = 0.0
         slots = 0.0
--- a/leverdoor/entry/placement/placement_request.py
+++ b/leverdoor/entry/placement/placement_request.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The input and the result of placement; all times are of the loop's clock.
+"""The input and the result of placement; all times are of the event loop's clock.
 
 Owns no state; relies on the resources of the configuration.
 """
@@ -14,70 +14,77 @@
 __all__ = ["Placement", "PlacementReason", "PlacementRequest"]
 
 PlacementReason = Literal["share", "overflow", "cold"]
-"""Why a target was chosen, as logged: in the region of its key; in another region, as
-those are full; in its warm-up, as all others are full."""
+"""Why a target was selected, as logged.
+
+- share: the target is in the region of the key;
+- overflow: it is in another region, because the targets of the key's region are full;
+- cold: it is in its warm-up, because all other targets are full.
+"""
 
 
 class PlacementRequest(msgspec.Struct):
-    """A request as placement sees it."""
+    """A request to be placed."""
 
     request_id: str
     route: Route
     service: str
     key: str
     version: str
-    """The configuration by which it was routed."""
+    """Version of the configuration that routed it."""
     arrived_at: float
-    """Time at which the entry took it in, in seconds."""
+    """Time at which the entry received it, in seconds."""
     expires_at: float
-    """Time at which it is given up, in seconds."""
+    """Time at which the entry abandons it, in seconds."""
     workspace: Workspace | None = None
-    """Whose request it is; None without workspaces, or without a key."""
+    """The requesting workspace; None without workspaces, or without a key."""
     tried_targets: set[str] = msgspec.field(default_factory=set)
-    """Names of the targets that earlier attempts went to."""
+    """Names of the targets of earlier attempts."""
     targets_without_room: set[str] = msgspec.field(default_factory=set)
-    """Names of the limited targets that had no room for it."""
+    """Names of the targets whose limiter rejected it."""
     fingerprint: int = 0
-    """By which it is known when it comes again; 0 until its body was read."""
+    """Identifies the request when it is repeated; 0 until its body is read."""
 
     @property
     def priority(self) -> int:
-        """Return its priority, 0 for the most urgent; the workspace's goes first."""
+        """The workspace's priority, or else the route's; 0 is the most urgent."""
         if self.workspace is None or self.workspace.priority is None:
             return self.route.priority
         return self.workspace.priority
 
     def may_run_in(self, region: str) -> bool:
-        """Return whether a region is a home of its route and of its workspace."""
+        """Return whether a region is a home of its route and its workspace."""
         return _is_home(self.route.homes, region) and (
             self.workspace is None or _is_home(self.workspace.homes, region)
         )
 
 
 def _is_home(homes: list[str], region: str) -> bool:
-    """Return whether a region is among homes, of which none means all."""
+    """Return whether a region is one of some homes; an empty list allows all."""
     return not homes or region in homes
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """Send it to this target; it is counted there already."""
+    """The target selected for a request, which is already counted at the target."""
 
     target: Target
     rank: int
-    """Place of the target in its region's order for the key, 0 for the first; the
-    greatest for overflow and warm-up."""
+    """Index of the target in its region's order for the key.
+
+    The last index that `ColdRunRates` distinguishes for overflow; one more for warm-up.
+    """
     seen: bool
-    """Whether an entry had an answer for the key from there."""
+    """Whether any entry received an answer for the key from the target."""
     cold_share: float
-    """Likelihood of a cold run, as estimated."""
+    """Estimated probability of a cold run."""
     expected_ms: float
-    """Wait and run, as estimated."""
+    """Estimated duration of wait and run."""
     load: float
-    """Estimated requests there, of all entries, this one aside."""
+    """Estimated requests of all entries at the target, without this one."""
     load_age_ms: int
-    """Time since the last report or digest of that load arrived, in ms; the counts in
-    it may be older. -1 if none has arrived."""
+    """Time since the last report or count of that load arrived, in ms.
+
+    The counts in it may be older; -1 if none has arrived.
+    """
     reason: PlacementReason
     limit_per_s: float | None = None
-    """Requests a second that the target takes from all entries, as last known; None
-    for no limit."""
+    """Last known limit on the requests a second of all entries; None for no limit."""
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -340,7 +340,7 @@
           report: of an answer whose request still counts as in flight.
           now: monotonic time in seconds.
         """
-        self._fleet.of(target, now).take(report, self._rng, now)
+        self._fleet.of(target, now).apply_report(report, self._rng, now)
         if report.rest_s:
             self._rests.record_rest(target, now)
 
--- a/leverdoor/entry/placement/region_share_table.py
+++ b/leverdoor/entry/placement/region_share_table.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The regions' shares of every service's keys, as one entry keeps them.
+"""Maintains the regions' shares of the keys of all services at one entry.
 
-Owns the shares by service (spill.py) and those that were logged last; lost with the
-process. Relies on the states of targets (fleet.py) for the utilization of regions, and
-on digests (entry/exchange) for the shares of the region's other entries.
+Owns the shares by service (region_shares.py) and the last logged shares; both are lost
+with the process. Relies on the states of targets (fleet.py) for the utilization of
+regions, and on digests (entry/exchange) for the shares of the region's other entries.
 """
 
 from collections.abc import Iterable, Mapping
@@ -21,25 +21,31 @@
 __all__ = ["RegionShareTable"]
 
 REPORTED_DIGITS = 4
-"""Decimal digits of a share in heartbeats: far below any move of a round."""
+"""Decimal digits of a share in heartbeats.
+
+The rounding is far smaller than any change of a share in one round.
+"""
 MIN_LOGGED_CHANGE = 0.05
-"""Change of a share that is worth a line in the log: some lines a minute while keys
-move at the bounded rate."""
+"""Minimum change of a share that is logged.
+
+Causes a few log lines a minute while shares change at the maximum rate.
+"""
 
 
 class RegionShareTable:
-    """Shares by service, and the utilization that moves them."""
+    """Shares of regions by service, updated from the utilization of regions."""
 
     def __init__(
         self, region: str, fleet: Fleet, move_per_s: float, tuning: Tuning
     ) -> None:
-        """Create it without any service.
+        """Create a table without services.
 
         Args:
           region: this entry's region.
           fleet: the states of targets.
-          move_per_s: most of a service's keys that change region in a second.
-          tuning: bounds and switches of the rules.
+          move_per_s: maximum fraction of a service's keys that changes region in a
+            second.
+          tuning: parameters of the rules.
         """
         self._tuning = tuning
         self._region = region
@@ -55,29 +61,29 @@
         regions: Iterable[str],
         targets: dict[tuple[str, str], list[Target]],
     ) -> None:
-        """Take a new configuration.
+        """Apply a new configuration.
 
         Args:
           regions: the names of all regions.
-          targets: those in service, by service and region.
+          targets: the targets in service, by service and region.
         """
         self._names = sorted(regions)
         self._targets = targets
 
     def region(self, service: str, key: str, allowed: list[str], now: float) -> str:
-        """Return the region that a key of a service belongs to, among those allowed."""
+        """Return which of the allowed regions serves a key of a service."""
         return self._of(service, [], now).region(key, allowed)
 
     def utilization(self, service: str, region: str, now: float) -> float:
-        """Return load over slots of a region's usable targets."""
+        """Return the load over the slots of a region's usable targets."""
         load, slots = self._fleet.load(self._targets.get((service, region), ()), now)
         return load / slots if slots else NO_SLOTS_UTILIZATION
 
     def update(self, peers: list[dict[str, dict[str, float]]], now: float) -> None:
-        """Move the shares; call several times a second.
+        """Update all shares; to be called several times a second.
 
         Args:
-          peers: the shares of the other entries of the region, by service.
+          peers: the shares of each other entry of the region, by service.
           now: monotonic time in seconds.
         """
         for service in {s for s, _ in self._targets}:
@@ -85,33 +91,34 @@
             state = self._of(service, reported, now)
             utilizations = {r: self.utilization(service, r, now) for r in state.shares}
             if not state.has_seen_load and not reported:
-                # Targets may have come or gone since it was created.
+                # Targets may have been added or removed since it was created.
                 state.replace(initial_shares(self._region, self._slots(service)))
             state.update(utilizations, reported, now)
 
     def _of(
         self, service: str, reported: list[dict[str, float]], now: float
     ) -> RegionShares:
-        """Return the shares of a service; new ones start from a reported one."""
-        found = self._shares.get(service)
-        if found is None:
-            first = initial_shares(self._region, self._slots(service))
+        """Return the shares of a service; new ones start from a reported share."""
+        state = self._shares.get(service)
+        if state is None:
+            shares = initial_shares(self._region, self._slots(service))
             if reported:
-                first |= reported[0]
-            found = RegionShares(
-                self._region, first, now, self._move_per_s, self._tuning
+                shares |= reported[0]
+            state = RegionShares(
+                self._region, shares, now, self._move_per_s, self._tuning
             )
-            self._shares[service] = found
-        return found
+            self._shares[service] = state
+        return state
 
     def _slots(self, service: str) -> dict[str, int]:
+        """Return the number of slots of a service in each region."""
         return {
             region: sum(t.slots for t in self._targets.get((service, region), ()))
             for region in self._names
         }
 
     def reported(self) -> dict[str, dict[str, float]]:
-        """Return the shares as heartbeats carry them."""
+        """Return the shares to be sent in heartbeats."""
         return {
             service: {r: round(v, REPORTED_DIGITS) for r, v in state.shares.items()}
             for service, state in self._shares.items()
@@ -119,16 +126,17 @@
         }
 
     def take_changed(self) -> Mapping[str, dict[str, float]]:
-        """Return the shares that moved noticeably since the last call."""
-        found = {}
+        """Return the shares that changed noticeably since they were last returned."""
+        changed = {}
         for service, state in self._shares.items():
             before = self._logged.get(service, {})
             if _differ(before, state.shares):
-                found[service] = self._logged[service] = dict(state.shares)
-        return found
+                changed[service] = self._logged[service] = dict(state.shares)
+        return changed
 
 
 def _differ(before: Mapping[str, float], after: Mapping[str, float]) -> bool:
+    """Return whether any share changed enough to be logged."""
     return any(
         abs(v - before.get(r, 0.0)) > MIN_LOGGED_CHANGE for r, v in after.items()
     )
--- a/leverdoor/entry/placement/region_shares.py
+++ b/leverdoor/entry/placement/region_shares.py
@@ -1,19 +1,20 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""In which region the keys of a service are served.
+"""Determines which region serves each key of a service.
 
-Each region has a share of the keys that this region's clients use. Keys are dealt out
-by weighted rendezvous hashing, alike at every entry: when a share changes, only keys of
-that region move. The shares follow the load of each region's targets and move at a
-bounded rate, so that no great part of a region's requests changes region from one
-moment to the next, and caches elsewhere warm up key by key.
+Each region has a share of the keys requested by the clients of this entry's region.
+Weighted rendezvous hashing assigns the keys, identically at every entry; a change of a
+region's share moves only keys of that region. The shares follow the load of each
+region's targets and change at a limited rate. This prevents a large part of a region's
+requests from changing region at once, and caches elsewhere warm up key by key.
 
 `RegionShares` owns the shares of one service and the smoothed utilization (load over
-slots) of each region. Both are lost with the process; a start takes the shares of the
-other entries of its region, or else computes them from slots (`initial_shares`).
+slots) of each region. Both are lost with the process. At the start, an entry adopts the
+shares of the other entries of its region, or else computes them from slots
+(`initial_shares`).
 
-Relies on `update` being called several times a second with the utilization that this
-entry estimates and with the shares that other entries of its region use.
+Relies on `update` being called several times a second with the utilization estimated by
+this entry and the shares used by the other entries of its region.
 """
 
 import math
@@ -25,52 +26,56 @@
 __all__ = ["MOVE_PER_S", "NO_SLOTS_UTILIZATION", "RegionShares", "initial_shares"]
 
 MOVE_PER_S = 0.04
-"""Most of a service's keys that change region in a second, in tests and benchmarks.
+"""Maximum fraction of keys that changes region in a second, in tests and benchmarks.
 
-An entry passes the setting `max_shift` in place of it (0.04 is that of 0.15 in 2 s by
-the same rule: entry/data_plane.py, entry/bounds.py). Agreement between entries may move
-AGREEMENT_MOVE_PART as much besides.
+An entry uses the setting `max_shift` instead (a setting of 0.15 in 2 s corresponds to
+0.04, see entry/data_plane.py and entry/bounds.py). Agreement between entries may change
+shares by another AGREEMENT_MOVE_PART of it.
 """
 MIN_MOVE_DIFFERENCE = 0.1
-"""Least difference of utilization for which the own region gives keys away.
+"""Minimum difference of utilization at which the own region moves keys to another.
 
-No move for noise. Greater: keys stay in a region that is too full. Smaller: keys move
-where it gains nothing, and run cold.
+Prevents moves because of noise. With a greater value, keys stay in an overloaded
+region. With a smaller one, keys move without benefit and run cold.
 """
 MAX_REMOTE_IMBALANCE = 0.25
-"""Difference of utilization between two other regions that moves keys between them.
+"""Difference of utilization between two other regions above which keys move.
 
-They differ for certain. Greater and smaller: as for MIN_MOVE_DIFFERENCE.
+Such a difference is not noise. Greater and smaller values have the same consequences as
+for MIN_MOVE_DIFFERENCE.
 """
 UTILIZATION_SMOOTHING_S = 1.0
-"""Time over which utilization is smoothed, in seconds.
+"""Averaging period of utilization in seconds.
 
-Several reports. Greater: shares follow a change of load late. Smaller: they follow
-single reports, forth and back.
+Covers several reports. With a greater value, shares follow a change of load late. With
+a smaller one, they follow single reports back and forth.
 """
 AGREEMENT_PER_S = 0.3
-"""Part of the gap to the region's mean shares that is closed in a second.
+"""Fraction of the difference to the region's mean shares that is removed in a second.
 
-Entries agree in seconds without a jump. Greater: each follows the means of others that
-are 1 to 2 s old. Smaller: entries send a key to different regions for longer, which
-runs cold in each.
+Entries agree within seconds without a jump. With a greater value, each follows means of
+others that are 1 to 2 s old. With a smaller one, entries send a key to different
+regions for longer, and it runs cold in each.
 """
 AGREEMENT_MOVE_PART = 0.5
-"""Part of the bound on moves by which agreement may move a share besides.
+"""Maximum change of a share by agreement, as a fraction of the limit on other changes.
 
-With entry/bounds.py:MOVED_SHARE both together stay within 0.8 of the operator's cap.
-Greater: nearer to it. Smaller: a gap between entries stays longer.
+Together with entry/bounds.py:MOVED_SHARE, both stay within 0.8 of the operator's cap.
+With a greater value, they come closer to the cap. With a smaller one, a difference
+between entries lasts longer.
 """
 MAX_STEP_S = 1.0
-"""Most time that one update makes up for, in seconds.
+"""Maximum elapsed time that one update accounts for, in seconds.
 
-Guards against a jump of the shares after a pause of the process.
+Prevents a jump of the shares after a pause of the process.
 """
 NO_SLOTS_UTILIZATION = 9.0
-"""Utilization of a region that has no usable slots, or about which nothing is known:
-above any other, so that such a region gives all keys away."""
+"""Utilization of a region without usable slots or of unknown utilization.
+
+Exceeds any other utilization, so that such a region moves all keys to others.
+"""
 MIN_SHARE = 1e-9
-"""A share up to this counts as none; keeps divisions by it finite."""
+"""Minimum share that counts as used; keeps divisions by a share finite."""
 
 
 class RegionShares:
@@ -79,32 +84,32 @@
     def __init__(
         self,
         own: str,
-        first: Mapping[str, float],
+        initial: Mapping[str, float],
         now: float,
         move_per_s: float = MOVE_PER_S,
         tuning: Tuning = PRODUCTION,
     ) -> None:
-        """Create it.
+        """Create it with initial shares.
 
         Args:
-          own: the region whose clients' keys are dealt.
-          first: shares to start from, which add up to one.
+          own: the region whose clients request the keys.
+          initial: the initial shares, which sum to one.
           now: monotonic time in seconds.
-          move_per_s: most that a share moves in a second, agreement aside.
-          tuning: from which utilization on keys move.
+          move_per_s: maximum change of a share in a second, without agreement.
+          tuning: the utilization thresholds at which keys move.
         """
         self._tuning = tuning
         self.own = own
         self.has_seen_load = False
-        """Whether there was any load yet; before, shares follow the slots alone."""
+        """Whether there was any load; until then, shares depend only on slots."""
         self._move_per_s = move_per_s
-        self.shares = dict(first)
+        self.shares = dict(initial)
         self._utilizations: dict[str, float] = {}
         """Smoothed load over slots, by region."""
-        self._at = now
+        self._updated_at = now
 
     def region(self, key: str, allowed: Iterable[str]) -> str:
-        """Return the region that a key belongs to, among those allowed."""
+        """Return which of the allowed regions serves a key."""
 
         def score(region: str) -> float:
             share = max(self.shares.get(region, 0.0), MIN_SHARE)
@@ -113,7 +118,7 @@
         return min(allowed, key=score)
 
     def replace(self, shares: Mapping[str, float]) -> None:
-        """Start from other shares, while there was no load."""
+        """Replace the shares while there has been no load."""
         self.shares = dict(shares)
 
     def update(
@@ -122,28 +127,28 @@
         peers: Iterable[Mapping[str, float]],
         now: float,
     ) -> None:
-        """Move the shares.
+        """Update the shares.
 
         Args:
-          utilizations: by region, load over slots of its usable targets.
-          peers: the shares that other entries of the region use.
+          utilizations: load over slots of the usable targets, by region.
+          peers: the shares used by the other entries of the region.
           now: monotonic time in seconds.
         """
-        elapsed_s = min(now - self._at, MAX_STEP_S)
-        self._at = now
-        loaded = any(0 < p < NO_SLOTS_UTILIZATION for p in utilizations.values())
-        self.has_seen_load = self.has_seen_load or loaded
+        elapsed_s = min(now - self._updated_at, MAX_STEP_S)
+        self._updated_at = now
+        has_load = any(0 < u < NO_SLOTS_UTILIZATION for u in utilizations.values())
+        self.has_seen_load = self.has_seen_load or has_load
         if not self.has_seen_load:
             return
         self._smooth(utilizations, elapsed_s)
-        self._agree([p for p in peers if p], elapsed_s)
-        found = self._wanted_move()
-        if found is not None:
-            source, sink = found
-            self._move(source, sink, self._move_per_s * elapsed_s)
+        self._converge([p for p in peers if p], elapsed_s)
+        move = self._next_move()
+        if move is not None:
+            source, destination = move
+            self._move(source, destination, self._move_per_s * elapsed_s)
 
     def _smooth(self, utilizations: Mapping[str, float], elapsed_s: float) -> None:
-        """Take the utilization of each region into its mean."""
+        """Update the smoothed utilization of each region."""
         weight = min(1.0, elapsed_s / UTILIZATION_SMOOTHING_S)
         smoothed = {}
         for region, utilization in utilizations.items():
@@ -151,29 +156,31 @@
             smoothed[region] = before + weight * (utilization - before)
         self._utilizations = smoothed
 
-    def _agree(self, peers: list[Mapping[str, float]], elapsed_s: float) -> None:
-        """Go a part of the way to the mean of the region's entries, bounded."""
+    def _converge(self, peers: list[Mapping[str, float]], elapsed_s: float) -> None:
+        """Change the shares towards the mean of the region's entries."""
         if not peers:
             return
         for region in self.shares:
             mean = sum(p.get(region, 0.0) for p in peers) / len(peers)
-            gap = mean - self.shares[region]
-            most = self._move_per_s * elapsed_s * AGREEMENT_MOVE_PART
-            step = AGREEMENT_PER_S * elapsed_s * gap
-            self.shares[region] += max(-most, min(most, step))
+            difference = mean - self.shares[region]
+            max_step = self._move_per_s * elapsed_s * AGREEMENT_MOVE_PART
+            step = AGREEMENT_PER_S * elapsed_s * difference
+            self.shares[region] += max(-max_step, min(max_step, step))
         total = sum(self.shares.values())
         self.shares = {r: v / total for r, v in self.shares.items()}
 
-    def _wanted_move(self) -> tuple[str, str] | None:
-        """Return from which region to which some keys should move, if any.
+    def _next_move(self) -> tuple[str, str] | None:
+        """Return the source and destination region of the next move, if any.
 
-        From the own region to the least loaded one while it is above the high bound;
-        from the most loaded one back to it while it is below the low one; between two
-        others while these differ by far.
+        - From the own region to the least loaded one, if the own utilization is above
+          the high threshold.
+        - From the most loaded other region back to the own one, if the own utilization
+          is below the low threshold.
+        - Between two other regions, if their utilization differs widely.
         """
         known = {r: self._utilization(r) for r in self.shares}
         own = known.get(self.own, NO_SLOTS_UTILIZATION)
-        others = {r: p for r, p in known.items() if r != self.own}
+        others = {r: u for r, u in known.items() if r != self.own}
         if not others:
             return None
         least = min(others, key=lambda r: others[r])
@@ -193,28 +200,33 @@
         return None
 
     def _utilization(self, region: str) -> float:
+        """Return the smoothed utilization of a region."""
         return self._utilizations.get(region, NO_SLOTS_UTILIZATION)
 
-    def _move(self, source: str, sink: str, share: float) -> None:
-        """Move a share of all keys, or what is left of the source's."""
+    def _move(self, source: str, destination: str, share: float) -> None:
+        """Move a share of all keys, limited to the source's share."""
         moved = min(share, self.shares[source])
         self.shares[source] -= moved
-        self.shares[sink] += moved
+        self.shares[destination] += moved
 
 
 def initial_shares(own: str, slots: Mapping[str, int]) -> dict[str, float]:
-    """Return the shares to start from, before any load is known.
+    """Return the shares used before any load is known.
+
+    A region with fewer slots than the mean will lack slots if it has as many clients as
+    the others. The excess share is distributed to the other regions by their slots.
 
-    A region with less than the mean of slots will be short of them when its
-    clients are as many as elsewhere; what goes beyond goes where slots are.
+    Args:
+      own: the region whose clients request the keys.
+      slots: the number of slots, by region.
     """
     mean = sum(slots.values()) / max(len(slots), 1)
     others = sum(v for r, v in slots.items() if r != own)
     kept = min(1.0, slots.get(own, 0) / mean) if mean else 1.0
     if not others:
         kept = 1.0
-    found = {own: kept}
+    shares = {own: kept}
     for region, count in slots.items():
         if region != own:
-            found[region] = (1.0 - kept) * count / others if others else 0.0
-    return found
+            shares[region] = (1.0 - kept) * count / others if others else 0.0
+    return shares
--- a/leverdoor/entry/placement/target_chooser.py
+++ b/leverdoor/entry/placement/target_chooser.py
@@ -1,13 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which of some targets answers a request first: by warmth, load and distance.
+"""Selects the candidate with the lowest cost, by cold runs, load and distance.
 
-Owns the run times by route and service (times.py), the shares of cold runs
-(warmth.py) and the keys that are warm at a second target (warm_keys.py); all are
-lost with the process and learned again from answers.
+Owns the run times by route and service (run_times.py), the rates of cold runs
+(cold_run_rates.py) and the keys that are warm at a target other than their first one
+(warm_key_digests.py). All are lost with the process and learned again from answers.
 
-Relies on the states of targets (fleet.py), and on candidates in the key's order, which
-all entries agree on (affinity.py).
+Relies on the states of targets (fleet.py), and on candidates in the order of the key,
+which is identical at all entries (rendezvous.py).
 """
 
 import msgspec
@@ -32,43 +32,47 @@
 __all__ = ["ScoredTarget", "TargetChooser"]
 
 COLD_RUN_THRESHOLD = 0.5
-"""Share of cold runs from which on a choice counts as cold.
+"""Probability of a cold run at or above which a run counts as likely cold.
 
-The likelier of two. Greater: more cold runs at second targets, which make busy targets
-slower. Smaller: refusals where a warm run was likely.
+With a greater value, more cold runs occur at second targets, which slow down busy
+targets. With a smaller one, requests are rejected although a warm run was likely.
 """
 OTHER_DOMAIN_PENALTY_MS = 8.0
-"""What a target in another failure domain must be sooner by, in ms.
+"""Cost added to a target in another failure domain, in ms.
 
-Saves bytes between domains where targets are equally good. Greater: requests wait for a
-target that is near. Smaller: chance decides between domains.
+Saves bytes between domains if targets are equally good. With a greater value, requests
+wait for a target in their own domain. With a smaller one, chance decides between
+domains.
 """
 
 MAX_ROOM_REQUESTS = 3
-"""Limited targets that are asked for room for one request. Each question may take a
-way to another region and back; a request that finds none is to be refused at once."""
+"""Maximum limited targets from which one request requests room.
+
+Each room request may take a round trip to another region, but a request that finds no
+room is to be rejected quickly.
+"""
 
 
 class ScoredTarget(msgspec.Struct, frozen=True):
-    """One target for a request, weighed."""
+    """A target with its expected times and cost for a request."""
 
     state: TargetState
     rank: int
-    """Place of the target in the key's order, among those that are usable."""
+    """Index of the target in the key's order of usable targets."""
     seen: bool
-    """Whether an entry had an answer for the key from there."""
+    """Whether any entry received an answer for the key from the target."""
     cold_share: float
-    """Likelihood of a cold run."""
+    """Probability of a cold run."""
     wait_ms: float
-    """Expected time in the target's queue."""
+    """Expected wait in the target's queue."""
     response_ms: float
-    """Wait and run, as expected."""
+    """Expected duration of wait and run."""
     cost_ms: float
-    """What options are compared by."""
+    """The value by which targets are compared; the lowest is selected."""
 
 
 class TargetChooser:
-    """Weighs targets for requests, and learns from their answers."""
+    """Scores targets for requests, and learns from their answers."""
 
     def __init__(self, region: str, domain: str, fleet: Fleet, tuning: Tuning) -> None:
         """Create it.
@@ -77,20 +81,20 @@
           region: this entry's region.
           domain: this entry's failure domain.
           fleet: the states of targets.
-          tuning: bounds and switches of the rules.
+          tuning: parameters of the rules.
         """
         self._tuning = tuning
         self._region = region
         self._domain = domain
         self._fleet = fleet
-        self._times = RunTimeTable()
-        self._warmth = ColdRunRates()
+        self._run_times = RunTimeTable()
+        self._cold_run_rates = ColdRunRates()
         self.warm_keys = WarmKeyDigests()
 
     def keep_only(self, routes: set[str], targets: set[str]) -> None:
-        """Forget routes and targets that are gone."""
-        self._times.keep_only(routes)
-        self._warmth.keep_only(targets)
+        """Remove all other routes and targets."""
+        self._run_times.keep_only(routes)
+        self._cold_run_rates.keep_only(targets)
 
     def choose(
         self,
@@ -99,24 +103,26 @@
         reason: PlacementReason,
         now: float,
     ) -> ScoredTarget | None:
-        """Return the best of some targets; None if the wait is too long at each.
+        """Return the candidate with the lowest cost.
 
-        Only the key's first targets that are usable count (`Tuning.targets_a_key`).
+        Considers the first `Tuning.targets_a_key` usable candidates only.
 
         Args:
-          request: what is to be placed.
+          request: the request to place.
           candidates: targets in the key's order.
-          reason: "overflow" if it is not the key's region: all are likely cold then.
+          reason: "overflow" if this is not the key's region; all runs are then likely
+            cold.
           now: monotonic time in seconds.
+        Returns: None if no candidate is acceptable, or each has too long a wait.
         """
         times = self._times_of(request)
-        most_ms = max_queue_wait_ms(request, times.warm_run_ms, self._tuning, now)
-        fitting = [
-            option
-            for option in self._score_candidates(request, candidates, reason, now)
-            if option.wait_ms <= most_ms and self._is_acceptable(option, now)
+        max_wait_ms = max_queue_wait_ms(request, times.warm_run_ms, self._tuning, now)
+        acceptable = [
+            scored
+            for scored in self._score_candidates(request, candidates, reason, now)
+            if scored.wait_ms <= max_wait_ms and self._is_acceptable(scored, now)
         ]
-        return min(fitting, key=lambda o: o.cost_ms, default=None)
+        return min(acceptable, key=lambda t: t.cost_ms, default=None)
 
     def _score_candidates(
         self,
@@ -125,8 +131,8 @@
         reason: PlacementReason,
         now: float,
     ) -> list[ScoredTarget]:
-        """Weigh the first usable, warm targets that were not tried."""
-        options: list[ScoredTarget] = []
+        """Score the first usable candidates that are untried and not in warm-up."""
+        scored: list[ScoredTarget] = []
         for target in candidates:
             if target.name in request.tried_targets:
                 continue
@@ -134,21 +140,22 @@
             if not state.admits(request.priority, now) or state.in_warm_up(now):
                 continue
             if self.lacks_room(request, state, now):
-                if not options:
+                if not scored:
                     state.room.count_skipped(request.priority)
                 continue
-            rank = RANKS - 1 if reason == "overflow" else len(options)
-            options.append(self._score_target(request, state, rank, now))
-            if len(options) >= self._tuning.targets_a_key:
+            rank = RANKS - 1 if reason == "overflow" else len(scored)
+            scored.append(self._score_target(request, state, rank, now))
+            if len(scored) >= self._tuning.targets_a_key:
                 break
-        return options
+        return scored
 
     def lacks_room(
         self, request: PlacementRequest, state: TargetState, now: float
     ) -> bool:
-        """Return whether a target is known to have no room within what bounds it.
+        """Return whether a limited target is known to have no room for a request.
 
-        It is neither slow nor failed, and takes what its limiter grants again at once.
+        This does not eject the target: it receives requests again as soon as its
+        limiter grants room.
         """
         target = state.target
         if self._fleet.room_per_s(target, now) is None:
@@ -162,22 +169,22 @@
     def _score_target(
         self, request: PlacementRequest, state: TargetState, rank: int, now: float
     ) -> ScoredTarget:
-        """Weigh one target.
+        """Score one target.
 
-        Its queue is the load beyond its slots, this request included, served at the
-        mean time of its runs; the price adds what a cold run and distance cost.
+        Its queue is the load beyond its slots, including this request, served at the
+        mean duration of its runs. The cost adds a likely cold run and the distance.
         """
         target = state.target
         times = self._times_of(request)
         seen = not request.route.affinity or self._has_answered(request.key, state, now)
-        cold_share = self._warmth.cold_share(target, rank, seen)
-        ahead = max(state.load(now) - target.slots + 1, 0.0)
-        run_ms = times.run_ms(self._warmth.eviction_rate(target))
-        wait_ms = ahead * run_ms / target.slots
+        cold_share = self._cold_run_rates.cold_share(target, rank, seen)
+        queued = max(state.load(now) - target.slots + 1, 0.0)
+        run_ms = times.run_ms(self._cold_run_rates.eviction_rate(target))
+        wait_ms = queued * run_ms / target.slots
         response_ms = wait_ms + times.run_ms(cold_share)
         cost_ms = response_ms
         if rank == 0 and not seen:
-            # It must become warm somewhere: a cold run here is no reason to go on.
+            # The first run of a key is cold at any target, so it adds no cost here.
             cost_ms = wait_ms + times.warm_run_ms
         if target.domain != self._domain:
             cost_ms += OTHER_DOMAIN_PENALTY_MS
@@ -192,40 +199,41 @@
         )
 
     def _has_answered(self, key: str, state: TargetState, now: float) -> bool:
-        """Return whether any entry had an answer for a key from a target."""
+        """Return whether a target has answered a key for any entry."""
         if state.has_answered(key):
             return True
-        since = state.cold_until
-        return self.warm_keys.is_warm(state.target, key, since, now)
+        warm_since = state.cold_until
+        return self.warm_keys.is_warm(state.target, key, warm_since, now)
 
-    def _is_acceptable(self, option: ScoredTarget, now: float) -> bool:
-        """Return whether a request may run there, its likely cold run considered.
+    def _is_acceptable(self, scored: ScoredTarget, now: float) -> bool:
+        """Return whether a likely cold run is acceptable at a target.
 
-        A likely cold run is allowed at the key's first target, and at its second one
-        while that has many free slots and doesn't forget keys. All entries agree on
-        these two, so that a key costs few cold runs in all. Overflow to whatever has
-        free slots costs one at each entry and target, and makes a loaded region slower
-        still (six targets a key: worth 0.584 beside 0.678, 65 entries).
+        It is acceptable at the key's first target, and at further ones while they have
+        many free slots and do not evict keys. All entries use the same few targets for
+        a key, which limits its cold runs. Using any target with free slots would cost a
+        cold run for each entry and target, and slow down a loaded region further (six
+        targets a key: worth 0.584 beside 0.678, 65 entries).
         """
-        if option.rank == 0 or option.cold_share < COLD_RUN_THRESHOLD:
+        if scored.rank == 0 or scored.cold_share < COLD_RUN_THRESHOLD:
             return True
-        state = option.state
-        if self._warmth.evicts_keys(state.target):
+        state = scored.state
+        if self._cold_run_rates.evicts_keys(state.target):
             return False
         return state.load(now) < self._tuning.cold_room * state.target.slots
 
     def _times_of(self, request: PlacementRequest) -> RunTimeClusters:
-        return self._times.of(request.route, request.service)
+        """Return the run times of such requests."""
+        return self._run_times.of(request.route, request.service)
 
     def run_times(self, request: PlacementRequest) -> MeanRunTimes:
-        """Return how long runs of such requests take."""
+        """Return the mean durations of runs of such requests."""
         times = self._times_of(request)
         return MeanRunTimes(times.warm_run_ms / 1000, times.cold_run_ms / 1000)
 
     def score_cold_target(
         self, request: PlacementRequest, state: TargetState
     ) -> ScoredTarget:
-        """Return the option of a target in its warm-up, where all runs are cold."""
+        """Score a target in its warm-up, where all runs are cold."""
         cold_run_ms = self._times_of(request).cold_run_ms
         return ScoredTarget(
             state=state,
@@ -244,7 +252,14 @@
         took_ms: float,
         now: float,
     ) -> None:
-        """Learn from a whole answer."""
+        """Learn from a complete answer.
+
+        Args:
+          request: the request.
+          placement: the target that answered it.
+          took_ms: duration of the request at the target.
+          now: monotonic time in seconds.
+        """
         if placement.load < placement.target.slots:
             self._learn_run(request, placement, took_ms)
         self._fleet.of(placement.target, now).record_key(request.key)
@@ -254,10 +269,12 @@
     def _learn_run(
         self, request: PlacementRequest, placement: Placement, took_ms: float
     ) -> None:
-        """Learn from the time of a run that had a slot at once."""
+        """Learn from the duration of a run that did not wait for a slot."""
         times = self._times_of(request)
         if request.route.affinity and self._tuning.learns_warmth:
-            cold = times.is_cold(took_ms)
-            self._warmth.record(placement.target, placement.rank, placement.seen, cold)
+            was_cold = times.is_cold(took_ms)
+            self._cold_run_rates.record(
+                placement.target, placement.rank, placement.seen, was_cold
+            )
         if placement.target.region == self._region:
             times.learn(took_ms)
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -44,7 +44,7 @@
     for t in targets:
         state = desk.fleet.of(t, desk.now)
         state.sent(desk.now)
-        state.take(report, Random(1), desk.now)
+        state.apply_report(report, Random(1), desk.now)
         state.ended()
 
 
@@ -139,7 +139,7 @@
             pass
         sent.append(state.in_flight - before)
         for _ in range(state.in_flight):
-            state.take(ANSWERED, Random(1), desk.now)
+            state.apply_report(ANSWERED, Random(1), desk.now)
             state.ended()
     assert sent[:2] == [INITIAL_WINDOW, INITIAL_WINDOW * 2**INITIAL_WINDOW]
     assert sent[-1] >= only.slots
