--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -1,18 +1,17 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which target serves a request, or why none does: the decisions of one entry.
+"""Selects the target of a request at one entry, or rejects the request.
 
-`PlacementPolicy.place` is the list of rules in order; each rule stands in a module of
-its own. Nothing here does I/O or waits.
+`PlacementPolicy.place` applies the rules in order; each rule has a module of its own.
+Nothing here does I/O or waits.
 
-Owns the parts that the rules keep state in: the candidates (candidates.py), the
-chooser with run times and warm keys (choice.py), the shares of regions (sharing.py),
-the overflow budget (overflow.py), the credit of services (service_weights.py) and the
-rests of targets that other entries tell of (shared_rests.py). All is lost with the
-process.
+Owns the state of the rules: the candidates (candidates.py), the chooser with run times
+and warm keys (target_chooser.py), the shares of regions (region_share_table.py), the
+overflow budget (overflow_budget.py), the credit of services (service_weights.py) and
+the rests reported by other entries (peer_rests.py). All is lost with the process.
 
 Relies on the configuration (a `Catalog`), on the states of targets (fleet.py), and on
-`answered` and `ended` being called for what was placed.
+calls of `answered` and `ended` for placed requests.
 """
 
 from collections.abc import Callable
@@ -48,14 +47,14 @@
 __all__ = ["PlacementPolicy"]
 
 MAX_LOGGED_TARGETS = 3
-"""Targets that the log names when none could take a request.
+"""Maximum targets in the log detail of a request that no target can take.
 
-A line that can be read, with the two that may serve the key and the next.
+Keeps the line readable; covers the two targets that may serve the key and the next one.
 """
 
 
 class PlacementPolicy:
-    """Chooses targets by key, place and load."""
+    """Selects targets by key, location and load."""
 
     def __init__(
         self,
@@ -66,16 +65,16 @@
         move_per_s: float = MOVE_PER_S,
         tuning: Tuning = PRODUCTION,
     ) -> None:
-        """Create it.
+        """Create a policy without a configuration.
 
         Args:
           region: this entry's region.
           domain: this entry's failure domain.
           fleet: the states of targets.
-          rng: where all chance comes from.
-          move_per_s: most of a service's keys that change region in a second, as a
-            share of 1.
-          tuning: bounds and switches of the rules.
+          rng: the source of all random numbers.
+          move_per_s: maximum fraction of a service's keys that changes region in a
+            second.
+          tuning: parameters of the rules.
         """
         self._tuning = tuning
         self._region = region
@@ -89,39 +88,42 @@
         self._weights = ServiceWeights(rng)
         self.shares = RegionShareTable(region, fleet, move_per_s, tuning)
         self.may_warm_up_target: Callable[[Target], bool] = lambda _: True
-        """Whether this entry may use a cold target. The entry sets it to its rule,
-        which knows the members."""
+        """Returns whether this entry may send requests to a cold target.
+
+        The entry replaces it by a rule that depends on the members.
+        """
 
     def renew(self, catalog: Catalog) -> None:
-        """Take a new configuration."""
+        """Apply a new configuration."""
         self._catalog = catalog
         self._candidates.renew(catalog)
         self.shares.renew(catalog.regions, self._candidates.targets_by_region)
         self._chooser.keep_only(catalog.route_names, set(catalog.targets))
 
     def pick_service(self, route: Route) -> str:
-        """Choose among the services of a route so that their weights hold."""
+        """Select a service of a route by the route's weights."""
         return self._weights.pick(route)
 
     @property
     def warm_keys(self) -> WarmKeyDigests:
-        """The keys that are warm at a second target, exchanged by heartbeats."""
+        """Digests of keys that are warm at other targets than their first one."""
         return self._chooser.warm_keys
 
     def place(self, request: PlacementRequest, now: float) -> Placement | Rejection:
-        """Choose a target for a request and count it there, or refuse it at once.
+        """Select a target for a request and count the request there, or reject it.
 
-        In this order: a target in the region of the key; one in another region, for
-        a few requests; one in its warm-up, within what it bears.
+        Tries, in this order: targets in the region of the key; targets in another
+        region, for a limited number of requests; targets in their warm-up, within its
+        limit.
 
         Args:
-          request: what is to be placed.
+          request: the request to place.
           now: monotonic time in seconds.
         """
         self._overflow.earn()
         regions = self._candidates.regions(request)
         if not regions:
-            return self._refuse_without_region(request)
+            return self._reject_without_region(request)
         first = self.shares.region(request.service, request.key, regions, now)
         others = [region for region in regions if region != first]
         placement = (
@@ -130,17 +132,18 @@
             or self._place_in_warm_up(request, [first, *others], now)
         )
         if placement is None:
-            return self._refuse_unplaced(request, regions, first, now)
+            return self._reject_unplaced(request, regions, first, now)
         return placement
 
     def is_leaving(self, target: Target, now: float) -> bool:
-        """Return whether a target reported that it leaves."""
+        """Return whether a target reported that it is leaving."""
         return self._fleet.of(target, now).availability.leaving
 
     def accepts_requests(self, target: Target, now: float) -> bool:
-        """Return whether a target that was chosen before takes requests now.
+        """Return whether a target that was selected earlier still accepts requests.
 
-        It may have left service, or said that it leaves or wants rest, meanwhile.
+        In the meantime, it may have been taken out of service, or have reported that it
+        is leaving or needs a rest.
         """
         if target.name not in self._catalog.in_service:
             return False
@@ -155,25 +158,26 @@
         reason: PlacementReason,
         now: float,
     ) -> Placement | None:
-        """Place in a region, where the answer is expected first.
+        """Place a request at the best target of a region.
 
-        Targets that are ejected as slow, or lately asked other entries for rest, serve
-        only if no other can.
+        Targets that are ejected as slow, or recently requested a rest from other
+        entries, serve only if no other target can.
         """
         candidates = self._candidates.candidates(
             request, region, lambda target: self._is_open(target, now)
         )
-        sound = [t for t in candidates if not self._avoided(t, now)]
-        found = self._chooser.choose(request, sound, reason, now)
-        if found is None and len(sound) < len(candidates):
-            found = self._chooser.choose(request, candidates, reason, now)
-        return None if found is None else self._take(request, found, reason, now)
+        preferred = [t for t in candidates if not self._is_avoided(t, now)]
+        scored = self._chooser.choose(request, preferred, reason, now)
+        if scored is None and len(preferred) < len(candidates):
+            scored = self._chooser.choose(request, candidates, reason, now)
+        return None if scored is None else self._count(request, scored, reason, now)
 
     def _is_open(self, target: Target, now: float) -> bool:
-        """Return whether a target neither leaves nor rests, by its reports."""
+        """Return whether a target is neither leaving nor resting."""
         return self._fleet.of(target, now).availability.open(now)
 
-    def _avoided(self, target: Target, now: float) -> bool:
+    def _is_avoided(self, target: Target, now: float) -> bool:
+        """Return whether a target serves only if no other can."""
         state = self._fleet.of(target, now)
         if self._tuning.avoids_slow and state.is_slow(now):
             return True
@@ -184,7 +188,7 @@
     def _place_in_overflow(
         self, request: PlacementRequest, first: str, others: list[str], now: float
     ) -> Placement | None:
-        """Place in another region than the key's, the least loaded first."""
+        """Place a request outside its key's region, least loaded regions first."""
         if not others or not self._may_overflow(request, first, now):
             return None
 
@@ -192,15 +196,15 @@
             return self.shares.utilization(request.service, region, now)
 
         for region in sorted(others, key=utilization):
-            found = self._place_in(request, region, "overflow", now)
-            if found is not None:
-                return found
+            placement = self._place_in(request, region, "overflow", now)
+            if placement is not None:
+                return placement
         return None
 
     def _may_overflow(self, request: PlacementRequest, first: str, now: float) -> bool:
         """Return whether a request may leave its key's region.
 
-        All may while that has no usable target; else a few, within the budget.
+        Always true if that region has no usable slots, otherwise limited by the budget.
         """
         if self.shares.utilization(request.service, first, now) >= NO_SLOTS_UTILIZATION:
             return True
@@ -209,23 +213,23 @@
     def _place_in_warm_up(
         self, request: PlacementRequest, regions: list[str], now: float
     ) -> Placement | None:
-        """Use a cold target; its limiter has to grant the request.
+        """Place a request at a cold target, whose limiter still has to grant it.
 
-        Targets of the own region come first, then those of the others in order.
+        Tries this entry's region first, then the other regions in order.
         """
         for region in sorted(regions, key=lambda r: r != self._region):
             for target in self._candidates.order(request, region):
                 state = self._fleet.of(target, now)
                 if not self._may_warm_up(request, state, now):
                     continue
-                option = self._chooser.score_cold_target(request, state)
-                return self._take(request, option, "cold", now)
+                scored = self._chooser.score_cold_target(request, state)
+                return self._count(request, scored, "cold", now)
         return None
 
     def _may_warm_up(
         self, request: PlacementRequest, state: TargetState, now: float
     ) -> bool:
-        """Return whether a target is cold, has a slot, and may have room."""
+        """Return whether a target is in its warm-up and may take the request."""
         target = state.target
         if not state.in_warm_up(now) or not state.admits(request.priority, now):
             return False
@@ -235,64 +239,75 @@
             return False
         return self.may_warm_up_target(target)
 
-    def _refuse_without_region(self, request: PlacementRequest) -> Rejection:
-        """Refuse what no region may serve, or none has a target for."""
+    def _reject_without_region(self, request: PlacementRequest) -> Rejection:
+        """Reject a request without a home region or without a target there."""
         if self._candidates.has_home(request):
-            return self._refuse(Code.NO_TARGET, "no target may serve it")
-        return self._refuse(Code.NO_COMMON_HOME, f"of route {request.route.name}")
+            return self._reject(
+                Code.NO_TARGET, "no home region of the request has a target"
+            )
+        return self._reject(
+            Code.NO_COMMON_HOME,
+            f"no region is a home of route {request.route.name} and the workspace",
+        )
 
-    def _refuse_unplaced(
+    def _reject_unplaced(
         self, request: PlacementRequest, regions: list[str], first: str, now: float
     ) -> Rejection:
-        """Refuse what no target takes, by whether they rest, leave or are full."""
+        """Reject a request because all its targets are full, resting or leaving."""
         targets = [
             target
             for region in regions
             for target in self._candidates.targets_by_region[request.service, region]
         ]
         if any(self._is_open(target, now) for target in targets):
-            return self._refuse_as_full(request, first, now)
+            return self._reject_as_full(request, first, now)
         states = [self._fleet.of(target, now) for target in targets]
         resting = [state for state in states if not state.availability.leaving]
         if not resting:
-            return self._refuse(Code.NO_TARGET, "all that may serve it leave")
-        return self._refuse_as_resting(request, resting, now)
+            return self._reject(
+                Code.NO_TARGET, "all targets of the request are leaving"
+            )
+        return self._reject_as_resting(request, resting, now)
 
-    def _refuse_as_resting(
+    def _reject_as_resting(
         self, request: PlacementRequest, states: list[TargetState], now: float
     ) -> Rejection:
-        """Refuse what targets take after a rest only; urgent ones come back first."""
+        """Reject a request because all targets rest; urgent ones are retried first."""
         for state in states:
             state.availability.rejected(request.priority)
         rest_s = min(state.availability.remaining_rest_s(now) for state in states)
         urgent = request.priority <= URGENT_PRIORITY
         wait_ms = resting_retry_after_ms(rest_s, urgent, self._rng.random())
-        reason = f"{request.service}: {len(states)} targets, {rest_s:.2f} s left"
+        reason = (
+            f"service {request.service}: {len(states)} targets are resting,"
+            f" the first for another {rest_s:.2f} s"
+        )
         return Rejection(Code.TARGETS_RESTING, wait_ms, reason)
 
-    def _refuse_as_full(
+    def _reject_as_full(
         self, request: PlacementRequest, first: str, now: float
     ) -> Rejection:
-        """Refuse what no target can take, with the loads in the key's region."""
+        """Reject a request because targets are full; describes the key's region."""
         targets = self._candidates.order(request, first)
         loads = describe_loads(targets[:MAX_LOGGED_TARGETS], self._fleet, now)
-        reason = f"{request.service} in {first}: {loads}"
+        reason = f"service {request.service} in region {first}: {loads}"
         room_s = self._limited_room_s(request, targets, now)
         if room_s is None:
-            return self._refuse(Code.QUEUE_FULL, reason)
+            return self._reject(Code.QUEUE_FULL, reason)
         wait_ms = limited_retry_after_ms(room_s, self._rng.random())
         return Rejection(Code.TARGETS_LIMITED, wait_ms, reason)
 
     def _limited_room_s(
         self, request: PlacementRequest, targets: list[Target], now: float
     ) -> float | None:
-        """Return when any of some targets should have room, if limits are why not.
+        """Return the time until any target should have room, in seconds.
 
         Args:
-          request: what found no target.
-          targets: of the region that it belongs to.
+          request: the request that found no target.
+          targets: the targets in the region of its key.
           now: monotonic time in seconds.
-        Returns: None if any that can be used has no limit, or room within it.
+        Returns: None if limits are not the cause: no target is usable and warm, or one
+          of these has no limit or has room.
         """
         if self._fleet.limits.is_empty:
             return None
@@ -303,41 +318,42 @@
             return None
         return min(s.room.room_s(now) for s in limited)
 
-    def _refuse(self, code: Code, reason: str) -> Rejection:
+    def _reject(self, code: Code, reason: str) -> Rejection:
+        """Return a rejection with a random retry time."""
         return Rejection(code, retry_after_ms(self._rng.random()), reason)
 
-    def _take(
+    def _count(
         self,
         request: PlacementRequest,
-        option: ScoredTarget,
+        scored: ScoredTarget,
         reason: PlacementReason,
         now: float,
     ) -> Placement:
-        """Count a request at its target."""
-        state = option.state
+        """Count a request at its target, and return the placement."""
+        state = scored.state
         load = state.load(now)
         age_ms = state.load_age_ms(now)
         state.sent(now, self._chooser.run_times(request))
         return Placement(
             target=state.target,
-            rank=option.rank,
-            seen=option.seen,
-            cold_share=option.cold_share,
-            expected_ms=option.response_ms,
+            rank=scored.rank,
+            seen=scored.seen,
+            cold_share=scored.cold_share,
+            expected_ms=scored.response_ms,
             load=load,
             load_age_ms=age_ms,
             reason=reason,
             limit_per_s=self._fleet.limit_per_s(state.target),
         )
 
-    # What came of it.
+    # Results of placed requests.
 
     def take_report(self, target: Target, report: TargetReport, now: float) -> None:
-        """Take what an answer reports of its target.
+        """Apply the report in an answer of a target.
 
         Args:
-          target: which answered.
-          report: of an answer whose request still counts as in flight.
+          target: the target that answered.
+          report: the report; the answered request still counts as in flight.
           now: monotonic time in seconds.
         """
         self._fleet.of(target, now).apply_report(report, self._rng, now)
@@ -352,15 +368,15 @@
         size: int,
         now: float,
     ) -> bool:
-        """Learn from a whole answer.
+        """Learn from a complete answer.
 
         Args:
           request: the request.
-          placement: where it was sent.
-          took_ms: how long it took there.
-          size: its bytes and its answer's.
+          placement: the target that answered it.
+          took_ms: duration of the request at the target.
+          size: bytes of the request and its answer.
           now: monotonic time in seconds.
-        Returns: whether the target is so slow that it is ejected now.
+        Returns: whether the target is now ejected as slow.
         """
         self._candidates.record_size(request.service, size)
         state = self._fleet.of(placement.target, now)
@@ -369,5 +385,5 @@
         return ejected
 
     def ended(self, placement: Placement, now: float) -> None:
-        """Count a request that ended, however it did."""
+        """Count a request that ended, whether it succeeded or not."""
         self._fleet.of(placement.target, now).ended()
--- a/leverdoor/entry/placement/target_chooser.py
+++ b/leverdoor/entry/placement/target_chooser.py
@@ -171,8 +171,9 @@
     ) -> ScoredTarget:
         """Score one target.
 
-        Its queue is the load beyond its slots, including this request, served at the
-        mean duration of its runs. The cost adds a likely cold run and the distance.
+        Its queue is the load beyond its slots, including this request; the wait depends
+        on the mean duration of its runs. The cost adds a likely cold run and the
+        distance.
         """
         target = state.target
         times = self._times_of(request)
