--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -290,7 +290,7 @@
         """Reject a request because targets are full; describes the key's region."""
         targets = self._candidates.order(request, first)
         loads = describe_loads(targets[:MAX_LOGGED_TARGETS], self._fleet, now)
-        reason = f"service {request.service} in region {first}: {loads}"
+        reason = f"{request.service} in {first}: {loads}"
         room_s = self._limited_room_s(request, targets, now)
         if room_s is None:
             return self._reject(Code.QUEUE_FULL, reason)
