--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -243,7 +243,8 @@
         """Reject a request without a home region or without a target there."""
         if self._candidates.has_home(request):
             return self._reject(
-                Code.NO_TARGET, "no home region of the request has a target"
+                Code.NO_TARGET,
+                f"service {request.service} has no target in any home of the request",
             )
         return self._reject(
             Code.NO_COMMON_HOME,
@@ -265,7 +266,8 @@
         resting = [state for state in states if not state.availability.leaving]
         if not resting:
             return self._reject(
-                Code.NO_TARGET, "all targets of the request are leaving"
+                Code.NO_TARGET,
+                f"all targets of service {request.service} are leaving",
             )
         return self._reject_as_resting(request, resting, now)
 
