--- a/tests/desk.py
+++ b/tests/desk.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A placement with a catalogue and a clock, for tests of decisions."""
+"""A harness with a catalog and a clock, for tests of placement decisions."""
 
 from random import Random
 
@@ -42,7 +42,7 @@
 SLOTS = 4
 
 
-def target(name: str, domain: str = "a1", **more: object) -> Target:
+def target(name: str, domain: str = "a1", **overrides: object) -> Target:
     fields: dict[str, object] = {
         "service": "s",
         "region": domain[0],
@@ -50,7 +50,7 @@
         "address": "10.0.0.1:80",
         "slots": SLOTS,
     }
-    return Target(name=name, **(fields | more))  # type: ignore[arg-type]
+    return Target(name=name, **(fields | overrides))  # type: ignore[arg-type]
 
 
 def service(per_s: float = 0.0) -> Service:
@@ -58,24 +58,24 @@
 
 
 class PlacementHarness:
-    """A placement with a catalogue and a clock."""
+    """A placement policy with a catalog and a clock."""
 
     def __init__(self, *resources: Resource, region: str = "a") -> None:
         self.now = 100.0
         self.fleet = Fleet()
         self.placement = PlacementPolicy(region, region + "1", self.fleet, Random(1))
-        self.take(*resources)
-        self._numbers = 0
+        self.configure(*resources)
+        self._request_count = 0
 
-    def take(self, *resources: Resource) -> None:
+    def configure(self, *resources: Resource) -> None:
         catalog = Catalog(1, "v", [*REGIONS, ROUTE, service(10.0), *resources])
         self.fleet.renew(catalog.targets, self.now, catalog.services.values())
         self.placement.renew(catalog)
 
     def new_request(self, key: str = "k", route: Route = ROUTE) -> PlacementRequest:
-        self._numbers += 1
+        self._request_count += 1
         return PlacementRequest(
-            request_id=str(self._numbers),
+            request_id=str(self._request_count),
             route=route,
             service=self.placement.pick_service(route),
             key=key,
@@ -88,19 +88,19 @@
         return self.placement.place(self.new_request(key, route), self.now)
 
     def name(self, key: str = "k", route: Route = ROUTE) -> str:
-        found = self.place(key, route)
-        assert isinstance(found, Placement), found
-        self.placement.ended(found, self.now)
-        return found.target.name
+        placement = self.place(key, route)
+        assert isinstance(placement, Placement), placement
+        self.placement.ended(placement, self.now)
+        return placement.target.name
 
     def place_and_answer(self, key: str, took_ms: float) -> str:
-        """Place a request and answer it; return the target's name."""
-        asked = self.new_request(key)
-        found = self.placement.place(asked, self.now)
-        assert isinstance(found, Placement), found
-        self.placement.ended(found, self.now)
-        self.placement.answered(asked, found, took_ms, 100, self.now)
-        return found.target.name
+        """Place and answer a request; return the target's name."""
+        request = self.new_request(key)
+        placement = self.placement.place(request, self.now)
+        assert isinstance(placement, Placement), placement
+        self.placement.ended(placement, self.now)
+        self.placement.answered(request, placement, took_ms, 100, self.now)
+        return placement.target.name
 
     def set_load(self, target: Target, load: int) -> None:
         state = self.fleet.of(target, self.now)
--- a/tests/test_entry_fleet.py
+++ b/tests/test_entry_fleet.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The state of targets at an entry: load, health, ejection, warm-up, allowance."""
+"""State of targets at an entry: load, health, ejection and warm-up."""
 
 from random import Random
 
@@ -18,20 +18,20 @@
 def test_a_slow_target_is_ejected() -> None:
     only = target("t")
     state = Fleet().of(only, 0.0)
-    rested = [state.answered(6.0, 1.0) for _ in range(10)]
-    assert True in rested
+    ejected = [state.answered(6.0, 1.0) for _ in range(10)]
+    assert True in ejected
     assert state.is_slow(1.0)
     assert not state.is_slow(4.0)
 
 
-def test_requests_whose_time_was_over_show_a_slow_target() -> None:
+def test_timed_out_requests_eject_a_slow_target() -> None:
     state = Fleet().of(target("t"), 0.0)
     assert not any(state.overran(0.5, 1.0) for _ in range(50))
     assert any(state.overran(8.0, 1.0) for _ in range(4))
     assert state.is_usable(1.0)
 
 
-def test_a_target_is_ejected_after_several_lost_answers_in_a_row_only() -> None:
+def test_only_consecutive_lost_answers_eject_a_target() -> None:
     state = Fleet().of(target("t"), 0.0)
     for _ in range(10):
         assert state.lost(1.0) == state.lost(1.0) == 0.0
@@ -41,7 +41,7 @@
     assert state.is_usable(2.0)
 
 
-def test_a_fresh_report_counts_what_others_have_there() -> None:
+def test_a_new_report_includes_the_requests_of_other_entries() -> None:
     state = Fleet().of(target("t"), 0.0)
     state.sent(0.0)
     state.reported(TargetLoad(3, 2, SLOTS), 1.0)
@@ -50,18 +50,18 @@
     assert state.load(1.0) == 6
 
 
-def test_a_report_gives_way_to_heartbeats_as_it_ages() -> None:
+def test_the_weight_of_a_report_decreases_with_its_age() -> None:
     state = Fleet().of(target("t"), 0.0)
     state.reported_by_peer("p", 2, 0.0)
     state.reported(TargetLoad(6, 0, SLOTS), 0.0)
     loads = [state.load(at) for at in (0.0, 0.1, 0.5)]
     assert loads == sorted(loads, reverse=True)
     assert loads[0] == 6
-    assert 2 < loads[-1] < 6, "load that no heartbeat accounts for is remembered"
+    assert 2 < loads[-1] < 6, "the load missing from heartbeats is kept"
 
 
-def test_the_load_is_not_estimated_too_high_on_average() -> None:
-    """The greater of two noisy figures is; runs that it refused had room."""
+def test_the_load_estimate_has_no_upward_bias() -> None:
+    """The greater of two noisy figures is too high, and causes rejections."""
     rng = Random(1)
     state = Fleet().of(target("t"), 0.0)
     errors = []
@@ -73,7 +73,7 @@
     assert abs(sum(errors) / len(errors)) < 0.25
 
 
-def test_peers_counts_age() -> None:
+def test_the_counts_of_peers_expire() -> None:
     state = Fleet().of(target("t"), 0.0)
     state.reported_by_peer("p", 3, 10.0)
     state.reported_by_peer("q", 2, 10.5)
@@ -82,7 +82,7 @@
     assert state.load(10.6 + PEER_LOAD_TTL_S) == 0
 
 
-def test_what_a_peer_no_longer_names_it_no_longer_has() -> None:
+def test_a_target_omitted_by_a_peer_has_none_of_its_requests() -> None:
     fleet = Fleet()
     t0, t1 = target("t0"), target("t1")
     for t in (t0, t1):
@@ -92,13 +92,13 @@
     assert [fleet.of(t, 0.1).load(0.1) for t in (t0, t1)] == [0, 3]
 
 
-def test_a_target_that_goes_cold_again_is_cold_from_then() -> None:
-    desk = PlacementHarness(target("t"))
-    assert desk.name() == "t"
-    desk.take(target("t", cold_ms=3_000))
-    state = desk.fleet.of(target("t"), desk.now)
-    assert state.in_warm_up(desk.now)
-    assert not state.in_warm_up(desk.now + 3.1)
+def test_a_restarted_target_starts_a_new_warm_up() -> None:
+    harness = PlacementHarness(target("t"))
+    assert harness.name() == "t"
+    harness.configure(target("t", cold_ms=3_000))
+    state = harness.fleet.of(target("t"), harness.now)
+    assert state.in_warm_up(harness.now)
+    assert not state.in_warm_up(harness.now + 3.1)
 
 
 @settings(derandomize=True, deadline=None)
@@ -111,7 +111,7 @@
         max_size=60,
     )
 )
-def test_a_load_is_never_less_than_the_own_requests(
+def test_the_load_is_never_below_the_own_requests(
     steps: list[tuple[str, int]],
 ) -> None:
     state = Fleet().of(target("t"), 0.0)
@@ -129,8 +129,8 @@
         assert state.load(now) >= state.in_flight
 
 
-def test_a_target_that_runs_cold_requests_is_not_taken_for_silent() -> None:
-    """Cold runs of 3.5 s outlast the least silence three times."""
+def test_a_target_with_cold_runs_does_not_count_as_silent() -> None:
+    """Cold runs of 3.5 s take three times the minimum silence."""
     state = Fleet().of(target("t"), 0.0)
     for _ in range(SILENCE_MIN_REQUESTS):
         state.sent(0.0, MeanRunTimes(1.1, 3.5))
@@ -138,8 +138,8 @@
     assert state.is_silent(SILENCE_COLD_RUNS * 3.5 + 0.1)
 
 
-def test_a_report_counts_for_as_long_as_a_run_takes() -> None:
-    """After 0.3 s most of the requests that it told of still run."""
+def test_a_report_is_used_for_the_duration_of_a_run() -> None:
+    """After 0.3 s, most of the reported requests are still running."""
     state = Fleet().of(target("t"), 0.0)
     state.sent(0.0, MeanRunTimes(1.1, 3.5))
     state.ended()
--- a/tests/test_entry_spill.py
+++ b/tests/test_entry_spill.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Regions' shares of a service's keys."""
+"""Shares of a service's keys by region."""
 
 from random import Random
 
@@ -18,7 +18,7 @@
     return {"a": own, "b": other, "c": other + 0.05}
 
 
-def test_shares_follow_pressure_at_a_bounded_rate() -> None:
+def test_shares_follow_utilization_at_a_limited_rate() -> None:
     state = RegionShares("a", {"a": 1.0, "b": 0.0, "c": 0.0}, 0.0)
     now = 0.0
     before = 1.0
@@ -34,29 +34,29 @@
     assert state.shares["a"] > 0.99
 
 
-def test_shares_add_up_to_one() -> None:
+def test_shares_sum_to_one() -> None:
     rng = Random(7)
     state = RegionShares("a", {"a": 0.5, "b": 0.3, "c": 0.2}, 0.0)
     for i in range(300):
-        told = {r: rng.random() for r in "abc"}
-        total = sum(told.values())
-        peers = [{r: v / total for r, v in told.items()}] if i % 3 else []
+        reported = {r: rng.random() for r in "abc"}
+        total = sum(reported.values())
+        peers = [{r: v / total for r, v in reported.items()}] if i % 3 else []
         state.update({r: 2 * rng.random() for r in "abc"}, peers, i * 0.3)
         assert sum(state.shares.values()) == pytest.approx(1.0)
         assert all(v >= 0 for v in state.shares.values())
 
 
-def test_entries_of_a_region_come_to_agree() -> None:
+def test_the_shares_of_entries_of_a_region_converge() -> None:
     one = RegionShares("a", {"a": 0.9, "b": 0.1}, 0.0)
     other = RegionShares("a", {"a": 0.4, "b": 0.6}, 0.0)
     for i in range(1, 300):
-        told = dict(one.shares), dict(other.shares)
-        one.update({"a": 0.7, "b": 0.7}, [told[1]], i * 0.3)
-        other.update({"a": 0.7, "b": 0.7}, [told[0]], i * 0.3)
+        reported = dict(one.shares), dict(other.shares)
+        one.update({"a": 0.7, "b": 0.7}, [reported[1]], i * 0.3)
+        other.update({"a": 0.7, "b": 0.7}, [reported[0]], i * 0.3)
     assert abs(one.shares["a"] - other.shares["a"]) < 0.05
 
 
-def test_only_keys_of_the_regions_whose_share_changed_move() -> None:
+def test_a_share_change_moves_only_keys_of_the_changed_regions() -> None:
     keys = [f"k{i}" for i in range(2000)]
     regions = ["a", "b", "c"]
     before = RegionShares("a", {"a": 0.6, "b": 0.2, "c": 0.2}, 0.0)
@@ -67,7 +67,7 @@
     assert all(y == "b" or x == "a" for x, y in moved)
 
 
-def test_first_shares_follow_slots() -> None:
+def test_initial_shares_are_computed_from_slots() -> None:
     shares = initial_shares("a", {"a": 18, "b": 99, "c": 99})
     part = 18 / 72
     assert shares["a"] == pytest.approx(part)
@@ -76,15 +76,17 @@
     assert initial_shares("a", {"a": 0, "b": 9})["b"] == 1.0
 
 
-def test_first_shares_do_not_depend_on_the_order_of_arrival() -> None:
-    """Targets appear one by one before there is any load."""
-    desk = PlacementHarness(target("b0", "b1"))
+def test_initial_shares_do_not_depend_on_the_order_in_which_targets_appear() -> None:
+    """Targets are added one by one before there is any load."""
+    harness = PlacementHarness(target("b0", "b1"))
     for _ in range(20):
-        desk.now += 0.3
-        desk.placement.shares.update([], desk.now)
-    desk.take(target("b0", "b1"), target("a0"), target("a1"), target("c0", "c1"))
-    desk.now += 0.3
-    desk.placement.shares.update([], desk.now)
-    assert desk.placement.shares.reported() == {}
+        harness.now += 0.3
+        harness.placement.shares.update([], harness.now)
+    harness.configure(
+        target("b0", "b1"), target("a0"), target("a1"), target("c0", "c1")
+    )
+    harness.now += 0.3
+    harness.placement.shares.update([], harness.now)
+    assert harness.placement.shares.reported() == {}
     keys = [f"k{i}" for i in range(40)]
-    assert all(desk.name(k).startswith("a") for k in keys)
+    assert all(harness.name(k).startswith("a") for k in keys)
--- a/tests/test_entry_warmth.py
+++ b/tests/test_entry_warmth.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What run times show of caches: warm and cold runs, targets that forget."""
+"""Learning of warm and cold runs, and exchange of warm keys."""
 
 from desk import target
 from leverdoor.entry.placement.cold_run_rates import RANKS, ColdRunRates
@@ -12,17 +12,17 @@
 )
 
 
-def test_times_fall_into_two_clusters_whatever_was_expected() -> None:
+def test_two_clusters_of_run_times_are_learned_from_any_initial_values() -> None:
     times = RunTimeClusters(warm_run_ms=200.0, cold_run_ms=650.0)
-    for turn in range(400):
-        times.learn(90.0 if turn % 4 else 320.0)
+    for run in range(400):
+        times.learn(90.0 if run % 4 else 320.0)
     assert 85 < times.warm_run_ms < 95
     assert 300 < times.cold_run_ms < 340
     assert times.is_cold(250.0)
     assert not times.is_cold(120.0)
 
 
-def test_one_cluster_alone_moves_the_other_with_it() -> None:
+def test_a_single_cluster_keeps_the_cold_mean_above_the_warm_mean() -> None:
     times = RunTimeClusters(warm_run_ms=200.0, cold_run_ms=650.0)
     for _ in range(400):
         times.learn(300.0)
@@ -30,61 +30,61 @@
     assert times.cold_run_ms > 1.4 * times.warm_run_ms
 
 
-def test_first_choices_pass_for_warm_and_others_for_cold_until_seen() -> None:
-    book = ColdRunRates()
+def test_only_the_first_rank_counts_as_warm_before_any_answer() -> None:
+    rates = ColdRunRates()
     one = target("t")
-    assert book.cold_share(one, 0, seen=False) == 0.0
-    assert book.cold_share(one, 1, seen=False) == 1.0
-    assert book.cold_share(one, 1, seen=True) == 0.0
+    assert rates.cold_share(one, 0, seen=False) == 0.0
+    assert rates.cold_share(one, 1, seen=False) == 1.0
+    assert rates.cold_share(one, 1, seen=True) == 0.0
 
 
-def test_the_share_of_cold_runs_follows_what_runs_show() -> None:
-    book = ColdRunRates()
+def test_the_cold_rate_of_a_rank_follows_the_observed_runs() -> None:
+    rates = ColdRunRates()
     one = target("t")
     for _ in range(40):
-        book.record(one, 0, seen=False, cold=True)
-        book.record(one, 1, seen=False, cold=False)
-    assert book.cold_share(one, 0, seen=False) > 0.9
-    assert book.cold_share(one, 1, seen=False) < 0.1
-    assert book.cold_share(one, RANKS + 3, seen=False) == 1.0
+        rates.record(one, 0, seen=False, cold=True)
+        rates.record(one, 1, seen=False, cold=False)
+    assert rates.cold_share(one, 0, seen=False) > 0.9
+    assert rates.cold_share(one, 1, seen=False) < 0.1
+    assert rates.cold_share(one, RANKS + 3, seen=False) == 1.0
 
 
-def test_a_target_that_runs_known_keys_cold_forgets() -> None:
-    book = ColdRunRates()
+def test_a_target_that_runs_known_keys_cold_counts_as_evicting_keys() -> None:
+    rates = ColdRunRates()
     one, other = target("t"), target("u")
     for _ in range(20):
-        book.record(one, 0, seen=True, cold=True)
-        book.record(other, 0, seen=True, cold=False)
-    assert book.evicts_keys(one)
-    assert not book.evicts_keys(other)
-    book.keep_only({"u"})
-    assert not book.evicts_keys(one)
+        rates.record(one, 0, seen=True, cold=True)
+        rates.record(other, 0, seen=True, cold=False)
+    assert rates.evicts_keys(one)
+    assert not rates.evicts_keys(other)
+    rates.keep_only({"u"})
+    assert not rates.evicts_keys(one)
 
 
-def test_what_one_entry_had_answered_is_warm_for_the_others() -> None:
-    mine, other = WarmKeyDigests(), WarmKeyDigests()
+def test_a_key_answered_for_one_entry_is_warm_for_the_others() -> None:
+    own, other = WarmKeyDigests(), WarmKeyDigests()
     one = target("t")
-    mine.record_answer(one, "k", 10.0)
-    other.receive(mine.recent(0.4, 10.2), 10.2)
+    own.record_answer(one, "k", 10.0)
+    other.receive(own.recent(0.4, 10.2), 10.2)
     assert other.is_warm(one, "k", since=0.0, now=11.0)
     assert not other.is_warm(one, "another", since=0.0, now=11.0)
-    assert not other.is_warm(one, "k", since=10.5, now=11.0), "it was emptied since"
+    assert not other.is_warm(one, "k", since=10.5, now=11.0), "emptied later"
     assert not other.is_warm(one, "k", since=0.0, now=11.0 + WARM_KEY_TTL_S)
 
 
-def test_an_answer_is_told_for_a_while_and_again_much_later() -> None:
-    mine = WarmKeyDigests()
+def test_a_digest_is_sent_for_a_limited_time_and_resent_much_later() -> None:
+    own = WarmKeyDigests()
     one = target("t")
     for at in (10.0, 10.1, 10.2):
-        mine.record_answer(one, "k", at)
-    assert len(mine.recent(0.4, 10.3)) == 1
-    assert mine.recent(0.4, 11.0) == []
-    mine.record_answer(one, "k", 18.0)
-    assert len(mine.recent(0.4, 18.1)) == 1
+        own.record_answer(one, "k", at)
+    assert len(own.recent(0.4, 10.3)) == 1
+    assert own.recent(0.4, 11.0) == []
+    own.record_answer(one, "k", 18.0)
+    assert len(own.recent(0.4, 18.1)) == 1
 
 
-def test_a_heartbeat_tells_a_bounded_number() -> None:
-    mine = WarmKeyDigests()
+def test_a_heartbeat_carries_a_limited_number_of_digests() -> None:
+    own = WarmKeyDigests()
     for i in range(500):
-        mine.record_answer(target("t"), f"k{i}", 10.0)
-    assert len(mine.recent(1.0, 10.0)) == MAX_SENT_DIGESTS
+        own.record_answer(target("t"), f"k{i}", 10.0)
+    assert len(own.recent(1.0, 10.0)) == MAX_SENT_DIGESTS
