--- a/leverdoor/entry/placement/candidates.py
+++ b/leverdoor/entry/placement/candidates.py
@@ -31,8 +31,8 @@
 """Minimum targets with which a failure domain keeps its large requests.
 
 A greater value sends more bytes between domains (uploads of 60 kB where domains have
-fewer than eight targets). With a smaller one, each key has a cold run in every domain,
-even if a key is requested too seldom to make up for it.
+fewer than eight targets). With a smaller one, each key has a cold run in every domain
+even where that is a large part of the key's runs.
 """
 
 
@@ -97,7 +97,7 @@
         """Return all targets of a region by descending rank for the request's key."""
         return self._by_region[(request.service, region)].order(request.key)
 
-    def candidates(
+    def select(
         self, request: PlacementRequest, region: str, is_open: Callable[[Target], bool]
     ) -> list[Target]:
         """Return the highest-ranked open targets of a region.
--- a/leverdoor/entry/placement/health.py
+++ b/leverdoor/entry/placement/health.py
@@ -24,7 +24,7 @@
 
 Short, because one failure is weak evidence. With a greater value, a target with one
 failed connection loses its keys, which run cold elsewhere. With a smaller one, a dead
-target costs more requests a retry.
+target causes more retries.
 """
 MAX_EJECTION_S = 4.0
 """Maximum duration of such an ejection in seconds: the usual length of an outage.
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -124,15 +124,15 @@
         regions = self._candidates.regions(request)
         if not regions:
             return self._reject_without_region(request)
-        first = self.shares.region(request.service, request.key, regions, now)
-        others = [region for region in regions if region != first]
+        key_region = self.shares.region(request.service, request.key, regions, now)
+        others = [region for region in regions if region != key_region]
         placement = (
-            self._place_in(request, first, "share", now)
-            or self._place_in_overflow(request, first, others, now)
-            or self._place_in_warm_up(request, [first, *others], now)
+            self._place_in(request, key_region, "share", now)
+            or self._place_in_overflow(request, key_region, others, now)
+            or self._place_in_warm_up(request, [key_region, *others], now)
         )
         if placement is None:
-            return self._reject_unplaced(request, regions, first, now)
+            return self._reject_unplaced(request, regions, key_region, now)
         return placement
 
     def is_leaving(self, target: Target, now: float) -> bool:
@@ -163,7 +163,7 @@
         Targets that are ejected as slow, or recently requested a rest from other
         entries, serve only if no other target can.
         """
-        candidates = self._candidates.candidates(
+        candidates = self._candidates.select(
             request, region, lambda target: self._is_open(target, now)
         )
         preferred = [t for t in candidates if not self._is_avoided(t, now)]
@@ -186,10 +186,10 @@
         return self._rests.is_resting(target, now)
 
     def _place_in_overflow(
-        self, request: PlacementRequest, first: str, others: list[str], now: float
+        self, request: PlacementRequest, key_region: str, others: list[str], now: float
     ) -> Placement | None:
         """Place a request outside its key's region, least loaded regions first."""
-        if not others or not self._may_overflow(request, first, now):
+        if not others or not self._may_overflow(request, key_region, now):
             return None
 
         def utilization(region: str) -> float:
@@ -201,12 +201,17 @@
                 return placement
         return None
 
-    def _may_overflow(self, request: PlacementRequest, first: str, now: float) -> bool:
+    def _may_overflow(
+        self, request: PlacementRequest, key_region: str, now: float
+    ) -> bool:
         """Return whether a request may leave its key's region.
 
         Always true if that region has no usable slots, otherwise limited by the budget.
         """
-        if self.shares.utilization(request.service, first, now) >= NO_SLOTS_UTILIZATION:
+        if (
+            self.shares.utilization(request.service, key_region, now)
+            >= NO_SLOTS_UTILIZATION
+        ):
             return True
         return self._overflow.spend()
 
@@ -252,7 +257,7 @@
         )
 
     def _reject_unplaced(
-        self, request: PlacementRequest, regions: list[str], first: str, now: float
+        self, request: PlacementRequest, regions: list[str], key_region: str, now: float
     ) -> Rejection:
         """Reject a request because all its targets are full, resting or leaving."""
         targets = [
@@ -261,7 +266,7 @@
             for target in self._candidates.targets_by_region[request.service, region]
         ]
         if any(self._is_open(target, now) for target in targets):
-            return self._reject_as_full(request, first, now)
+            return self._reject_as_full(request, key_region, now)
         states = [self._fleet.of(target, now) for target in targets]
         resting = [state for state in states if not state.availability.leaving]
         if not resting:
@@ -287,12 +292,12 @@
         return Rejection(Code.TARGETS_RESTING, wait_ms, reason)
 
     def _reject_as_full(
-        self, request: PlacementRequest, first: str, now: float
+        self, request: PlacementRequest, key_region: str, now: float
     ) -> Rejection:
         """Reject a request because targets are full; describes the key's region."""
-        targets = self._candidates.order(request, first)
+        targets = self._candidates.order(request, key_region)
         loads = describe_loads(targets[:MAX_LOGGED_TARGETS], self._fleet, now)
-        reason = f"{request.service} in {first}: {loads}"
+        reason = f"{request.service} in {key_region}: {loads}"
         room_s = self._limited_room_s(request, targets, now)
         if room_s is None:
             return self._reject(Code.QUEUE_FULL, reason)
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -53,8 +53,8 @@
     return Target(name=name, **(fields | overrides))  # type: ignore[arg-type]
 
 
-def service(per_s: float = 0.0) -> Service:
-    return Service(name="s", work=WorkClass.ONCE, warmup_per_s=per_s)
+def service(warmup_per_s: float = 0.0) -> Service:
+    return Service(name="s", work=WorkClass.ONCE, warmup_per_s=warmup_per_s)
 
 
 class PlacementHarness:
@@ -68,6 +68,7 @@
         self._request_count = 0
 
     def configure(self, *resources: Resource) -> None:
+        """Replace the configuration; regions, route and service are always added."""
         catalog = Catalog(1, "v", [*REGIONS, ROUTE, service(10.0), *resources])
         self.fleet.renew(catalog.targets, self.now, catalog.services.values())
         self.placement.renew(catalog)
@@ -88,6 +89,7 @@
         return self.placement.place(self.new_request(key, route), self.now)
 
     def name(self, key: str = "k", route: Route = ROUTE) -> str:
+        """Place and end a request; return the target's name."""
         placement = self.place(key, route)
         assert isinstance(placement, Placement), placement
         self.placement.ended(placement, self.now)
@@ -103,5 +105,6 @@
         return placement.target.name
 
     def set_load(self, target: Target, load: int) -> None:
+        """Set the load of a target, as reported by another entry."""
         state = self.fleet.of(target, self.now)
         state.reported_by_peer("other", load, self.now)
