--- a/leverdoor/entry/placement/availability.py
+++ b/leverdoor/entry/placement/availability.py
@@ -56,9 +56,9 @@
         self.answered_at = -math.inf
         """When it last answered without rejecting the request."""
         self._rest_until = 0.0
-        self._window = 0
+        self._max_in_flight = 0
         """Maximum requests in flight after a rest; 0 for no limit."""
-        self._sent_before = 0
+        self._in_flight_before_rest = 0
         """Requests in flight that were sent before the rest ended."""
         self._most_urgent: int | None = None
         """Lowest priority number of the requests rejected during the rest."""
@@ -68,24 +68,24 @@
         self.leaving = True
 
     def start_rest(
-        self, rest_s: float, chance: float, in_flight: int, now: float
+        self, rest_s: float, random_fraction: float, in_flight: int, now: float
     ) -> None:
         """Start a rest that the target requested; never shortens a current one.
 
         Args:
           rest_s: duration in seconds.
-          chance: a random number of [0, 1), which spreads the end of the rest.
+          random_fraction: a random number of [0, 1), which spreads the end of the rest.
           in_flight: this entry's requests at the target, without the answered one.
           now: monotonic time in seconds.
         """
-        until = now + min(rest_s, MAX_REST_S) + REST_END_SPREAD_S * chance
+        until = now + min(rest_s, MAX_REST_S) + REST_END_SPREAD_S * random_fraction
         if not self.is_resting(now):
             self._most_urgent = None
         self._rest_until = max(self._rest_until, until)
-        self._window = INITIAL_WINDOW
-        self._sent_before = in_flight
+        self._max_in_flight = INITIAL_WINDOW
+        self._in_flight_before_rest = in_flight
 
-    def answered(self, slots: int, now: float) -> None:
+    def record_answer(self, slots: int, now: float) -> None:
         """Record an answer other than a rejection; doubles the window after a rest.
 
         Args:
@@ -93,17 +93,17 @@
           now: monotonic time in seconds.
         """
         self.answered_at = now
-        if not self._window or self.is_resting(now):
+        if not self._max_in_flight or self.is_resting(now):
             return
-        self._window *= 2
-        if self._window >= slots:
-            self._window = 0
+        self._max_in_flight *= 2
+        if self._max_in_flight >= slots:
+            self._max_in_flight = 0
 
-    def ended(self, in_flight: int) -> None:
+    def record_end(self, in_flight: int) -> None:
         """Record the number of requests in flight after one ended."""
-        self._sent_before = min(self._sent_before, in_flight)
+        self._in_flight_before_rest = min(self._in_flight_before_rest, in_flight)
 
-    def rejected(self, priority: int) -> None:
+    def record_entry_rejection(self, priority: int) -> None:
         """Record that the entry rejected a request because the target rests."""
         if self._most_urgent is None or priority < self._most_urgent:
             self._most_urgent = priority
@@ -130,18 +130,21 @@
         """
         if not self.open(now):
             return False
-        if not self._window or now - self._rest_until >= RAMP_UP_S:
+        if not self._max_in_flight or now - self._rest_until >= RAMP_UP_S:
             return True
         if self._is_reserved(priority, now):
             return False
-        return in_flight < self._sent_before + self._window
+        return in_flight < self._in_flight_before_rest + self._max_in_flight
 
     def _is_reserved(self, priority: int, now: float) -> bool:
         """Return whether the first requests are reserved for more urgent ones."""
         if self._most_urgent is None or priority <= self._most_urgent:
             return False
-        return self._window == INITIAL_WINDOW and now - self._rest_until < URGENT_ONLY_S
+        return (
+            self._max_in_flight == INITIAL_WINDOW
+            and now - self._rest_until < URGENT_ONLY_S
+        )
 
-    def affects_requests(self, now: float) -> bool:
+    def restricts_requests(self, now: float) -> bool:
         """Return whether this state may still restrict requests."""
         return self.leaving or now - self._rest_until < RAMP_UP_S
--- a/leverdoor/entry/placement/candidates.py
+++ b/leverdoor/entry/placement/candidates.py
@@ -117,13 +117,19 @@
         if region != self._region:
             return _first_open(in_region, MAX_CANDIDATES, is_open)
         in_domain = self._by_domain.get((request.service, self._domain))
-        many = in_domain is not None and len(in_domain) >= DOMAIN_AFFINITY_MIN_TARGETS
-        if in_domain is None or not many or not self._sizes.is_large(request.service):
+        has_enough_targets = (
+            in_domain is not None and len(in_domain) >= DOMAIN_AFFINITY_MIN_TARGETS
+        )
+        if (
+            in_domain is None
+            or not has_enough_targets
+            or not self._sizes.is_large(request.service)
+        ):
             return _first_open(in_region, MAX_CANDIDATES, is_open)
         open_targets = _first_open(in_region, 2 * MAX_CANDIDATES, is_open)
-        other_domains = [t for t in open_targets if t.domain != self._domain]
+        in_other_domains = [t for t in open_targets if t.domain != self._domain]
         local = _first_open(in_domain.order(request.key), MAX_CANDIDATES, is_open)
-        return local + other_domains[:MAX_CANDIDATES]
+        return local + in_other_domains[:MAX_CANDIDATES]
 
 
 def _first_open(
--- a/leverdoor/entry/placement/cold_run_rates.py
+++ b/leverdoor/entry/placement/cold_run_rates.py
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         """Create it without rates."""
         self._by_target: dict[str, float] = {}
-        self._by_group: dict[tuple[str, str], list[float]] = {}
+        self._by_service_and_region: dict[tuple[str, str], list[float]] = {}
         """Rates by rank, for each service and region."""
 
     def keep_only(self, names: set[str]) -> None:
@@ -63,7 +63,7 @@
         """Return whether a target receives more keys than its cache holds."""
         return self.eviction_rate(target) > MAX_EVICTION_RATE
 
-    def cold_share(self, target: Target, rank: int, seen: bool) -> float:
+    def cold_run_probability(self, target: Target, rank: int, seen: bool) -> float:
         """Return the probability that a run is cold.
 
         Args:
@@ -76,7 +76,7 @@
         return self._rates_by_rank(target)[min(rank, RANKS - 1)]
 
     def record(self, target: Target, rank: int, seen: bool, cold: bool) -> None:
-        """Record whether a run was cold; arguments as for `cold_share`."""
+        """Record whether a run was cold; arguments as for `cold_run_probability`."""
         if seen:
             rate = self.eviction_rate(target)
             self._by_target[target.name] = rate + TARGET_RATE_WEIGHT * (cold - rate)
@@ -91,7 +91,7 @@
         All ranks except the first count as cold until runs show otherwise.
         """
         group = (target.service, target.region)
-        rates = self._by_group.get(group)
+        rates = self._by_service_and_region.get(group)
         if rates is None:
-            rates = self._by_group[group] = [0.0] + [1.0] * (RANKS - 1)
+            rates = self._by_service_and_region[group] = [0.0] + [1.0] * (RANKS - 1)
         return rates
--- a/leverdoor/entry/placement/fleet.py
+++ b/leverdoor/entry/placement/fleet.py
@@ -84,7 +84,7 @@
         """This entry's requests at the target."""
         return self._load.in_flight
 
-    def sent(self, now: float, times: MeanRunTimes | None = None) -> None:
+    def record_sent(self, now: float, times: MeanRunTimes | None = None) -> None:
         """Count a request that is sent to the target.
 
         Args:
@@ -94,17 +94,17 @@
         if times is not None:
             self._run_times = times
         if self._load.in_flight == 0:
-            self._health.first_request_sent(now)
+            self._health.restart_silence(now)
         self._load.in_flight += 1
 
-    def ended(self) -> None:
+    def record_end(self) -> None:
         """Count a request that ended."""
         self._load.in_flight -= 1
-        self.availability.ended(self._load.in_flight)
+        self.availability.record_end(self._load.in_flight)
 
     # Load.
 
-    def apply_report(self, report: TargetReport, rng: Random, now: float) -> None:
+    def record_report(self, report: TargetReport, rng: Random, now: float) -> None:
         """Apply the report in an answer of the target.
 
         Args:
@@ -119,23 +119,26 @@
             self.availability.start_rest(report.rest_s, rng.random(), in_flight, now)
         if report.not_run:
             return
-        self.availability.answered(self.target.slots, now)
+        self.availability.record_answer(self.target.slots, now)
         if report.load is not None:
-            self.reported(report.load, now, answered=1)
+            self.record_load(report.load, now, answered_count=1)
 
-    def reported(self, load: TargetLoad, now: float, answered: int = 0) -> None:
+    def record_load(
+        self, load: TargetLoad, now: float, answered_count: int = 0
+    ) -> None:
         """Record the load that the target reports, which includes own requests.
 
         Args:
           load: the reported load.
           now: monotonic time in seconds.
-          answered: own requests that ended at the target but still count as in flight.
+          answered_count: own requests that ended at the target but still count as in
+            flight.
         """
-        self._load.reported(load, now, answered)
+        self._load.record_load(load, now, answered_count)
 
-    def reported_by_peer(self, peer: str, in_flight: int, now: float) -> None:
+    def record_peer_count(self, peer: str, in_flight: int, now: float) -> None:
         """Record the number of requests that another entry has in flight there."""
-        self._load.reported_by_peer(peer, in_flight, now)
+        self._load.record_peer_count(peer, in_flight, now)
 
     def refused(self, now: float) -> None:
         """Record that the target rejected a request because of its load."""
@@ -166,9 +169,9 @@
     # Warm-up and known keys.
 
     @property
-    def cold_until(self) -> float:
+    def warm_up_until(self) -> float:
         """Monotonic time at which the warm-up ends or ended, in seconds."""
-        return self._slow_start.cold_until
+        return self._slow_start.warm_up_until
 
     def in_warm_up(self, now: float) -> bool:
         """Return whether the target is in its warm-up."""
@@ -184,32 +187,32 @@
 
     # Health.
 
-    def answered(self, took_ratio: float, now: float) -> bool:
+    def record_answer(self, time_ratio: float, now: float) -> bool:
         """Record a complete answer; return whether the target is now ejected as slow.
 
         Args:
-          took_ratio: ratio of actual to expected time.
+          time_ratio: ratio of actual to expected time.
           now: monotonic time in seconds.
         """
-        return self._health.answered(took_ratio, now)
+        return self._health.record_answer(time_ratio, now)
 
-    def overran(self, took_ratio: float, now: float) -> bool:
+    def overran(self, time_ratio: float, now: float) -> bool:
         """Record a request that timed out before the target answered.
 
         Args:
-          took_ratio: ratio of the elapsed to the expected time.
+          time_ratio: ratio of the elapsed to the expected time.
           now: monotonic time in seconds.
         Returns: whether the target is now ejected as slow.
         """
-        return self._health.overran(took_ratio, now)
+        return self._health.record_timeout(time_ratio, now)
 
     def unreached(self, now: float) -> float:
         """Record that it could not be reached; return its ejection in seconds."""
-        return self._health.unreached(now)
+        return self._health.record_unreachable(now)
 
     def lost(self, now: float) -> float:
         """Record a lost answer; return its ejection in seconds, 0 for none."""
-        return self._health.lost(now)
+        return self._health.record_lost_answer(now)
 
     def is_slow(self, now: float) -> bool:
         """Return whether the target is ejected as slow."""
@@ -284,7 +287,7 @@
         ]
         for name in removed:
             availability = self._states.pop(name).availability
-            if availability.affects_requests(now):
+            if availability.restricts_requests(now):
                 self._removed[name] = availability, now
         return removed
 
@@ -303,7 +306,8 @@
         self._removed = {
             name: (availability, since)
             for name, (availability, since) in self._removed.items()
-            if now - since <= AVAILABILITY_TTL_S and availability.affects_requests(now)
+            if now - since <= AVAILABILITY_TTL_S
+            and availability.restricts_requests(now)
         }
 
     def leaving_count(self) -> int:
@@ -314,7 +318,7 @@
         """Return the number of targets that this entry lets rest."""
         return sum(s.availability.is_resting(now) for s in self._states.values())
 
-    def limit_per_s(self, target: Target) -> float | None:
+    def reported_limit_per_s(self, target: Target) -> float | None:
         """Return the limit of a target on the requests a second of all entries.
 
         None if the target reports no limit.
@@ -329,7 +333,7 @@
         The lower of the limit that the target reports and the one of its warm-up; None
         for no limit.
         """
-        reported = self.limit_per_s(target)
+        reported = self.reported_limit_per_s(target)
         warm_up = self.warm_up_per_s.get(target.service, 0.0)
         if not warm_up or not self.of(target, now).in_warm_up(now):
             return reported
@@ -345,11 +349,11 @@
         states = self._states
         for name in self._targets_by_peer.get(peer, frozenset()) - counts.keys():
             if name in states:
-                states[name].reported_by_peer(peer, 0, now)
+                states[name].record_peer_count(peer, 0, now)
         for name, count in counts.items():
             state = states.get(name)
             if state is not None:
-                state.reported_by_peer(peer, count, now)
+                state.record_peer_count(peer, count, now)
         self._targets_by_peer[peer] = frozenset(counts)
 
     def load(self, targets: Iterable[Target], now: float) -> tuple[float, float]:
@@ -369,5 +373,5 @@
                 and not state.is_slow(now)
             ):
                 load += state.load(now)
-                slots += state.usable_slots(self.limit_per_s(target))
+                slots += state.usable_slots(self.reported_limit_per_s(target))
         return load, slots
--- a/leverdoor/entry/placement/health.py
+++ b/leverdoor/entry/placement/health.py
@@ -4,8 +4,9 @@
 
 Four rules apply:
 
-- unreachable: a target that cannot be reached is ejected (`unreached`);
-- lost answers: a target that loses several answers in a row is ejected (`lost`);
+- unreachable: a target that cannot be reached is ejected (`record_unreachable`);
+- lost answers: a target that loses several answers in a row is ejected
+  (`record_lost_answer`);
 - slow: a target that is much slower than expected serves only if no other target can
   (`is_slow`);
 - silent: a target that has requests and answers none receives no more (`is_silent`).
@@ -37,13 +38,13 @@
 
 The maximum duration is reached after three doublings.
 """
-EJECTING_LOST_ANSWERS = 3
+LOST_ANSWERS_TO_EJECT = 3
 """Number of consecutive lost answers that eject a target.
 
 With a value of 1, healthy targets were ejected 90 times a second. A value of 2 made no
 difference to worth at 12 entries.
 """
-EJECTING_SLOWNESS = 3.0
+SLOWNESS_THRESHOLD = 3.0
 """Mean ratio of actual to expected time above which a target is ejected as slow.
 
 A cold run where a warm one was expected has a ratio of about 3.3, once.
@@ -93,61 +94,61 @@
         """Create it for a target added at a monotonic time in seconds."""
         self._ejected_until = 0.0
         self._slow_until = 0.0
-        self._failures = 0
+        self._ejections = 0
         """Ejections as unreachable since the last answer."""
-        self._lost_in_row = 0
+        self._lost_in_a_row = 0
         """Lost answers since the last answer."""
         self._slowness = 1.0
         """Mean ratio of actual to expected time."""
-        self._last_answer = now
+        self._silent_since = now
         """When it last answered, or received a request while it had none."""
 
-    def answered(self, took_ratio: float, now: float) -> bool:
+    def record_answer(self, time_ratio: float, now: float) -> bool:
         """Record a complete answer.
 
         Args:
-          took_ratio: ratio of actual to expected time.
+          time_ratio: ratio of actual to expected time.
           now: monotonic time in seconds.
         Returns: whether the target is now ejected as slow.
         """
-        self._failures = 0
-        self._lost_in_row = 0
-        self._last_answer = now
-        return self._eject_if_slow(took_ratio, now)
+        self._ejections = 0
+        self._lost_in_a_row = 0
+        self._silent_since = now
+        return self._eject_if_slow(time_ratio, now)
 
-    def overran(self, took_ratio: float, now: float) -> bool:
+    def record_timeout(self, time_ratio: float, now: float) -> bool:
         """Record a request that timed out before the target answered.
 
         Args:
-          took_ratio: ratio of the elapsed to the expected time; ignored up to 1.
+          time_ratio: ratio of the elapsed to the expected time; ignored up to 1.
           now: monotonic time in seconds.
         Returns: whether the target is now ejected as slow.
         """
-        return took_ratio > 1.0 and self._eject_if_slow(took_ratio, now)
+        return time_ratio > 1.0 and self._eject_if_slow(time_ratio, now)
 
-    def _eject_if_slow(self, took_ratio: float, now: float) -> bool:
+    def _eject_if_slow(self, time_ratio: float, now: float) -> bool:
         """Add a ratio of actual to expected time; eject if the mean is high."""
-        self._slowness += SLOWNESS_WEIGHT * (took_ratio - self._slowness)
-        if self._slowness <= EJECTING_SLOWNESS:
+        self._slowness += SLOWNESS_WEIGHT * (time_ratio - self._slowness)
+        if self._slowness <= SLOWNESS_THRESHOLD:
             return False
         self._slow_until = now + SLOW_EJECTION_S
         self._slowness = SLOWNESS_AFTER_EJECTION
         return True
 
-    def unreached(self, now: float) -> float:
+    def record_unreachable(self, now: float) -> float:
         """Record that the target could not be reached.
 
         Returns: duration of the ejection in seconds.
         """
         uncapped_s = FIRST_EJECTION_S * 2.0 ** min(
-            self._failures, MAX_EJECTION_DOUBLINGS
+            self._ejections, MAX_EJECTION_DOUBLINGS
         )
         ejected_s = min(uncapped_s, MAX_EJECTION_S)
-        self._failures += 1
+        self._ejections += 1
         self._ejected_until = max(self._ejected_until, now + ejected_s)
         return ejected_s
 
-    def lost(self, now: float) -> float:
+    def record_lost_answer(self, now: float) -> float:
         """Record a lost answer; a healthy target may lose a few.
 
         An ejection moves the target's keys to targets where they are cold, which
@@ -155,14 +156,14 @@
 
         Returns: duration of the ejection in seconds, 0 for none.
         """
-        self._lost_in_row += 1
-        if self._lost_in_row < EJECTING_LOST_ANSWERS:
+        self._lost_in_a_row += 1
+        if self._lost_in_a_row < LOST_ANSWERS_TO_EJECT:
             return 0.0
-        return self.unreached(now)
+        return self.record_unreachable(now)
 
-    def first_request_sent(self, now: float) -> None:
+    def restart_silence(self, now: float) -> None:
         """Restart the time without an answer, because no request was in flight."""
-        self._last_answer = now
+        self._silent_since = now
 
     def is_slow(self, now: float) -> bool:
         """Return whether the target is ejected as slow."""
@@ -180,7 +181,9 @@
           now: monotonic time in seconds.
         """
         silence_s = max(MIN_SILENCE_S, SILENCE_COLD_RUNS * cold_run_s)
-        return in_flight >= SILENCE_MIN_REQUESTS and now - self._last_answer > silence_s
+        return (
+            in_flight >= SILENCE_MIN_REQUESTS and now - self._silent_since > silence_s
+        )
 
     def is_ejected(self, now: float) -> bool:
         """Return whether it is ejected as unreachable or for lost answers."""
--- a/leverdoor/entry/placement/load_estimate.py
+++ b/leverdoor/entry/placement/load_estimate.py
@@ -28,7 +28,7 @@
 that still run, if a warm run takes 1.1 s; with runs of 0.2 to 0.6 s it made no
 difference (27 entries).
 """
-UNCOUNTED_AVERAGING_S = 1.0
+CORRECTION_AVERAGING_S = 1.0
 """Averaging period of the load missing from heartbeats, in seconds.
 
 With a greater value, the correction outlasts a change of load. With a smaller one, it
@@ -73,34 +73,37 @@
         self.in_flight = 0
         """This entry's requests at the target."""
         self._report: _Report | None = None
-        self._uncounted = 0.0
+        self._count_correction = 0.0
         """Mean load missing from heartbeats; may be negative."""
         self._peers: dict[str, _PeerCount] = {}
         self._peers_sum = 0
         self._peers_sum_until = 0.0
         """Monotonic time at which the oldest summed count expires, in seconds."""
 
-    def reported(self, load: TargetLoad, now: float, answered: int = 0) -> None:
+    def record_load(
+        self, load: TargetLoad, now: float, answered_count: int = 0
+    ) -> None:
         """Record the load that the target reports, which includes own requests.
 
         Args:
           load: the reported load.
           now: monotonic time in seconds.
-          answered: own requests that ended at the target but still count as in flight.
+          answered_count: own requests that ended at the target but still count as in
+            flight.
         """
-        own = self.in_flight - answered
+        own = self.in_flight - answered_count
         others = max(load.running + load.waiting - own, 0)
-        elapsed_s = now - self._report.at if self._report else UNCOUNTED_AVERAGING_S
-        weight = 1.0 - math.exp(-max(elapsed_s, 0.0) / UNCOUNTED_AVERAGING_S)
+        elapsed_s = now - self._report.at if self._report else CORRECTION_AVERAGING_S
+        weight = 1.0 - math.exp(-max(elapsed_s, 0.0) / CORRECTION_AVERAGING_S)
         uncounted = others - self._in_flight_of_peers(now)
-        self._uncounted += weight * (uncounted - self._uncounted)
+        self._count_correction += weight * (uncounted - self._count_correction)
         self._report = _Report(now, others)
 
     def refused(self, slots: int, now: float) -> None:
         """Record a rejection by the target as a report of an overload."""
         self._report = _Report(now, max(slots * REFUSED_LOAD_X - self.in_flight, 0))
 
-    def reported_by_peer(self, peer: str, in_flight: int, now: float) -> None:
+    def record_peer_count(self, peer: str, in_flight: int, now: float) -> None:
         """Record the number of requests that another entry has in flight there."""
         if in_flight:
             self._peers[peer] = _PeerCount(now, in_flight)
@@ -122,7 +125,7 @@
           warm_run_s: mean duration of a warm run there, in seconds; 0 if unknown.
           now: monotonic time in seconds.
         """
-        others = max(self._in_flight_of_peers(now) + self._uncounted, 0.0)
+        others = max(self._in_flight_of_peers(now) + self._count_correction, 0.0)
         if self._report is not None:
             decay_s = max(MIN_REPORT_DECAY_S, warm_run_s)
             weight = math.exp(-max(now - self._report.at, 0.0) / decay_s)
--- a/leverdoor/entry/placement/overflow_budget.py
+++ b/leverdoor/entry/placement/overflow_budget.py
@@ -12,7 +12,7 @@
 
 __all__ = ["OverflowBudget"]
 
-MAX_SAVED_OVERFLOWS = 3.0
+BUCKET_CAPACITY = 3.0
 """Capacity of the token bucket, in requests.
 
 With a greater value, a burst of requests changes region at once, which the shift cap is
@@ -23,20 +23,20 @@
 class OverflowBudget:
     """A token bucket that every request refills by a fraction of a token."""
 
-    def __init__(self, earned: float) -> None:
+    def __init__(self, tokens_per_request: float) -> None:
         """Create a full bucket.
 
         Args:
-          earned: tokens added by each request.
+          tokens_per_request: tokens added by each request.
         """
-        self._earned = earned
-        self._tokens = MAX_SAVED_OVERFLOWS
+        self._tokens_per_request = tokens_per_request
+        self._tokens = BUCKET_CAPACITY
 
-    def earn(self) -> None:
+    def refill(self) -> None:
         """Add the tokens for one request."""
-        self._tokens = min(MAX_SAVED_OVERFLOWS, self._tokens + self._earned)
+        self._tokens = min(BUCKET_CAPACITY, self._tokens + self._tokens_per_request)
 
-    def spend(self) -> bool:
+    def take(self) -> bool:
         """Take one token; return whether one was available."""
         if self._tokens < 1.0:
             return False
--- a/leverdoor/entry/placement/peer_rests.py
+++ b/leverdoor/entry/placement/peer_rests.py
@@ -15,7 +15,7 @@
 from functools import lru_cache
 from random import Random
 
-from leverdoor.entry.placement.warm_key_digests import WarmKeyDigests, target_digest
+from leverdoor.entry.placement.warm_key_digests import WarmKeyDigests, target_key_digest
 from leverdoor.model.resources import Target
 
 __all__ = ["DIGESTS_PER_TARGET", "REST_DIGEST_TTL_S", "REST_QUORUM", "PeerRests"]
@@ -50,16 +50,16 @@
         """
         self._digests = digests
         self._rng = rng
-        self._number: int | None = None
+        self._digest_index: int | None = None
 
     def record_rest(self, target: Target, now: float) -> None:
         """Record, and tell other entries, that a target requested a rest."""
-        if self._number is None:
-            self._number = self._rng.randrange(DIGESTS_PER_TARGET)
-        digest = _digests(target.name)[self._number]
+        if self._digest_index is None:
+            self._digest_index = self._rng.randrange(DIGESTS_PER_TARGET)
+        digest = _digests(target.name)[self._digest_index]
         self._digests.record_digest(digest, REST_DIGEST_TTL_S, now)
 
-    def is_resting(self, target: Target, now: float) -> bool:
+    def is_reported_resting(self, target: Target, now: float) -> bool:
         """Return whether a target recently requested a rest from several entries."""
         count = 0
         for digest in _digests(target.name):
@@ -72,4 +72,4 @@
 def _digests(name: str) -> tuple[int, ...]:
     """Return the digests that report a rest of a target."""
     # Request keys contain no line feed, so these inputs differ from those of keys.
-    return tuple(target_digest(name, f"\n{n}") for n in range(DIGESTS_PER_TARGET))
+    return tuple(target_key_digest(name, f"\n{n}") for n in range(DIGESTS_PER_TARGET))
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -35,7 +35,7 @@
     retry_after_ms,
 )
 from leverdoor.entry.placement.region_share_table import RegionShareTable
-from leverdoor.entry.placement.region_shares import MOVE_PER_S, NO_SLOTS_UTILIZATION
+from leverdoor.entry.placement.region_shares import MOVE_PER_S, UNUSABLE_UTILIZATION
 from leverdoor.entry.placement.service_weights import ServiceWeights
 from leverdoor.entry.placement.target_chooser import ScoredTarget, TargetChooser
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
@@ -120,7 +120,7 @@
           request: the request to place.
           now: monotonic time in seconds.
         """
-        self._overflow.earn()
+        self._overflow.refill()
         regions = self._candidates.regions(request)
         if not regions:
             return self._reject_without_region(request)
@@ -170,7 +170,7 @@
         scored = self._chooser.choose(request, preferred, reason, now)
         if scored is None and len(preferred) < len(candidates):
             scored = self._chooser.choose(request, candidates, reason, now)
-        return None if scored is None else self._count(request, scored, reason, now)
+        return None if scored is None else self._commit(request, scored, reason, now)
 
     def _is_open(self, target: Target, now: float) -> bool:
         """Return whether a target is neither leaving nor resting."""
@@ -183,7 +183,7 @@
             return True
         if now - state.availability.answered_at <= REST_DIGEST_TTL_S:
             return False
-        return self._rests.is_resting(target, now)
+        return self._rests.is_reported_resting(target, now)
 
     def _place_in_overflow(
         self, request: PlacementRequest, key_region: str, others: list[str], now: float
@@ -210,10 +210,10 @@
         """
         if (
             self.shares.utilization(request.service, key_region, now)
-            >= NO_SLOTS_UTILIZATION
+            >= UNUSABLE_UTILIZATION
         ):
             return True
-        return self._overflow.spend()
+        return self._overflow.take()
 
     def _place_in_warm_up(
         self, request: PlacementRequest, regions: list[str], now: float
@@ -227,8 +227,8 @@
                 state = self._fleet.of(target, now)
                 if not self._may_warm_up(request, state, now):
                     continue
-                scored = self._chooser.score_cold_target(request, state)
-                return self._count(request, scored, "cold", now)
+                scored = self._chooser.score_target_in_warm_up(request, state)
+                return self._commit(request, scored, "cold", now)
         return None
 
     def _may_warm_up(
@@ -281,7 +281,7 @@
     ) -> Rejection:
         """Reject a request because all targets rest; urgent ones are retried first."""
         for state in states:
-            state.availability.rejected(request.priority)
+            state.availability.record_entry_rejection(request.priority)
         rest_s = min(state.availability.remaining_rest_s(now) for state in states)
         urgent = request.priority <= URGENT_PRIORITY
         wait_ms = resting_retry_after_ms(rest_s, urgent, self._rng.random())
@@ -298,13 +298,13 @@
         targets = self._candidates.order(request, key_region)
         loads = describe_loads(targets[:MAX_LOGGED_TARGETS], self._fleet, now)
         reason = f"{request.service} in {key_region}: {loads}"
-        room_s = self._limited_room_s(request, targets, now)
+        room_s = self._time_to_room_s(request, targets, now)
         if room_s is None:
             return self._reject(Code.QUEUE_FULL, reason)
         wait_ms = limited_retry_after_ms(room_s, self._rng.random())
         return Rejection(Code.TARGETS_LIMITED, wait_ms, reason)
 
-    def _limited_room_s(
+    def _time_to_room_s(
         self, request: PlacementRequest, targets: list[Target], now: float
     ) -> float | None:
         """Return the time until any target should have room, in seconds.
@@ -323,13 +323,13 @@
         limited = [s for s in usable if self._chooser.lacks_room(request, s, now)]
         if not usable or len(limited) < len(usable):
             return None
-        return min(s.room.room_s(now) for s in limited)
+        return min(s.room.time_to_room_s(now) for s in limited)
 
     def _reject(self, code: Code, reason: str) -> Rejection:
         """Return a rejection with a random retry time."""
         return Rejection(code, retry_after_ms(self._rng.random()), reason)
 
-    def _count(
+    def _commit(
         self,
         request: PlacementRequest,
         scored: ScoredTarget,
@@ -340,7 +340,7 @@
         state = scored.state
         load = state.load(now)
         age_ms = state.load_age_ms(now)
-        state.sent(now, self._chooser.run_times(request))
+        state.record_sent(now, self._chooser.run_times(request))
         return Placement(
             target=state.target,
             rank=scored.rank,
@@ -350,7 +350,7 @@
             load=load,
             load_age_ms=age_ms,
             reason=reason,
-            limit_per_s=self._fleet.limit_per_s(state.target),
+            limit_per_s=self._fleet.reported_limit_per_s(state.target),
         )
 
     # Results of placed requests.
@@ -363,7 +363,7 @@
           report: the report; the answered request still counts as in flight.
           now: monotonic time in seconds.
         """
-        self._fleet.of(target, now).apply_report(report, self._rng, now)
+        self._fleet.of(target, now).record_report(report, self._rng, now)
         if report.rest_s:
             self._rests.record_rest(target, now)
 
@@ -387,10 +387,10 @@
         """
         self._candidates.record_size(request.service, size)
         state = self._fleet.of(placement.target, now)
-        ejected = state.answered(took_ms / max(placement.expected_ms, 1.0), now)
+        ejected = state.record_answer(took_ms / max(placement.expected_ms, 1.0), now)
         self._chooser.learn(request, placement, took_ms, now)
         return ejected
 
     def ended(self, placement: Placement, now: float) -> None:
         """Count a request that ended, whether it succeeded or not."""
-        self._fleet.of(placement.target, now).ended()
+        self._fleet.of(placement.target, now).record_end()
--- a/leverdoor/entry/placement/queue_wait.py
+++ b/leverdoor/entry/placement/queue_wait.py
@@ -46,11 +46,11 @@
     """
     latency_target_ms = request.route.target_latency_ms or DEFAULT_LATENCY_MS
     elapsed_ms = (now - request.arrived_at) * MS_PER_S
-    least_ms = tuning.least_wait_share * latency_target_ms
+    min_wait_ms = tuning.least_wait_share * latency_target_ms
     wait_ms = max(
-        latency_target_ms - elapsed_ms - warm_run_ms * RUN_TIME_MARGIN_X, least_ms
+        latency_target_ms - elapsed_ms - warm_run_ms * RUN_TIME_MARGIN_X, min_wait_ms
     )
     if request.priority > URGENT_PRIORITY:
         wait_ms *= tuning.less_urgent
-    left_ms = (request.expires_at - now) * MS_PER_S - warm_run_ms
-    return min(wait_ms, left_ms)
+    until_deadline_ms = (request.expires_at - now) * MS_PER_S - warm_run_ms
+    return min(wait_ms, until_deadline_ms)
--- a/leverdoor/entry/placement/refusals.py
+++ b/leverdoor/entry/placement/refusals.py
@@ -32,19 +32,19 @@
 """
 
 
-def retry_after_ms(chance: float) -> int:
+def retry_after_ms(random_fraction: float) -> int:
     """Return the retry delay of a rejected request, in ms.
 
     The delay is evenly distributed between MIN_RETRY_AFTER_MS and the sum of both
     constants. It does not depend on the load, which will have changed by then.
 
     Args:
-      chance: a random number of [0, 1).
+      random_fraction: a random number of [0, 1).
     """
-    return int(MIN_RETRY_AFTER_MS + RETRY_AFTER_SPREAD_MS * chance)
+    return int(MIN_RETRY_AFTER_MS + RETRY_AFTER_SPREAD_MS * random_fraction)
 
 
-def limited_retry_after_ms(room_s: float, chance: float) -> int:
+def limited_retry_after_ms(room_s: float, random_fraction: float) -> int:
     """Return the retry delay of a request rejected by the limits of targets, in ms.
 
     The delay is between once and twice the time until room is expected, so that
@@ -52,13 +52,13 @@
 
     Args:
       room_s: time until any target is expected to have room, in seconds.
-      chance: a random number of [0, 1).
+      random_fraction: a random number of [0, 1).
     """
     least_ms = max(room_s * 1000, MIN_RETRY_AFTER_MS)
-    return int(least_ms * (1 + chance))
+    return int(least_ms * (1 + random_fraction))
 
 
-def resting_retry_after_ms(rest_s: float, urgent: bool, chance: float) -> int:
+def resting_retry_after_ms(rest_s: float, urgent: bool, random_fraction: float) -> int:
     """Return the retry delay of a request rejected because all targets rest, in ms.
 
     Retries start when the first rest ends. Urgent requests are spread over the first
@@ -67,12 +67,12 @@
     Args:
       rest_s: time until the first rest ends, in seconds.
       urgent: whether the request is urgent.
-      chance: a random number of [0, 1).
+      random_fraction: a random number of [0, 1).
     """
     least_ms = max(rest_s * 1000, MIN_RETRY_AFTER_MS)
     half_ms = RETRY_AFTER_SPREAD_MS / 2
     offset_ms = 0.0 if urgent else half_ms
-    return int(least_ms + offset_ms + half_ms * chance)
+    return int(least_ms + offset_ms + half_ms * random_fraction)
 
 
 def describe_loads(targets: Iterable[Target], fleet: Fleet, now: float) -> str:
@@ -89,7 +89,7 @@
         cold = " cold" if state.in_warm_up(now) else ""
         unusable = "" if state.is_usable(now) else f" {_unusable_reason(state, now)}"
         age_ms = state.load_age_ms(now)
-        per_s = fleet.limit_per_s(target)
+        per_s = fleet.reported_limit_per_s(target)
         limit = "" if per_s is None else f" limit {per_s:g}/s"
         load = f"{state.load(now):.1f}/{target.slots}"
         descriptions.append(
--- a/leverdoor/entry/placement/region_share_table.py
+++ b/leverdoor/entry/placement/region_share_table.py
@@ -11,7 +11,7 @@
 
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.region_shares import (
-    NO_SLOTS_UTILIZATION,
+    UNUSABLE_UTILIZATION,
     RegionShares,
     initial_shares,
 )
@@ -51,10 +51,10 @@
         self._region = region
         self._fleet = fleet
         self._move_per_s = move_per_s
-        self._names: list[str] = []
+        self._regions: list[str] = []
         self._targets: dict[tuple[str, str], list[Target]] = {}
         self._shares: dict[str, RegionShares] = {}
-        self._logged: dict[str, dict[str, float]] = {}
+        self._logged_shares: dict[str, dict[str, float]] = {}
 
     def renew(
         self,
@@ -67,43 +67,45 @@
           regions: the names of all regions.
           targets: the targets in service, by service and region.
         """
-        self._names = sorted(regions)
+        self._regions = sorted(regions)
         self._targets = targets
 
     def region(self, service: str, key: str, allowed: list[str], now: float) -> str:
         """Return which of the allowed regions serves a key of a service."""
-        return self._of(service, [], now).region(key, allowed)
+        return self._shares_of(service, [], now).region(key, allowed)
 
     def utilization(self, service: str, region: str, now: float) -> float:
         """Return the load over the slots of a region's usable targets."""
         load, slots = self._fleet.load(self._targets.get((service, region), ()), now)
-        return load / slots if slots else NO_SLOTS_UTILIZATION
+        return load / slots if slots else UNUSABLE_UTILIZATION
 
-    def update(self, peers: list[dict[str, dict[str, float]]], now: float) -> None:
+    def update(
+        self, peers_shares: list[dict[str, dict[str, float]]], now: float
+    ) -> None:
         """Update all shares; to be called several times a second.
 
         Args:
-          peers: the shares of each other entry of the region, by service.
+          peers_shares: the shares of each other entry of the region, by service.
           now: monotonic time in seconds.
         """
         for service in {s for s, _ in self._targets}:
-            reported = [p[service] for p in peers if service in p]
-            state = self._of(service, reported, now)
+            peer_shares = [p[service] for p in peers_shares if service in p]
+            state = self._shares_of(service, peer_shares, now)
             utilizations = {r: self.utilization(service, r, now) for r in state.shares}
-            if not state.has_seen_load and not reported:
+            if not state.load_observed and not peer_shares:
                 # Targets may have been added or removed since it was created.
                 state.replace(initial_shares(self._region, self._slots(service)))
-            state.update(utilizations, reported, now)
+            state.update(utilizations, peer_shares, now)
 
-    def _of(
-        self, service: str, reported: list[dict[str, float]], now: float
+    def _shares_of(
+        self, service: str, peer_shares: list[dict[str, float]], now: float
     ) -> RegionShares:
         """Return the shares of a service; new ones start from a reported share."""
         state = self._shares.get(service)
         if state is None:
             shares = initial_shares(self._region, self._slots(service))
-            if reported:
-                shares |= reported[0]
+            if peer_shares:
+                shares |= peer_shares[0]
             state = RegionShares(
                 self._region, shares, now, self._move_per_s, self._tuning
             )
@@ -114,7 +116,7 @@
         """Return the number of slots of a service in each region."""
         return {
             region: sum(t.slots for t in self._targets.get((service, region), ()))
-            for region in self._names
+            for region in self._regions
         }
 
     def reported(self) -> dict[str, dict[str, float]]:
@@ -122,16 +124,16 @@
         return {
             service: {r: round(v, REPORTED_DIGITS) for r, v in state.shares.items()}
             for service, state in self._shares.items()
-            if state.has_seen_load
+            if state.load_observed
         }
 
     def take_changed(self) -> Mapping[str, dict[str, float]]:
         """Return the shares that changed noticeably since they were last returned."""
         changed = {}
         for service, state in self._shares.items():
-            before = self._logged.get(service, {})
+            before = self._logged_shares.get(service, {})
             if _differ(before, state.shares):
-                changed[service] = self._logged[service] = dict(state.shares)
+                changed[service] = self._logged_shares[service] = dict(state.shares)
         return changed
 
 
--- a/leverdoor/entry/placement/region_shares.py
+++ b/leverdoor/entry/placement/region_shares.py
@@ -23,7 +23,7 @@
 from leverdoor.entry.placement.rendezvous import MIN_UNIT_HASH, unit_hash
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
 
-__all__ = ["MOVE_PER_S", "NO_SLOTS_UTILIZATION", "RegionShares", "initial_shares"]
+__all__ = ["MOVE_PER_S", "UNUSABLE_UTILIZATION", "RegionShares", "initial_shares"]
 
 MOVE_PER_S = 0.04
 """Maximum fraction of keys that changes region in a second, in tests and benchmarks.
@@ -32,17 +32,17 @@
 0.04, see entry/data_plane.py and entry/bounds.py). Agreement between entries may change
 shares by another AGREEMENT_MOVE_PART of it.
 """
-MIN_MOVE_DIFFERENCE = 0.1
+MIN_OWN_DIFFERENCE = 0.1
 """Minimum difference of utilization at which the own region moves keys to another.
 
 Prevents moves because of noise. With a greater value, keys stay in an overloaded
 region. With a smaller one, keys move without benefit and run cold.
 """
-MAX_REMOTE_IMBALANCE = 0.25
+MIN_REMOTE_DIFFERENCE = 0.25
 """Difference of utilization between two other regions above which keys move.
 
 Such a difference is not noise. Greater and smaller values have the same consequences as
-for MIN_MOVE_DIFFERENCE.
+for MIN_OWN_DIFFERENCE.
 """
 UTILIZATION_SMOOTHING_S = 1.0
 """Averaging period of utilization in seconds.
@@ -69,7 +69,7 @@
 
 Prevents a jump of the shares after a pause of the process.
 """
-NO_SLOTS_UTILIZATION = 9.0
+UNUSABLE_UTILIZATION = 9.0
 """Utilization of a region without usable slots or of unknown utilization.
 
 Exceeds any other utilization, so that such a region moves all keys to others.
@@ -83,7 +83,7 @@
 
     def __init__(
         self,
-        own: str,
+        client_region: str,
         initial: Mapping[str, float],
         now: float,
         move_per_s: float = MOVE_PER_S,
@@ -92,15 +92,15 @@
         """Create it with initial shares.
 
         Args:
-          own: the region whose clients request the keys.
+          client_region: the region whose clients request the keys.
           initial: the initial shares, which sum to one.
           now: monotonic time in seconds.
           move_per_s: maximum change of a share in a second, without agreement.
           tuning: the utilization thresholds at which keys move.
         """
         self._tuning = tuning
-        self.own = own
-        self.has_seen_load = False
+        self.client_region = client_region
+        self.load_observed = False
         """Whether there was any load; until then, shares depend only on slots."""
         self._move_per_s = move_per_s
         self.shares = dict(initial)
@@ -124,24 +124,24 @@
     def update(
         self,
         utilizations: Mapping[str, float],
-        peers: Iterable[Mapping[str, float]],
+        peer_shares: Iterable[Mapping[str, float]],
         now: float,
     ) -> None:
         """Update the shares.
 
         Args:
           utilizations: load over slots of the usable targets, by region.
-          peers: the shares used by the other entries of the region.
+          peer_shares: the shares used by the other entries of the region.
           now: monotonic time in seconds.
         """
         elapsed_s = min(now - self._updated_at, MAX_STEP_S)
         self._updated_at = now
-        has_load = any(0 < u < NO_SLOTS_UTILIZATION for u in utilizations.values())
-        self.has_seen_load = self.has_seen_load or has_load
-        if not self.has_seen_load:
+        has_load = any(0 < u < UNUSABLE_UTILIZATION for u in utilizations.values())
+        self.load_observed = self.load_observed or has_load
+        if not self.load_observed:
             return
         self._smooth(utilizations, elapsed_s)
-        self._converge([p for p in peers if p], elapsed_s)
+        self._converge([p for p in peer_shares if p], elapsed_s)
         move = self._next_move()
         if move is not None:
             source, destination = move
@@ -156,12 +156,14 @@
             smoothed[region] = before + weight * (utilization - before)
         self._utilizations = smoothed
 
-    def _converge(self, peers: list[Mapping[str, float]], elapsed_s: float) -> None:
+    def _converge(
+        self, peer_shares: list[Mapping[str, float]], elapsed_s: float
+    ) -> None:
         """Change the shares towards the mean of the region's entries."""
-        if not peers:
+        if not peer_shares:
             return
         for region in self.shares:
-            mean = sum(p.get(region, 0.0) for p in peers) / len(peers)
+            mean = sum(p.get(region, 0.0) for p in peer_shares) / len(peer_shares)
             difference = mean - self.shares[region]
             max_step = self._move_per_s * elapsed_s * AGREEMENT_MOVE_PART
             step = AGREEMENT_PER_S * elapsed_s * difference
@@ -179,29 +181,29 @@
         - Between two other regions, if their utilization differs widely.
         """
         known = {r: self._utilization(r) for r in self.shares}
-        own = known.get(self.own, NO_SLOTS_UTILIZATION)
-        others = {r: u for r, u in known.items() if r != self.own}
+        own_utilization = known.get(self.client_region, UNUSABLE_UTILIZATION)
+        others = {r: u for r, u in known.items() if r != self.client_region}
         if not others:
             return None
         least = min(others, key=lambda r: others[r])
         if (
-            own > self._tuning.high_pressure
-            and others[least] + MIN_MOVE_DIFFERENCE < own
+            own_utilization > self._tuning.high_pressure
+            and others[least] + MIN_OWN_DIFFERENCE < own_utilization
         ):
-            return self.own, least
+            return self.client_region, least
         used = [r for r in others if self.shares[r] > MIN_SHARE]
         if not used:
             return None
         most = max(used, key=lambda r: others[r])
-        if own < self._tuning.low_pressure:
-            return most, self.own
-        if others[most] - others[least] > MAX_REMOTE_IMBALANCE:
+        if own_utilization < self._tuning.low_pressure:
+            return most, self.client_region
+        if others[most] - others[least] > MIN_REMOTE_DIFFERENCE:
             return most, least
         return None
 
     def _utilization(self, region: str) -> float:
         """Return the smoothed utilization of a region."""
-        return self._utilizations.get(region, NO_SLOTS_UTILIZATION)
+        return self._utilizations.get(region, UNUSABLE_UTILIZATION)
 
     def _move(self, source: str, destination: str, share: float) -> None:
         """Move a share of all keys, limited to the source's share."""
@@ -210,23 +212,23 @@
         self.shares[destination] += moved
 
 
-def initial_shares(own: str, slots: Mapping[str, int]) -> dict[str, float]:
+def initial_shares(client_region: str, slots: Mapping[str, int]) -> dict[str, float]:
     """Return the shares used before any load is known.
 
     A region with fewer slots than the mean will lack slots if it has as many clients as
     the others. The excess share is distributed to the other regions by their slots.
 
     Args:
-      own: the region whose clients request the keys.
+      client_region: the region whose clients request the keys.
       slots: the number of slots, by region.
     """
     mean = sum(slots.values()) / max(len(slots), 1)
-    others = sum(v for r, v in slots.items() if r != own)
-    kept = min(1.0, slots.get(own, 0) / mean) if mean else 1.0
+    others = sum(v for r, v in slots.items() if r != client_region)
+    kept = min(1.0, slots.get(client_region, 0) / mean) if mean else 1.0
     if not others:
         kept = 1.0
-    shares = {own: kept}
+    shares = {client_region: kept}
     for region, count in slots.items():
-        if region != own:
+        if region != client_region:
             shares[region] = (1.0 - kept) * count / others if others else 0.0
     return shares
--- a/leverdoor/entry/placement/room_refusals.py
+++ b/leverdoor/entry/placement/room_refusals.py
@@ -18,23 +18,25 @@
 
     def __init__(self) -> None:
         """Create it without rejections."""
-        self._until: dict[int, float] = {}
+        self._suppressed_until: dict[int, float] = {}
         """By priority, the monotonic time until which no room is requested, in s."""
         self._skipped: dict[int, int] = {}
         """By priority, the number of skipped room requests."""
         self._room_at = 0.0
         """Monotonic time at which the limiter expects room, in seconds."""
 
-    def refused(self, priority: int, wait_s: float, room_s: float, now: float) -> None:
+    def refused(
+        self, priority: int, suppress_s: float, room_s: float, now: float
+    ) -> None:
         """Record that the limiter rejected a room request.
 
         Args:
           priority: of the rejected request.
-          wait_s: period in which requests of this priority request no room, in seconds.
+          suppress_s: period in which such requests request no room, in seconds.
           room_s: time until room is expected for them, in seconds.
           now: monotonic time in seconds.
         """
-        self._until[priority] = now + wait_s
+        self._suppressed_until[priority] = now + suppress_s
         self._room_at = now + room_s
 
     def suppresses(self, priority: int, now: float) -> bool:
@@ -42,7 +44,7 @@
 
         A rejection applies to its priority and to all less urgent ones.
         """
-        return any(now < t and p <= priority for p, t in self._until.items())
+        return any(now < t and p <= priority for p, t in self._suppressed_until.items())
 
     def count_skipped(self, priority: int) -> None:
         """Count a skipped room request."""
@@ -52,6 +54,6 @@
         """Return and reset the number of skipped room requests of a priority."""
         return self._skipped.pop(priority, 0)
 
-    def room_s(self, now: float) -> float:
+    def time_to_room_s(self, now: float) -> float:
         """Return the time until room is expected, in seconds."""
         return max(self._room_at - now, 0.0)
--- a/leverdoor/entry/placement/run_times.py
+++ b/leverdoor/entry/placement/run_times.py
@@ -107,7 +107,7 @@
         """Create an empty table."""
         self._clusters: dict[tuple[str, str], RunTimeClusters] = {}
 
-    def of(self, route: Route, service: str) -> RunTimeClusters:
+    def clusters(self, route: Route, service: str) -> RunTimeClusters:
         """Return the run times of a route's requests at a service."""
         clusters = self._clusters.get((route.name, service))
         if clusters is None:
--- a/leverdoor/entry/placement/slow_start.py
+++ b/leverdoor/entry/placement/slow_start.py
@@ -40,12 +40,12 @@
           cold_ms: duration of the warm-up in ms, 0 for none.
           now: monotonic time in seconds.
         """
-        self.cold_until = now + cold_ms / 1000
+        self.warm_up_until = now + cold_ms / 1000
 
     def restart(self, cold_ms: float, now: float) -> None:
         """Start the warm-up again; never shortens a current one."""
-        self.cold_until = max(self.cold_until, now + cold_ms / 1000)
+        self.warm_up_until = max(self.warm_up_until, now + cold_ms / 1000)
 
     def in_warm_up(self, now: float) -> bool:
         """Return whether the target is in its warm-up."""
-        return now < self.cold_until
+        return now < self.warm_up_until
--- a/leverdoor/entry/placement/target_chooser.py
+++ b/leverdoor/entry/placement/target_chooser.py
@@ -115,7 +115,7 @@
           now: monotonic time in seconds.
         Returns: None if no candidate is acceptable, or each has too long a wait.
         """
-        times = self._times_of(request)
+        times = self._clusters(request)
         max_wait_ms = max_queue_wait_ms(request, times.warm_run_ms, self._tuning, now)
         acceptable = [
             scored
@@ -176,9 +176,9 @@
         distance.
         """
         target = state.target
-        times = self._times_of(request)
+        times = self._clusters(request)
         seen = not request.route.affinity or self._has_answered(request.key, state, now)
-        cold_share = self._cold_run_rates.cold_share(target, rank, seen)
+        cold_share = self._cold_run_rates.cold_run_probability(target, rank, seen)
         queued = max(state.load(now) - target.slots + 1, 0.0)
         run_ms = times.run_ms(self._cold_run_rates.eviction_rate(target))
         wait_ms = queued * run_ms / target.slots
@@ -203,7 +203,7 @@
         """Return whether a target has answered a key for any entry."""
         if state.has_answered(key):
             return True
-        warm_since = state.cold_until
+        warm_since = state.warm_up_until
         return self.warm_keys.is_warm(state.target, key, warm_since, now)
 
     def _is_acceptable(self, scored: ScoredTarget, now: float) -> bool:
@@ -222,20 +222,20 @@
             return False
         return state.load(now) < self._tuning.cold_room * state.target.slots
 
-    def _times_of(self, request: PlacementRequest) -> RunTimeClusters:
+    def _clusters(self, request: PlacementRequest) -> RunTimeClusters:
         """Return the run times of such requests."""
-        return self._run_times.of(request.route, request.service)
+        return self._run_times.clusters(request.route, request.service)
 
     def run_times(self, request: PlacementRequest) -> MeanRunTimes:
         """Return the mean durations of runs of such requests."""
-        times = self._times_of(request)
+        times = self._clusters(request)
         return MeanRunTimes(times.warm_run_ms / 1000, times.cold_run_ms / 1000)
 
-    def score_cold_target(
+    def score_target_in_warm_up(
         self, request: PlacementRequest, state: TargetState
     ) -> ScoredTarget:
         """Score a target in its warm-up, where all runs are cold."""
-        cold_run_ms = self._times_of(request).cold_run_ms
+        cold_run_ms = self._clusters(request).cold_run_ms
         return ScoredTarget(
             state=state,
             rank=RANKS,
@@ -271,7 +271,7 @@
         self, request: PlacementRequest, placement: Placement, took_ms: float
     ) -> None:
         """Learn from the duration of a run that did not wait for a slot."""
-        times = self._times_of(request)
+        times = self._clusters(request)
         if request.route.affinity and self._tuning.learns_warmth:
             was_cold = times.is_cold(took_ms)
             self._cold_run_rates.record(
--- a/leverdoor/entry/placement/warm_key_digests.py
+++ b/leverdoor/entry/placement/warm_key_digests.py
@@ -19,7 +19,7 @@
 
 from leverdoor.model.resources import Target
 
-__all__ = ["MAX_SENT_DIGESTS", "WARM_KEY_TTL_S", "WarmKeyDigests", "target_digest"]
+__all__ = ["MAX_SENT_DIGESTS", "WARM_KEY_TTL_S", "WarmKeyDigests", "target_key_digest"]
 
 WARM_KEY_TTL_S = 20.0
 """Period after an answer in which its key counts as warm, in seconds.
@@ -66,7 +66,7 @@
 
     def record_answer(self, target: Target, key: str, now: float) -> None:
         """Record a target's answer for a key, and queue its digest for heartbeats."""
-        self.record_digest(target_digest(target.name, key), RESEND_AFTER_S, now)
+        self.record_digest(target_key_digest(target.name, key), RESEND_AFTER_S, now)
 
     def record_digest(self, digest: int, resend_after_s: float, now: float) -> None:
         """Record a digest, and queue it for heartbeats unless it is recent.
@@ -104,7 +104,7 @@
             seconds; earlier answers are ignored.
           now: monotonic time in seconds.
         """
-        recorded_at = self._known.get(target_digest(target.name, key))
+        recorded_at = self._known.get(target_key_digest(target.name, key))
         return (
             recorded_at is not None
             and recorded_at >= since
@@ -119,7 +119,7 @@
             self._known.popitem(last=False)
 
 
-def target_digest(target: str, key: str) -> int:
+def target_key_digest(target: str, key: str) -> int:
     """Return a 32-bit digest of a target name and a key.
 
     A hash collision costs one cold run.
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -43,9 +43,9 @@
     """Deliver an answer with a report from each target to this entry."""
     for t in targets:
         state = harness.fleet.of(t, harness.now)
-        state.sent(harness.now)
-        state.apply_report(report, Random(1), harness.now)
-        state.ended()
+        state.record_sent(harness.now)
+        state.record_report(report, Random(1), harness.now)
+        state.record_end()
 
 
 def test_a_leaving_target_receives_no_more_requests() -> None:
@@ -113,7 +113,7 @@
     availability.start_rest(1.0, 0.0, 0, 1.0)
     assert availability.is_resting(2.99)
     availability.start_rest(3.0, 0.0, 0, 2.5)
-    availability.answered(SLOTS, 2.6)
+    availability.record_answer(SLOTS, 2.6)
     assert availability.is_resting(5.49)
     assert not availability.is_resting(5.5)
 
@@ -139,8 +139,8 @@
             pass
         sent.append(state.in_flight - before)
         for _ in range(state.in_flight):
-            state.apply_report(ANSWERED, Random(1), harness.now)
-            state.ended()
+            state.record_report(ANSWERED, Random(1), harness.now)
+            state.record_end()
     assert sent[:2] == [INITIAL_WINDOW, INITIAL_WINDOW * 2**INITIAL_WINDOW]
     assert sent[-1] >= only.slots
 
@@ -157,7 +157,7 @@
     availability = Availability()
     availability.start_rest(1.0, 0.0, 3, 0.0)
     assert availability.admits(0, 3 + INITIAL_WINDOW - 1, 1.0)
-    availability.ended(2)
+    availability.record_end(2)
     assert not availability.admits(0, 3 + INITIAL_WINDOW - 1, 1.0)
 
 
@@ -180,8 +180,8 @@
 def test_the_most_urgent_rejected_requests_are_sent_first_after_a_rest() -> None:
     availability = Availability()
     availability.start_rest(1.0, 0.0, 0, 0.0)
-    availability.rejected(2)
-    availability.rejected(1)
+    availability.record_entry_rejection(2)
+    availability.record_entry_rejection(1)
     assert availability.admits(1, 0, 1.0)
     assert not availability.admits(2, 0, 1.0)
     assert availability.admits(2, 0, 1.0 + URGENT_ONLY_S)
@@ -233,7 +233,7 @@
         if at < ends:
             assert not availability.admits(0, 0, at)
         if rest_s is None:
-            availability.answered(SLOTS, at)
+            availability.record_answer(SLOTS, at)
         else:
             availability.start_rest(rest_s, 0.0, 0, at)
             ends = max(ends, at + rest_s)
--- a/tests/test_entry_fleet.py
+++ b/tests/test_entry_fleet.py
@@ -18,7 +18,7 @@
 def test_a_slow_target_is_ejected() -> None:
     only = target("t")
     state = Fleet().of(only, 0.0)
-    ejected = [state.answered(6.0, 1.0) for _ in range(10)]
+    ejected = [state.record_answer(6.0, 1.0) for _ in range(10)]
     assert True in ejected
     assert state.is_slow(1.0)
     assert not state.is_slow(4.0)
@@ -35,7 +35,7 @@
     state = Fleet().of(target("t"), 0.0)
     for _ in range(10):
         assert state.lost(1.0) == state.lost(1.0) == 0.0
-        state.answered(1.0, 1.0)
+        state.record_answer(1.0, 1.0)
     assert [state.lost(1.0) > 0 for _ in range(3)] == [False, False, True]
     assert not state.is_usable(1.0)
     assert state.is_usable(2.0)
@@ -43,17 +43,17 @@
 
 def test_a_new_report_includes_the_requests_of_other_entries() -> None:
     state = Fleet().of(target("t"), 0.0)
-    state.sent(0.0)
-    state.reported(TargetLoad(3, 2, SLOTS), 1.0)
+    state.record_sent(0.0)
+    state.record_load(TargetLoad(3, 2, SLOTS), 1.0)
     assert state.load(1.0) == 5
-    state.sent(1.0)
+    state.record_sent(1.0)
     assert state.load(1.0) == 6
 
 
 def test_the_weight_of_a_report_decreases_with_its_age() -> None:
     state = Fleet().of(target("t"), 0.0)
-    state.reported_by_peer("p", 2, 0.0)
-    state.reported(TargetLoad(6, 0, SLOTS), 0.0)
+    state.record_peer_count("p", 2, 0.0)
+    state.record_load(TargetLoad(6, 0, SLOTS), 0.0)
     loads = [state.load(at) for at in (0.0, 0.1, 0.5)]
     assert loads == sorted(loads, reverse=True)
     assert loads[0] == 6
@@ -67,16 +67,16 @@
     errors = []
     for turn in range(2000):
         now = turn * 0.05
-        state.reported_by_peer("p", rng.randint(0, 4), now)
-        state.reported(TargetLoad(rng.randint(0, 4), 0, SLOTS), now)
+        state.record_peer_count("p", rng.randint(0, 4), now)
+        state.record_load(TargetLoad(rng.randint(0, 4), 0, SLOTS), now)
         errors.append(state.load(now + 0.04) - 2.0)
     assert abs(sum(errors) / len(errors)) < 0.25
 
 
 def test_the_counts_of_peers_expire() -> None:
     state = Fleet().of(target("t"), 0.0)
-    state.reported_by_peer("p", 3, 10.0)
-    state.reported_by_peer("q", 2, 10.5)
+    state.record_peer_count("p", 3, 10.0)
+    state.record_peer_count("q", 2, 10.5)
     assert state.load(10.6) == 5
     assert state.load(10.2 + PEER_LOAD_TTL_S) == 2
     assert state.load(10.6 + PEER_LOAD_TTL_S) == 0
@@ -118,13 +118,13 @@
     now = 0.0
     for step, number in steps:
         if step == "report":
-            state.reported(TargetLoad(number, number // 3, SLOTS), now)
+            state.record_load(TargetLoad(number, number // 3, SLOTS), now)
         elif step == "peer":
-            state.reported_by_peer(f"p{number % 3}", number, now)
+            state.record_peer_count(f"p{number % 3}", number, now)
         elif step == "send":
-            state.sent(now)
+            state.record_sent(now)
         elif step == "end" and state.in_flight:
-            state.ended()
+            state.record_end()
         now += number * 0.05
         assert state.load(now) >= state.in_flight
 
@@ -133,7 +133,7 @@
     """Cold runs of 3.5 s take three times the minimum silence."""
     state = Fleet().of(target("t"), 0.0)
     for _ in range(SILENCE_MIN_REQUESTS):
-        state.sent(0.0, MeanRunTimes(1.1, 3.5))
+        state.record_sent(0.0, MeanRunTimes(1.1, 3.5))
     assert not state.is_silent(3.6)
     assert state.is_silent(SILENCE_COLD_RUNS * 3.5 + 0.1)
 
@@ -141,7 +141,7 @@
 def test_a_report_is_used_for_the_duration_of_a_run() -> None:
     """After 0.3 s, most of the reported requests are still running."""
     state = Fleet().of(target("t"), 0.0)
-    state.sent(0.0, MeanRunTimes(1.1, 3.5))
-    state.ended()
-    state.reported(TargetLoad(4, 0, SLOTS), 1.0)
+    state.record_sent(0.0, MeanRunTimes(1.1, 3.5))
+    state.record_end()
+    state.record_load(TargetLoad(4, 0, SLOTS), 1.0)
     assert state.load(1.3) > 3.0
--- a/tests/test_entry_warmth.py
+++ b/tests/test_entry_warmth.py
@@ -33,9 +33,9 @@
 def test_only_the_first_rank_counts_as_warm_before_any_answer() -> None:
     rates = ColdRunRates()
     one = target("t")
-    assert rates.cold_share(one, 0, seen=False) == 0.0
-    assert rates.cold_share(one, 1, seen=False) == 1.0
-    assert rates.cold_share(one, 1, seen=True) == 0.0
+    assert rates.cold_run_probability(one, 0, seen=False) == 0.0
+    assert rates.cold_run_probability(one, 1, seen=False) == 1.0
+    assert rates.cold_run_probability(one, 1, seen=True) == 0.0
 
 
 def test_the_cold_rate_of_a_rank_follows_the_observed_runs() -> None:
@@ -44,9 +44,9 @@
     for _ in range(40):
         rates.record(one, 0, seen=False, cold=True)
         rates.record(one, 1, seen=False, cold=False)
-    assert rates.cold_share(one, 0, seen=False) > 0.9
-    assert rates.cold_share(one, 1, seen=False) < 0.1
-    assert rates.cold_share(one, RANKS + 3, seen=False) == 1.0
+    assert rates.cold_run_probability(one, 0, seen=False) > 0.9
+    assert rates.cold_run_probability(one, 1, seen=False) < 0.1
+    assert rates.cold_run_probability(one, RANKS + 3, seen=False) == 1.0
 
 
 def test_a_target_that_runs_known_keys_cold_counts_as_evicting_keys() -> None:
