--- a/benchmarks/emulated_limits.py
+++ b/benchmarks/emulated_limits.py
@@ -239,7 +239,7 @@
             return
         wait_s = decision.wait_s * self._rng.uniform(0.5, 1.5)
         notes = self._node(name).notes[target.name]
-        notes.refused(0, wait_s, decision.room_s, self.site.now)
+        notes.record_rejection(0, wait_s, decision.room_s, self.site.now)
 
     # Troubles.
 
--- a/benchmarks/limit_node.py
+++ b/benchmarks/limit_node.py
@@ -22,7 +22,7 @@
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.pauses import Pauses
 from leverdoor.entry.placement.fleet import Fleet
-from leverdoor.entry.placement.room_refusals import RoomRefusals
+from leverdoor.entry.placement.room_rejections import RoomRejections
 from leverdoor.errors import Refusal
 from leverdoor.limits.named import LimitWord
 from leverdoor.model.resources import Target, Workspace
@@ -74,7 +74,7 @@
         self.role = LimiterRole(self.membership, lambda: SERVING, self.pauses)
         by_id = {target_id(t.name): t for t in shared.targets}
         self.limiter = Limiter(self.fleet, self.role, self.pauses, by_id.get)
-        self.notes = {t.name: RoomRefusals() for t in shared.targets}
+        self.notes = {t.name: RoomRejections() for t in shared.targets}
         self._own_words: dict[int, LimitWord] = {}
         self._parts: dict[str, _EvenPart] = {}
         self._workspaces = {
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -37,7 +37,7 @@
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
-from leverdoor.entry.placement.fleet import PEERS_TOTAL, Fleet
+from leverdoor.entry.placement.fleet import SUM_OF_PEERS, Fleet
 from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementRequest,
@@ -146,12 +146,12 @@
 
     def _report(self, now: float) -> EntryStatus:
         counts = self._experiment.shares_load and self._shared_fleet is None
-        warm = self._policy.warm_keys.recent(WARM_SENT_S, now)
+        warm = self._policy.warm_keys.queued_within(WARM_SENT_S, now)
         return EntryStatus(
             SERVING,
             1,
             self.fleet.in_flight() if counts else {},
-            self._policy.shares.reported(),
+            self._policy.shares.shares_to_send(),
             -1,
             warm if self._experiment.shares_warmth else [],
         )
@@ -163,7 +163,7 @@
     def _take_update(self, update: PeerUpdate) -> None:
         now = self._clock.now
         if update.others is not None and self._shared_fleet is None:
-            self.fleet.receive(PEERS_TOTAL, update.others, now)
+            self.fleet.receive(SUM_OF_PEERS, update.others, now)
         self._policy.warm_keys.receive(update.warm, now)
 
     # Requests.
@@ -293,10 +293,10 @@
         self._failed(answer.outcome, now)
 
     def _failed(self, outcome: RunOutcome, now: float) -> None:
-        state = self._fleet.of(self._placement.target, now)
+        state = self._fleet.state_of(self._placement.target, now)
         lost = self._lost
         if outcome is RunOutcome.SHED:
-            state.refused(now)
+            state.record_rejection(now)
             refusal = Refusal(Code.TARGET_REFUSED)
         elif outcome is RunOutcome.UNREACHED:
             state.unreached(now)
@@ -315,7 +315,7 @@
         self._over = True
         now = self._entry.clock.now
         self._policy.ended(self._placement, now)
-        state = self._fleet.of(self._placement.target, now)
+        state = self._fleet.state_of(self._placement.target, now)
         took_ms = (now - self._began) * 1000
         state.overran(took_ms / max(self._placement.expected_ms, 1.0), now)
         self._reply(EmulatedReply(self._lost or Refusal(Code.DEADLINE_PASSED)))
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -265,7 +265,7 @@
         self._metrics.peers.set(len(self._membership.live(now)))
         for name, change, silent_s in self._membership.changes(now):
             self._events.peer(name, change, silent_s)
-        for service, shares in self._data.placement.shares.take_changed().items():
+        for service, shares in self._data.placement.shares.take_shares_to_log().items():
             self._events.shares(service, shares)
 
     # Between the store, other entries and requests.
@@ -307,9 +307,9 @@
             self._state,
             self._store_copy.revision,
             self._data.fleet.in_flight(),
-            self._data.placement.shares.reported(),
+            self._data.placement.shares.shares_to_send(),
             self._keeper.outage.age_ms(now),
-            self._data.placement.warm_keys.recent(WARM_SENT_S, now),
+            self._data.placement.warm_keys.queued_within(WARM_SENT_S, now),
             self._data.quotas.report(now),
             self._data.quotas.lived_s(now),
             self._keeper.confirmation.tell(self._store_copy.revision, now),
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -31,7 +31,7 @@
 from leverdoor.entry.membership.member import EntryState
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.metrics import EntryMetrics
-from leverdoor.entry.placement.fleet import PEERS_TOTAL, Fleet
+from leverdoor.entry.placement.fleet import SUM_OF_PEERS, Fleet
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.client_connection import ClientConnection
 from leverdoor.entry.requests.connections import Connections
@@ -179,7 +179,7 @@
             return
         now = asyncio.get_running_loop().time()
         self._metrics.targets_ended.labels(target.service).inc()
-        state = self.fleet.of(target, now)
+        state = self.fleet.state_of(target, now)
         ejected_s = state.unreached(now)
         events.target_ejected(target.name, "ended", ejected_s)
         left_service = target.name not in self._catalog().in_service
@@ -222,7 +222,7 @@
         self.quarantine.receive(update.notices, now)
         self.limits.told(update.limits)
         if update.others is not None:
-            self.fleet.receive(PEERS_TOTAL, update.others, now)
+            self.fleet.receive(SUM_OF_PEERS, update.others, now)
         self.placement.warm_keys.receive(update.warm, now)
         if update.use is not None:
             self.count_entries()
--- a/leverdoor/entry/limits/asking.py
+++ b/leverdoor/entry/limits/asking.py
@@ -81,17 +81,17 @@
         learned of one without room is noted at its state.
         """
         now = asyncio.get_running_loop().time()
-        per_s = self._fleet.room_per_s(target, now)
+        per_s = self._fleet.effective_limit_per_s(target, now)
         if per_s is None:
             return True
-        state = self._fleet.of(target, now)
+        state = self._fleet.state_of(target, now)
         missed = state.room.take_skipped(request.priority)
         decision = await self._ask(target, per_s, request.priority, missed, now)
         if not decision.granted:
             now = asyncio.get_running_loop().time()
             spread = self._rng.uniform(1.0 - SPREAD, 1.0 + SPREAD)
             wait_s = decision.wait_s * spread
-            state.room.refused(request.priority, wait_s, decision.room_s, now)
+            state.room.record_rejection(request.priority, wait_s, decision.room_s, now)
         return decision.granted
 
     async def _ask(
--- a/leverdoor/entry/limits/limiter.py
+++ b/leverdoor/entry/limits/limiter.py
@@ -102,7 +102,7 @@
         if not part:
             return NOT_LIMITER
         key = target_id(target.name)
-        known = self._fleet.room_per_s(target, now)
+        known = self._fleet.effective_limit_per_s(target, now)
         per_s = per_s if known is None else min(per_s, known)
         room = self._rooms.get(key)
         if room is None:
@@ -128,4 +128,7 @@
 
     def _bounded(self, key: int, now: float) -> bool:
         target = self._target(key)
-        return target is not None and self._fleet.room_per_s(target, now) is not None
+        return (
+            target is not None
+            and self._fleet.effective_limit_per_s(target, now) is not None
+        )
--- a/leverdoor/entry/placement/fleet.py
+++ b/leverdoor/entry/placement/fleet.py
@@ -20,7 +20,7 @@
 from leverdoor.entry.placement.health import Health
 from leverdoor.entry.placement.known_keys import KnownKeys
 from leverdoor.entry.placement.load_estimate import LoadEstimate
-from leverdoor.entry.placement.room_refusals import RoomRefusals
+from leverdoor.entry.placement.room_rejections import RoomRejections
 from leverdoor.entry.placement.run_times import MeanRunTimes
 from leverdoor.entry.placement.slow_start import SlowStart, warm_up_limit_per_s
 from leverdoor.entry.wire import TargetLoad, TargetReport
@@ -28,9 +28,9 @@
 from leverdoor.model.resources import Service, Target
 from leverdoor.model.target_id import target_id
 
-__all__ = ["PEERS_TOTAL", "Fleet", "TargetState"]
+__all__ = ["SUM_OF_PEERS", "Fleet", "TargetState"]
 
-PEERS_TOTAL = "others"
+SUM_OF_PEERS = "others"
 """Peer name for counts that are sums over all other entries."""
 
 AVAILABILITY_TTL_S = 600.0
@@ -59,7 +59,7 @@
         self._health = Health(now)
         self._slow_start = SlowStart(target.cold_ms, now)
         self._known_keys = KnownKeys()
-        self.room = RoomRefusals()
+        self.room = RoomRejections()
         """Rejections by its limiter, if it has a limit."""
         self._run_times = MeanRunTimes(0.0, 0.0)
 
@@ -140,9 +140,9 @@
         """Record the number of requests that another entry has in flight there."""
         self._load.record_peer_count(peer, in_flight, now)
 
-    def refused(self, now: float) -> None:
+    def record_rejection(self, now: float) -> None:
         """Record that the target rejected a request because of its load."""
-        self._load.refused(self.target.slots, now)
+        self._load.record_rejection(self.target.slots, now)
 
     def load(self, now: float) -> float:
         """Estimate the requests of all entries at the target."""
@@ -291,7 +291,7 @@
                 self._removed[name] = availability, now
         return removed
 
-    def of(self, target: Target, now: float) -> TargetState:
+    def state_of(self, target: Target, now: float) -> TargetState:
         """Return the state of a target, created if necessary."""
         return self._states.get(target.name) or self._create(target, now)
 
@@ -327,7 +327,7 @@
             return None
         return self.limits.per_s(target_id(target.name))
 
-    def room_per_s(self, target: Target, now: float) -> float | None:
+    def effective_limit_per_s(self, target: Target, now: float) -> float | None:
         """Return the limit on the requests a second of all entries to a target.
 
         The lower of the limit that the target reports and the one of its warm-up; None
@@ -335,7 +335,7 @@
         """
         reported = self.reported_limit_per_s(target)
         warm_up = self.warm_up_per_s.get(target.service, 0.0)
-        if not warm_up or not self.of(target, now).in_warm_up(now):
+        if not warm_up or not self.state_of(target, now).in_warm_up(now):
             return reported
         limit = warm_up_limit_per_s(warm_up)
         return limit if reported is None else min(reported, limit)
@@ -366,7 +366,7 @@
         load = 0.0
         slots = 0.0
         for target in targets:
-            state = self.of(target, now)
+            state = self.state_of(target, now)
             if (
                 state.is_usable(now)
                 and not state.in_warm_up(now)
--- a/leverdoor/entry/placement/health.py
+++ b/leverdoor/entry/placement/health.py
@@ -12,7 +12,7 @@
 - silent: a target that has requests and answers none receives no more (`is_silent`).
 
 The first three write the log event `target_ejected`. A silent target writes no event;
-the detail of `refused` names it as "ejected".
+the detail of `record_rejection` names it as "ejected".
 
 Owns the failure counts and the ends of the ejections of one target, lost with the
 process. Each entry decides for itself.
--- a/leverdoor/entry/placement/load_estimate.py
+++ b/leverdoor/entry/placement/load_estimate.py
@@ -99,7 +99,7 @@
         self._count_correction += weight * (uncounted - self._count_correction)
         self._report = _Report(now, others)
 
-    def refused(self, slots: int, now: float) -> None:
+    def record_rejection(self, slots: int, now: float) -> None:
         """Record a rejection by the target as a report of an overload."""
         self._report = _Report(now, max(slots * REFUSED_LOAD_X - self.in_flight, 0))
 
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -28,14 +28,14 @@
     PlacementRequest,
 )
 from leverdoor.entry.placement.queue_wait import URGENT_PRIORITY
-from leverdoor.entry.placement.refusals import (
+from leverdoor.entry.placement.region_share_table import RegionShareTable
+from leverdoor.entry.placement.region_shares import MOVE_PER_S, UNUSABLE_UTILIZATION
+from leverdoor.entry.placement.retry_delays import (
     describe_loads,
     limited_retry_after_ms,
     resting_retry_after_ms,
     retry_after_ms,
 )
-from leverdoor.entry.placement.region_share_table import RegionShareTable
-from leverdoor.entry.placement.region_shares import MOVE_PER_S, UNUSABLE_UTILIZATION
 from leverdoor.entry.placement.service_weights import ServiceWeights
 from leverdoor.entry.placement.target_chooser import ScoredTarget, TargetChooser
 from leverdoor.entry.placement.tuning import PRODUCTION, Tuning
@@ -137,7 +137,7 @@
 
     def is_leaving(self, target: Target, now: float) -> bool:
         """Return whether a target reported that it is leaving."""
-        return self._fleet.of(target, now).availability.leaving
+        return self._fleet.state_of(target, now).availability.leaving
 
     def accepts_requests(self, target: Target, now: float) -> bool:
         """Return whether a target that was selected earlier still accepts requests.
@@ -174,11 +174,11 @@
 
     def _is_open(self, target: Target, now: float) -> bool:
         """Return whether a target is neither leaving nor resting."""
-        return self._fleet.of(target, now).availability.open(now)
+        return self._fleet.state_of(target, now).availability.open(now)
 
     def _is_avoided(self, target: Target, now: float) -> bool:
         """Return whether a target serves only if no other can."""
-        state = self._fleet.of(target, now)
+        state = self._fleet.state_of(target, now)
         if self._tuning.avoids_slow and state.is_slow(now):
             return True
         if now - state.availability.answered_at <= REST_DIGEST_TTL_S:
@@ -224,7 +224,7 @@
         """
         for region in sorted(regions, key=lambda r: r != self._region):
             for target in self._candidates.order(request, region):
-                state = self._fleet.of(target, now)
+                state = self._fleet.state_of(target, now)
                 if not self._may_warm_up(request, state, now):
                     continue
                 scored = self._chooser.score_target_in_warm_up(request, state)
@@ -267,7 +267,7 @@
         ]
         if any(self._is_open(target, now) for target in targets):
             return self._reject_as_full(request, key_region, now)
-        states = [self._fleet.of(target, now) for target in targets]
+        states = [self._fleet.state_of(target, now) for target in targets]
         resting = [state for state in states if not state.availability.leaving]
         if not resting:
             return self._reject(
@@ -318,7 +318,7 @@
         """
         if self._fleet.limits.is_empty:
             return None
-        states = [self._fleet.of(t, now) for t in targets]
+        states = [self._fleet.state_of(t, now) for t in targets]
         usable = [s for s in states if s.is_usable(now) and not s.in_warm_up(now)]
         limited = [s for s in usable if self._chooser.lacks_room(request, s, now)]
         if not usable or len(limited) < len(usable):
@@ -363,7 +363,7 @@
           report: the report; the answered request still counts as in flight.
           now: monotonic time in seconds.
         """
-        self._fleet.of(target, now).record_report(report, self._rng, now)
+        self._fleet.state_of(target, now).record_report(report, self._rng, now)
         if report.rest_s:
             self._rests.record_rest(target, now)
 
@@ -386,11 +386,11 @@
         Returns: whether the target is now ejected as slow.
         """
         self._candidates.record_size(request.service, size)
-        state = self._fleet.of(placement.target, now)
+        state = self._fleet.state_of(placement.target, now)
         ejected = state.record_answer(took_ms / max(placement.expected_ms, 1.0), now)
         self._chooser.learn(request, placement, took_ms, now)
         return ejected
 
     def ended(self, placement: Placement, now: float) -> None:
         """Count a request that ended, whether it succeeded or not."""
-        self._fleet.of(placement.target, now).record_end()
+        self._fleet.state_of(placement.target, now).record_end()
--- a/leverdoor/entry/placement/region_share_table.py
+++ b/leverdoor/entry/placement/region_share_table.py
@@ -119,7 +119,7 @@
             for region in self._regions
         }
 
-    def reported(self) -> dict[str, dict[str, float]]:
+    def shares_to_send(self) -> dict[str, dict[str, float]]:
         """Return the shares to be sent in heartbeats."""
         return {
             service: {r: round(v, REPORTED_DIGITS) for r, v in state.shares.items()}
@@ -127,7 +127,7 @@
             if state.load_observed
         }
 
-    def take_changed(self) -> Mapping[str, dict[str, float]]:
+    def take_shares_to_log(self) -> Mapping[str, dict[str, float]]:
         """Return the shares that changed noticeably since they were last returned."""
         changed = {}
         for service, state in self._shares.items():
--- a/leverdoor/entry/placement/refusals.py
+++ b/leverdoor/entry/placement/retry_delays.py
@@ -85,7 +85,7 @@
     """
     descriptions = []
     for target in targets:
-        state = fleet.of(target, now)
+        state = fleet.state_of(target, now)
         cold = " cold" if state.in_warm_up(now) else ""
         unusable = "" if state.is_usable(now) else f" {_unusable_reason(state, now)}"
         age_ms = state.load_age_ms(now)
--- a/leverdoor/entry/placement/room_refusals.py
+++ b/leverdoor/entry/placement/room_rejections.py
@@ -10,10 +10,10 @@
 room requests were skipped; lost with the process.
 """
 
-__all__ = ["RoomRefusals"]
+__all__ = ["RoomRejections"]
 
 
-class RoomRefusals:
+class RoomRejections:
     """The rejections by one target's limiter."""
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         self._room_at = 0.0
         """Monotonic time at which the limiter expects room, in seconds."""
 
-    def refused(
+    def record_rejection(
         self, priority: int, suppress_s: float, room_s: float, now: float
     ) -> None:
         """Record that the limiter rejected a room request.
--- a/leverdoor/entry/placement/target_chooser.py
+++ b/leverdoor/entry/placement/target_chooser.py
@@ -136,7 +136,7 @@
         for target in candidates:
             if target.name in request.tried_targets:
                 continue
-            state = self._fleet.of(target, now)
+            state = self._fleet.state_of(target, now)
             if not state.admits(request.priority, now) or state.in_warm_up(now):
                 continue
             if self.lacks_room(request, state, now):
@@ -158,7 +158,7 @@
         limiter grants room.
         """
         target = state.target
-        if self._fleet.room_per_s(target, now) is None:
+        if self._fleet.effective_limit_per_s(target, now) is None:
             return False
         if target.name in request.targets_without_room:
             return True
@@ -263,7 +263,7 @@
         """
         if placement.load < placement.target.slots:
             self._learn_run(request, placement, took_ms)
-        self._fleet.of(placement.target, now).record_key(request.key)
+        self._fleet.state_of(placement.target, now).record_key(request.key)
         if request.route.affinity and placement.rank > 0:
             self.warm_keys.record_answer(placement.target, request.key, now)
 
--- a/leverdoor/entry/placement/warm_key_digests.py
+++ b/leverdoor/entry/placement/warm_key_digests.py
@@ -85,7 +85,7 @@
         """Return when this or another entry last recorded a digest, None if unknown."""
         return self._known.get(digest)
 
-    def recent(self, span_s: float, now: float) -> list[int]:
+    def queued_within(self, span_s: float, now: float) -> list[int]:
         """Return the digests queued in the last `span_s` seconds, for a heartbeat."""
         return [queued.digest for queued in self._queue if now - queued.at <= span_s]
 
--- a/leverdoor/entry/requests/outcomes.py
+++ b/leverdoor/entry/requests/outcomes.py
@@ -68,7 +68,7 @@
         """
         now = asyncio.get_running_loop().time()
         ratio = took_s * 1000 / max(placement.expected_ms, LEAST_EXPECTED_MS)
-        if self._fleet.of(placement.target, now).overran(ratio, now):
+        if self._fleet.state_of(placement.target, now).overran(ratio, now):
             self._log_slow(placement)
 
     def not_run(self, placement: Placement, status: int) -> None:
@@ -77,12 +77,12 @@
             self.unreached(placement, "another instance")
             return
         now = asyncio.get_running_loop().time()
-        self._fleet.of(placement.target, now).refused(now)
+        self._fleet.state_of(placement.target, now).record_rejection(now)
 
     def unreached(self, placement: Placement, reason: str) -> None:
         """Eject a target that was not reached; the reason is for the log."""
         now = asyncio.get_running_loop().time()
-        ejected_s = self._fleet.of(placement.target, now).unreached(now)
+        ejected_s = self._fleet.state_of(placement.target, now).unreached(now)
         self._events.target_ejected(placement.target.name, reason, ejected_s)
 
     def lost(self, placement: Placement, unreachable: bool) -> None:
@@ -97,7 +97,7 @@
             return
         target = placement.target
         now = asyncio.get_running_loop().time()
-        ejected_s = self._fleet.of(target, now).lost(now)
+        ejected_s = self._fleet.state_of(target, now).lost(now)
         if ejected_s:
             self._events.target_ejected(target.name, "answers lost", ejected_s)
 
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -106,5 +106,5 @@
 
     def set_load(self, target: Target, load: int) -> None:
         """Set the load of a target, as reported by another entry."""
-        state = self.fleet.of(target, self.now)
+        state = self.fleet.state_of(target, self.now)
         state.record_peer_count("other", load, self.now)
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -42,7 +42,7 @@
 def deliver(harness: PlacementHarness, report: TargetReport, *targets: Target) -> None:
     """Deliver an answer with a report from each target to this entry."""
     for t in targets:
-        state = harness.fleet.of(t, harness.now)
+        state = harness.fleet.state_of(t, harness.now)
         state.record_sent(harness.now)
         state.record_report(report, Random(1), harness.now)
         state.record_end()
@@ -129,7 +129,7 @@
     """All entries resume at about the same time."""
     only = target("t1", slots=32)
     harness = PlacementHarness(only)
-    state = harness.fleet.of(only, harness.now)
+    state = harness.fleet.state_of(only, harness.now)
     deliver(harness, rest_report(1.0), only)
     harness.now += 1.0 + REST_END_SPREAD_S
     sent = []
@@ -211,7 +211,7 @@
     only = target("t1")
     harness = PlacementHarness(only)
     deliver(harness, TargetReport(not_run=True, load=TargetLoad(4, 4, 4)), only)
-    assert harness.fleet.of(only, harness.now).load(harness.now) == 0.0
+    assert harness.fleet.state_of(only, harness.now).load(harness.now) == 0.0
 
 
 @given(
@@ -244,7 +244,7 @@
     for number in range(entries):
         digests = WarmKeyDigests()
         PeerRests(digests, Random(number)).record_rest(resting, harness.now)
-        recent = digests.recent(1.0, harness.now)
+        recent = digests.queued_within(1.0, harness.now)
         harness.placement.warm_keys.receive(recent, harness.now)
 
 
@@ -289,4 +289,4 @@
     for _ in range(3):
         harness.placement.take_report(only, rest_report(1.0), harness.now)
         harness.now += 0.1
-    assert len(harness.placement.warm_keys.recent(1.0, harness.now)) == 1
+    assert len(harness.placement.warm_keys.queued_within(1.0, harness.now)) == 1
--- a/tests/test_entry_fleet.py
+++ b/tests/test_entry_fleet.py
@@ -17,7 +17,7 @@
 
 def test_a_slow_target_is_ejected() -> None:
     only = target("t")
-    state = Fleet().of(only, 0.0)
+    state = Fleet().state_of(only, 0.0)
     ejected = [state.record_answer(6.0, 1.0) for _ in range(10)]
     assert True in ejected
     assert state.is_slow(1.0)
@@ -25,14 +25,14 @@
 
 
 def test_timed_out_requests_eject_a_slow_target() -> None:
-    state = Fleet().of(target("t"), 0.0)
+    state = Fleet().state_of(target("t"), 0.0)
     assert not any(state.overran(0.5, 1.0) for _ in range(50))
     assert any(state.overran(8.0, 1.0) for _ in range(4))
     assert state.is_usable(1.0)
 
 
 def test_only_consecutive_lost_answers_eject_a_target() -> None:
-    state = Fleet().of(target("t"), 0.0)
+    state = Fleet().state_of(target("t"), 0.0)
     for _ in range(10):
         assert state.lost(1.0) == state.lost(1.0) == 0.0
         state.record_answer(1.0, 1.0)
@@ -42,7 +42,7 @@
 
 
 def test_a_new_report_includes_the_requests_of_other_entries() -> None:
-    state = Fleet().of(target("t"), 0.0)
+    state = Fleet().state_of(target("t"), 0.0)
     state.record_sent(0.0)
     state.record_load(TargetLoad(3, 2, SLOTS), 1.0)
     assert state.load(1.0) == 5
@@ -51,7 +51,7 @@
 
 
 def test_the_weight_of_a_report_decreases_with_its_age() -> None:
-    state = Fleet().of(target("t"), 0.0)
+    state = Fleet().state_of(target("t"), 0.0)
     state.record_peer_count("p", 2, 0.0)
     state.record_load(TargetLoad(6, 0, SLOTS), 0.0)
     loads = [state.load(at) for at in (0.0, 0.1, 0.5)]
@@ -63,7 +63,7 @@
 def test_the_load_estimate_has_no_upward_bias() -> None:
     """The greater of two noisy figures is too high, and causes rejections."""
     rng = Random(1)
-    state = Fleet().of(target("t"), 0.0)
+    state = Fleet().state_of(target("t"), 0.0)
     errors = []
     for turn in range(2000):
         now = turn * 0.05
@@ -74,7 +74,7 @@
 
 
 def test_the_counts_of_peers_expire() -> None:
-    state = Fleet().of(target("t"), 0.0)
+    state = Fleet().state_of(target("t"), 0.0)
     state.record_peer_count("p", 3, 10.0)
     state.record_peer_count("q", 2, 10.5)
     assert state.load(10.6) == 5
@@ -86,17 +86,17 @@
     fleet = Fleet()
     t0, t1 = target("t0"), target("t1")
     for t in (t0, t1):
-        fleet.of(t, 0.0)
+        fleet.state_of(t, 0.0)
     fleet.receive("p", {"t0": 2, "t1": 1, "unknown": 5}, 0.0)
     fleet.receive("p", {"t1": 3}, 0.1)
-    assert [fleet.of(t, 0.1).load(0.1) for t in (t0, t1)] == [0, 3]
+    assert [fleet.state_of(t, 0.1).load(0.1) for t in (t0, t1)] == [0, 3]
 
 
 def test_a_restarted_target_starts_a_new_warm_up() -> None:
     harness = PlacementHarness(target("t"))
     assert harness.name() == "t"
     harness.configure(target("t", cold_ms=3_000))
-    state = harness.fleet.of(target("t"), harness.now)
+    state = harness.fleet.state_of(target("t"), harness.now)
     assert state.in_warm_up(harness.now)
     assert not state.in_warm_up(harness.now + 3.1)
 
@@ -114,7 +114,7 @@
 def test_the_load_is_never_below_the_own_requests(
     steps: list[tuple[str, int]],
 ) -> None:
-    state = Fleet().of(target("t"), 0.0)
+    state = Fleet().state_of(target("t"), 0.0)
     now = 0.0
     for step, number in steps:
         if step == "report":
@@ -131,7 +131,7 @@
 
 def test_a_target_with_cold_runs_does_not_count_as_silent() -> None:
     """Cold runs of 3.5 s take three times the minimum silence."""
-    state = Fleet().of(target("t"), 0.0)
+    state = Fleet().state_of(target("t"), 0.0)
     for _ in range(SILENCE_MIN_REQUESTS):
         state.record_sent(0.0, MeanRunTimes(1.1, 3.5))
     assert not state.is_silent(3.6)
@@ -140,7 +140,7 @@
 
 def test_a_report_is_used_for_the_duration_of_a_run() -> None:
     """After 0.3 s, most of the reported requests are still running."""
-    state = Fleet().of(target("t"), 0.0)
+    state = Fleet().state_of(target("t"), 0.0)
     state.record_sent(0.0, MeanRunTimes(1.1, 3.5))
     state.record_end()
     state.record_load(TargetLoad(4, 0, SLOTS), 1.0)
--- a/tests/test_entry_limits.py
+++ b/tests/test_entry_limits.py
@@ -22,8 +22,8 @@
 ) -> None:
     """Let the limiter of targets refuse a request."""
     for t in targets:
-        room = desk.fleet.of(t, desk.now).room
-        room.refused(priority, room_s, room_s, desk.now)
+        room = desk.fleet.state_of(t, desk.now).room
+        room.record_rejection(priority, room_s, room_s, desk.now)
 
 
 def test_a_limited_target_without_room_is_passed_over_and_not_ejected() -> None:
@@ -34,7 +34,7 @@
     assert desk.name("k") == home.name
     close_room(desk, 1.0, 0, home)
     assert desk.name("k") != home.name
-    assert desk.fleet.of(home, desk.now).is_usable(desk.now)
+    assert desk.fleet.state_of(home, desk.now).is_usable(desk.now)
     desk.now += 1.1
     assert desk.name("k") == home.name
     close_room(desk, 1.0, 0, home)
--- a/tests/test_entry_placement.py
+++ b/tests/test_entry_placement.py
@@ -80,7 +80,7 @@
     assert harness.name("k") == second.name
     harness.set_load(second, SLOTS * 4)
     assert isinstance(harness.place("k"), Rejection)
-    harness.fleet.of(first, harness.now).unreached(harness.now)
+    harness.fleet.state_of(first, harness.now).unreached(harness.now)
     assert harness.name("k") == third.name, "an ejected target does not count"
 
 
@@ -93,7 +93,9 @@
     assert isinstance(harness.place("k"), Rejection)
     other = WarmKeyDigests()
     other.record_answer(second, "k", harness.now)
-    harness.placement.warm_keys.receive(other.recent(1.0, harness.now), harness.now)
+    harness.placement.warm_keys.receive(
+        other.queued_within(1.0, harness.now), harness.now
+    )
     assert harness.name("k") == second.name
 
 
@@ -200,7 +202,7 @@
     targets = [target("t0"), target("t1")]
     harness = PlacementHarness(*targets)
     first = RendezvousRanking(targets).order("k")[0]
-    harness.fleet.of(first, harness.now).unreached(harness.now)
+    harness.fleet.state_of(first, harness.now).unreached(harness.now)
     assert harness.name("k") != first.name
     harness.now += 1.0
     assert harness.name("k") == first.name
@@ -212,7 +214,7 @@
     first = RendezvousRanking(targets).order("k")[0]
     for _ in range(3):
         harness.place("k")
-    assert harness.fleet.of(first, harness.now).in_flight == 3
+    assert harness.fleet.state_of(first, harness.now).in_flight == 3
     harness.now += 1.5
     assert harness.name("k") != first.name
 
@@ -222,10 +224,10 @@
     harness = PlacementHarness(*targets)
     first, second = RendezvousRanking(targets).order("k")
     for _ in range(10):
-        harness.fleet.of(first, harness.now).overran(8.0, harness.now)
+        harness.fleet.state_of(first, harness.now).overran(8.0, harness.now)
     assert harness.name("k") == second.name
     for _ in range(10):
-        harness.fleet.of(second, harness.now).overran(8.0, harness.now)
+        harness.fleet.state_of(second, harness.now).overran(8.0, harness.now)
     assert harness.name("k") == first.name
 
 
@@ -247,8 +249,8 @@
     assert isinstance(decision, Placement)
     assert decision.reason == "cold"
     harness.placement.ended(decision, harness.now)
-    state = harness.fleet.of(decision.target, harness.now)
-    state.room.refused(request.priority, 0.5, 0.5, harness.now)
+    state = harness.fleet.state_of(decision.target, harness.now)
+    state.room.record_rejection(request.priority, 0.5, 0.5, harness.now)
     assert isinstance(harness.place(), Rejection)
     harness.now += 0.6
     assert isinstance(harness.place(), Placement)
--- a/tests/test_entry_spill.py
+++ b/tests/test_entry_spill.py
@@ -87,6 +87,6 @@
     )
     harness.now += 0.3
     harness.placement.shares.update([], harness.now)
-    assert harness.placement.shares.reported() == {}
+    assert harness.placement.shares.shares_to_send() == {}
     keys = [f"k{i}" for i in range(40)]
     assert all(harness.name(k).startswith("a") for k in keys)
--- a/tests/test_entry_warmth.py
+++ b/tests/test_entry_warmth.py
@@ -65,7 +65,7 @@
     own, other = WarmKeyDigests(), WarmKeyDigests()
     one = target("t")
     own.record_answer(one, "k", 10.0)
-    other.receive(own.recent(0.4, 10.2), 10.2)
+    other.receive(own.queued_within(0.4, 10.2), 10.2)
     assert other.is_warm(one, "k", since=0.0, now=11.0)
     assert not other.is_warm(one, "another", since=0.0, now=11.0)
     assert not other.is_warm(one, "k", since=10.5, now=11.0), "emptied later"
@@ -77,14 +77,14 @@
     one = target("t")
     for at in (10.0, 10.1, 10.2):
         own.record_answer(one, "k", at)
-    assert len(own.recent(0.4, 10.3)) == 1
-    assert own.recent(0.4, 11.0) == []
+    assert len(own.queued_within(0.4, 10.3)) == 1
+    assert own.queued_within(0.4, 11.0) == []
     own.record_answer(one, "k", 18.0)
-    assert len(own.recent(0.4, 18.1)) == 1
+    assert len(own.queued_within(0.4, 18.1)) == 1
 
 
 def test_a_heartbeat_carries_a_limited_number_of_digests() -> None:
     own = WarmKeyDigests()
     for i in range(500):
         own.record_answer(target("t"), f"k{i}", 10.0)
-    assert len(own.recent(1.0, 10.0)) == MAX_SENT_DIGESTS
+    assert len(own.queued_within(1.0, 10.0)) == MAX_SENT_DIGESTS
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -268,7 +268,7 @@
         for limiter in ["a1-0" if asker() == "a1-1" else "a1-1"]
     )
     now = asyncio.get_running_loop().time()
-    state = desk.fleet.of(TARGET, now)
+    state = desk.fleet.state_of(TARGET, now)
     assert state.is_usable(now)
     assert state.room.suppresses(2, now)
     assert not state.room.suppresses(1, now)
@@ -304,7 +304,7 @@
     now = asyncio.get_running_loop().time()
     late = RoomAnswer(desk.sent[0][0].number, True, 0, 0)
     desk.asking.answered(late)
-    assert desk.fleet.of(TARGET, now).room.suppresses(2, now)
+    assert desk.fleet.state_of(TARGET, now).room.suppresses(2, now)
 
 
 @pytest.mark.parametrize("per_s", [float("nan"), float("inf"), -1.0])
@@ -367,11 +367,11 @@
     fleet = Fleet()
     cold = msgspec.structs.replace(TARGET, cold_ms=60_000)
     fleet.renew({cold.name: cold}, 0.0, [service(11.0)])
-    assert fleet.room_per_s(cold, 1.0) == 8.25
+    assert fleet.effective_limit_per_s(cold, 1.0) == 8.25
     fleet.limits.take(LimitWord(target_id(cold.name), 2.0, 1.0))
-    assert fleet.room_per_s(cold, 1.0) == 2.0
-    assert fleet.room_per_s(cold, 61.0) == 2.0
+    assert fleet.effective_limit_per_s(cold, 1.0) == 2.0
+    assert fleet.effective_limit_per_s(cold, 61.0) == 2.0
     fleet.limits.take(LimitWord(target_id(cold.name), None, 2.0))
-    assert fleet.room_per_s(cold, 61.0) is None
+    assert fleet.effective_limit_per_s(cold, 61.0) is None
     fleet.renew({cold.name: cold}, 3.0, [service(0.0)])
-    assert fleet.room_per_s(cold, 3.0) is None
+    assert fleet.effective_limit_per_s(cold, 3.0) is None
