--- a/leverdoor/entry/placement/availability.py
+++ b/leverdoor/entry/placement/availability.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Tracks whether a target accepts requests, as reported in its answers.
 
-A leaving target accepts no more requests; after a restart it has another name. A
-target may request a rest, a period without requests from this entry. The rests of all
-entries end at about the same time, so each entry then sends few requests at first and
-doubles their number with each answer.
+Leaving is final, because a restarted target has another name. A rest is a period,
+requested by the target, in which this entry sends it no requests. The rests that a
+target requests of all entries end at about the same time. After a rest, an entry
+therefore sends few requests at first and doubles their number with each answer.
 
 Owns this state of one target, lost with the process. Relies on the caller for the
 monotonic time in seconds and for the number of requests in flight.
@@ -36,13 +36,13 @@
 RAMP_UP_S = 1.0
 """Period after a rest in which requests in flight are limited, in seconds.
 
-A target that needs more rest rejects requests immediately.
+If the target is still overloaded, its rejections arrive within this period.
 """
 URGENT_ONLY_S = 0.25
 """Period after a rest that is reserved for urgent requests, in seconds.
 
-It applies until the first answer, and to the most urgent priority that was rejected
-during the rest.
+Until the first answer, only requests at least as urgent as the most urgent one rejected
+during the rest are admitted.
 """
 
 
@@ -59,7 +59,7 @@
         self._max_in_flight = 0
         """Maximum requests in flight after a rest; 0 for no limit."""
         self._in_flight_before_rest = 0
-        """Requests in flight that were sent before the rest ended."""
+        """Requests in flight that were sent before the rest started."""
         self._most_urgent: int | None = None
         """Lowest priority number of the requests rejected during the rest."""
 
@@ -74,7 +74,7 @@
 
         Args:
           rest_s: duration in seconds.
-          random_fraction: a random number of [0, 1), which spreads the end of the rest.
+          random_fraction: a number of [0, 1), which spreads the end of the rest.
           in_flight: this entry's requests at the target, without the answered one.
           now: monotonic time in seconds.
         """
@@ -137,7 +137,7 @@
         return in_flight < self._in_flight_before_rest + self._max_in_flight
 
     def _is_reserved(self, priority: int, now: float) -> bool:
-        """Return whether the first requests are reserved for more urgent ones."""
+        """Return whether only more urgent requests are admitted now."""
         if self._most_urgent is None or priority <= self._most_urgent:
             return False
         return (
--- a/leverdoor/entry/placement/candidates.py
+++ b/leverdoor/entry/placement/candidates.py
@@ -21,18 +21,18 @@
 __all__ = ["CandidateSelector"]
 
 MAX_CANDIDATES = 6
-"""Maximum targets considered for a key, of which two may serve it.
+"""Maximum targets considered for a key, in a region or a failure domain.
 
-Enough to find two usable targets while others are ejected or in their warm-up. A
-greater value uses more processor time for each request. A smaller one causes
-rejections while a few targets are unavailable.
+Enough to find the two targets that may serve the key, while others are ejected or in
+their warm-up. A greater value uses more processor time for each request. A smaller one
+causes rejections while a few targets are unavailable.
 """
 DOMAIN_AFFINITY_MIN_TARGETS = 8
-"""Minimum targets with which a failure domain keeps its large requests.
+"""Minimum targets of a failure domain for large requests to prefer that domain.
 
-A greater value sends more bytes between domains (uploads of 60 kB where domains have
-fewer than eight targets). With a smaller one, each key has a cold run in every domain
-even where that is a large part of the key's runs.
+A greater value sends more bytes between domains, for example uploads of 60 kB where
+domains have fewer than eight targets. With a smaller one, each key has a cold run in
+every domain even if the key has few runs in each domain.
 """
 
 
@@ -94,18 +94,18 @@
         return any(request.may_run_in(region) for region in self._catalog.regions)
 
     def order(self, request: PlacementRequest, region: str) -> list[Target]:
-        """Return all targets of a region by descending rank for the request's key."""
+        """Return all targets of a region in the order of the request's key."""
         return self._by_region[(request.service, region)].order(request.key)
 
     def select(
         self, request: PlacementRequest, region: str, is_open: Callable[[Target], bool]
     ) -> list[Target]:
-        """Return the highest-ranked open targets of a region.
+        """Return the first open targets of a region in the order of the key.
 
-        A key normally has one first target in the region, which limits cold runs.
-        In this entry's region, large requests prefer the targets of this entry's
-        failure domain if it has many. The key then has a first target in each domain,
-        which avoids traffic between domains.
+        A key normally has one first target in the region, which limits cold runs. In
+        this entry's region, large requests prefer the targets of this entry's failure
+        domain if it has many. The key then has a first target in each domain, which
+        avoids traffic between domains.
 
         Args:
           request: the request to place.
--- a/leverdoor/entry/placement/cold_run_rates.py
+++ b/leverdoor/entry/placement/cold_run_rates.py
@@ -3,14 +3,14 @@
 """Estimates the probability of a cold run from earlier run times.
 
 A run is warm if the target has the request's key in its cache, and then takes about a
-third of the time of a cold run. Targets do not report which it was, and one entry
-sees only part of a target's requests. The run time shows it afterwards (run_times.py).
+third of the time of a cold run. Targets do not report which it was, and one entry sees
+only part of a target's requests. The run time indicates it afterwards (run_times.py).
 From this, an entry learns how often a target evicts keys that it was sent before, and
-how often the first, second, ... target of a key is cold if the entry has not yet sent
-the key there.
+how often a run at the first, second, ... target of a key is cold if the entry has not
+yet sent the key there.
 
-Owns these rates by target and by rank. They are lost with the process and learned
-again from the next ten runs of each.
+Owns these rates by target and by rank. They are lost with the process and learned again
+from the next ten runs of each target and rank.
 """
 
 from leverdoor.model.resources import Target
@@ -26,8 +26,8 @@
 TARGET_RATE_WEIGHT = 0.1
 """Weight of one run in a target's rate, which covers about the last ten runs.
 
-With a greater weight, one cold run in two keeps new keys away. With a smaller one, a
-target that restarted or received more keys is detected late.
+With a greater weight, a target receives no new keys if every second run is cold. With a
+smaller one, a target that restarted or received more keys is detected late.
 """
 RANK_RATE_WEIGHT = 0.1
 """Weight of one run in a rank's rate, which covers about the last ten runs."""
@@ -35,9 +35,9 @@
 """Rate of cold runs among known keys above which a target gets no new keys.
 
 Such a target receives more keys than its cache holds. The threshold lies between the
-rate of a target that keeps all keys (0) and of one that receives twice as many as it
-holds, in turn (near 1). With a greater value, an overfilled target continues to run
-keys cold. With a smaller one, a few late runs exclude a second target.
+rate of a target that keeps all keys (0) and of one that cyclically receives twice as
+many keys as it holds (near 1). With a greater value, an overfilled target continues to
+run keys cold. With a smaller one, a few delayed runs exclude a second target.
 """
 
 
@@ -51,7 +51,7 @@
         """Rates by rank, for each service and region."""
 
     def keep_only(self, names: set[str]) -> None:
-        """Remove the rates of all other targets."""
+        """Remove the rates of all other targets; rates by rank remain."""
         for name in self._by_target.keys() - names:
             del self._by_target[name]
 
@@ -68,7 +68,7 @@
 
         Args:
           target: the target that would run the request.
-          rank: index of the target in its region's order for the key.
+          rank: index of the target among the usable, untried candidates of the key.
           seen: whether any entry received an answer for the key from the target.
         """
         if seen:
@@ -88,7 +88,7 @@
     def _rates_by_rank(self, target: Target) -> list[float]:
         """Return the rates by rank for a target's service and region.
 
-        All ranks except the first count as cold until runs show otherwise.
+        Initially, the rate is 0 for the first rank and 1 for all others.
         """
         group = (target.service, target.region)
         rates = self._by_service_and_region.get(group)
--- a/leverdoor/entry/placement/fleet.py
+++ b/leverdoor/entry/placement/fleet.py
@@ -6,8 +6,8 @@
 availability as reported by the target (availability.py), warm-up (slow_start.py), keys
 answered recently (known_keys.py), rejections by its limiter (room_refusals.py), and the
 run times of the requests last sent there. A state is kept while the configuration
-contains the target or a request is in flight there, its availability for longer. All is
-lost with the process.
+contains the target or a request is in flight there. The availability of a removed
+target is kept for AVAILABILITY_TTL_S. Nothing is persisted.
 
 Relies on the configuration for the targets, on answers (entry/requests) and on the
 counts of other entries (entry/exchange).
@@ -31,12 +31,13 @@
 __all__ = ["SUM_OF_PEERS", "Fleet", "TargetState"]
 
 SUM_OF_PEERS = "others"
-"""Peer name for counts that are sums over all other entries."""
+"""Peer name of counts that an exchange round sums over all other entries."""
 
 AVAILABILITY_TTL_S = 600.0
 """Period for which the availability of a removed target is kept, in seconds.
 
-A registration that expired in an outage may return while its target is still leaving.
+A registration that expired in an outage may return while its target is still leaving;
+the entry must not send requests to it.
 """
 
 
@@ -60,14 +61,14 @@
         self._slow_start = SlowStart(target.cold_ms, now)
         self._known_keys = KnownKeys()
         self.room = RoomRejections()
-        """Rejections by its limiter, if it has a limit."""
+        """Room requests rejected by the target's limiter."""
         self._run_times = MeanRunTimes(0.0, 0.0)
 
     def renew(self, target: Target, now: float) -> None:
         """Apply a new description of the target.
 
-        A changed description with a warm-up means that the target restarted, so its
-        known keys are cleared.
+        Any change of a target with a warm-up counts as a restart of the target: its
+        warm-up starts again and its known keys are cleared.
         """
         if target == self.target:
             return
@@ -98,7 +99,7 @@
         self._load.in_flight += 1
 
     def record_end(self) -> None:
-        """Count a request that ended."""
+        """Remove an ended request from the requests in flight."""
         self._load.in_flight -= 1
         self.availability.record_end(self._load.in_flight)
 
@@ -109,7 +110,7 @@
 
         Args:
           report: the report; the answered request still counts as in flight.
-          rng: spreads the end of a rest.
+          rng: random source for the end of a rest.
           now: monotonic time in seconds.
         """
         if report.leaving:
@@ -207,11 +208,11 @@
         return self._health.record_timeout(time_ratio, now)
 
     def unreached(self, now: float) -> float:
-        """Record that it could not be reached; return its ejection in seconds."""
+        """Record that it could not be reached; return the ejection time in seconds."""
         return self._health.record_unreachable(now)
 
     def lost(self, now: float) -> float:
-        """Record a lost answer; return its ejection in seconds, 0 for none."""
+        """Record a lost answer; return the ejection time in seconds, 0 for none."""
         return self._health.record_lost_answer(now)
 
     def is_slow(self, now: float) -> bool:
@@ -219,7 +220,7 @@
         return self._health.is_slow(now)
 
     def is_silent(self, now: float) -> bool:
-        """Return whether the target has several requests and recently answered none."""
+        """Return whether requests are in flight and none is answered in time."""
         return self._health.is_silent(self._load.in_flight, self._run_times.cold_s, now)
 
     def is_usable(self, now: float) -> bool:
@@ -234,7 +235,8 @@
     def admits(self, priority: int, now: float) -> bool:
         """Return whether a request of a priority may be sent to the target.
 
-        The target must be usable, and after a rest have few requests in flight.
+        The target must be usable. After a rest, requests in flight are limited and the
+        first ones are reserved for urgent priorities.
         """
         if not self.is_usable(now):
             return False
@@ -315,11 +317,11 @@
         return sum(s.availability.leaving for s in self._states.values())
 
     def resting_count(self, now: float) -> int:
-        """Return the number of targets that this entry lets rest."""
+        """Return the number of targets in a rest requested from this entry."""
         return sum(s.availability.is_resting(now) for s in self._states.values())
 
     def reported_limit_per_s(self, target: Target) -> float | None:
-        """Return the limit of a target on the requests a second of all entries.
+        """Return the limit that a target reports, in requests a second of all entries.
 
         None if the target reports no limit.
         """
@@ -328,10 +330,10 @@
         return self.limits.per_s(target_id(target.name))
 
     def effective_limit_per_s(self, target: Target, now: float) -> float | None:
-        """Return the limit on the requests a second of all entries to a target.
+        """Return the limit in force for a target, in requests a second of all entries.
 
-        The lower of the limit that the target reports and the one of its warm-up; None
-        for no limit.
+        The lower of the reported limit and the limit of a current warm-up; None for no
+        limit.
         """
         reported = self.reported_limit_per_s(target)
         warm_up = self.warm_up_per_s.get(target.service, 0.0)
@@ -357,11 +359,11 @@
         self._targets_by_peer[peer] = frozenset(counts)
 
     def load(self, targets: Iterable[Target], now: float) -> tuple[float, float]:
-        """Return the total load and slots of targets that can serve normally.
+        """Return the total load and slots of usable targets.
 
-        Excludes targets that are unusable, slow or in their warm-up. A limited target
-        counts only the slots that its limit can keep busy. Otherwise its region would
-        appear idle, and keys would stay there without room.
+        Excludes targets that are slow or in their warm-up. A limited target counts only
+        the slots that its limit can keep busy. Otherwise the utilization of its region
+        would appear low, and keys would stay where no target accepts their requests.
         """
         load = 0.0
         slots = 0.0
--- a/leverdoor/entry/placement/health.py
+++ b/leverdoor/entry/placement/health.py
@@ -5,14 +5,14 @@
 Four rules apply:
 
 - unreachable: a target that cannot be reached is ejected (`record_unreachable`);
-- lost answers: a target that loses several answers in a row is ejected
-  (`record_lost_answer`);
+- lost answers: a target is ejected after several requests in a row that it may have
+  received but did not answer completely (`record_lost_answer`);
 - slow: a target that is much slower than expected serves only if no other target can
   (`is_slow`);
 - silent: a target that has requests and answers none receives no more (`is_silent`).
 
 The first three write the log event `target_ejected`. A silent target writes no event;
-the detail of `record_rejection` names it as "ejected".
+the field detail of the log event `refused` reports it as "ejected".
 
 Owns the failure counts and the ends of the ejections of one target, lost with the
 process. Each entry decides for itself.
@@ -28,7 +28,9 @@
 target causes more retries.
 """
 MAX_EJECTION_S = 4.0
-"""Maximum duration of such an ejection in seconds: the usual length of an outage.
+"""Maximum ejection as unreachable or for lost answers, in seconds.
+
+The usual length of an outage.
 
 With a greater value, a recovered target stays unused. With a smaller one, each entry
 tries a dead target more often.
@@ -41,16 +43,16 @@
 LOST_ANSWERS_TO_EJECT = 3
 """Number of consecutive lost answers that eject a target.
 
-With a value of 1, healthy targets were ejected 90 times a second. A value of 2 made no
-difference to worth at 12 entries.
+With a value of 1, healthy targets were ejected 90 times a second. A value of 2 did not
+change the worth of a benchmark with 12 entries.
 """
 SLOWNESS_THRESHOLD = 3.0
 """Mean ratio of actual to expected time above which a target is ejected as slow.
 
-A cold run where a warm one was expected has a ratio of about 3.3, once.
+A single unexpected cold run has a ratio of about 3.3, which the mean smooths out.
 """
 SLOWNESS_WEIGHT = 0.15
-"""Weight of one answer in that mean, which covers about the last seven.
+"""Weight of one answer in the mean ratio, which covers about the last seven.
 
 With a greater weight, one or two cold runs eject a target. With a smaller one, a slow
 target receives more requests before it is detected.
@@ -70,14 +72,14 @@
 MIN_SILENCE_S = 1.2
 """Minimum time without an answer after which a target counts as silent, in seconds.
 
-Several warm runs. With a greater value, more requests are sent to a dead target. With a
-smaller one, a target that pauses is abandoned.
+Several warm runs of a fast service. With a greater value, more requests are sent to a
+dead target. With a smaller one, a target with a short pause counts as silent.
 """
 SILENCE_COLD_RUNS = 2.0
 """Minimum time without an answer, as a multiple of a cold run.
 
 Prevents a target from counting as silent while it runs its first requests cold: these
-take 3.5 s where a warm run takes 1.1 s.
+take 3.5 s in a service with warm runs of 1.1 s.
 """
 SILENCE_MIN_REQUESTS = 3
 """Minimum requests in flight at a silent target.
@@ -95,13 +97,13 @@
         self._ejected_until = 0.0
         self._slow_until = 0.0
         self._ejections = 0
-        """Ejections as unreachable since the last answer."""
+        """Ejections as unreachable or for lost answers since the last answer."""
         self._lost_in_a_row = 0
         """Lost answers since the last answer."""
         self._slowness = 1.0
         """Mean ratio of actual to expected time."""
         self._silent_since = now
-        """When it last answered, or received a request while it had none."""
+        """Start of the current period without an answer."""
 
     def record_answer(self, time_ratio: float, now: float) -> bool:
         """Record a complete answer.
@@ -151,8 +153,8 @@
     def record_lost_answer(self, now: float) -> float:
         """Record a lost answer; a healthy target may lose a few.
 
-        An ejection moves the target's keys to targets where they are cold, which
-        costs more than another lost answer.
+        An ejection moves the target's keys to targets where they are cold, which costs
+        more than another lost answer.
 
         Returns: duration of the ejection in seconds, 0 for none.
         """
@@ -162,7 +164,7 @@
         return self.record_unreachable(now)
 
     def restart_silence(self, now: float) -> None:
-        """Restart the time without an answer, because no request was in flight."""
+        """Restart the period without an answer; called when no request is in flight."""
         self._silent_since = now
 
     def is_slow(self, now: float) -> bool:
@@ -170,7 +172,7 @@
         return now < self._slow_until
 
     def is_silent(self, in_flight: int, cold_run_s: float, now: float) -> bool:
-        """Return whether the target has several requests and recently answered none.
+        """Return whether several requests are in flight and none is answered in time.
 
         A silent target receives no new requests until it answers or has fewer in
         flight. No log event of its own reports this.
--- a/leverdoor/entry/placement/load_estimate.py
+++ b/leverdoor/entry/placement/load_estimate.py
@@ -3,8 +3,8 @@
 """Estimates the number of requests at one target from several noisy counts.
 
 Owns, for each target, this entry's requests in flight (exact), the load that the target
-last reported, the counts of other entries, and the mean amount by which those counts
-were too low. All of it is lost with the process and learned again within seconds.
+last reported, the counts of other entries, and the mean error of those counts. All of
+it is lost with the process and learned again within seconds.
 
 Relies on reports in answers (entry/requests) and on counts in heartbeats and digests
 (entry/exchange). Works with only one of them, or none, at lower precision.
@@ -21,15 +21,15 @@
 MIN_REPORT_DECAY_S = 0.15
 """Minimum time constant with which the weight of a load report decays, in seconds.
 
-If a warm run takes longer, its duration is used: by then the reported requests have
-ended and others have arrived. With a greater value, an old report hides newer counts.
-With a smaller one, only the counts matter, which lack the requests that no heartbeat
-has carried yet. The duration of a warm run prevents discarding a report of requests
-that still run, if a warm run takes 1.1 s; with runs of 0.2 to 0.6 s it made no
-difference (27 entries).
+The time constant is the mean duration of a warm run, but at least this value: after a
+warm run, the reported requests have ended and others have arrived. With a greater
+value, old reports outweigh newer counts. With a smaller one, requests that are not yet
+in heartbeats are missed. Without the duration of a warm run, a report would expire
+while its requests still run, if warm runs take 1.1 s; with runs of 0.2 to 0.6 s it made
+no difference (27 entries).
 """
 CORRECTION_AVERAGING_S = 1.0
-"""Averaging period of the load missing from heartbeats, in seconds.
+"""Averaging period of the error of the counts in heartbeats, in seconds.
 
 With a greater value, the correction outlasts a change of load. With a smaller one, it
 follows the noise of single reports.
@@ -44,7 +44,7 @@
 """Ratio of load to slots assumed for a target that rejects a request.
 
 Above any load at which a request may wait for the target, so that the target receives
-nothing until the assumption decays like a report.
+no requests until the weight of this value has decayed.
 """
 
 
@@ -74,7 +74,7 @@
         """This entry's requests at the target."""
         self._report: _Report | None = None
         self._count_correction = 0.0
-        """Mean load missing from heartbeats; may be negative."""
+        """Mean of the reported less the counted requests of other entries."""
         self._peers: dict[str, _PeerCount] = {}
         self._peers_sum = 0
         self._peers_sum_until = 0.0
@@ -116,10 +116,10 @@
 
         The number of own requests is exact. The requests of others are a mean of the
         last report and of the counts in heartbeats, corrected by their recent error;
-        the weight of the report decreases with its age. The greater of the two figures
-        would be biased: the maximum of two noisy values is too high on average, and
-        requests were rejected beside free slots (an estimate without this bias was
-        worth +0.021, 12 entries).
+        the weight of the report decreases with its age. The greater of both is not
+        used, because the maximum of two noisy values is too high on average and causes
+        rejections although slots are free (removing this bias raised the worth of a
+        benchmark with 12 entries by 0.021).
 
         Args:
           warm_run_s: mean duration of a warm run there, in seconds; 0 if unknown.
--- a/leverdoor/entry/placement/overflow_budget.py
+++ b/leverdoor/entry/placement/overflow_budget.py
@@ -1,13 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Limits how many requests of an entry may leave their key's region at once.
+"""Limits how many requests of an entry are placed outside their key's region.
 
-The shares of regions change slowly (region_shares.py). In the meantime, a few requests
-may go to another region. They run cold there, so they are limited to a fraction of all
-requests.
+The shares of regions change slowly (region_shares.py). Until they have changed, a few
+requests may be placed in another region. They run cold there, so they are limited to a
+fraction of all requests.
 
-Owns the saved tokens of this budget, lost with the process, which starts with the
-maximum.
+Owns the tokens of the bucket, which is full at the start. Nothing is persisted.
 """
 
 __all__ = ["OverflowBudget"]
@@ -15,8 +14,9 @@
 BUCKET_CAPACITY = 3.0
 """Capacity of the token bucket, in requests.
 
-With a greater value, a burst of requests changes region at once, which the shift cap is
-there to prevent. With a smaller one, two full targets in a row reject a request.
+With a greater value, a burst of requests changes region, which the shift cap is to
+prevent. With a smaller one, a request is rejected when two consecutive requests find
+full targets.
 """
 
 
--- a/leverdoor/entry/placement/peer_rests.py
+++ b/leverdoor/entry/placement/peer_rests.py
@@ -2,13 +2,13 @@
 # SPDX-License-Identifier: Apache-2.0
 """Detects targets that requested a rest from several entries.
 
-A target requests a rest from one entry at a time. If hundreds of entries share the
-target, each sends it a request within seconds and nearly all of these are rejected.
-Entries therefore exchange digests of the rests requested of them, and prefer other
-targets for a moment. This is only a preference: the target's answers to this entry
-take precedence.
+A target requests a rest of each entry separately, in its answer. If hundreds of entries
+share the target, each sends it a request within seconds and nearly all of these are
+rejected. Entries therefore exchange digests of the rests requested of them, and prefer
+other targets for REST_DIGEST_TTL_S. This is only a preference: the target's answers to
+this entry take precedence.
 
-Owns the digest number that this entry uses, lost with the process. Relies on
+Owns the index of the digest that this entry uses; it is not persisted. Relies on
 `WarmKeyDigests`, which carries these digests too.
 """
 
@@ -23,19 +23,21 @@
 DIGESTS_PER_TARGET = 8
 """Number of distinct digests for each target.
 
-Each entry sends one of them, so the number of known digests approximates the number of
-entries.
+Each entry sends one of them, so the number of known digests is a lower bound of the
+number of entries that report a rest.
 """
 REST_QUORUM = 3
 """Number of known digests for which a target counts as resting.
 
-A target that rejects the requests of one entry may serve others.
+A target that requests a rest of one or two entries may serve the others.
 """
 REST_DIGEST_TTL_S = 1.0
-"""Lifetime of a digest in seconds; a recovered target is used again after about that.
+"""Lifetime of a digest in seconds.
+
+A recovered target is used again after about this time.
 """
 MAX_CACHED_TARGETS = 8_192
-"""Maximum targets with cached digests; 2,500 entries are designed for 3,000 targets."""
+"""Maximum targets with cached digests; the design limit is 3,000 (2,500 entries)."""
 
 
 class PeerRests:
@@ -46,14 +48,14 @@
 
         Args:
           digests: exchanges digests with other entries.
-          rng: selects the digest number of this entry.
+          rng: selects the digest index of this entry.
         """
         self._digests = digests
         self._rng = rng
         self._digest_index: int | None = None
 
     def record_rest(self, target: Target, now: float) -> None:
-        """Record, and tell other entries, that a target requested a rest."""
+        """Record a requested rest and queue its digest for heartbeats."""
         if self._digest_index is None:
             self._digest_index = self._rng.randrange(DIGESTS_PER_TARGET)
         digest = _digests(target.name)[self._digest_index]
--- a/leverdoor/entry/placement/placement_request.py
+++ b/leverdoor/entry/placement/placement_request.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The input and the result of placement; all times are of the event loop's clock.
+"""The input and the result of placement; times are monotonic, of the event loop.
 
 Owns no state; relies on the resources of the configuration.
 """
@@ -16,7 +16,7 @@
 PlacementReason = Literal["share", "overflow", "cold"]
 """Why a target was selected, as logged.
 
-- share: the target is in the region of the key;
+- share: the target is in the region that the shares assign to the key;
 - overflow: it is in another region, because the targets of the key's region are full;
 - cold: it is in its warm-up, because all other targets are full.
 """
@@ -29,6 +29,7 @@
     route: Route
     service: str
     key: str
+    """Affinity key; requests with equal keys prefer the same target."""
     version: str
     """Version of the configuration that routed it."""
     arrived_at: float
@@ -36,13 +37,13 @@
     expires_at: float
     """Time at which the entry abandons it, in seconds."""
     workspace: Workspace | None = None
-    """The requesting workspace; None without workspaces, or without a key."""
+    """The requesting workspace; None without workspaces, or without an API key."""
     tried_targets: set[str] = msgspec.field(default_factory=set)
     """Names of the targets of earlier attempts."""
     targets_without_room: set[str] = msgspec.field(default_factory=set)
     """Names of the targets whose limiter rejected it."""
     fingerprint: int = 0
-    """Identifies the request when it is repeated; 0 until its body is read."""
+    """Hash that identifies repetitions of the request; 0 until its body is read."""
 
     @property
     def priority(self) -> int:
@@ -64,13 +65,13 @@
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """The target selected for a request, which is already counted at the target."""
+    """The target selected for a request; the request counts as in flight there."""
 
     target: Target
     rank: int
-    """Index of the target in its region's order for the key.
+    """Index of the target among the usable, untried candidates of the key.
 
-    The last index that `ColdRunRates` distinguishes for overflow; one more for warm-up.
+    RANKS - 1 if the reason is overflow, RANKS if it is cold (cold_run_rates.py).
     """
     seen: bool
     """Whether any entry received an answer for the key from the target."""
@@ -83,7 +84,7 @@
     load_age_ms: int
     """Time since the last report or count of that load arrived, in ms.
 
-    The counts in it may be older; -1 if none has arrived.
+    The counts in it may be older; -1 if no report or count has arrived.
     """
     reason: PlacementReason
     limit_per_s: float | None = None
--- a/leverdoor/entry/placement/policy.py
+++ b/leverdoor/entry/placement/policy.py
@@ -7,8 +7,9 @@
 
 Owns the state of the rules: the candidates (candidates.py), the chooser with run times
 and warm keys (target_chooser.py), the shares of regions (region_share_table.py), the
-overflow budget (overflow_budget.py), the credit of services (service_weights.py) and
-the rests reported by other entries (peer_rests.py). All is lost with the process.
+overflow budget (overflow_budget.py), the round-robin credit of services
+(service_weights.py) and the rests reported by other entries (peer_rests.py). Nothing is
+persisted.
 
 Relies on the configuration (a `Catalog`), on the states of targets (fleet.py), and on
 calls of `answered` and `ended` for placed requests.
@@ -49,7 +50,7 @@
 MAX_LOGGED_TARGETS = 3
 """Maximum targets in the log detail of a request that no target can take.
 
-Keeps the line readable; covers the two targets that may serve the key and the next one.
+Keeps the line readable; covers the first three targets in the order of the key.
 """
 
 
@@ -90,7 +91,7 @@
         self.may_warm_up_target: Callable[[Target], bool] = lambda _: True
         """Returns whether this entry may send requests to a cold target.
 
-        The entry replaces it by a rule that depends on the members.
+        Set by entry/data_plane.py, where the rule depends on the live members.
         """
 
     def renew(self, catalog: Catalog) -> None:
@@ -106,7 +107,7 @@
 
     @property
     def warm_keys(self) -> WarmKeyDigests:
-        """Digests of keys that are warm at other targets than their first one."""
+        """Digests of warm keys and of rests, to be exchanged in heartbeats."""
         return self._chooser.warm_keys
 
     def place(self, request: PlacementRequest, now: float) -> Placement | Rejection:
@@ -160,8 +161,8 @@
     ) -> Placement | None:
         """Place a request at the best target of a region.
 
-        Targets that are ejected as slow, or recently requested a rest from other
-        entries, serve only if no other target can.
+        Targets that are ejected as slow, or recently requested rests of other entries,
+        serve only if no other target can.
         """
         candidates = self._candidates.select(
             request, region, lambda target: self._is_open(target, now)
@@ -177,7 +178,10 @@
         return self._fleet.state_of(target, now).availability.open(now)
 
     def _is_avoided(self, target: Target, now: float) -> bool:
-        """Return whether a target serves only if no other can."""
+        """Return whether a target is to serve only if no other can.
+
+        A recent answer to this entry overrides the rests reported by other entries.
+        """
         state = self._fleet.state_of(target, now)
         if self._tuning.avoids_slow and state.is_slow(now):
             return True
@@ -204,7 +208,7 @@
     def _may_overflow(
         self, request: PlacementRequest, key_region: str, now: float
     ) -> bool:
-        """Return whether a request may leave its key's region.
+        """Return whether a request may be placed outside its key's region.
 
         Always true if that region has no usable slots, otherwise limited by the budget.
         """
@@ -218,9 +222,10 @@
     def _place_in_warm_up(
         self, request: PlacementRequest, regions: list[str], now: float
     ) -> Placement | None:
-        """Place a request at a cold target, whose limiter still has to grant it.
+        """Place a request at a target in its warm-up.
 
-        Tries this entry's region first, then the other regions in order.
+        The caller must still ask the target's limiter for permission. Tries this
+        entry's region first, then the other regions in order.
         """
         for region in sorted(regions, key=lambda r: r != self._region):
             for target in self._candidates.order(request, region):
@@ -259,7 +264,7 @@
     def _reject_unplaced(
         self, request: PlacementRequest, regions: list[str], key_region: str, now: float
     ) -> Rejection:
-        """Reject a request because all its targets are full, resting or leaving."""
+        """Reject a request that no target can take."""
         targets = [
             target
             for region in regions
@@ -279,7 +284,7 @@
     def _reject_as_resting(
         self, request: PlacementRequest, states: list[TargetState], now: float
     ) -> Rejection:
-        """Reject a request because all targets rest; urgent ones are retried first."""
+        """Reject a request during a rest; urgent requests get shorter retry delays."""
         for state in states:
             state.availability.record_entry_rejection(request.priority)
         rest_s = min(state.availability.remaining_rest_s(now) for state in states)
@@ -287,14 +292,14 @@
         wait_ms = resting_retry_after_ms(rest_s, urgent, self._rng.random())
         reason = (
             f"service {request.service}: {len(states)} targets are resting,"
-            f" the first for another {rest_s:.2f} s"
+            f" the shortest rest ends in {rest_s:.2f} s"
         )
         return Rejection(Code.TARGETS_RESTING, wait_ms, reason)
 
     def _reject_as_full(
         self, request: PlacementRequest, key_region: str, now: float
     ) -> Rejection:
-        """Reject a request because targets are full; describes the key's region."""
+        """Reject a request for which no open target has capacity."""
         targets = self._candidates.order(request, key_region)
         loads = describe_loads(targets[:MAX_LOGGED_TARGETS], self._fleet, now)
         reason = f"{request.service} in {key_region}: {loads}"
@@ -307,14 +312,14 @@
     def _time_to_room_s(
         self, request: PlacementRequest, targets: list[Target], now: float
     ) -> float | None:
-        """Return the time until any target should have room, in seconds.
+        """Return the time until a limiter should grant the request, in seconds.
 
         Args:
           request: the request that found no target.
           targets: the targets in the region of its key.
           now: monotonic time in seconds.
-        Returns: None if limits are not the cause: no target is usable and warm, or one
-          of these has no limit or has room.
+        Returns: None unless there are usable targets outside their warm-up and all of
+          them are at their limit.
         """
         if self._fleet.limits.is_empty:
             return None
@@ -336,7 +341,7 @@
         reason: PlacementReason,
         now: float,
     ) -> Placement:
-        """Count a request at its target, and return the placement."""
+        """Add a request to those in flight at its target, and return the placement."""
         state = scored.state
         load = state.load(now)
         age_ms = state.load_age_ms(now)
@@ -375,7 +380,7 @@
         size: int,
         now: float,
     ) -> bool:
-        """Learn from a complete answer.
+        """Learn sizes, health, run times and warm keys from a complete answer.
 
         Args:
           request: the request.
@@ -392,5 +397,5 @@
         return ejected
 
     def ended(self, placement: Placement, now: float) -> None:
-        """Count a request that ended, whether it succeeded or not."""
+        """Remove an ended request from those in flight, successful or not."""
         self._fleet.state_of(placement.target, now).record_end()
--- a/leverdoor/entry/placement/queue_wait.py
+++ b/leverdoor/entry/placement/queue_wait.py
@@ -21,8 +21,8 @@
 URGENT_PRIORITY = 1
 """Greatest priority number that counts as urgent; a lower number is more urgent.
 
-With a greater value, nearly all requests may use the whole wait. With a smaller one,
-only one priority is urgent.
+With a greater value, nearly all requests count as urgent. With a smaller one, only one
+priority is urgent.
 """
 MS_PER_S = 1000
 """Milliseconds in a second: times of requests are in s, run times in ms."""
@@ -33,10 +33,11 @@
 ) -> float:
     """Return the maximum time that a request may wait at a target, in ms.
 
-    This is the part of the latency target that remains after a warm run, but at least
-    a fraction of the whole: a rejected request is retried against the same load. Less
-    urgent requests may wait less, and are therefore rejected first. The wait never
-    exceeds the caller's deadline; if it is negative, no target can serve the request.
+    This is the latency target less the elapsed time and RUN_TIME_MARGIN_X warm runs. It
+    is at least `least_wait_share` of the latency target, because a rejected request is
+    retried against the same load. Less urgent requests may wait less, and are therefore
+    rejected first. The wait never exceeds the caller's deadline; if it is negative, no
+    target can serve the request.
 
     Args:
       request: the request to place.
--- a/leverdoor/entry/placement/region_share_table.py
+++ b/leverdoor/entry/placement/region_share_table.py
@@ -23,7 +23,7 @@
 REPORTED_DIGITS = 4
 """Decimal digits of a share in heartbeats.
 
-The rounding is far smaller than any change of a share in one round.
+The rounding is far smaller than any change of a share between two heartbeats.
 """
 MIN_LOGGED_CHANGE = 0.05
 """Minimum change of a share that is logged.
@@ -65,7 +65,7 @@
 
         Args:
           regions: the names of all regions.
-          targets: the targets in service, by service and region.
+          targets: the targets, by service and region.
         """
         self._regions = sorted(regions)
         self._targets = targets
@@ -75,7 +75,10 @@
         return self._shares_of(service, [], now).region(key, allowed)
 
     def utilization(self, service: str, region: str, now: float) -> float:
-        """Return the load over the slots of a region's usable targets."""
+        """Return the load over the slots of a region's usable targets.
+
+        UNUSABLE_UTILIZATION if there are no usable slots.
+        """
         load, slots = self._fleet.load(self._targets.get((service, region), ()), now)
         return load / slots if slots else UNUSABLE_UTILIZATION
 
@@ -93,14 +96,14 @@
             state = self._shares_of(service, peer_shares, now)
             utilizations = {r: self.utilization(service, r, now) for r in state.shares}
             if not state.load_observed and not peer_shares:
-                # Targets may have been added or removed since it was created.
+                # Targets may have been added or removed since the shares were computed.
                 state.replace(initial_shares(self._region, self._slots(service)))
             state.update(utilizations, peer_shares, now)
 
     def _shares_of(
         self, service: str, peer_shares: list[dict[str, float]], now: float
     ) -> RegionShares:
-        """Return the shares of a service; new ones start from a reported share."""
+        """Return the shares of a service; new ones adopt those of the first peer."""
         state = self._shares.get(service)
         if state is None:
             shares = initial_shares(self._region, self._slots(service))
@@ -128,7 +131,10 @@
         }
 
     def take_shares_to_log(self) -> Mapping[str, dict[str, float]]:
-        """Return the shares that changed noticeably since they were last returned."""
+        """Return the shares that changed by more than MIN_LOGGED_CHANGE.
+
+        The change is relative to the shares that were returned before.
+        """
         changed = {}
         for service, state in self._shares.items():
             before = self._logged_shares.get(service, {})
--- a/leverdoor/entry/placement/region_shares.py
+++ b/leverdoor/entry/placement/region_shares.py
@@ -4,9 +4,10 @@
 
 Each region has a share of the keys requested by the clients of this entry's region.
 Weighted rendezvous hashing assigns the keys, identically at every entry; a change of a
-region's share moves only keys of that region. The shares follow the load of each
-region's targets and change at a limited rate. This prevents a large part of a region's
-requests from changing region at once, and caches elsewhere warm up key by key.
+region's share moves keys only to or from that region. The shares follow the load of
+each region's targets and change at a limited rate. This prevents a large part of a
+region's requests from changing region at the same time, and fills the caches of other
+regions gradually.
 
 `RegionShares` owns the shares of one service and the smoothed utilization (load over
 slots) of each region. Both are lost with the process. At the start, an entry adopts the
@@ -29,11 +30,11 @@
 """Maximum fraction of keys that changes region in a second, in tests and benchmarks.
 
 An entry uses the setting `max_shift` instead (a setting of 0.15 in 2 s corresponds to
-0.04, see entry/data_plane.py and entry/bounds.py). Agreement between entries may change
-shares by another AGREEMENT_MOVE_PART of it.
+0.04, see entry/data_plane.py and entry/bounds.py). Convergence to the shares of other
+entries may change a share by AGREEMENT_MOVE_PART * MOVE_PER_S in addition.
 """
 MIN_OWN_DIFFERENCE = 0.1
-"""Minimum difference of utilization at which the own region moves keys to another.
+"""Minimum difference of utilization at which the client region moves keys away.
 
 Prevents moves because of noise. With a greater value, keys stay in an overloaded
 region. With a smaller one, keys move without benefit and run cold.
@@ -41,8 +42,8 @@
 MIN_REMOTE_DIFFERENCE = 0.25
 """Difference of utilization between two other regions above which keys move.
 
-Such a difference is not noise. Greater and smaller values have the same consequences as
-for MIN_OWN_DIFFERENCE.
+Such a difference is not noise. With a greater value, keys stay in an overloaded region.
+With a smaller one, keys move without benefit and run cold.
 """
 UTILIZATION_SMOOTHING_S = 1.0
 """Averaging period of utilization in seconds.
@@ -51,18 +52,18 @@
 a smaller one, they follow single reports back and forth.
 """
 AGREEMENT_PER_S = 0.3
-"""Fraction of the difference to the region's mean shares that is removed in a second.
+"""Rate at which shares approach the mean of the region's entries, per second.
 
-Entries agree within seconds without a jump. With a greater value, each follows means of
-others that are 1 to 2 s old. With a smaller one, entries send a key to different
-regions for longer, and it runs cold in each.
+Entries agree within seconds without a jump. With a greater value, entries follow
+outdated means, which are 1 to 2 s old. With a smaller one, entries send a key to
+different regions for longer, and it runs cold in each.
 """
 AGREEMENT_MOVE_PART = 0.5
-"""Maximum change of a share by agreement, as a fraction of the limit on other changes.
+"""Maximum change of a share by convergence, as a fraction of the limit on moves.
 
-Together with entry/bounds.py:MOVED_SHARE, both stay within 0.8 of the operator's cap.
-With a greater value, they come closer to the cap. With a smaller one, a difference
-between entries lasts longer.
+Together with entry/bounds.py:MOVED_SHARE, the sum of both changes stays within 0.8 of
+the operator's cap. With a greater value, it comes closer to the cap. With a smaller
+one, a difference between entries lasts longer.
 """
 MAX_STEP_S = 1.0
 """Maximum elapsed time that one update accounts for, in seconds.
@@ -101,7 +102,7 @@
         self._tuning = tuning
         self.client_region = client_region
         self.load_observed = False
-        """Whether there was any load; until then, shares depend only on slots."""
+        """Whether any region has had load; until then, shares depend only on slots."""
         self._move_per_s = move_per_s
         self.shares = dict(initial)
         self._utilizations: dict[str, float] = {}
@@ -118,7 +119,7 @@
         return min(allowed, key=score)
 
     def replace(self, shares: Mapping[str, float]) -> None:
-        """Replace the shares while there has been no load."""
+        """Replace the shares; only valid until load is observed."""
         self.shares = dict(shares)
 
     def update(
@@ -174,10 +175,10 @@
     def _next_move(self) -> tuple[str, str] | None:
         """Return the source and destination region of the next move, if any.
 
-        - From the own region to the least loaded one, if the own utilization is above
-          the high threshold.
-        - From the most loaded other region back to the own one, if the own utilization
-          is below the low threshold.
+        - From the client region to the least loaded one, if the utilization of the
+          client region is above the high threshold.
+        - From the most loaded other region to the client region, if the utilization of
+          the client region is below the low threshold.
         - Between two other regions, if their utilization differs widely.
         """
         known = {r: self._utilization(r) for r in self.shares}
@@ -215,8 +216,9 @@
 def initial_shares(client_region: str, slots: Mapping[str, int]) -> dict[str, float]:
     """Return the shares used before any load is known.
 
-    A region with fewer slots than the mean will lack slots if it has as many clients as
-    the others. The excess share is distributed to the other regions by their slots.
+    All regions are assumed to have equally many clients. A region with fewer slots than
+    the mean therefore keeps only slots/mean of its keys. The remainder is distributed
+    to the other regions in proportion to their slots.
 
     Args:
       client_region: the region whose clients request the keys.
--- a/leverdoor/entry/placement/rendezvous.py
+++ b/leverdoor/entry/placement/rendezvous.py
@@ -3,8 +3,8 @@
 """Weighted rendezvous hashing: orders targets by key, identically at every entry.
 
 Owns a cache of the orders, which is cleared when a target changes. Relies on all
-entries having the same target names and slots; if these differ, the order of some keys
-differs too.
+entries having the same target names and slots; if these differ, the order of targets
+differs for some keys.
 """
 
 import math
@@ -16,7 +16,7 @@
 __all__ = ["MIN_UNIT_HASH", "RendezvousRanking", "unit_hash"]
 
 MAX_CACHED_KEYS = 4_096
-"""Maximum cached keys for each service and region; 1 MB at 20 targets.
+"""Maximum cached keys of one ranking; 1 MB at 20 targets.
 
 Exceeds the number of keys of a service that are in use at a time. A greater value uses
 more memory. With a smaller one, the order is computed for each request.
@@ -35,9 +35,9 @@
 class RendezvousRanking:
     """Ranks a set of targets for each key.
 
-    The weight of a target is its number of slots: a target with twice as many slots
-    ranks first for twice as many keys. Adding or removing a target changes the first
-    target of few keys.
+    The weight of a target is its number of slots: a target with twice as many slots is
+    the first target of twice as many keys. Adding or removing a target changes the
+    first target of few keys.
     """
 
     def __init__(self, targets: list[Target]) -> None:
@@ -50,7 +50,7 @@
         return len(self._targets)
 
     def order(self, key: str) -> list[Target]:
-        """Return all targets by descending rank for a key."""
+        """Return all targets for a key, the first target of the key first."""
         order = self._cache.get(key)
         if order is None:
             if len(self._cache) >= MAX_CACHED_KEYS:
@@ -68,7 +68,8 @@
     def update(self, targets: list[Target]) -> bool:
         """Replace the target descriptions if names and slots are unchanged.
 
-        Clears the cached orders if any other field of a target changed.
+        Clears the cached orders, which hold the old descriptions, if any other field of
+        a target changed.
 
         Returns: whether names and slots are unchanged; if not, nothing is replaced.
         """
--- a/leverdoor/entry/placement/request_sizes.py
+++ b/leverdoor/entry/placement/request_sizes.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tracks which services have such large requests that domain traffic is costly.
+"""Tracks which services have requests that should stay in their failure domain.
 
 Owns the mean bytes of a request and its answer for each service, lost with the process.
 """
@@ -10,13 +10,14 @@
 __all__ = ["RequestSizes"]
 
 LARGE_REQUEST_BYTES = 2_500
-"""Mean bytes of a request and its answer above which a service counts as large.
+"""Mean bytes of a request and its answer above which requests count as large.
 
-Set where bytes between domains cost 0.09 of worth. A greater value incurs that cost
-again. With a smaller one, the keys of small requests run cold in each domain.
+Traffic between domains lowered the worth of a benchmark by 0.09 for such requests. A
+greater value has this cost again. With a smaller one, the keys of small requests run
+cold in each domain.
 """
 SMALL_REQUEST_BYTES = 1_250
-"""Mean bytes at or below which a service no longer counts as large.
+"""Mean bytes at or below which requests no longer count as large.
 
 Half the upper threshold; the hysteresis prevents flapping.
 """
--- a/leverdoor/entry/placement/retry_delays.py
+++ b/leverdoor/entry/placement/retry_delays.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Retry times and log details of requests that no target can take.
+"""Computes retry delays and log details of requests that no target can take.
 
 Owns no state; relies on the states of the targets (fleet.py).
 """
@@ -20,9 +20,9 @@
 MIN_RETRY_AFTER_MS = 150
 """Minimum delay before a rejected request is retried, in ms.
 
-About one warm run; before that, the same requests are still running. With a greater
-value, a caller waits while slots are free. With a smaller one, the retry meets the same
-load.
+About a warm run of a fast service; an earlier retry finds the same requests running.
+With a greater value, a caller waits while slots are free. With a smaller one, the retry
+meets the same load.
 """
 RETRY_AFTER_SPREAD_MS = 350
 """Range over which retries are spread, in ms.
@@ -35,8 +35,9 @@
 def retry_after_ms(random_fraction: float) -> int:
     """Return the retry delay of a rejected request, in ms.
 
-    The delay is evenly distributed between MIN_RETRY_AFTER_MS and the sum of both
-    constants. It does not depend on the load, which will have changed by then.
+    The delay is evenly distributed between MIN_RETRY_AFTER_MS and its sum with
+    RETRY_AFTER_SPREAD_MS. It does not depend on the load, which will have changed by
+    then.
 
     Args:
       random_fraction: a random number of [0, 1).
@@ -47,8 +48,8 @@
 def limited_retry_after_ms(room_s: float, random_fraction: float) -> int:
     """Return the retry delay of a request rejected by the limits of targets, in ms.
 
-    The delay is between once and twice the time until room is expected, so that
-    requests that were rejected together are retried one by one.
+    The delay is between once and twice the time until room is expected, which spreads
+    the retries of requests that were rejected together.
 
     Args:
       room_s: time until any target is expected to have room, in seconds.
--- a/leverdoor/entry/placement/room_rejections.py
+++ b/leverdoor/entry/placement/room_rejections.py
@@ -1,13 +1,14 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Remembers the room requests that the limiter of one target rejected.
+"""Records the room requests that the limiter of one target rejected.
 
-Until the limiter expects room again, requests of the same or a less urgent priority go
-to other targets without a room request. This avoids waits for the requests and a flood
-of room requests to the limiter.
+Before a request is sent to a limited target, a room request asks the entry that runs
+the target's limiter for permission. After a rejection, requests of the same or a less
+urgent priority go to other targets without a room request for some time. This saves
+them a round trip and limits the load of the limiter.
 
-Owns, for one target and by priority, until when no room is requested and how many
-room requests were skipped; lost with the process.
+Owns, by priority, the end of the suppression and the number of skipped room requests of
+one target. Nothing is persisted.
 """
 
 __all__ = ["RoomRejections"]
@@ -23,7 +24,7 @@
         self._skipped: dict[int, int] = {}
         """By priority, the number of skipped room requests."""
         self._room_at = 0.0
-        """Monotonic time at which the limiter expects room, in seconds."""
+        """Monotonic time at which the limiter should grant requests, in seconds."""
 
     def record_rejection(
         self, priority: int, suppress_s: float, room_s: float, now: float
@@ -33,7 +34,8 @@
         Args:
           priority: of the rejected request.
           suppress_s: period in which such requests request no room, in seconds.
-          room_s: time until room is expected for them, in seconds.
+          room_s: time until the limiter is expected to grant requests, in seconds; the
+            last rejection of any priority applies.
           now: monotonic time in seconds.
         """
         self._suppressed_until[priority] = now + suppress_s
@@ -55,5 +57,5 @@
         return self._skipped.pop(priority, 0)
 
     def time_to_room_s(self, now: float) -> float:
-        """Return the time until room is expected, in seconds."""
+        """Return the time until the limiter should grant requests, in seconds."""
         return max(self._room_at - now, 0.0)
--- a/leverdoor/entry/placement/run_times.py
+++ b/leverdoor/entry/placement/run_times.py
@@ -5,8 +5,8 @@
 A run at a target that recently answered the key takes about a third of the time of a
 cold run. Targets do not report which it was, but run times form two clusters.
 
-Owns the mean of each cluster by route and service, learned from answers of the own
-region's targets that had a free slot. The means are lost with the process, which then
+Owns the mean of each cluster by route and service, learned from runs in this entry's
+region that did not wait for a slot. The means are lost with the process, which then
 starts from fractions of the latency target.
 """
 
@@ -23,13 +23,17 @@
 ]
 
 INITIAL_WARM_RUN_X = 0.4
-"""Initial warm run, as a fraction of the latency target; 0.38 to 0.43 was observed.
+"""Assumed mean of warm runs, as a fraction of the latency target.
+
+Services had 0.38 to 0.43.
 
 With a greater value, the first requests are rejected although they would be in time.
 With a smaller one, they wait too long.
 """
 INITIAL_COLD_RUN_X = 1.3
-"""Initial cold run, as a multiple of the latency target: 3.3 warm runs, as observed.
+"""Assumed mean of cold runs, as a multiple of the latency target.
+
+Equals 3.3 warm runs, as observed.
 
 With a greater value, the first cold runs count as warm until the mean has moved. With a
 smaller one, long warm runs count as cold.
@@ -41,7 +45,9 @@
 one, it lags when a service becomes slower.
 """
 MIN_COLD_TO_WARM_RATIO = 1.5
-"""Minimum ratio of the cold mean to the warm one; closer means form one cluster.
+"""Minimum ratio of the cold mean to the warm one.
+
+Two means that are closer count as one cluster.
 
 With a greater value, the cold mean is too high where caches save little time. With a
 smaller one, both means converge and half of all warm runs count as cold.
@@ -49,8 +55,8 @@
 DEFAULT_LATENCY_MS = 500
 """Latency target of a route that specifies none, in ms.
 
-A cold run meets it where a warm one takes 0.14 s. With a greater value, requests wait
-longer before they are rejected. With a smaller one, they are rejected sooner.
+Cold runs meet it if warm runs take at most about 0.14 s. With a greater value, requests
+wait longer before they are rejected. With a smaller one, they are rejected sooner.
 """
 
 
@@ -70,7 +76,7 @@
     """Mean duration of cold runs."""
 
     def is_cold(self, took_ms: float) -> bool:
-        """Return whether a run time is closer, as a ratio, to the cold mean."""
+        """Return whether a run time is above the geometric mean of both clusters."""
         return took_ms * took_ms > self.warm_run_ms * self.cold_run_ms
 
     def learn(self, took_ms: float) -> None:
--- a/leverdoor/entry/placement/service_weights.py
+++ b/leverdoor/entry/placement/service_weights.py
@@ -2,8 +2,8 @@
 # SPDX-License-Identifier: Apache-2.0
 """Distributes the requests of a route over its services by their weights.
 
-Owns the credit of each route's services, lost with the process. The initial credits
-are random, so that entries that start together begin with different services.
+Owns the round-robin credit of each route's services, lost with the process. The initial
+credits are random, so that entries that start together begin with different services.
 """
 
 from random import Random
--- a/leverdoor/entry/placement/slow_start.py
+++ b/leverdoor/entry/placement/slow_start.py
@@ -3,9 +3,9 @@
 """Slow start: limits requests to a target during its warm-up.
 
 A target that reports a cold start (`cold_ms`) is in its warm-up for that period. It
-receives a request only if no other target can take it. All entries together send it at
-most the rate that its service allows (`warmup_per_s`), enforced by the target's limiter
-like the limits of targets (entry/limits).
+receives a request only if no other target can take it. The target's limiter keeps the
+total rate of all entries within the service's `warmup_per_s`, like the limits of
+targets (entry/limits).
 
 Owns the end of a target's warm-up, lost with the process: a restarted entry applies the
 whole warm-up again.
@@ -16,8 +16,8 @@
 WARM_UP_LIMIT_FACTOR = 0.75
 """Fraction of the allowed warm-up rate that the limiter grants.
 
-The allowed rate holds for each single second. The rest covers the tokens that the
-limiter saves up, and the handover from one limiter to another.
+The allowed rate must hold in each single second. The remaining quarter covers bursts of
+saved tokens and a change of the entry that runs the limiter.
 """
 
 
--- a/leverdoor/entry/placement/target_chooser.py
+++ b/leverdoor/entry/placement/target_chooser.py
@@ -34,22 +34,22 @@
 COLD_RUN_THRESHOLD = 0.5
 """Probability of a cold run at or above which a run counts as likely cold.
 
-With a greater value, more cold runs occur at second targets, which slow down busy
-targets. With a smaller one, requests are rejected although a warm run was likely.
+With a greater value, more cold runs at second targets slow down busy targets. With a
+smaller one, requests are rejected although a warm run was likely.
 """
 OTHER_DOMAIN_PENALTY_MS = 8.0
 """Cost added to a target in another failure domain, in ms.
 
 Saves bytes between domains if targets are equally good. With a greater value, requests
-wait for a target in their own domain. With a smaller one, chance decides between
-domains.
+wait for a target in their own domain. With a smaller one, the domain of the target is
+arbitrary.
 """
 
 MAX_ROOM_REQUESTS = 3
-"""Maximum limited targets from which one request requests room.
+"""Maximum target limiters that are asked for permission for one request.
 
-Each room request may take a round trip to another region, but a request that finds no
-room is to be rejected quickly.
+Each room request may take a round trip to another region, but a request without
+permission is to be rejected quickly.
 """
 
 
@@ -58,7 +58,7 @@
 
     state: TargetState
     rank: int
-    """Index of the target in the key's order of usable targets."""
+    """Index of the target among the usable, untried candidates of the key."""
     seen: bool
     """Whether any entry received an answer for the key from the target."""
     cold_share: float
@@ -92,7 +92,7 @@
         self.warm_keys = WarmKeyDigests()
 
     def keep_only(self, routes: set[str], targets: set[str]) -> None:
-        """Remove all other routes and targets."""
+        """Drop the learned values of routes and targets that are not listed."""
         self._run_times.keep_only(routes)
         self._cold_run_rates.keep_only(targets)
 
@@ -171,9 +171,9 @@
     ) -> ScoredTarget:
         """Score one target.
 
-        Its queue is the load beyond its slots, including this request; the wait depends
-        on the mean duration of its runs. The cost adds a likely cold run and the
-        distance.
+        The queue is the load beyond the slots, including this request. Queued runs are
+        assumed to be cold at the target's eviction rate. The cost includes a likely
+        cold run and the distance.
         """
         target = state.target
         times = self._clusters(request)
@@ -185,7 +185,7 @@
         response_ms = wait_ms + times.run_ms(cold_share)
         cost_ms = response_ms
         if rank == 0 and not seen:
-            # The first run of a key is cold at any target, so it adds no cost here.
+            # An unseen key runs cold anywhere, so its first target has no extra cost.
             cost_ms = wait_ms + times.warm_run_ms
         if target.domain != self._domain:
             cost_ms += OTHER_DOMAIN_PENALTY_MS
@@ -203,6 +203,7 @@
         """Return whether a target has answered a key for any entry."""
         if state.has_answered(key):
             return True
+        # Answers before the end of the last warm-up do not count.
         warm_since = state.warm_up_until
         return self.warm_keys.is_warm(state.target, key, warm_since, now)
 
@@ -212,8 +213,8 @@
         It is acceptable at the key's first target, and at further ones while they have
         many free slots and do not evict keys. All entries use the same few targets for
         a key, which limits its cold runs. Using any target with free slots would cost a
-        cold run for each entry and target, and slow down a loaded region further (six
-        targets a key: worth 0.584 beside 0.678, 65 entries).
+        cold run for each entry and target, and slow down a loaded region further (see
+        `Tuning.targets_a_key`).
         """
         if scored.rank == 0 or scored.cold_share < COLD_RUN_THRESHOLD:
             return True
@@ -234,7 +235,7 @@
     def score_target_in_warm_up(
         self, request: PlacementRequest, state: TargetState
     ) -> ScoredTarget:
-        """Score a target in its warm-up, where all runs are cold."""
+        """Score a target in its warm-up; all its runs count as cold."""
         cold_run_ms = self._clusters(request).cold_run_ms
         return ScoredTarget(
             state=state,
@@ -253,7 +254,7 @@
         took_ms: float,
         now: float,
     ) -> None:
-        """Learn from a complete answer.
+        """Update run times, cold run rates and known keys from a complete answer.
 
         Args:
           request: the request.
--- a/leverdoor/entry/placement/warm_key_digests.py
+++ b/leverdoor/entry/placement/warm_key_digests.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Exchanges which keys are warm at a target other than their first one.
+"""Stores digests of keys that are warm at a target other than their first one.
 
-One entry sees only part of a target's requests. Heartbeats therefore carry short
-digests of the keys that were answered by a target other than the key's first one. An
-entry that needs such a target then knows that the key is warm there.
+One entry sees only part of a target's requests. Heartbeats therefore carry a short
+digest for each answer by a target other than the key's first one. Other entries can
+then place the key at this target without a cold run. The digests of requested rests
+(peer_rests.py) are stored and sent in the same way.
 
 Owns the digests that this entry sends and those of all entries. Both are lost with the
 process and restored within seconds. Relies on heartbeats (entry/exchange); a lost
@@ -35,10 +36,10 @@
 heartbeats longer.
 """
 MAX_SENT_DIGESTS = 64
-"""Maximum digests in one heartbeat, 320 bytes.
+"""Maximum digests in one heartbeat, 320 bytes as encoded.
 
-A greater value makes heartbeats longer. With a smaller one, a busy entry does not send
-its oldest digests.
+A greater value makes heartbeats longer. With a smaller one, the oldest digests of a
+busy entry are dropped unsent.
 """
 MAX_KNOWN_DIGESTS = 8_192
 """Maximum digests stored; the least recently renewed one is evicted.
@@ -69,7 +70,7 @@
         self.record_digest(target_key_digest(target.name, key), RESEND_AFTER_S, now)
 
     def record_digest(self, digest: int, resend_after_s: float, now: float) -> None:
-        """Record a digest, and queue it for heartbeats unless it is recent.
+        """Record a digest, and queue it unless it was recorded within `resend_after_s`.
 
         Args:
           digest: 32 bits.
@@ -95,7 +96,7 @@
             self._renew(digest, now)
 
     def is_warm(self, target: Target, key: str, since: float, now: float) -> bool:
-        """Return whether a key is warm at a target, by an answer to any entry.
+        """Return whether a target recently answered a key for any entry.
 
         Args:
           target: the target.
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -126,7 +126,7 @@
 
 
 def test_requests_after_a_rest_start_low_and_double_with_each_answer() -> None:
-    """All entries resume at about the same time."""
+    """All entries resume together, and each answer in the window doubles it."""
     only = target("t1", slots=32)
     harness = PlacementHarness(only)
     state = harness.fleet.state_of(only, harness.now)
@@ -153,7 +153,7 @@
 
 
 def test_requests_sent_before_a_rest_do_not_use_up_the_window_after_it() -> None:
-    """An upload may take longer than the rest."""
+    """An upload may take longer than the rest period."""
     availability = Availability()
     availability.start_rest(1.0, 0.0, 3, 0.0)
     assert availability.admits(0, 3 + INITIAL_WINDOW - 1, 1.0)
@@ -187,8 +187,8 @@
     assert availability.admits(2, 0, 1.0 + URGENT_ONLY_S)
 
 
-def test_further_targets_serve_a_key_while_its_usual_candidates_rest() -> None:
-    """Six targets are considered for a key, and all of them may rest at once."""
+def test_further_targets_serve_a_key_while_its_first_candidates_rest() -> None:
+    """Resting targets do not count towards the six candidates of a key."""
     targets = [target(f"t{i}") for i in range(MAX_CANDIDATES + 3)]
     harness = PlacementHarness(*targets)
     served = set()
@@ -249,7 +249,7 @@
 
 
 def test_a_target_that_requested_rests_from_many_entries_is_avoided() -> None:
-    """At 195 entries, one in thirty requests was rejected beside free targets."""
+    """Without this, 195 entries rejected 1 in 30 requests although targets had room."""
     one, two = target("t1"), target("t2")
     harness = PlacementHarness(one, two)
     first = {"t1": one, "t2": two}[harness.name("k")]
--- a/tests/test_entry_fleet.py
+++ b/tests/test_entry_fleet.py
@@ -61,7 +61,7 @@
 
 
 def test_the_load_estimate_has_no_upward_bias() -> None:
-    """The greater of two noisy figures is too high, and causes rejections."""
+    """The maximum of report and counts would be too high and cause rejections."""
     rng = Random(1)
     state = Fleet().state_of(target("t"), 0.0)
     errors = []
@@ -130,7 +130,7 @@
 
 
 def test_a_target_with_cold_runs_does_not_count_as_silent() -> None:
-    """Cold runs of 3.5 s take three times the minimum silence."""
+    """The silence limit grows with the mean cold run, here 3.5 s."""
     state = Fleet().state_of(target("t"), 0.0)
     for _ in range(SILENCE_MIN_REQUESTS):
         state.record_sent(0.0, MeanRunTimes(1.1, 3.5))
@@ -138,7 +138,7 @@
     assert state.is_silent(SILENCE_COLD_RUNS * 3.5 + 0.1)
 
 
-def test_a_report_is_used_for_the_duration_of_a_run() -> None:
+def test_a_report_decays_with_the_duration_of_a_warm_run() -> None:
     """After 0.3 s, most of the reported requests are still running."""
     state = Fleet().state_of(target("t"), 0.0)
     state.record_sent(0.0, MeanRunTimes(1.1, 3.5))
--- a/tests/test_entry_placement.py
+++ b/tests/test_entry_placement.py
@@ -123,9 +123,12 @@
         cold.place_and_answer("k", took_ms=650)
     for harness in (warm, cold):
         harness.set_load(only, SLOTS + 2)
-    ready, late = warm.place("k"), cold.place("k")
-    assert isinstance(ready, Placement)
-    assert isinstance(late, Rejection) or late.expected_ms > ready.expected_ms
+    with_warm_queue, with_cold_queue = warm.place("k"), cold.place("k")
+    assert isinstance(with_warm_queue, Placement)
+    assert (
+        isinstance(with_cold_queue, Rejection)
+        or with_cold_queue.expected_ms > with_warm_queue.expected_ms
+    )
 
 
 def test_less_urgent_requests_are_rejected_at_a_lower_load() -> None:
@@ -135,13 +138,13 @@
         **{f: getattr(ROUTE, f) for f in ROUTE.__struct_fields__}
         | {"name": "u", "priority": 0}
     )
-    late = Route(
+    less_urgent = Route(
         **{f: getattr(ROUTE, f) for f in ROUTE.__struct_fields__}
         | {"name": "l", "priority": 5}
     )
     loads = range(SLOTS, SLOTS * 4)
     refused_at = {}
-    for route in (urgent, late):
+    for route in (urgent, less_urgent):
         for load in loads:
             harness.set_load(only, load)
             if isinstance(harness.place("k", route), Rejection):
@@ -168,7 +171,7 @@
 
 
 @pytest.mark.parametrize(
-    "leaving",
+    "remaining",
     [
         pytest.param([target("t1", draining=True)], id="draining"),
         pytest.param(
@@ -178,12 +181,12 @@
     ],
 )
 def test_a_target_taken_out_of_service_receives_no_requests(
-    leaving: list[Resource],
+    remaining: list[Resource],
 ) -> None:
     harness = PlacementHarness(target("t0"), target("t1", "a2"))
     keys = [f"k{i}" for i in range(30)]
     assert {harness.name(k) for k in keys} == {"t0", "t1"}
-    harness.configure(target("t0"), *leaving)
+    harness.configure(target("t0"), *remaining)
     assert {harness.name(k) for k in keys} == {"t0"}
 
 
@@ -208,7 +211,7 @@
     assert harness.name("k") == first.name
 
 
-def test_a_silent_target_is_ejected() -> None:
+def test_a_silent_target_receives_no_requests() -> None:
     targets = [target("t0"), target("t1")]
     harness = PlacementHarness(*targets)
     first = RendezvousRanking(targets).order("k")[0]
@@ -242,7 +245,7 @@
     assert isinstance(harness.place(), Rejection)
 
 
-def test_a_cold_target_is_skipped_after_its_limiter_rejected_a_request() -> None:
+def test_a_cold_target_is_skipped_after_its_limiter_rejected_a_room_request() -> None:
     harness = PlacementHarness(target("t", cold_ms=60_000))
     request = harness.new_request()
     decision = harness.placement.place(request, harness.now)
@@ -275,14 +278,16 @@
 
 
 @pytest.mark.parametrize(
-    ("each", "size", "own_only"),
+    ("targets_per_domain", "size", "own_domain_only"),
     [(3, 50_000, False), (12, 400, False), (12, 50_000, True)],
 )
 def test_only_large_requests_stay_in_a_domain_and_only_if_it_has_many_targets(
-    each: int, size: int, own_only: bool
+    targets_per_domain: int, size: int, own_domain_only: bool
 ) -> None:
     targets = [
-        target(f"{domain}-{i}", domain) for domain in ("a1", "a2") for i in range(each)
+        target(f"{domain}-{i}", domain)
+        for domain in ("a1", "a2")
+        for i in range(targets_per_domain)
     ]
     harness = PlacementHarness(*targets)
     for i in range(30):
@@ -292,7 +297,7 @@
         harness.placement.ended(decision, harness.now)
         harness.placement.answered(request, decision, 200.0, size, harness.now)
     used = {harness.name(f"k{i}").split("-")[0] for i in range(60)}
-    assert used == ({"a1"} if own_only else {"a1", "a2"})
+    assert used == ({"a1"} if own_domain_only else {"a1", "a2"})
 
 
 def test_a_domain_may_have_the_name_of_its_region() -> None:
--- a/tests/test_entry_spill.py
+++ b/tests/test_entry_spill.py
@@ -69,9 +69,9 @@
 
 def test_initial_shares_are_computed_from_slots() -> None:
     shares = initial_shares("a", {"a": 18, "b": 99, "c": 99})
-    part = 18 / 72
-    assert shares["a"] == pytest.approx(part)
-    assert shares["b"] == shares["c"] == pytest.approx((1 - part) / 2)
+    kept_share = 18 / 72
+    assert shares["a"] == pytest.approx(kept_share)
+    assert shares["b"] == shares["c"] == pytest.approx((1 - kept_share) / 2)
     assert initial_shares("a", {"a": 9, "b": 0})["a"] == 1.0
     assert initial_shares("a", {"a": 0, "b": 9})["b"] == 1.0
 
--- a/tests/test_entry_warmth.py
+++ b/tests/test_entry_warmth.py
@@ -12,7 +12,7 @@
 )
 
 
-def test_two_clusters_of_run_times_are_learned_from_any_initial_values() -> None:
+def test_two_clusters_of_run_times_are_learned_from_wrong_initial_values() -> None:
     times = RunTimeClusters(warm_run_ms=200.0, cold_run_ms=650.0)
     for run in range(400):
         times.learn(90.0 if run % 4 else 320.0)
@@ -68,7 +68,7 @@
     other.receive(own.queued_within(0.4, 10.2), 10.2)
     assert other.is_warm(one, "k", since=0.0, now=11.0)
     assert not other.is_warm(one, "another", since=0.0, now=11.0)
-    assert not other.is_warm(one, "k", since=10.5, now=11.0), "emptied later"
+    assert not other.is_warm(one, "k", since=10.5, now=11.0), "cache emptied later"
     assert not other.is_warm(one, "k", since=0.0, now=11.0 + WARM_KEY_TTL_S)
 
 
