--- a/tests/test_entry_placement.py
+++ b/tests/test_entry_placement.py
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize(
-    "remaining",
+    "leaving",
     [
         pytest.param([target("t1", draining=True)], id="draining"),
         pytest.param(
@@ -181,12 +181,12 @@
     ],
 )
 def test_a_target_taken_out_of_service_receives_no_requests(
-    remaining: list[Resource],
+    leaving: list[Resource],
 ) -> None:
     harness = PlacementHarness(target("t0"), target("t1", "a2"))
     keys = [f"k{i}" for i in range(30)]
     assert {harness.name(k) for k in keys} == {"t0", "t1"}
-    harness.configure(target("t0"), *remaining)
+    harness.configure(target("t0"), *leaving)
     assert {harness.name(k) for k in keys} == {"t0"}
 
 
@@ -278,16 +278,14 @@
 
 
 @pytest.mark.parametrize(
-    ("targets_per_domain", "size", "own_domain_only"),
+    ("each", "size", "own_only"),
     [(3, 50_000, False), (12, 400, False), (12, 50_000, True)],
 )
 def test_only_large_requests_stay_in_a_domain_and_only_if_it_has_many_targets(
-    targets_per_domain: int, size: int, own_domain_only: bool
+    each: int, size: int, own_only: bool
 ) -> None:
     targets = [
-        target(f"{domain}-{i}", domain)
-        for domain in ("a1", "a2")
-        for i in range(targets_per_domain)
+        target(f"{domain}-{i}", domain) for domain in ("a1", "a2") for i in range(each)
     ]
     harness = PlacementHarness(*targets)
     for i in range(30):
@@ -297,7 +295,7 @@
         harness.placement.ended(decision, harness.now)
         harness.placement.answered(request, decision, 200.0, size, harness.now)
     used = {harness.name(f"k{i}").split("-")[0] for i in range(60)}
-    assert used == ({"a1"} if own_domain_only else {"a1", "a2"})
+    assert used == ({"a1"} if own_only else {"a1", "a2"})
 
 
 def test_a_domain_may_have_the_name_of_its_region() -> None:
