--- a/benchmarks/emulated_limits.py
+++ b/benchmarks/emulated_limits.py
@@ -184,7 +184,7 @@
     def _ask(self, name: str, target: Target, per_s: float) -> None:
         node, now = self._node(name), self.site.now
         limiter = node.role.limiter(target, now)
-        missed = node.notes[target.name].take_missed(0)
+        missed = node.notes[target.name].take_skipped(0)
         if limiter is None:
             self._decided(name, target, UNANSWERED_DECISION)
         elif limiter.name == name:
@@ -248,7 +248,7 @@
             return
         wait_s = decision.wait_s * self._rng.uniform(0.5, 1.5)
         notes = self._node(name).notes[target.name]
-        notes.refused(0, wait_s, decision.retry_after_s, self.site.now)
+        notes.record_rejection(0, wait_s, decision.retry_after_s, self.site.now)
 
     # Troubles.
 
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -37,7 +37,7 @@
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
-from leverdoor.entry.placement.fleet import OTHERS, Fleet
+from leverdoor.entry.placement.fleet import SUM_OF_PEERS, Fleet
 from leverdoor.entry.placement.placement_request import (
     Placement,
     PlacementRequest,
@@ -146,12 +146,12 @@
 
     def _report(self, now: float) -> EntryStatus:
         counts = self._experiment.shares_load and self._shared_fleet is None
-        warm = self._policy.shared_warmth.recent(WARM_SENT_S, now)
+        warm = self._policy.warm_keys.queued_within(WARM_SENT_S, now)
         return EntryStatus(
             SERVING,
             1,
             self.fleet.in_flight() if counts else {},
-            self._policy.shares.reported(),
+            self._policy.shares.shares_to_send(),
             -1,
             warm if self._experiment.shares_warmth else [],
         )
@@ -163,8 +163,8 @@
     def _take_update(self, update: PeerUpdate) -> None:
         now = self._clock.now
         if update.others_in_flight is not None and self._shared_fleet is None:
-            self.fleet.receive(OTHERS, update.others_in_flight, now)
-        self._policy.shared_warmth.receive(update.warm_keys, now)
+            self.fleet.receive(SUM_OF_PEERS, update.others_in_flight, now)
+        self._policy.warm_keys.receive(update.warm_keys, now)
 
     # Requests.
 
@@ -186,7 +186,7 @@
         if isinstance(decision, Rejection):
             reply(EmulatedReply(lost or decision.refusal()))
             return
-        work.request.tried.add(decision.target.name)
+        work.request.tried_targets.add(decision.target.name)
         sending = _Sending(self, work, attempt, lost, decision, reply)
         sending.start()
 
@@ -268,7 +268,7 @@
         delay_s = self._entry.delay_s(self._placement)
         target = self._entry.emulated(self._placement)
         clock.after(delay_s, lambda: target.take(run))
-        clock.at(self._work.request.until, self._give_up)
+        clock.at(self._work.request.expires_at, self._give_up)
 
     def _done(self, answer: EmulatedAnswer) -> None:
         delay_s = self._entry.delay_s(self._placement)
@@ -293,10 +293,10 @@
         self._failed(answer.outcome, now)
 
     def _failed(self, outcome: RunOutcome, now: float) -> None:
-        state = self._fleet.of(self._placement.target, now)
+        state = self._fleet.state_of(self._placement.target, now)
         lost = self._lost
         if outcome is RunOutcome.SHED:
-            state.refused(now)
+            state.record_rejection(now)
             refusal = Refusal(Code.TARGET_REFUSED)
         elif outcome is RunOutcome.UNREACHED:
             state.unreached(now)
@@ -315,7 +315,7 @@
         self._over = True
         now = self._entry.clock.now
         self._policy.ended(self._placement, now)
-        state = self._fleet.of(self._placement.target, now)
+        state = self._fleet.state_of(self._placement.target, now)
         took_ms = (now - self._began) * 1000
         state.overran(took_ms / max(self._placement.expected_ms, 1.0), now)
         self._reply(EmulatedReply(self._lost or Refusal(Code.DEADLINE_PASSED)))
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -31,7 +31,7 @@
 from leverdoor.entry.membership.member import EntryState
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.metrics import EntryMetrics
-from leverdoor.entry.placement.fleet import OTHERS, Fleet
+from leverdoor.entry.placement.fleet import SUM_OF_PEERS, Fleet
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.client_connection import ClientConnection
 from leverdoor.entry.requests.connections import Connections
@@ -107,7 +107,7 @@
         policy = PlacementPolicy(
             s.region, s.domain, self.fleet, self._context.rng, move_per_s
         )
-        policy.warms_up = lambda target: may_warm_up(self._membership, target)
+        policy.may_warm_up_target = lambda target: may_warm_up(self._membership, target)
         return policy
 
     def _create_reports(self, metrics: EntryMetrics) -> TargetReports:
@@ -183,7 +183,7 @@
             return
         now = asyncio.get_running_loop().time()
         self._metrics.targets_ended.labels(target.service).inc()
-        state = self.fleet.of(target, now)
+        state = self.fleet.state_of(target, now)
         ejected_s = state.unreached(now)
         events.target_ejected(target.name, "ended", ejected_s)
         left_service = target.name not in self._catalog().usable_target_names
@@ -226,8 +226,8 @@
         self.quarantine.receive(update.notices, now)
         self.limits.receive_from_peers(update.limits)
         if update.others_in_flight is not None:
-            self.fleet.receive(OTHERS, update.others_in_flight, now)
-        self.placement.shared_warmth.receive(update.warm_keys, now)
+            self.fleet.receive(SUM_OF_PEERS, update.others_in_flight, now)
+        self.placement.warm_keys.receive(update.warm_keys, now)
         if update.use is not None:
             self.count_entries()
             self.quotas.receive(update.use, now)
--- a/leverdoor/entry/exchange/merging.py
+++ b/leverdoor/entry/exchange/merging.py
@@ -30,9 +30,9 @@
 SUM_MAX_AGE_S = 2.5
 """Maximum age of the sums of another failure domain or region, in seconds.
 
-Equal to `placement.load.PEER_TRUST_S`, the time for which a target's load includes the
-counts of other entries. If shorter, a region with late digests appears idle; if longer,
-finished requests occupy slots.
+Equal to `placement.load_estimate.PEER_LOAD_TTL_S`, the time for which a target's load
+includes the counts of other entries. If shorter, a region with late digests appears
+idle; if longer, finished requests occupy slots.
 """
 
 
--- a/leverdoor/entry/exchange/warm_key_relay.py
+++ b/leverdoor/entry/exchange/warm_key_relay.py
@@ -3,7 +3,7 @@
 """Aggregators forward the hashes of warm keys within their region.
 
 A warm key is one that a target other than the first choice served recently and may have
-cached. Keys are represented by the 32-bit hashes of `SharedWarmth`.
+cached. Keys are represented by the 32-bit hashes of `WarmKeyDigests`.
 
 Owns the recently received keys. They are lost with the process; entries then treat warm
 keys as cold. Relies on the caller for the time.
--- a/leverdoor/entry/limits/limiter.py
+++ b/leverdoor/entry/limits/limiter.py
@@ -113,7 +113,7 @@
         if not share:
             return NOT_LIMITER_DECISION
         key = target_id(target.name)
-        own_per_s = self._fleet.room_per_s(target, now)
+        own_per_s = self._fleet.effective_limit_per_s(target, now)
         per_s = per_s if own_per_s is None else min(per_s, own_per_s)
         bucket = self._buckets.get(key)
         if bucket is None:
@@ -148,4 +148,7 @@
 
     def _is_limited(self, key: int, now: float) -> bool:
         target = self._find_target(key)
-        return target is not None and self._fleet.room_per_s(target, now) is not None
+        return (
+            target is not None
+            and self._fleet.effective_limit_per_s(target, now) is not None
+        )
--- a/leverdoor/entry/limits/limiter_client.py
+++ b/leverdoor/entry/limits/limiter_client.py
@@ -92,11 +92,11 @@
         noted in the target's state.
         """
         now = asyncio.get_running_loop().time()
-        per_s = self._fleet.room_per_s(target, now)
+        per_s = self._fleet.effective_limit_per_s(target, now)
         if per_s is None:
             return True
-        state = self._fleet.of(target, now)
-        suppressed = state.room.take_missed(request.priority)
+        state = self._fleet.state_of(target, now)
+        suppressed = state.room.take_skipped(request.priority)
         decision = await self._request_grant(
             target, per_s, request.priority, suppressed, now
         )
@@ -104,7 +104,9 @@
             now = asyncio.get_running_loop().time()
             jitter = self._rng.uniform(1.0 - JITTER, 1.0 + JITTER)
             wait_s = decision.wait_s * jitter
-            state.room.refused(request.priority, wait_s, decision.retry_after_s, now)
+            state.room.record_rejection(
+                request.priority, wait_s, decision.retry_after_s, now
+            )
         return decision.granted
 
     async def _request_grant(
--- a/leverdoor/entry/placement/fleet.py
+++ b/leverdoor/entry/placement/fleet.py
@@ -1,12 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The targets as one entry sees them, by name.
+"""Keeps the state of each target as known to one entry.
 
-Owns a `TargetState` for each target: its load (load.py), health (health.py), whether it
-takes requests by its own reports (availability.py), warm-up (slow_start.py), known keys
-(known_keys.py) and the run times of the requests last sent there. It is kept for as
-long as the configuration has the target or a request is in flight there, availability
-beyond that; all is lost with the process.
+Owns a `TargetState` for each target: load (load_estimate.py), health (health.py),
+availability as reported by the target (availability.py), warm-up (slow_start.py), keys
+answered recently (known_keys.py), rejections by its limiter (room_refusals.py), and the
+run times of the requests last sent there. A state is kept while the configuration
+contains the target or a request is in flight there. The availability of a removed
+target is kept for AVAILABILITY_TTL_S. Nothing is persisted.
 
 Relies on the configuration for the targets, on answers (entry/requests) and on the
 counts of other entries (entry/exchange).
@@ -18,29 +19,30 @@
 from leverdoor.entry.placement.availability import Availability
 from leverdoor.entry.placement.health import Health
 from leverdoor.entry.placement.known_keys import KnownKeys
-from leverdoor.entry.placement.load import LoadEstimate
-from leverdoor.entry.placement.room_notes import RoomNotes
+from leverdoor.entry.placement.load_estimate import LoadEstimate
+from leverdoor.entry.placement.room_rejections import RoomRejections
+from leverdoor.entry.placement.run_times import MeanRunTimes
 from leverdoor.entry.placement.slow_start import SlowStart, warm_up_limit_per_s
-from leverdoor.entry.placement.times import RunTimes
 from leverdoor.entry.wire import TargetLoad, TargetReport
 from leverdoor.limits.advertised import LimitTable
 from leverdoor.model.resources import Service, Target
 from leverdoor.model.target_id import target_id
 
-__all__ = ["OTHERS", "Fleet", "TargetState"]
+__all__ = ["SUM_OF_PEERS", "Fleet", "TargetState"]
 
-OTHERS = "others"
-"""Name of the peer under which the sums of all other entries' requests are kept."""
+SUM_OF_PEERS = "others"
+"""Peer name of counts that an exchange round sums over all other entries."""
 
+AVAILABILITY_TTL_S = 600.0
+"""Period for which the availability of a removed target is kept, in seconds.
 
-AVAILABILITY_KEPT_S = 600.0
-"""How long the availability of a target is kept that the configuration no longer has,
-in seconds: a registration that expired in an outage may be back, and its target still
-leaves."""
+A registration that expired in an outage may return while its target is still leaving;
+the entry must not send requests to it.
+"""
 
 
 class TargetState:
-    """One target as this entry sees it."""
+    """The state of one target as known to this entry."""
 
     def __init__(
         self, target: Target, now: float, availability: Availability | None = None
@@ -49,8 +51,8 @@
 
         Args:
           target: its description.
-          now: monotonic time in seconds at which it is new.
-          availability: as known from before it was gone; None for nothing known.
+          now: monotonic time in seconds.
+          availability: known from before the target was removed; None if unknown.
         """
         self.target = target
         self.availability = availability or Availability()
@@ -58,14 +60,15 @@
         self._health = Health(now)
         self._slow_start = SlowStart(target.cold_ms, now)
         self._known_keys = KnownKeys()
-        self.room = RoomNotes()
-        """What its limiter said of room there, if it is limited."""
-        self._times = RunTimes(0.0, 0.0)
+        self.room = RoomRejections()
+        """Room requests rejected by the target's limiter."""
+        self._run_times = MeanRunTimes(0.0, 0.0)
 
     def renew(self, target: Target, now: float) -> None:
-        """Take a changed description of the target.
+        """Apply a new description of the target.
 
-        One that says that it is cold has started again: its keys are forgotten.
+        Any change of a target with a warm-up counts as a restart of the target: its
+        warm-up starts again and its known keys are cleared.
         """
         if target == self.target:
             return
@@ -79,156 +82,163 @@
 
     @property
     def in_flight(self) -> int:
-        """This entry's own requests there."""
+        """This entry's requests at the target."""
         return self._load.in_flight
 
-    def sent(self, now: float, times: RunTimes | None = None) -> None:
-        """Count a request that goes to the target.
+    def record_sent(self, now: float, times: MeanRunTimes | None = None) -> None:
+        """Count a request that is sent to the target.
 
         Args:
           now: monotonic time in seconds.
-          times: how long such requests run; None if nothing is known of it.
+          times: mean run times of such requests; None if unknown.
         """
         if times is not None:
-            self._times = times
+            self._run_times = times
         if self._load.in_flight == 0:
-            self._health.first_request_sent(now)
+            self._health.restart_silence(now)
         self._load.in_flight += 1
 
-    def ended(self) -> None:
-        """Count a request that ended."""
+    def record_end(self) -> None:
+        """Remove an ended request from the requests in flight."""
         self._load.in_flight -= 1
-        self.availability.ended(self._load.in_flight)
+        self.availability.record_end(self._load.in_flight)
 
     # Load.
 
-    def take(self, report: TargetReport, rng: Random, now: float) -> None:
-        """Take what an answer reports of the target.
+    def record_report(self, report: TargetReport, rng: Random, now: float) -> None:
+        """Apply the report in an answer of the target.
 
         Args:
-          report: of an answer whose request still counts as in flight.
-          rng: spreads the return after a rest.
+          report: the report; the answered request still counts as in flight.
+          rng: random source for the end of a rest.
           now: monotonic time in seconds.
         """
         if report.leaving:
-            self.availability.leave()
+            self.availability.set_leaving()
         if report.rest_s:
             in_flight = self._load.in_flight - 1
-            self.availability.rest(report.rest_s, rng.random(), in_flight, now)
+            self.availability.start_rest(report.rest_s, rng.random(), in_flight, now)
         if report.not_run:
             return
-        self.availability.answered(self.target.slots, now)
+        self.availability.record_answer(self.target.slots, now)
         if report.load is not None:
-            self.reported(report.load, now, answered=1)
+            self.record_load(report.load, now, answered_count=1)
 
-    def reported(self, load: TargetLoad, now: float, answered: int = 0) -> None:
-        """Take the load that the target reports; own requests are part of it.
+    def record_load(
+        self, load: TargetLoad, now: float, answered_count: int = 0
+    ) -> None:
+        """Record the load that the target reports, which includes own requests.
 
         Args:
-          load: what it reports.
+          load: the reported load.
           now: monotonic time in seconds.
-          answered: own requests that have ended there and still count as in flight.
+          answered_count: own requests that ended at the target but still count as in
+            flight.
         """
-        self._load.reported(load, now, answered)
+        self._load.record_load(load, now, answered_count)
 
-    def reported_by_peer(self, peer: str, in_flight: int, now: float) -> None:
-        """Take how many requests another entry has in flight there."""
-        self._load.reported_by_peer(peer, in_flight, now)
+    def record_peer_count(self, peer: str, in_flight: int, now: float) -> None:
+        """Record the number of requests that another entry has in flight there."""
+        self._load.record_peer_count(peer, in_flight, now)
 
-    def refused(self, now: float) -> None:
-        """Record that the target refused a request because of its load."""
-        self._load.refused(self.target.slots, now)
+    def record_rejection(self, now: float) -> None:
+        """Record that the target rejected a request because of its load."""
+        self._load.record_rejection(self.target.slots, now)
 
     def load(self, now: float) -> float:
-        """Estimate how many requests the target has, of all entries."""
-        return self._load.estimate(self._times.warm_s, now)
+        """Estimate the requests of all entries at the target."""
+        return self._load.estimate(self._run_times.warm_s, now)
 
     def usable_slots(self, limit_per_s: float | None) -> float:
         """Return the slots that requests within a limit can keep busy.
 
         Args:
-          limit_per_s: requests a second that it takes; None for any number.
+          limit_per_s: requests a second that the target accepts; None for no limit.
         """
-        run_s = self._times.warm_s
+        run_s = self._run_times.warm_s
         if limit_per_s is None or not run_s:
             return self.target.slots
         return min(limit_per_s * run_s, float(self.target.slots))
 
     def load_age_ms(self, now: float) -> int:
-        """Return the time since the last report or digest of its load arrived, in ms.
+        """Return the time since the last report or count of its load arrived, in ms.
 
-        Not the age of the counts in it, which may be older; -1 if none has arrived.
+        The counts themselves may be older; -1 if none has arrived.
         """
         return self._load.age_ms(now)
 
     # Warm-up and known keys.
 
     @property
-    def cold_until(self) -> float:
-        """Monotonic time at which its warm-up ends or ended, in seconds."""
-        return self._slow_start.cold_until
+    def warm_up_until(self) -> float:
+        """Monotonic time at which the warm-up ends or ended, in seconds."""
+        return self._slow_start.warm_up_until
 
-    def cold(self, now: float) -> bool:
+    def in_warm_up(self, now: float) -> bool:
         """Return whether the target is in its warm-up."""
-        return self._slow_start.cold(now)
+        return self._slow_start.in_warm_up(now)
 
-    def remember(self, key: str) -> None:
-        """Note that the target answered a key now."""
+    def record_key(self, key: str) -> None:
+        """Record that the target answered a key now."""
         self._known_keys.add(key)
 
-    def saw(self, key: str) -> bool:
-        """Return whether the target lately answered a key for this entry."""
+    def has_answered(self, key: str) -> bool:
+        """Return whether the target recently answered a key for this entry."""
         return key in self._known_keys
 
     # Health.
 
-    def answered(self, took_ratio: float, now: float) -> bool:
-        """Record a whole answer; return whether the target is ejected as slow now.
+    def record_answer(self, time_ratio: float, now: float) -> bool:
+        """Record a complete answer; return whether the target is now ejected as slow.
 
         Args:
-          took_ratio: its time over the time expected.
+          time_ratio: ratio of actual to expected time.
           now: monotonic time in seconds.
         """
-        return self._health.answered(took_ratio, now)
+        return self._health.record_answer(time_ratio, now)
 
-    def overran(self, took_ratio: float, now: float) -> bool:
-        """Record a request whose time was over before the target answered.
+    def overran(self, time_ratio: float, now: float) -> bool:
+        """Record a request that timed out before the target answered.
 
         Args:
-          took_ratio: the time it had over the time expected.
+          time_ratio: ratio of the elapsed to the expected time.
           now: monotonic time in seconds.
-        Returns: whether the target is ejected as slow now.
+        Returns: whether the target is now ejected as slow.
         """
-        return self._health.overran(took_ratio, now)
+        return self._health.record_timeout(time_ratio, now)
 
     def unreached(self, now: float) -> float:
-        """Record that it was not reached; return its ejection in seconds."""
-        return self._health.unreached(now)
+        """Record that it could not be reached; return the ejection time in seconds."""
+        return self._health.record_unreachable(now)
 
     def lost(self, now: float) -> float:
-        """Record a lost answer; return its ejection in seconds, 0 for none."""
-        return self._health.lost(now)
+        """Record a lost answer; return the ejection time in seconds, 0 for none."""
+        return self._health.record_lost_answer(now)
+
+    def is_slow(self, now: float) -> bool:
+        """Return whether the target is ejected as slow."""
+        return self._health.is_slow(now)
 
-    def slow(self, now: float) -> bool:
-        """Return whether the target is ejected as slow; it serves if no other can."""
-        return self._health.slow(now)
+    def is_silent(self, now: float) -> bool:
+        """Return whether requests are in flight and none is answered in time."""
+        return self._health.is_silent(self._load.in_flight, self._run_times.cold_s, now)
 
-    def silent(self, now: float) -> bool:
-        """Return whether several requests are there and none was answered lately."""
-        return self._health.silent(self._load.in_flight, self._times.cold_s, now)
+    def is_usable(self, now: float) -> bool:
+        """Return whether the target is open, not ejected as failed, and not silent.
 
-    def usable(self, now: float) -> bool:
-        """Return whether it is open and reached; warm-up and slowness aside."""
+        Targets that are slow or in their warm-up are usable.
+        """
         if not self.availability.open(now):
             return False
-        return not self._health.ejected(now) and not self.silent(now)
+        return not self._health.is_ejected(now) and not self.is_silent(now)
 
     def admits(self, priority: int, now: float) -> bool:
-        """Return whether a request of a priority may go there.
+        """Return whether a request of a priority may be sent to the target.
 
-        As `usable`, and after a rest only as many as the target takes then.
+        The target must be usable. After a rest, requests in flight are limited and the
+        first ones are reserved for urgent priorities.
         """
-        if not self.usable(now):
+        if not self.is_usable(now):
             return False
         return self.availability.admits(priority, self._load.in_flight, now)
 
@@ -237,22 +247,23 @@
     """The states of all targets, by target name."""
 
     def __init__(self, limits: LimitTable | None = None) -> None:
-        """Create an empty one.
+        """Create it without targets.
 
         Args:
-          limits: what targets take from all entries together; none are known if left
-            out.
+          limits: the known limits of targets on the requests of all entries; none if
+            omitted.
         """
         self.limits = limits or LimitTable()
         self.warm_up_per_s: Mapping[str, float] = {}
-        """By service, requests a second that all entries may send to a cold target; 0
-        for any number. Set with each configuration."""
+        """By service, requests a second that all entries may send to a cold target.
+
+        0 for no limit. Set from each configuration.
+        """
         self._states: dict[str, TargetState] = {}
-        self._gone: dict[str, tuple[Availability, float]] = {}
-        """By targets that the configuration no longer has: their availability, and
-        since when they are gone."""
-        self._counted: dict[str, frozenset[str]] = {}
-        """By peer, the targets that its last message had counts for."""
+        self._removed: dict[str, tuple[Availability, float]] = {}
+        """Availability of removed targets, and the time of removal in seconds."""
+        self._targets_by_peer: dict[str, frozenset[str]] = {}
+        """By peer, the targets counted in its last message."""
 
     def renew(
         self,
@@ -260,9 +271,9 @@
         now: float,
         services: Iterable[Service] = (),
     ) -> list[str]:
-        """Take the targets and services of a new configuration.
+        """Apply the targets and services of a new configuration.
 
-        Returns: the names of those that are gone and have nothing in flight.
+        Returns: the names of the removed targets without requests in flight.
         """
         self.warm_up_per_s = {s.name: s.warmup_per_s for s in services}
         for name, target in targets.items():
@@ -271,91 +282,98 @@
                 self._create(target, now)
             else:
                 state.renew(target, now)
-        gone = [
+        removed = [
             name
             for name, state in self._states.items()
             if name not in targets and state.in_flight == 0
         ]
-        for name in gone:
+        for name in removed:
             availability = self._states.pop(name).availability
-            if availability.matters(now):
-                self._gone[name] = availability, now
-        return gone
+            if availability.restricts_requests(now):
+                self._removed[name] = availability, now
+        return removed
 
-    def of(self, target: Target, now: float) -> TargetState:
-        """Return the state of a target."""
+    def state_of(self, target: Target, now: float) -> TargetState:
+        """Return the state of a target, created if necessary."""
         return self._states.get(target.name) or self._create(target, now)
 
     def _create(self, target: Target, now: float) -> TargetState:
-        """Create the state of a target that is new, or was gone for a while."""
-        known, _ = self._gone.pop(target.name, (None, now))
+        """Create the state of a new target, or of one that was removed before."""
+        known, _ = self._removed.pop(target.name, (None, now))
         state = self._states[target.name] = TargetState(target, now, known)
         return state
 
     def forget(self, now: float) -> None:
-        """Drop the availability of targets that have been gone for long."""
-        self._gone = {
+        """Drop the expired availability of removed targets."""
+        self._removed = {
             name: (availability, since)
-            for name, (availability, since) in self._gone.items()
-            if now - since <= AVAILABILITY_KEPT_S and availability.matters(now)
+            for name, (availability, since) in self._removed.items()
+            if now - since <= AVAILABILITY_TTL_S
+            and availability.restricts_requests(now)
         }
 
     def leaving_count(self) -> int:
-        """Return how many targets of the configuration said that they leave."""
+        """Return the number of targets that reported that they are leaving."""
         return sum(s.availability.leaving for s in self._states.values())
 
     def resting_count(self, now: float) -> int:
-        """Return how many targets of the configuration want rest of this entry."""
-        return sum(s.availability.resting(now) for s in self._states.values())
+        """Return the number of targets in a rest requested from this entry."""
+        return sum(s.availability.is_resting(now) for s in self._states.values())
 
-    def limit_per_s(self, target: Target) -> float | None:
-        """Return the requests a second that a target takes from all entries.
+    def reported_limit_per_s(self, target: Target) -> float | None:
+        """Return the limit that a target reports, in requests a second of all entries.
 
-        None if it names no limit.
+        None if the target reports no limit.
         """
         if self.limits.is_empty:
             return None
         return self.limits.per_s(target_id(target.name))
 
-    def room_per_s(self, target: Target, now: float) -> float | None:
-        """Return what bounds the requests a second of all entries to a target.
+    def effective_limit_per_s(self, target: Target, now: float) -> float | None:
+        """Return the limit in force for a target, in requests a second of all entries.
 
-        The limit that it names, and what it bears in its warm-up; None for no bound.
+        The lower of the reported limit and the limit of a current warm-up; None for no
+        limit.
         """
-        named = self.limit_per_s(target)
+        reported = self.reported_limit_per_s(target)
         warm_up = self.warm_up_per_s.get(target.service, 0.0)
-        if not warm_up or not self.of(target, now).cold(now):
-            return named
-        allowed = warm_up_limit_per_s(warm_up)
-        return allowed if named is None else min(named, allowed)
+        if not warm_up or not self.state_of(target, now).in_warm_up(now):
+            return reported
+        limit = warm_up_limit_per_s(warm_up)
+        return limit if reported is None else min(reported, limit)
 
     def in_flight(self) -> dict[str, int]:
-        """Return how many requests this entry has at each target, if any."""
+        """Return this entry's requests in flight by target, without zeros."""
         return {n: s.in_flight for n, s in self._states.items() if s.in_flight}
 
     def receive(self, peer: str, counts: Mapping[str, int], now: float) -> None:
-        """Take the counts of a peer; a target that it does not name has none of it."""
+        """Record the counts of a peer; omitted targets have none of its requests."""
         states = self._states
-        for name in self._counted.get(peer, frozenset()) - counts.keys():
+        for name in self._targets_by_peer.get(peer, frozenset()) - counts.keys():
             if name in states:
-                states[name].reported_by_peer(peer, 0, now)
+                states[name].record_peer_count(peer, 0, now)
         for name, count in counts.items():
             state = states.get(name)
             if state is not None:
-                state.reported_by_peer(peer, count, now)
-        self._counted[peer] = frozenset(counts)
+                state.record_peer_count(peer, count, now)
+        self._targets_by_peer[peer] = frozenset(counts)
 
     def load(self, targets: Iterable[Target], now: float) -> tuple[float, float]:
-        """Return the load and the slots of the usable, warm ones of some targets.
+        """Return the total load and slots of usable targets.
 
-        Of one with a limit, only the slots that so many requests a second keep busy:
-        otherwise its region would look empty, and keys would stay that find no room.
+        Excludes targets that are slow or in their warm-up. A limited target counts only
+        the slots that its limit can keep busy. Otherwise the utilization of its region
+        would appear low, and keys would stay where no target accepts their requests.
         """
         load = 0.0
         slots = 0.0
         for target in targets:
-            state = self.of(target, now)
-            if state.usable(now) and not state.cold(now) and not state.slow(now):
+            state = self.state_of(target, now)
+            if (
+                state.is_usable(now)
+                and not state.in_warm_up(now)
+                and not state.is_slow(now)
+            ):
                 load += state.load(now)
-                slots += state.usable_slots(self.limit_per_s(target))
+                slots += state.usable_slots(self.reported_limit_per_s(target))
         return load, slots
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -279,10 +279,10 @@
         for limiter in ["a1-0" if client_name() == "a1-1" else "a1-1"]
     )
     now = asyncio.get_running_loop().time()
-    state = exchange.fleet.of(TARGET, now)
-    assert state.usable(now)
-    assert state.room.closed(2, now)
-    assert not state.room.closed(1, now)
+    state = exchange.fleet.state_of(TARGET, now)
+    assert state.is_usable(now)
+    assert state.room.suppresses(2, now)
+    assert not state.room.suppresses(1, now)
 
 
 async def test_the_limiter_sends_no_message_to_itself() -> None:
@@ -318,7 +318,7 @@
     now = asyncio.get_running_loop().time()
     late = PermitResponse(exchange.sent[0][0].request_number, True, 0, 0)
     exchange.grant_client.handle_answer(late)
-    assert exchange.fleet.of(TARGET, now).room.closed(2, now)
+    assert exchange.fleet.state_of(TARGET, now).room.suppresses(2, now)
 
 
 @pytest.mark.parametrize("per_s", [float("nan"), float("inf"), -1.0])
@@ -385,11 +385,11 @@
     fleet = Fleet()
     cold = msgspec.structs.replace(TARGET, cold_ms=60_000)
     fleet.renew({cold.name: cold}, 0.0, [service(11.0)])
-    assert fleet.room_per_s(cold, 1.0) == 8.25
+    assert fleet.effective_limit_per_s(cold, 1.0) == 8.25
     fleet.limits.take(LimitAdvertisement(target_id(cold.name), 2.0, 1.0))
-    assert fleet.room_per_s(cold, 1.0) == 2.0
-    assert fleet.room_per_s(cold, 61.0) == 2.0
+    assert fleet.effective_limit_per_s(cold, 1.0) == 2.0
+    assert fleet.effective_limit_per_s(cold, 61.0) == 2.0
     fleet.limits.take(LimitAdvertisement(target_id(cold.name), None, 2.0))
-    assert fleet.room_per_s(cold, 61.0) is None
+    assert fleet.effective_limit_per_s(cold, 61.0) is None
     fleet.renew({cold.name: cold}, 3.0, [service(0.0)])
-    assert fleet.room_per_s(cold, 3.0) is None
+    assert fleet.effective_limit_per_s(cold, 3.0) is None
