--- a/benchmarks/emulated_quotas.py
+++ b/benchmarks/emulated_quotas.py
@@ -119,14 +119,14 @@
         roles = Roles(self.membership, rng)
         self.exchange = Exchange(self.membership, roles)
         self.quotas = Quotas(QuotaBounds(), rng, 0.0, first_start=True)
-        self.exchange.use.renew(self.quotas.plans(workspaces))
+        self.exchange.use.renew(self.quotas.admission_limits(workspaces))
 
     def round(self, now: float) -> list[Outgoing]:
         """Return what it sends in a round."""
         self.quotas.entries = self.membership.count
         use = self.quotas.report(now)
-        lived_s = self.quotas.lived_s(now)
-        report = EntryStatus(SERVING, 1, {}, {}, -1, [], use, lived_s)
+        tracked_s = self.quotas.tracked_s(now)
+        report = EntryStatus(SERVING, 1, {}, {}, -1, [], use, tracked_s)
         sendings, update = self.exchange.round(report, now)
         self._receive(update, now)
         self.exchange.forget(now)
--- a/benchmarks/limit_node.py
+++ b/benchmarks/limit_node.py
@@ -82,7 +82,9 @@
             for t in shared.targets
         }
         self._quotas = Quotas(shared.bounds, rng, now, first_start=not now)
-        self.exchange.use.renew(self._quotas.plans(self._workspaces.values()))
+        self.exchange.use.renew(
+            self._quotas.admission_limits(self._workspaces.values())
+        )
 
     def round(self, now: float) -> list[Outgoing]:
         """Return what it sends in a round."""
@@ -96,7 +98,7 @@
             -1,
             [],
             use=self._quotas.report(now),
-            uptime_s=self._quotas.lived_s(now),
+            uptime_s=self._quotas.tracked_s(now),
             limits=list(self._own_words.values()),
         )
         sendings, update = self.exchange.round(status, now)
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -172,7 +172,7 @@
         self, work: EmulatedRequest, reply: Callable[[EmulatedReply], None]
     ) -> None:
         """Serve a request; the reply comes when it ends."""
-        self._budget.earn(work.request.service)
+        self._budget.deposit(work.request.service)
         self._attempt(work, 1, None, reply)
 
     def _attempt(
@@ -196,13 +196,15 @@
         attempt: int,
         refusal: Refusal,
         lost: Refusal | None,
-        arrived: bool,
+        reached_target: bool,
         reply: Callable[[EmulatedReply], None],
     ) -> None:
         """Try another target, or give up."""
         route = work.request.route
-        may = may_retry(route, attempt, refusal, arrived=arrived, replayable=True)
-        if may and self._budget.spend(work.request.service):
+        may = may_retry(
+            route, attempt, refusal, reached_target=reached_target, replayable=True
+        )
+        if may and self._budget.try_withdraw(work.request.service):
             self.repeats += 1
             self._attempt(work, attempt + 1, lost, reply)
             return
@@ -304,9 +306,9 @@
         else:
             state.lost(now)
             refusal = lost = Refusal(Code.ANSWER_LOST)
-        arrived = outcome is not RunOutcome.UNREACHED
+        reached_target = outcome is not RunOutcome.UNREACHED
         self._entry.retry(
-            self._work, self._attempt, refusal, lost, arrived, self._reply
+            self._work, self._attempt, refusal, lost, reached_target, self._reply
         )
 
     def _give_up(self) -> None:
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -256,12 +256,12 @@
 
     def _sweep(self, now: float) -> None:
         """Drop what has grown old, and report what changed."""
-        self._data.connections.sweep(now)
+        self._data.connections.close_expired(now)
         self._membership.forget(now)
         self._control.exchange.forget(now)
         self._data.forget(now)
         self._metrics.confirmed_age.set(self._keeper.confirmation.age_s(now))
-        self._metrics.in_flight.set(self._data.handler.active)
+        self._metrics.in_flight.set(self._data.handler.active_count)
         self._metrics.peers.set(len(self._membership.live(now)))
         for name, change, silent_s in self._membership.changes(now):
             self._events.peer(name, change, silent_s)
@@ -292,7 +292,7 @@
         exchange = self._control.exchange
         exchange.lists.renew(catalog.names_by_region)
         workspaces = catalog.workspaces.by_name.values()
-        exchange.use.renew(self._data.quotas.plans(workspaces))
+        exchange.use.renew(self._data.quotas.admission_limits(workspaces))
 
     def _take_update(self, update: PeerUpdate, now: float) -> None:
         """Give the other parts what other entries reported."""
@@ -311,7 +311,7 @@
             self._keeper.outage.age_ms(now),
             self._data.placement.shared_warmth.recent(WARM_SENT_S, now),
             self._data.quotas.report(now),
-            self._data.quotas.lived_s(now),
+            self._data.quotas.tracked_s(now),
             self._keeper.confirmation.tell(self._store_copy.revision, now),
             self._control.is_unserved(now),
             self._data.limits.round(now),
@@ -327,7 +327,7 @@
         self._state = LEAVING
         handler = self._data.handler
         handler.leaving = True
-        self._events.process("leaving", in_flight=handler.active)
+        self._events.process("leaving", in_flight=handler.active_count)
         self._control.peers.announce_leave()
         removal = asyncio.create_task(self._control.registration.end())
         await asyncio.sleep(LISTEN_ON_S)
@@ -335,4 +335,4 @@
         last = began + self._settings.grace_s - STOP_MARGIN_S
         await finish(handler, self._data.server, last)
         removal.cancel()
-        self._events.process("drained", in_flight=handler.active)
+        self._events.process("drained", in_flight=handler.active_count)
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -34,12 +34,12 @@
 from leverdoor.entry.placement.fleet import OTHERS, Fleet
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.client_connection import ClientConnection
-from leverdoor.entry.requests.connections import Connections
+from leverdoor.entry.requests.connection_pool import ConnectionPool
 from leverdoor.entry.requests.forwarding import Forwarder
 from leverdoor.entry.requests.handler import EntryHandler
-from leverdoor.entry.requests.intake import Intake
-from leverdoor.entry.requests.outcomes import Outcomes
-from leverdoor.entry.requests.target_reports import TargetReports
+from leverdoor.entry.requests.outcomes import OutcomeRecorder
+from leverdoor.entry.requests.routing import RequestRouter
+from leverdoor.entry.requests.target_reports import TargetReportHandler
 from leverdoor.entry.settings import EntrySettings
 from leverdoor.entry.warm_up import may_warm_up
 from leverdoor.model.resources import Target
@@ -86,11 +86,11 @@
         )
         self.placement = self._create_placement()
         self._reports = self._create_reports(metrics)
-        self.connections = Connections(
+        self.connections = ConnectionPool(
             context.wire.headers.request_id,
             s.region,
             context.events.connections_forgotten,
-            self._reports.take,
+            self._reports.handle_reply,
         )
         now = asyncio.get_running_loop().time()
         self.quotas = Quotas(s.quotas, context.rng, now, first_start=s.first_start)
@@ -110,9 +110,9 @@
         policy.warms_up = lambda target: may_warm_up(self._membership, target)
         return policy
 
-    def _create_reports(self, metrics: EntryMetrics) -> TargetReports:
+    def _create_reports(self, metrics: EntryMetrics) -> TargetReportHandler:
         context = self._context
-        return TargetReports(
+        return TargetReportHandler(
             context.wire,
             self.placement,
             self.limits.named,
@@ -122,10 +122,10 @@
 
     def _create_handler(self, metrics: EntryMetrics) -> EntryHandler:
         wire, events = self._context.wire, self._context.events
-        intake = Intake(
+        router = RequestRouter(
             wire, self._catalog, self.placement.pick_service, self._keys_confirmed
         )
-        outcomes = Outcomes(self.placement, self.fleet, events)
+        outcomes = OutcomeRecorder(self.placement, self.fleet, events)
         forwarder = Forwarder(
             wire,
             self.placement,
@@ -140,7 +140,7 @@
         )
         return EntryHandler(
             wire,
-            intake,
+            router,
             forwarder,
             self.quotas,
             self.quarantine,
@@ -198,7 +198,9 @@
         """Create the protocol of a client's connection, with the limits in force."""
         loop = asyncio.get_running_loop()
         limits = self._keeper.catalog.limits
-        return ClientConnection(self.server, loop, limits, self.handler.busy)
+        return ClientConnection(
+            self.server, loop, limits, self.handler.busy_connections
+        )
 
     def reload(self, settings: EntrySettings) -> None:
         """Take settings that changed while the entry runs."""
@@ -210,11 +212,11 @@
         self.fleet.renew(catalog.targets, now, catalog.services.values())
         self.limits.renew(catalog.targets)
         self._reports.renew(catalog.targets)
-        self.connections.most = {
+        self.connections.max_connections = {
             s.name: s.connections for s in catalog.services.values()
         }
         for name in before.in_service - catalog.in_service:
-            self.connections.drop(name)
+            self.connections.close_idle(name)
         self.placement.renew(catalog)
 
     def receive(self, update: PeerUpdate, now: float) -> None:
@@ -240,4 +242,6 @@
         count = self._membership.count
         self.quotas.entries = count
         self.connections.entries = count
-        self._budget.limit = retries_saved(self._context.settings.repeat_slack, count)
+        self._budget.max_balance = retries_saved(
+            self._context.settings.repeat_slack, count
+        )
--- a/leverdoor/entry/exchange/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -14,7 +14,7 @@
 from leverdoor.entry.membership.member import EntryState
 from leverdoor.limits.named import LimitWord
 from leverdoor.quarantine.notices import Notice
-from leverdoor.workspaces.others_use import OthersUse
+from leverdoor.workspaces.remote_usage import RemoteUsage
 
 __all__ = ["PeerUpdate", "EntryStatus", "Sending"]
 
@@ -64,7 +64,7 @@
     """Where a newer state can be fetched, as `ip:port`; empty if there is none."""
     answer: ToldAnswer = NO_ANSWER
     """The store's newest answer that the sender's revision rests on."""
-    use: OthersUse | None = None
+    use: RemoteUsage | None = None
     """Requests of workspaces by all other entries; None if there is no new sum."""
     limits: list[LimitWord] = []
     """What targets named as limits in answers to other entries."""
--- a/leverdoor/entry/exchange/use_exchange.py
+++ b/leverdoor/entry/exchange/use_exchange.py
@@ -19,8 +19,8 @@
 from leverdoor.entry.exchange.use_merging import FRESH_S, UseMerger, UseReport
 from leverdoor.entry.membership.member import LEAVING, Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.workspaces.isolation import HOLD_S
-from leverdoor.workspaces.others_use import OthersUse
+from leverdoor.workspaces.isolation import RESERVATION_S
+from leverdoor.workspaces.remote_usage import RemoteUsage
 
 __all__ = ["UseSummary", "UseExchange"]
 
@@ -113,7 +113,7 @@
             report = UseReport(now, use, merged_s, entries, digest.silent)
             self._merger.take_region(sender.region, report)
 
-    def parse_total(self, digest: Digest, own: Use) -> OthersUse | None:
+    def parse_total(self, digest: Digest, own: Use) -> RemoteUsage | None:
         """Return the use of all others; None if the digest's list is not known.
 
         Args:
@@ -128,9 +128,9 @@
         age_s = digest.use_age_ms / 1000
         merged_s = digest.merged_ms / 1000
         least_reported = self._lists.least_reported(digest.use)
-        return OthersUse(use, age_s, merged_s, least_reported, digest.silent)
+        return RemoteUsage(use, age_s, merged_s, least_reported, digest.silent)
 
-    def of_others(self, uptime_s: float, now: float) -> OthersUse | None:
+    def of_others(self, uptime_s: float, now: float) -> RemoteUsage | None:
         """Return the use of all others as an aggregator has it.
 
         Returns: None while reports of a failure domain or region are missing: this
@@ -143,7 +143,7 @@
         sums = self._merger.sums({}, self._unreported_parts(uptime_s, now), now)
         age_s = self._merger.age_s(now)
         merged_s = now - self._merges_since
-        return OthersUse(sums.total, age_s, merged_s, 0.0, sums.silent[-1])
+        return RemoteUsage(sums.total, age_s, merged_s, 0.0, sums.silent[-1])
 
     def stop_merging(self) -> None:
         """Record that this entry is not an aggregator now."""
@@ -159,11 +159,11 @@
         domain = self._own.domain
         last_seen = self._membership.last_seen(domain)
         never = self._membership.count_in_domain(domain) - 1 - len(last_seen)
-        never = max(never, 0) if uptime_s <= HOLD_S else 0
+        never = max(never, 0) if uptime_s <= RESERVATION_S else 0
         unreported = [
             s
             for s in last_seen
-            if FRESH_S < now - s.at <= HOLD_S
+            if FRESH_S < now - s.at <= RESERVATION_S
             and s.row.state != LEAVING
             and not self._merger.has_report(self._membership.name(s.row.id))
         ]
--- a/leverdoor/entry/exchange/use_merging.py
+++ b/leverdoor/entry/exchange/use_merging.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from leverdoor.entry.exchange.use_lists import Use, summed
-from leverdoor.workspaces.allowance import EVEN_PART
-from leverdoor.workspaces.isolation import HOLD_S, stretch
+from leverdoor.workspaces.allowance import EVEN_SHARE
+from leverdoor.workspaces.isolation import RESERVATION_S, isolated_use_factor
 
 __all__ = ["FRESH_S", "UseReport", "UseMerger", "UseSums"]
 
@@ -117,7 +117,7 @@
         self._entries = {
             name: report
             for name, report in self._entries.items()
-            if now - report.at <= HOLD_S
+            if now - report.at <= RESERVATION_S
         }
 
     def sums(self, own: Mapping[str, int], unreported: int, now: float) -> UseSums:
@@ -162,7 +162,7 @@
             return report.use
         if report.leaves:
             return report.use if age_s <= FORMER_S else {}
-        if age_s > HOLD_S:
+        if age_s > RESERVATION_S:
             return {}
         if report.reserved is None:
             report.reserved = self._reserve(report)
@@ -178,8 +178,8 @@
         found = {}
         for name, count in report.use.items():
             total = max(then.get(name, 0), count)
-            times = stretch(self.planned.get(name, 0.0), total)
-            found[name] = math.ceil((1 - EVEN_PART) * count * times)
+            times = isolated_use_factor(self.planned.get(name, 0.0), total)
+            found[name] = math.ceil((1 - EVEN_SHARE) * count * times)
         return found
 
 
@@ -196,7 +196,7 @@
         age_s = now - one.at
         if age_s <= fresh_s:
             found += one.silent
-        elif age_s <= HOLD_S and not one.leaves:
+        elif age_s <= RESERVATION_S and not one.leaves:
             found += one.entries
     return found
 
--- a/leverdoor/entry/membership/liveness.py
+++ b/leverdoor/entry/membership/liveness.py
@@ -15,7 +15,7 @@
 | 1.6 | `SILENCE_S` | not live: not named, no role, logged as silent |
 | 2.5 | `merging.PART_TRUST_S` | sums of its failure domain or region are not used |
 | 3.2 | `FAR_SILENCE_S` | not live, in other regions |
-| 20 | `workspaces.quota.HOLD_S` | its part of quotas is free again |
+| 20 | `workspaces.quota.RESERVATION_S` | its part of quotas is free again |
 | 60 | `FORGET_S` | its record is deleted |
 """
 
--- a/leverdoor/entry/requests/connection.py
+++ b/leverdoor/entry/requests/connection.py
@@ -15,8 +15,8 @@
 
 import httptools
 
-from leverdoor.entry.requests.dead_peers import notice_dead_peer
 from leverdoor.entry.requests.replies import ReplyParser, TargetReply
+from leverdoor.entry.requests.tcp_keepalive import notice_dead_peer
 
 __all__ = ["AnswerLost", "NotSent", "TargetConnection", "Withdrawn", "open_connection"]
 
--- a/leverdoor/entry/requests/connections.py
+++ b/leverdoor/entry/requests/connection_pool.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Connections to targets that are kept for the next request.
+"""ConnectionPool to targets that are kept for the next request.
 
 Owns the idle connections, by target, and which services' targets forget them; lost with
 the process. A connection is in use by one request at most, so an answer that comes late
@@ -24,7 +24,7 @@
 from leverdoor.quarantine.ended_targets import TargetCheck
 from leverdoor.settings import parse_address
 
-__all__ = ["Connections"]
+__all__ = ["ConnectionPool"]
 
 CONNECT_TIMEOUT_S = 0.4
 """Longest time to connect within the region, in seconds.
@@ -61,7 +61,7 @@
 the rest is for those that are opened for a request."""
 
 
-class Connections:
+class ConnectionPool:
     """Kept connections by target; at most one request on each."""
 
     def __init__(
@@ -87,11 +87,11 @@
         self._idle: dict[str, list[TargetConnection]] = {}
         self.entries = 1
         """How many entries there are, this one included, silent ones too."""
-        self.most: Mapping[str, int] = {}
+        self.max_connections: Mapping[str, int] = {}
         """By service, connections that a target takes from all entries; 0 for any
         number."""
         self.opened = 0
-        """Connections that were opened so far."""
+        """ConnectionPool that were opened so far."""
 
     async def exchange(
         self, target: Target, outgoing: Outgoing, may_send: Callable[[], bool]
@@ -199,7 +199,7 @@
         sums up to it at any number of entries, and one that is not used costs no room:
         a request that finds no idle connection opens one.
         """
-        most = self.most.get(service, 0)
+        most = self.max_connections.get(service, 0)
         if not most:
             return MAX_IDLE
         return min(MAX_IDLE, int(IDLE_PART * most / self.entries))
@@ -208,7 +208,7 @@
         """Return how many idle connections to a target are kept."""
         return len(self._idle.get(target.name, ()))
 
-    def sweep(self, now: float) -> None:
+    def close_expired(self, now: float) -> None:
         """Close what has been idle for too long.
 
         Args:
@@ -226,7 +226,7 @@
             if not fresh:
                 del self._idle[name]
 
-    def drop(self, name: str) -> None:
+    def close_idle(self, name: str) -> None:
         """Close the idle connections to a target that is gone."""
         for connection in self._idle.pop(name, []):
             connection.close()
@@ -234,7 +234,7 @@
     def close(self) -> None:
         """Close all idle connections."""
         for name in list(self._idle):
-            self.drop(name)
+            self.close_idle(name)
 
 
 def _idle_limit_s(keep_alive: str) -> float:
--- a/leverdoor/entry/requests/forwarding.py
+++ b/leverdoor/entry/requests/forwarding.py
@@ -16,10 +16,10 @@
 from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.connection import AnswerLost, NotSent, Withdrawn
-from leverdoor.entry.requests.connections import Connections
+from leverdoor.entry.requests.connection_pool import ConnectionPool
 from leverdoor.entry.requests.deadlines import give_up_on_target_at
 from leverdoor.entry.requests.entry_request import EntryRequest
-from leverdoor.entry.requests.outcomes import Outcomes
+from leverdoor.entry.requests.outcomes import OutcomeRecorder
 from leverdoor.entry.requests.outgoing import outgoing
 from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.entry.requests.retries import may_retry, says_not_run
@@ -42,8 +42,8 @@
         self,
         wire: Wire,
         policy: PlacementPolicy,
-        connections: Connections,
-        outcomes: Outcomes,
+        connections: ConnectionPool,
+        outcomes: OutcomeRecorder,
         rooms: RoomAsking,
         budget: RetryBudget,
         quotas: Quotas,
@@ -69,7 +69,7 @@
         Raises:
           Refusal: it was given up on; the code says whether it may have run.
         """
-        self._budget.earn(request.placement_request.service)
+        self._budget.deposit(request.placement_request.service)
         attempt = 0
         maybe_ran: Refusal | None = None
         while True:
@@ -95,7 +95,7 @@
             placement_request.route,
             attempt,
             failed.refusal,
-            arrived=failed.arrived,
+            reached_target=failed.reached_target,
             replayable=request.replayable,
         )
         now = asyncio.get_running_loop().time()
@@ -103,7 +103,7 @@
             placement_request.fingerprint, now
         ):
             return False
-        if not self._budget.spend(placement_request.service):
+        if not self._budget.try_withdraw(placement_request.service):
             return False
         workspace = placement_request.workspace
         if workspace is not None and failed.refusal.run is not Run.NO:
@@ -156,7 +156,9 @@
         while True:
             placement = self._policy.place(request, loop.time())
             if isinstance(placement, Rejection):
-                raise _AttemptFailed(placement.refusal(), placed=False, arrived=False)
+                raise _AttemptFailed(
+                    placement.refusal(), placed=False, reached_target=False
+                )
             granted = False
             try:
                 granted = await self._rooms.acquire(request, placement.target)
@@ -188,7 +190,7 @@
         except NotSent as e:
             self._outcomes.unreached(placement, "not reached")
             refusal = Refusal(Code.CONNECT_FAILED, str(e), retry_after_ms=NOT_RUN_MS)
-            raise _AttemptFailed(refusal, arrived=False) from None
+            raise _AttemptFailed(refusal, reached_target=False) from None
         except AnswerLost as e:
             self._outcomes.lost(placement, e.unreachable)
             if e.closed:
@@ -228,9 +230,9 @@
     """
 
     def __init__(
-        self, refusal: Refusal, *, placed: bool = True, arrived: bool = True
+        self, refusal: Refusal, *, placed: bool = True, reached_target: bool = True
     ) -> None:
         super().__init__(str(refusal))
         self.refusal = refusal
         self.placed = placed
-        self.arrived = arrived
+        self.reached_target = reached_target
--- a/leverdoor/entry/requests/handler.py
+++ b/leverdoor/entry/requests/handler.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """The path of one request at an entry, step by step, and its log line and metric.
 
-A request is taken in (`intake`: route, workspace, deadline), admitted (its workspace's
+A request is taken in (`router`: route, workspace, deadline), admitted (its workspace's
 quota), read (`bodies`), refused if targets are known to end under it (`quarantine`),
 forwarded (`forwarding`: placed, sent, retried) and answered (`responses`). Every
 refusal of these steps is logged here.
@@ -23,8 +23,8 @@
 from leverdoor.entry.requests.bodies import BodyStart, take_body
 from leverdoor.entry.requests.entry_request import EntryRequest
 from leverdoor.entry.requests.forwarding import Forwarder
-from leverdoor.entry.requests.intake import Intake
 from leverdoor.entry.requests.responses import close_after, refusal_response, relayed
+from leverdoor.entry.requests.routing import RequestRouter
 from leverdoor.entry.wire import Wire
 from leverdoor.errors import Code, Refusal, Run
 from leverdoor.model.resources import Workspace
@@ -59,7 +59,7 @@
     def __init__(
         self,
         wire: Wire,
-        intake: Intake,
+        router: RequestRouter,
         forwarder: Forwarder,
         quotas: Quotas,
         quarantine: Quarantine,
@@ -83,7 +83,7 @@
           catalog: returns the catalogue in force.
         """
         self._request_id_header = wire.headers.request_id
-        self._intake = intake
+        self._intake = router
         self._forwarder = forwarder
         self._quotas = quotas
         self._quarantine = quarantine
@@ -91,22 +91,22 @@
         self._events = events
         self._metrics = metrics
         self._catalog = catalog
-        self.busy: set[object] = set()
+        self.busy_connections: set[object] = set()
         """The connections on which a request is being served."""
         self.leaving = False
         """The entry stops: each response ends its connection."""
 
     @property
-    def active(self) -> int:
+    def active_count(self) -> int:
         """How many requests are being served."""
-        return len(self.busy)
+        return len(self.busy_connections)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one request and send its answer."""
         connection = request.protocol
         if request.transport is None:
             raise asyncio.CancelledError("closed before the request was begun")
-        self.busy.add(connection)
+        self.busy_connections.add(connection)
         try:
             response = await self._serve(request)
             if self.leaving:
@@ -115,7 +115,7 @@
             await response.write_eof()
             return response
         finally:
-            self.busy.discard(connection)
+            self.busy_connections.discard(connection)
 
     async def _serve(self, request: web.BaseRequest) -> web.Response:
         """Return the response to one request, which may be a refusal."""
--- a/leverdoor/entry/requests/outcomes.py
+++ b/leverdoor/entry/requests/outcomes.py
@@ -18,7 +18,7 @@
 from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.entry.requests.retries import WRONG_INSTANCE_STATUS
 
-__all__ = ["Outcomes"]
+__all__ = ["OutcomeRecorder"]
 
 LEAST_EXPECTED_MS = 1.0
 """Least expected time by which an overrun is divided, in ms; guards the division."""
@@ -26,7 +26,7 @@
 """HTTP statuses from here on say nothing about run times or warm keys."""
 
 
-class Outcomes:
+class OutcomeRecorder:
     """Passes the outcomes of attempts to placement."""
 
     def __init__(
--- a/leverdoor/entry/requests/retries.py
+++ b/leverdoor/entry/requests/retries.py
@@ -28,7 +28,12 @@
 
 
 def may_retry(
-    route: Route, attempt: int, refusal: Refusal, *, arrived: bool, replayable: bool
+    route: Route,
+    attempt: int,
+    refusal: Refusal,
+    *,
+    reached_target: bool,
+    replayable: bool,
 ) -> bool:
     """Return whether another target may be tried, the retry budget aside.
 
@@ -45,7 +50,7 @@
     safe = route.work is WorkClass.LOOKUP or refusal.run is Run.NO
     if not safe or not replayable or refusal.code is Code.DEADLINE_PASSED:
         return False
-    most = route.attempts if arrived else route.attempts + UNREACHED_ATTEMPTS
+    most = route.attempts if reached_target else route.attempts + UNREACHED_ATTEMPTS
     return attempt < most
 
 
--- a/leverdoor/entry/requests/intake.py
+++ b/leverdoor/entry/requests/routing.py
@@ -20,13 +20,13 @@
 from leverdoor.headers import bounded_int, passing
 from leverdoor.model.resources import Route, Workspace
 
-__all__ = ["Intake"]
+__all__ = ["RequestRouter"]
 
 LOGGED_PATH = 100
 """Characters of a path without a route that the log line has."""
 
 
-class Intake:
+class RequestRouter:
     """Turns the requests of clients into requests of the entry."""
 
     def __init__(
--- a/leverdoor/entry/requests/target_reports.py
+++ b/leverdoor/entry/requests/target_reports.py
@@ -22,10 +22,10 @@
 from leverdoor.entry.wire import TargetReport, UnreadableReport, Wire
 from leverdoor.model.resources import Target
 
-__all__ = ["TargetReports"]
+__all__ = ["TargetReportHandler"]
 
 
-class TargetReports:
+class TargetReportHandler:
     """Takes what answers report of their targets."""
 
     def __init__(
@@ -44,7 +44,7 @@
         self._metrics = metrics
         self._unreadable = UnreadableTexts()
 
-    def take(self, target: Target, reply: TargetReply) -> None:
+    def handle_reply(self, target: Target, reply: TargetReply) -> None:
         """Take a whole answer to a request that still counts as in flight.
 
         An answer of another instance at the same address says nothing of this one.
--- a/leverdoor/entry/shutdown.py
+++ b/leverdoor/entry/shutdown.py
@@ -41,7 +41,7 @@
     while idle_rounds < IDLE_ROUNDS and loop.time() < until:
         idle = _close_idle(handler, server, idle)
         await asyncio.sleep(STOP_POLL_S)
-        idle_rounds = 0 if handler.active else idle_rounds + 1
+        idle_rounds = 0 if handler.active_count else idle_rounds + 1
 
 
 def _close_idle(
@@ -60,7 +60,7 @@
     """
     idle: set[object] = set()
     for connection in server.connections:
-        if connection in handler.busy:
+        if connection in handler.busy_connections:
             continue
         if connection in before:
             connection.force_close()
--- a/leverdoor/gate/retries.py
+++ b/leverdoor/gate/retries.py
@@ -42,7 +42,7 @@
 
     def count(self) -> None:
         """Count a request, which earns a part of a retry."""
-        self._budget.earn(EVERY_SERVICE)
+        self._budget.deposit(EVERY_SERVICE)
 
     def allows(self, inbound: GateRequest, refusal: Refusal, attempt: int) -> bool:
         """Return whether another attempt is safe and within the bounds.
@@ -58,4 +58,4 @@
         if refusal.run is Run.NO:
             return True
         lost = refusal.code is Code.ANSWER_LOST
-        return lost and not inbound.once and self._budget.spend(EVERY_SERVICE)
+        return lost and not inbound.once and self._budget.try_withdraw(EVERY_SERVICE)
--- a/leverdoor/retry_budget.py
+++ b/leverdoor/retry_budget.py
@@ -28,16 +28,16 @@
           first: retries that a service starts with.
         """
         self.ratio = ratio
-        self.limit = limit
+        self.max_balance = limit
         self._first = first
         self._saved: dict[str, float] = {}
 
-    def earn(self, service: str) -> None:
+    def deposit(self, service: str) -> None:
         """Count a request."""
         saved = self._saved.get(service, self._first)
-        self._saved[service] = min(self.limit, saved + self.ratio)
+        self._saved[service] = min(self.max_balance, saved + self.ratio)
 
-    def spend(self, service: str) -> bool:
+    def try_withdraw(self, service: str) -> bool:
         """Take a retry if one is saved; return whether it was."""
         saved = self._saved.get(service, 0.0)
         if saved < 1.0:
--- a/leverdoor/workspaces/allowance.py
+++ b/leverdoor/workspaces/allowance.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-__all__ = ["EVEN_PART", "KnownUse"]
+__all__ = ["EVEN_SHARE", "KnownUse"]
 
-EVEN_PART = 0.5
+EVEN_SHARE = 0.5
 """Part of a quota that is dealt evenly where entries don't know of each other; the rest
 goes by their use, which may be about to change.
 
@@ -105,7 +105,7 @@
         others = self.others * (live - 1) / max(self.entries - 1, 1)
         used = others + before + PRIOR_USE * live
         by_use = (before + PRIOR_USE) / used
-        return EVEN_PART / live + (1 - EVEN_PART) * by_use
+        return EVEN_SHARE / live + (1 - EVEN_SHARE) * by_use
 
     def _free_requests(self) -> float:
         """Return how many requests each entry may have whatever its part."""
--- a/leverdoor/workspaces/isolation.py
+++ b/leverdoor/workspaces/isolation.py
@@ -3,7 +3,7 @@
 """What an entry that receives no digests may take of a quota.
 
 The others reserve the same for it (entry/exchange/use_merging.py), so that the sides
-of a cut together stay within the quota, whatever is requested of them. After HOLD_S
+of a cut together stay within the quota, whatever is requested of them. After RESERVATION_S
 they reserve nothing more, and it takes next to nothing.
 
 Owns no state.
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from leverdoor.workspaces.allowance import EVEN_PART
+from leverdoor.workspaces.allowance import EVEN_SHARE
 
-__all__ = ["HOLD_S", "ISOLATED_S", "IsolatedEntry", "stretch"]
+__all__ = ["RESERVATION_S", "ISOLATED_S", "IsolatedEntry", "isolated_use_factor"]
 
 ISOLATED_S = 1.6
 """Time without any digest from which on an entry takes itself for cut off, in seconds:
@@ -22,7 +22,7 @@
 Greater: each side of a cut takes what is left to the other for longer. Smaller: lost
 datagrams make an entry refuse.
 """
-HOLD_S = 20.0
+RESERVATION_S = 20.0
 """How long the others reserve what a silent entry may take, in seconds.
 
 Greater: dead entries block a part of quotas for longer. Smaller: an entry that is cut
@@ -41,7 +41,7 @@
 """
 
 
-def stretch(planned: float, used: float) -> float:
+def isolated_use_factor(planned: float, used: float) -> float:
     """Return how many times its use an isolated entry may take.
 
     Each side of a cut keeps its part of the quota, so that the sides together stay
@@ -73,11 +73,11 @@
     @property
     def ceiling(self) -> float:
         """Return the own requests of a window that may not be passed."""
-        if self.isolated_s > HOLD_S:
+        if self.isolated_s > RESERVATION_S:
             return (self.bound - self.planned) * SPARE_AFTER_HOLD / self.entries
         even = self.planned / self.entries
         if self.reported is None:
-            return EVEN_PART * even
+            return EVEN_SHARE * even
         used = self.others + self.reported
-        by_use = self.reported * stretch(self.planned, used)
-        return max(even, EVEN_PART * even + (1 - EVEN_PART) * by_use)
+        by_use = self.reported * isolated_use_factor(self.planned, used)
+        return max(even, EVEN_SHARE * even + (1 - EVEN_SHARE) * by_use)
--- a/leverdoor/workspaces/quota.py
+++ b/leverdoor/workspaces/quota.py
@@ -21,10 +21,10 @@
 
 from leverdoor.errors import Code, Refusal
 from leverdoor.model.resources import Workspace
-from leverdoor.workspaces.allowance import EVEN_PART, KnownUse
+from leverdoor.workspaces.allowance import EVEN_SHARE, KnownUse
 from leverdoor.workspaces.isolation import ISOLATED_S, IsolatedEntry
-from leverdoor.workspaces.others_use import NOTHING_KNOWN, OthersUse
 from leverdoor.workspaces.quota_bounds import QuotaBounds
+from leverdoor.workspaces.remote_usage import NOTHING_KNOWN, RemoteUsage
 from leverdoor.workspaces.usage import UsageWindow
 
 __all__ = ["Quotas"]
@@ -100,7 +100,7 @@
         self._reported_before = self._reported
         """The same at the time when the others' use last arrived."""
 
-    def receive(self, others: OthersUse, now: float) -> None:
+    def receive(self, others: RemoteUsage, now: float) -> None:
         """Take what the others used, if any of them is not silent.
 
         An entry that merges the reports itself and gets none knows no more than at the
@@ -120,11 +120,11 @@
         self._reported = self._usage.totals(now)
         return self._reported
 
-    def lived_s(self, now: float) -> float:
+    def tracked_s(self, now: float) -> float:
         """Return for how long this entry has counted, in seconds."""
         return now - self._began
 
-    def plans(self, workspaces: Iterable[Workspace]) -> dict[str, float]:
+    def admission_limits(self, workspaces: Iterable[Workspace]) -> dict[str, float]:
         """Return what is planned with for each of the workspaces that have a quota."""
         return {w.name: self._bounds.planned(w) for w in workspaces if w.rate_per_s}
 
@@ -187,7 +187,7 @@
         others: float = self._others.use.get(name, 0)
         if name not in self._others.use:
             others = self._others.least_reported * planned
-        return others + EVEN_PART * planned * silent / self.entries
+        return others + EVEN_SHARE * planned * silent / self.entries
 
     def _ceiling(self, workspace: Workspace, known: KnownUse, now: float) -> float:
         """Return the own requests of a window that may not be passed in isolation."""
--- a/leverdoor/workspaces/others_use.py
+++ b/leverdoor/workspaces/remote_usage.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-__all__ = ["NOTHING_KNOWN", "OthersUse"]
+__all__ = ["NOTHING_KNOWN", "RemoteUsage"]
 
 
-class OthersUse(msgspec.Struct, frozen=True):
+class RemoteUsage(msgspec.Struct, frozen=True):
     """What all other entries used of quotas, as far as it is known."""
 
     use: Mapping[str, int]
@@ -24,5 +24,5 @@
     """How many others are silent: for each an even part is reserved besides."""
 
 
-NOTHING_KNOWN = OthersUse({}, 0.0, 0.0, 0.0)
+NOTHING_KNOWN = RemoteUsage({}, 0.0, 0.0, 0.0)
 """The use of others before anything has arrived."""
--- a/tests/test_entry_connections.py
+++ b/tests/test_entry_connections.py
@@ -9,7 +9,7 @@
 from desk import target
 from leverdoor.entry.requests import idle_timeouts
 from leverdoor.entry.requests.connection import AnswerLost, Withdrawn
-from leverdoor.entry.requests.connections import Connections
+from leverdoor.entry.requests.connection_pool import ConnectionPool
 from leverdoor.entry.requests.idle_timeouts import (
     LIMITED_FOR_S,
     LIMITED_IDLE_S,
@@ -63,9 +63,9 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    connections = Connections("x-id", "a", lambda _: None, lambda *_: None)
+    connections = ConnectionPool("x-id", "a", lambda _: None, lambda *_: None)
     connections.entries = entries
-    connections.most = {"s": 390}
+    connections.max_connections = {"s": 390}
     one = target("one", address=address)
     checks = [connections.check(one) for _ in range(20)]
     assert set(await asyncio.gather(*checks)) == {TargetCheck.SERVES}
@@ -99,7 +99,7 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     told: list[str] = []
-    connections = Connections("x-id", "a", told.append, lambda *_: None)
+    connections = ConnectionPool("x-id", "a", told.append, lambda *_: None)
     one, two = target("one", address=address), target("two", address=address)
     for t in (one, two):
         await connections.exchange(t, outgoing("first"), takes)
@@ -123,7 +123,7 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    connections = Connections("x-id", "a", lambda _: None, lambda *_: None)
+    connections = ConnectionPool("x-id", "a", lambda _: None, lambda *_: None)
     one = target("one", address=address)
     assert await connections.check(one) is TargetCheck.SERVES
     reply = await connections.exchange(one, outgoing("first"), takes)
@@ -145,7 +145,7 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    connections = Connections("x-id", "a", lambda _: None, lambda *_: None)
+    connections = ConnectionPool("x-id", "a", lambda _: None, lambda *_: None)
     one = target("one", address=address)
     with pytest.raises(Withdrawn):
         await connections.exchange(one, outgoing("first"), lambda: False)
@@ -172,7 +172,7 @@
         taken.append(reply.status)
         request.cancel()
 
-    connections = Connections("x-id", "a", lambda _: None, take)
+    connections = ConnectionPool("x-id", "a", lambda _: None, take)
     sending = connections.exchange(one, outgoing("first"), takes)
     request = asyncio.create_task(sending)
     with pytest.raises(asyncio.CancelledError):
--- a/tests/test_entry_retries.py
+++ b/tests/test_entry_retries.py
@@ -43,6 +43,6 @@
 ) -> None:
     refusal = Refusal(code)
     found = may_retry(
-        route(work), attempt, refusal, arrived=arrived, replayable=replayable
+        route(work), attempt, refusal, reached_target=arrived, replayable=replayable
     )
     assert found is expected
--- a/tests/test_entry_use.py
+++ b/tests/test_entry_use.py
@@ -7,7 +7,7 @@
 
 from leverdoor.entry.exchange.use_lists import FEW_PAIRS, UseLists, summed
 from leverdoor.entry.exchange.use_merging import UseMerger, UseReport
-from leverdoor.workspaces.isolation import HOLD_S
+from leverdoor.workspaces.isolation import RESERVATION_S
 
 NAMES = [f"w{i}" for i in range(FEW_PAIRS + 50)]
 
@@ -77,8 +77,8 @@
     later = m.sums({"w": 15}, 0, 13.0)
     assert later.total == {"w": 15 + 20}
     assert later.silent == (1, 1, 1)
-    m.forget(10.0 + HOLD_S + 1)
-    gone = m.sums({"w": 15}, 0, 10.0 + HOLD_S + 1)
+    m.forget(10.0 + RESERVATION_S + 1)
+    gone = m.sums({"w": 15}, 0, 10.0 + RESERVATION_S + 1)
     assert (gone.total, gone.silent) == ({"w": 15}, (0, 0, 0))
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -24,11 +24,15 @@
 from leverdoor.errors import Code, Refusal
 from leverdoor.model.resources import Workspace
 from leverdoor.standins.entry_site import SAMPLE_ROUTES, EntrySite
-from leverdoor.workspaces.allowance import EVEN_PART, KnownUse
-from leverdoor.workspaces.isolation import HOLD_S, ISOLATED_S, stretch
-from leverdoor.workspaces.others_use import OthersUse
+from leverdoor.workspaces.allowance import EVEN_SHARE, KnownUse
+from leverdoor.workspaces.isolation import (
+    ISOLATED_S,
+    RESERVATION_S,
+    isolated_use_factor,
+)
 from leverdoor.workspaces.quota import Quotas
 from leverdoor.workspaces.quota_bounds import QuotaBounds
+from leverdoor.workspaces.remote_usage import RemoteUsage
 
 BOUNDS = QuotaBounds(window_s=5.0, overshoot=0.1, slack=20.0)
 WARD = Workspace(name="ward", rate_per_s=10.0, burst=10.0)
@@ -71,9 +75,9 @@
 def test_what_others_used_counts() -> None:
     quotas = Quotas(BOUNDS, Random(1), 100.0, first_start=True)
     quotas.entries = 2
-    quotas.receive(OthersUse({"ward": 70}, 0.0, 5.0, 0.0), 100.0)
+    quotas.receive(RemoteUsage({"ward": 70}, 0.0, 5.0, 0.0), 100.0)
     assert admitted(quotas, 200, 100.0) <= 4
-    quotas.receive(OthersUse({"ward": 90}, 0.0, 5.0, 0.0), 101.0)
+    quotas.receive(RemoteUsage({"ward": 90}, 0.0, 5.0, 0.0), 101.0)
     assert admitted(quotas, 200, 101.0) == 0
 
 
@@ -102,7 +106,7 @@
     assert so_far < BOUNDS.planned(WARD) * 2.6 / 5 + 10
     later = Quotas(BOUNDS, Random(1), 100.0, first_start=False)
     later.entries = 2
-    later.receive(OthersUse({}, 0.0, 30.0, 0.0), 100.1)
+    later.receive(RemoteUsage({}, 0.0, 30.0, 0.0), 100.1)
     assert admitted(later, 200, 100.1) > at_once
 
 
@@ -111,26 +115,26 @@
     quotas.entries = 10
     assert admitted(quotas, 4, 100.0) == 4
     quotas.report(100.0)
-    quotas.receive(OthersUse({"ward": 36}, 0.0, 5.0, 0.0), 100.0)
+    quotas.receive(RemoteUsage({"ward": 36}, 0.0, 5.0, 0.0), 100.0)
     took = admitted(quotas, 200, 100.0 + 5.2)
-    times = stretch(BOUNDS.planned(WARD), 40)
+    times = isolated_use_factor(BOUNDS.planned(WARD), 40)
     assert 4 <= took <= 4 * times + 1
-    assert admitted(quotas, 200, 100.0 + HOLD_S + 10.0) <= 1
+    assert admitted(quotas, 200, 100.0 + RESERVATION_S + 10.0) <= 1
 
 
 def test_more_silent_entries_than_known_ones_reserve_no_more_than_a_quota() -> None:
     """An entry that has just started knows of few others at first."""
     quotas = Quotas(BOUNDS, Random(1), 100.0, first_start=True)
     quotas.entries = 3
-    quotas.receive(OthersUse({}, 0.0, 5.0, 0.0, silent=1), 100.0)
+    quotas.receive(RemoteUsage({}, 0.0, 5.0, 0.0, silent=1), 100.0)
     quotas.entries = 1
-    quotas.receive(OthersUse({}, 0.0, 5.0, 0.0, silent=50), 100.0)
+    quotas.receive(RemoteUsage({}, 0.0, 5.0, 0.0, silent=50), 100.0)
     assert admitted(quotas, 10, 100.1) == 10
 
 
 def test_sides_of_a_cut_stay_within_a_quota_together() -> None:
     for used in (10, 40, 73):
-        times = stretch(73.0, used)
+        times = isolated_use_factor(73.0, used)
         assert times * used <= 73.0 or times == 1.0
 
 
@@ -191,7 +195,7 @@
             if number not in self.cut:
                 others = sum(self._known(n) for n in range(self.ENTRIES) if n != number)
                 silent = len(self.cut)
-                told = OthersUse({"ward": others}, 0.0, 5.0, 0.0, silent)
+                told = RemoteUsage({"ward": others}, 0.0, 5.0, 0.0, silent)
                 quotas.receive(told, self.now)
 
     def _known(self, number: int) -> int:
@@ -201,8 +205,8 @@
         if number not in self.cut:
             return use
         total = max(sum(t[-1][1] for t in self.told if t), 1)
-        times = stretch(BOUNDS.planned(WARD), total)
-        return math.ceil((1 - EVEN_PART) * use * times)
+        times = isolated_use_factor(BOUNDS.planned(WARD), total)
+        return math.ceil((1 - EVEN_SHARE) * use * times)
 
     @rule(number=st.integers(0, ENTRIES - 1))
     def cut_off(self, number: int) -> None:
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -12,16 +12,16 @@
     budget = RetryBudget(0.1, 4.0, 2.0)
     repeats = 0
     for _ in range(1000):
-        budget.earn("s")
-        repeats += budget.spend("s")
+        budget.deposit("s")
+        repeats += budget.try_withdraw("s")
     assert repeats <= 0.1 * 1000 + 4
 
 
 def test_saved_repeats_are_bounded() -> None:
     budget = RetryBudget(0.5, 4.0, 2.0)
     for _ in range(1000):
-        budget.earn("s")
-    assert sum(budget.spend("s") for _ in range(20)) == 4
+        budget.deposit("s")
+    assert sum(budget.try_withdraw("s") for _ in range(20)) == 4
 
 
 @pytest.mark.parametrize(
@@ -36,8 +36,8 @@
     saved = 0
     for budget in budgets:
         for _ in range(100):
-            budget.earn("s")
-        while budget.spend("s"):
+            budget.deposit("s")
+        while budget.try_withdraw("s"):
             saved += 1
     assert entries <= saved <= slack
     assert limit == 4.0 or entries * limit >= 0.5 * slack
