--- a/leverdoor/entry/requests/__init__.py
+++ b/leverdoor/entry/requests/__init__.py
@@ -1,11 +1,18 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""One request at an entry, from the client's connection to the target's answer.
+"""The request path of an entry, from the client's connection to the response.
 
-In the order of a request: `client_connection` (limits on clients), `handler` (the
-steps), `intake` with `deadlines` (route, workspace, deadline), `bodies`, `forwarding`
-(place, send, retry) with `retries` (the rules), `outgoing` (what is sent),
-`connections` with `idle_timeouts` (kept for the next request), `connection` with
-`replies` and `dead_peers` (one exchange with a target), `outcomes` (what placement
-learns), `responses` with `retry_after` (what the client gets).
+Modules in the order in which a request passes them:
+
+- `client_connection`: idle and header timeouts of client connections;
+- `handler`: the steps of one request;
+- `routing` with `deadlines`: route, workspace and deadline;
+- `bodies`: reading of request bodies;
+- `forwarding` with `retries`: placement, attempts and retries;
+- `outgoing_request`: the request that is sent to a target;
+- `connection_pool` with `idle_timeouts`: persistent connections to targets;
+- `connection` with `replies` and `tcp_keepalive`: one HTTP exchange with a target;
+- `target_reports`: load, limits and state that targets report in replies;
+- `outcomes`: feedback of attempts to placement;
+- `responses` with `retry_after`: the response to the client.
 """
--- a/leverdoor/entry/requests/bodies.py
+++ b/leverdoor/entry/requests/bodies.py
@@ -1,8 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Reads the body of a client's request: whole if it is short, else as a stream.
+"""Reads request bodies of clients: short ones into memory, longer ones as a stream.
 
-A short body is kept, so that it can be sent again. Owns no state.
+A buffered body can be sent again in a retry. Owns no state. Relies on aiohttp's
+request stream.
 """
 
 import asyncio
@@ -11,94 +12,108 @@
 import msgspec
 from aiohttp import web
 
-from leverdoor.entry.requests.entry_request import BUFFERED_BODY_BYTES, EntryRequest
+from leverdoor.entry.requests.entry_request import (
+    MAX_BUFFERED_BODY_BYTES,
+    EntryRequest,
+)
 from leverdoor.errors import Code, Refusal
 
-__all__ = ["BodyStart", "take_body"]
+__all__ = ["BodyPrefix", "read_body"]
 
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-class BodyStart(msgspec.Struct, frozen=True):
-    """What was read of a body before any of it was sent on."""
+class BodyPrefix(msgspec.Struct, frozen=True):
+    """The part of a body that was read before the request was forwarded."""
 
     data: bytes = b""
-    """All of a short body, as much as is kept of any of a long one."""
+    """The whole body if it is short; otherwise its first
+    `MAX_BUFFERED_BODY_BYTES`."""
     length: int = 0
-    """Of the whole body in bytes; -1 if it is not known."""
+    """Length of the whole body in bytes; -1 if unknown."""
 
 
-async def take_body(
-    request: web.BaseRequest, taken: EntryRequest, most_bytes: int
-) -> BodyStart:
-    """Read a body whole if it is short, and else prepare to stream it.
+async def read_body(
+    request: web.BaseRequest, entry_request: EntryRequest, max_bytes: int
+) -> BodyPrefix:
+    """Read a short body completely, or prepare a longer one for streaming.
 
     Args:
-      request: the client's.
-      taken: gets the body, and the headers that frame it.
-      most_bytes: longest body that is accepted.
-    Returns: what was read of it, by which the request is known when it comes again.
+      request: the request of the client.
+      entry_request: receives the body and its framing headers.
+      max_bytes: greatest length that is accepted.
+    Returns: the prefix of the body, from which the request's fingerprint is computed.
     Raises:
-      Refusal: the body is too long, too slow or malformed.
+      Refusal: the body is too long, arrives too slowly or is malformed.
     """
     length = request.content_length
-    if length is not None and length > most_bytes:
+    if length is not None and length > max_bytes:
         raise Refusal(Code.BODY_TOO_LARGE)
     if request.headers.get("Expect", "").lower() == "100-continue":
-        await request.writer.write(CONTINUE)
+        await request.writer.write(CONTINUE_RESPONSE)
         request.writer.output_size = 0
-    first, ended = await _read_first(request, taken.placement_request.until)
-    if ended:
-        taken.body = first
-        return BodyStart(first, len(first))
+    prefix, complete = await _read_prefix(
+        request, entry_request.placement_request.until
+    )
+    if complete:
+        entry_request.body = prefix
+        return BodyPrefix(prefix, len(prefix))
     if length is not None:
-        taken.headers.append(("Content-Length", str(length)))
-    taken.chunked = length is None
-    taken.body = _stream(request, taken, first, most_bytes)
-    return BodyStart(first[:BUFFERED_BODY_BYTES], -1 if length is None else length)
+        entry_request.headers.append(("Content-Length", str(length)))
+    entry_request.chunked = length is None
+    entry_request.body = _stream(request, entry_request, prefix, max_bytes)
+    return BodyPrefix(
+        prefix[:MAX_BUFFERED_BODY_BYTES], -1 if length is None else length
+    )
 
 
-async def _read_first(request: web.BaseRequest, until: float) -> tuple[bytes, bool]:
-    """Return the first part of a body, and whether that is all of it.
+async def _read_prefix(request: web.BaseRequest, deadline: float) -> tuple[bytes, bool]:
+    """Return the prefix of a body, and whether it is the whole body.
 
+    Args:
+      request: the request of the client.
+      deadline: loop time in seconds at which reading is aborted.
     Raises:
-      Refusal: it did not arrive in time, or is malformed.
+      Refusal: the body did not arrive before the deadline, or is malformed.
     """
-    read = bytearray()
+    received = bytearray()
     try:
-        async with asyncio.timeout_at(until):
-            while len(read) <= BUFFERED_BODY_BYTES:
+        async with asyncio.timeout_at(deadline):
+            while len(received) <= MAX_BUFFERED_BODY_BYTES:
                 chunk = await request.content.readany()
                 if not chunk:
-                    return bytes(read), True
-                read += chunk
+                    return bytes(received), True
+                received += chunk
     except TimeoutError:
-        raise Refusal(Code.BODY_TOO_SLOW, f"{len(read)} bytes came") from None
+        raise Refusal(Code.BODY_TOO_SLOW, f"{len(received)} bytes received") from None
     except web.RequestPayloadError as e:
         raise Refusal(Code.BAD_REQUEST, repr(e)) from None
-    return bytes(read), False
+    return bytes(received), False
 
 
 async def _stream(
-    request: web.BaseRequest, taken: EntryRequest, first: bytes, most_bytes: int
+    request: web.BaseRequest,
+    entry_request: EntryRequest,
+    prefix: bytes,
+    max_bytes: int,
 ) -> AsyncIterator[bytes]:
-    """Yield the parts of a long body as they arrive, framed if need be.
+    """Yield the parts of a long body as they arrive, framed as chunks if needed.
 
     Raises:
-      Refusal: it grew too long.
+      Refusal: the body exceeds `max_bytes`.
     """
-    taken.body_started = True
+    entry_request.stream_started = True
     size = 0
-    chunk = first
+    chunk = prefix
     while chunk:
         size += len(chunk)
-        if size > most_bytes:
+        if size > max_bytes:
             raise Refusal(Code.BODY_TOO_LARGE)
-        if taken.chunked:
+        if entry_request.chunked:
             yield b"%x\r\n%b\r\n" % (len(chunk), chunk)
         else:
             yield chunk
         chunk = await request.content.readany()
-    if taken.chunked:
+    if entry_request.chunked:
         yield LAST_CHUNK
--- a/leverdoor/entry/requests/client_connection.py
+++ b/leverdoor/entry/requests/client_connection.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""One connection of a client: how long it may be idle, and take over a head.
+"""Client connections with timeouts for idle connections and slow request headers.
 
-Owns the timer of its connection. Relies on internals of aiohttp's RequestHandler
-(`_request_count`, `_messages`) for whether a head is whole.
+Each connection owns its timer, which is lost when the connection closes. Relies on
+internals of aiohttp's RequestHandler (`_request_count`, `_messages`) to detect that
+the header section of a request is complete.
 """
 
 import asyncio
@@ -15,17 +16,17 @@
 
 __all__ = ["ClientConnection"]
 
-HEAD_TOO_SLOW = (
+HEAD_TIMEOUT_RESPONSE = (
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
-"""Sent before a connection is closed whose head did not become whole in time."""
+"""Response sent before closing a connection whose request headers came too slowly."""
 
 
 class ClientConnection(web.RequestHandler):
-    """The HTTP library's connection, with the limits that it lacks.
+    """aiohttp's server connection with two additional timeouts.
 
-    The library closes connections that are idle between requests, but neither those on
-    which nothing ever came nor those on which a head comes too slowly.
+    aiohttp closes connections that are idle between requests. It does not close
+    connections that never send a byte or send their request headers too slowly.
     """
 
     def __init__(
@@ -33,15 +34,15 @@
         server: web.Server,
         loop: asyncio.AbstractEventLoop,
         limits: ClientLimits,
-        busy: Container[object],
+        busy_connections: Container[object],
     ) -> None:
-        """Create it.
+        """Initialize the connection.
 
         Args:
-          server: what handles the requests.
-          loop: the loop.
-          limits: what a client may do, as long as the connection is open.
-          busy: the connections on which a request is being served.
+          server: the server that handles the requests.
+          loop: the event loop.
+          limits: the client limits that apply until the connection closes.
+          busy_connections: the connections with a request in flight.
         """
         super().__init__(
             server,
@@ -52,48 +53,52 @@
             max_field_size=limits.header_bytes,
         )
         self._limits = limits
-        self._busy = busy
-        self._timer: asyncio.TimerHandle | None = None
+        self._busy_connections = busy_connections
+        self._expiry_timer: asyncio.TimerHandle | None = None
         self._in_head = False
         self._own_loop = loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for a first byte, for as long as a connection may be idle."""
+        """Start the idle timeout for the first byte."""
         super().connection_made(transport)
-        self._expire_after(self._limits.idle_timeout_ms, b"")
+        self._start_timer(self._limits.idle_timeout_ms, b"")
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; from its first byte on a head has a limited time."""
-        before = self._request_count
+        """Parse received bytes; the first byte of a header starts its timeout."""
+        request_count = self._request_count
         super().data_received(data)
-        if self._request_count > before or self in self._busy or self._messages:
+        if (
+            self._request_count > request_count
+            or self in self._busy_connections
+            or self._messages
+        ):
             self._stop_timer()
         elif not self._in_head:
             self._stop_timer()
             self._in_head = True
-            self._expire_after(self._limits.header_timeout_ms, HEAD_TOO_SLOW)
+            self._start_timer(self._limits.header_timeout_ms, HEAD_TIMEOUT_RESPONSE)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Stop the timer."""
+        """Cancel the timer."""
         self._stop_timer()
         super().connection_lost(exc)
 
-    def _expire_after(self, timeout_ms: int, response: bytes) -> None:
-        """Close the connection after some time, with a response or without."""
-        self._timer = self._own_loop.call_later(
+    def _start_timer(self, timeout_ms: int, response: bytes) -> None:
+        """Close the connection after a timeout, optionally with a response."""
+        self._expiry_timer = self._own_loop.call_later(
             timeout_ms / 1000, self._expire, response
         )
 
     def _stop_timer(self) -> None:
-        """Stop waiting for a first byte, or for the rest of a head."""
+        """Cancel the timeout for the first byte or for the request headers."""
         self._in_head = False
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+            self._expiry_timer = None
 
     def _expire(self, response: bytes) -> None:
-        """Close the connection; a response, if there is one, goes first."""
-        self._timer = None
+        """Send the response, if it is not empty, and close the connection."""
+        self._expiry_timer = None
         if self.transport is not None and response:
             self.transport.write(response)
         self.force_close()
--- a/leverdoor/entry/requests/connection.py
+++ b/leverdoor/entry/requests/connection.py
@@ -1,12 +1,15 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""One HTTP/1.1 connection to a target, which matches answers to requests by their id.
+"""An HTTP/1.1 client connection to a target that matches replies by request id.
 
-An HTTP client library gives no control over this: a surplus answer that comes late must
-not be taken for the next request's, a request must never be sent again unseen, and a
-connection whose request body was not sent whole must never be used again.
+HTTP client libraries do not guarantee the following:
 
-Owns the request on the connection. Relies on `replies` for parsing.
+- a late, surplus reply is never taken for the reply to the next request;
+- a request is never retried silently;
+- a connection is never reused if its last request body was not sent completely.
+
+Owns the pending request of the connection; it fails when the connection is lost.
+Relies on `replies` for parsing.
 """
 
 import asyncio
@@ -16,47 +19,53 @@
 import httptools
 
 from leverdoor.entry.requests.replies import ReplyParser, TargetReply
-from leverdoor.entry.requests.tcp_keepalive import notice_dead_peer
+from leverdoor.entry.requests.tcp_keepalive import set_keepalive_options
 
-__all__ = ["AnswerLost", "NotSent", "TargetConnection", "Withdrawn", "open_connection"]
+__all__ = [
+    "AnswerLost",
+    "RequestNotSent",
+    "TargetConnection",
+    "TargetWithdrawn",
+    "open_connection",
+]
 
 
-class NotSent(Exception):
-    """Not one byte of the request was sent.
+class RequestNotSent(Exception):
+    """No byte of the request was sent.
 
     Attributes:
-      refused: the target's VM answered that nothing listens there.
+      refused: the target's VM refused the TCP connection; no process listens there.
     """
 
-    def __init__(self, why: str, refused: bool = False) -> None:
-        """Create it with its reason."""
-        super().__init__(why)
+    def __init__(self, reason: str, refused: bool = False) -> None:
+        """Initialize the error with its reason."""
+        super().__init__(reason)
         self.refused = refused
 
 
-class Withdrawn(Exception):
-    """The target stopped taking requests before anything of this one was sent."""
+class TargetWithdrawn(Exception):
+    """The target stopped accepting requests before this one was sent."""
 
 
 class AnswerLost(Exception):
-    """The request went out and no whole answer came.
+    """The request was sent and no complete reply was received.
 
     Attributes:
-      unreachable: the target did not even acknowledge what was sent.
-      closed: the target, or the kernel of its VM, ended the connection.
+      unreachable: the target did not acknowledge the sent data at TCP level.
+      closed: the target or the kernel of its VM closed the connection.
     """
 
     def __init__(
-        self, why: str, unreachable: bool = False, closed: bool = False
+        self, reason: str, unreachable: bool = False, closed: bool = False
     ) -> None:
-        """Create it with its reason."""
-        super().__init__(why)
+        """Initialize the error with its reason."""
+        super().__init__(reason)
         self.unreachable = unreachable
         self.closed = closed
 
 
-class _Pending:
-    """The request on a connection whose answer is awaited."""
+class _PendingRequest:
+    """The request on a connection that awaits its reply."""
 
     def __init__(self, request_id: str, id_header: str) -> None:
         self.request_id = request_id
@@ -65,105 +74,107 @@
 
 
 class TargetConnection(asyncio.Protocol):
-    """One connection; it carries one request at a time."""
+    """A connection that carries one request at a time."""
 
-    def __init__(self, take_report: Callable[[TargetReply], None]) -> None:
-        """Create it; the loop's `create_connection` opens it.
+    def __init__(self, on_reply: Callable[[TargetReply], None]) -> None:
+        """Initialize the protocol; the loop's `create_connection` opens it.
 
         Args:
-          take_report: called with each whole answer to a request.
+          on_reply: called with each complete reply to a request.
         """
-        self._take_report = take_report
+        self._on_reply = on_reply
         self._transport: asyncio.Transport | None = None
-        self._parser = ReplyParser(self._take_reply)
-        self._pending: _Pending | None = None
+        self._parser = ReplyParser(self._match_reply)
+        self._pending: _PendingRequest | None = None
         self._writable = asyncio.Event()
         self._writable.set()
-        self.usable = True
-        """Another request may be sent once the present one has ended."""
+        self.reusable = True
+        """Whether another request may be sent after the current one."""
         self.idle_since = 0.0
-        """Loop time at which its last request ended, in seconds."""
+        """Loop time at which the last request ended, in seconds."""
         self.idle_limit_s = 0.0
-        """How long it may then be idle before it is closed, in seconds."""
+        """Longest idle time before the connection is closed, in seconds."""
 
-    # The transport's side.
+    # Methods that the transport calls.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport and set how soon a dead VM is noticed."""
+        """Store the transport and enable TCP keep-alive."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            notice_dead_peer(sock)
+            set_keepalive_options(sock)
 
     def pause_writing(self) -> None:
-        """Hold the request's body back: the target does not read."""
+        """Pause the request body while the transport's buffer is full."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Go on with the request's body."""
+        """Resume sending the request body."""
         self._writable.set()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; bytes that belong to no request end the connection."""
+        """Parse received bytes; close the connection if no request is pending."""
         if self._pending is None:
-            self._fail("bytes that belong to no request")
+            self._fail("received bytes without a pending request")
             return
         try:
             self._parser.feed(data)
         except (httptools.HttpParserError, ValueError) as e:
-            self._fail(f"not an answer: {e!r}")
+            self._fail(f"malformed reply: {e!r}")
 
     def eof_received(self) -> bool:
-        """End an answer that has no length; anything else is cut short."""
+        """Complete a reply delimited by the end of the connection; fail others."""
         if self._pending is not None:
-            self._parser.end()
+            self._parser.feed_eof()
         self._fail("closed by the target", closed=True)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the request that was on the connection."""
+        """Fail the pending request."""
         unreachable = isinstance(exc, TimeoutError)
         self._fail(f"connection lost: {exc!r}", unreachable, closed=not unreachable)
 
-    def _fail(self, why: str, unreachable: bool = False, closed: bool = False) -> None:
-        """Close the connection; its request, if there is one, has lost its answer."""
-        self.usable = False
+    def _fail(
+        self, reason: str, unreachable: bool = False, closed: bool = False
+    ) -> None:
+        """Close the connection and fail its pending request, if any."""
+        self.reusable = False
         self._writable.set()
         pending = self._pending
         if pending is not None and not pending.answer.done():
-            pending.answer.set_exception(AnswerLost(why, unreachable, closed))
+            pending.answer.set_exception(AnswerLost(reason, unreachable, closed))
         self.close()
 
-    def _take_reply(self, reply: TargetReply, keeps: bool) -> None:
-        """Match a whole answer to the request on the connection.
+    def _match_reply(self, reply: TargetReply, keep_alive: bool) -> None:
+        """Match a complete reply to the pending request.
 
         Args:
-          reply: the answer; one with the id of another request is dropped.
-          keeps: whether the target keeps the connection open after it.
+          reply: the reply; it is dropped if it carries the id of another request.
+          keep_alive: whether the target keeps the connection open afterwards.
         """
         pending = self._pending
         if pending is None or pending.answer.done():
-            # A second answer to one request: its bytes belong to nobody.
-            self.usable = False
+            # A second reply to one request matches no pending request.
+            self.reusable = False
             return
         if reply.get(pending.id_header) not in ("", pending.request_id):
             return
-        self._take_report(reply)
-        if not keeps:
-            self.usable = False
+        self._on_reply(reply)
+        if not keep_alive:
+            self.reusable = False
         pending.answer.set_result(reply)
 
-    # The caller's side.
+    # Methods that the connection pool calls.
 
     @property
     def closed(self) -> bool:
-        """Whether no more requests can be sent on it."""
-        return not self.usable or self._transport is None
+        """Whether the connection accepts no more requests."""
+        return not self.reusable or self._transport is None
 
     def close(self) -> None:
-        """Close at once, which cancels a request that runs."""
-        self.usable = False
+        """Abort the connection, which cancels a request in flight."""
+        self.reusable = False
         if self._transport is not None:
             self._transport.abort()
             self._transport = None
@@ -176,21 +187,21 @@
         id_header: str,
         bodyless: bool,
     ) -> TargetReply:
-        """Send a request and wait for its whole answer.
+        """Send a request and wait for its complete reply.
 
         Args:
-          head: request line and headers, up to the empty line.
-          body: all of it, or its parts framed already.
-          request_id: the id that the answer must carry, if it carries one.
-          id_header: the header, in lower case, that carries it.
-          bodyless: whether the answer has no body whatever its head says.
+          head: request line and headers, including the empty line.
+          body: the whole body, or its parts with their framing.
+          request_id: the id that the reply must carry if it carries one.
+          id_header: name of the header with the id, in lower case.
+          bodyless: whether the reply has no body regardless of its headers.
         Raises:
-          NotSent: the connection was closed before.
-          AnswerLost: the request may have run.
+          RequestNotSent: the connection was already closed.
+          AnswerLost: the request may have been executed.
         """
-        if self._transport is None or not self.usable:
-            raise NotSent("closed before it was used")
-        pending = self._pending = _Pending(request_id, id_header)
+        if self._transport is None or not self.reusable:
+            raise RequestNotSent("connection closed before use")
+        pending = self._pending = _PendingRequest(request_id, id_header)
         self._parser.bodyless = bodyless
         try:
             if isinstance(body, bytes):
@@ -203,17 +214,17 @@
         finally:
             self._pending = None
             if bodyless:
-                self.usable = False
-            if not self.usable:
+                self.reusable = False
+            if not self.reusable:
                 self.close()
 
     async def _stream(
-        self, pending: _Pending, head: bytes, body: AsyncIterator[bytes]
+        self, pending: _PendingRequest, head: bytes, body: AsyncIterator[bytes]
     ) -> TargetReply:
-        """Send the parts of a body; an answer may come before the last."""
+        """Send a streamed body; the reply may arrive before all of it is sent."""
         assert self._transport is not None
         self._transport.write(head)
-        sending = asyncio.ensure_future(self._send_parts(body))
+        sending = asyncio.ensure_future(self._send_body(body))
         try:
             await asyncio.wait(
                 (sending, pending.answer), return_when=asyncio.FIRST_COMPLETED
@@ -223,7 +234,7 @@
                 return await pending.answer
             reply = await pending.answer
             reply.early = True
-            self.usable = False
+            self.reusable = False
             return reply
         finally:
             sending.cancel()
@@ -232,8 +243,8 @@
             if not pending.answer.done():
                 pending.answer.cancel()
 
-    async def _send_parts(self, body: AsyncIterator[bytes]) -> None:
-        """Send the parts of a body as fast as the target reads."""
+    async def _send_body(self, body: AsyncIterator[bytes]) -> None:
+        """Send the parts of a body with flow control."""
         async for part in body:
             await self._writable.wait()
             if self._transport is None:
@@ -245,25 +256,25 @@
     host: str,
     port: int,
     timeout_s: float,
-    take_report: Callable[[TargetReply], None],
+    on_reply: Callable[[TargetReply], None],
 ) -> TargetConnection:
     """Open a connection to a target.
 
     Args:
-      host: of the target.
-      port: of the target.
-      timeout_s: longest time to connect.
-      take_report: called with each whole answer to a request on it.
+      host: host of the target's address.
+      port: TCP port of the target.
+      timeout_s: connect timeout in seconds.
+      on_reply: called with each complete reply to a request.
     Raises:
-      NotSent: it could not be opened in time.
+      RequestNotSent: the connection could not be opened within the timeout.
     """
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout_s):
             _, connection = await loop.create_connection(
-                lambda: TargetConnection(take_report), host, port
+                lambda: TargetConnection(on_reply), host, port
             )
     except (OSError, TimeoutError) as e:
         refused = isinstance(e, ConnectionRefusedError)
-        raise NotSent(f"no connection: {e!r}", refused) from None
+        raise RequestNotSent(f"no connection: {e!r}", refused) from None
     return connection
--- a/leverdoor/entry/requests/connection_pool.py
+++ b/leverdoor/entry/requests/connection_pool.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""ConnectionPool to targets that are kept for the next request.
+"""The pool of persistent connections to targets.
 
-Owns the idle connections, by target, and which services' targets forget them; lost with
-the process. A connection is in use by one request at most, so an answer that comes late
-can't reach another one. Relies on `connection` for the exchange itself.
+Owns the idle connections of each target and the services whose targets reset idle
+connections; both are lost with the process. A connection carries at most one request
+at a time, so a late reply cannot reach another request. Relies on `connection` for the
+HTTP exchange.
 """
 
 import asyncio
@@ -12,13 +13,13 @@
 
 from leverdoor.entry.requests.connection import (
     AnswerLost,
-    NotSent,
+    RequestNotSent,
     TargetConnection,
-    Withdrawn,
+    TargetWithdrawn,
     open_connection,
 )
 from leverdoor.entry.requests.idle_timeouts import IdleTimeouts
-from leverdoor.entry.requests.outgoing import Outgoing
+from leverdoor.entry.requests.outgoing_request import OutgoingRequest
 from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.model.resources import Target
 from leverdoor.quarantine.ended_targets import TargetCheck
@@ -27,207 +28,220 @@
 __all__ = ["ConnectionPool"]
 
 CONNECT_TIMEOUT_S = 0.4
-"""Longest time to connect within the region, in seconds.
+"""Connect timeout within the region, in seconds.
 
-One lost packet (0.2 s) is borne, a dead target is left before 0.5 s.
+Tolerates the retransmission of one lost packet (0.2 s) and detects a dead target
+before 0.5 s.
 """
 REMOTE_CONNECT_TIMEOUT_S = 0.8
-"""The same for other regions, whose round trip takes up to 0.11 s.
+"""Connect timeout to other regions, whose round trip takes up to 0.11 s, in seconds.
 
-Greater, a request waits longer for a dead target before it is retried; smaller, a lost
-packet on the way between regions counts as a dead target.
+A greater value delays the retry of a request whose target is dead. With a smaller one,
+a packet lost between regions makes a target appear dead.
 """
-IDLE_S = 4.0
-"""How long a connection is kept where the target names no time, in seconds.
+DEFAULT_IDLE_S = 4.0
+"""Idle timeout if the target sends no Keep-Alive header, in seconds.
 
-Below the 5 s after which common servers close. Greater, requests are sent on
-connections that the target closes; smaller, more connections are opened.
+Less than the 5 s after which common servers close idle connections. With a greater
+value, requests are sent on connections that the target is closing. A smaller value
+opens more connections.
 """
 IDLE_MARGIN_S = 1.5
-"""Taken off the time that a target names, in seconds.
+"""Margin subtracted from the idle timeout that a target announces, in seconds.
 
-A request must not be on its way while the target closes. Greater, more connections are
-opened; smaller, requests that must not run twice fail.
+Prevents a request from being in transit while the target closes the connection. A
+greater value opens more connections. With a smaller one, requests that must not run
+twice fail.
 """
-MAX_IDLE = 16
-"""Idle connections kept for each target.
+MAX_IDLE_PER_TARGET = 16
+"""Maximum number of idle connections to each target.
 
-Several times its 4 to 6 slots. Greater, idle connections use up the number that a
-target takes; smaller, a burst of requests opens new ones.
+Several times the 4 to 6 slots of a target. A greater value lets idle connections use
+up the connection limit of a target. With a smaller one, a burst of requests opens new
+connections.
 """
+IDLE_SHARE = 0.8
+"""Share of a target's connection limit that idle connections of all entries may use.
 
-IDLE_PART = 0.8
-"""Part of the connections that a target takes from all entries which may be idle ones;
-the rest is for those that are opened for a request."""
+The rest is available to connections that are opened for a request.
+"""
 
 
 class ConnectionPool:
-    """Kept connections by target; at most one request on each."""
+    """Persistent connections by target, each with at most one request in flight."""
 
     def __init__(
         self,
         id_header: str,
         region: str,
-        log_forgotten: Callable[[str], None],
-        take_report: Callable[[Target, TargetReply], None],
+        on_idle_reset: Callable[[str], None],
+        on_reply: Callable[[Target, TargetReply], None],
     ) -> None:
-        """Create it without any connection.
+        """Initialize an empty pool.
 
         Args:
-          id_header: the header, in lower case, that carries a request's id.
-          region: this entry's region.
-          log_forgotten: called with a service whose targets forget connections.
-          take_report: called with each whole answer to a request as it arrives.
+          id_header: name of the header with the request id, in lower case.
+          region: the region of this entry.
+          on_idle_reset: called with each service whose targets reset idle connections.
+          on_reply: called with each complete reply when it arrives.
         """
-        self._take_report = take_report
-        self._log_forgotten = log_forgotten
+        self._on_reply = on_reply
+        self._on_idle_reset = on_idle_reset
         self._idle_timeouts = IdleTimeouts()
         self._id_header = id_header
         self._region = region
         self._idle: dict[str, list[TargetConnection]] = {}
         self.entries = 1
-        """How many entries there are, this one included, silent ones too."""
+        """Number of entries, including this one and silent ones."""
         self.max_connections: Mapping[str, int] = {}
-        """By service, connections that a target takes from all entries; 0 for any
-        number."""
+        """Connections that a target accepts from all entries, by service; 0 if
+        unlimited."""
         self.opened = 0
-        """ConnectionPool that were opened so far."""
+        """Number of connections opened so far."""
 
     async def exchange(
-        self, target: Target, outgoing: Outgoing, may_send: Callable[[], bool]
+        self,
+        target: Target,
+        request: OutgoingRequest,
+        still_accepts: Callable[[], bool],
     ) -> TargetReply:
-        """Send a request to a target and wait for the whole answer.
+        """Send a request to a target and wait for its complete reply.
 
         Args:
-          target: where to send it.
-          outgoing: the request.
-          may_send: asked once there is a connection: whether the target still takes
-            requests.
+          target: the target.
+          request: the request.
+          still_accepts: returns whether the target still accepts requests; called
+            once a connection is available.
         Raises:
-          Withdrawn: it does not.
-          NotSent: no byte was sent.
-          AnswerLost: the request may have run.
+          TargetWithdrawn: the target no longer accepts requests.
+          RequestNotSent: no byte was sent.
+          AnswerLost: the request may have been executed.
         """
         now = asyncio.get_running_loop().time()
-        connection = self._take(target, now)
+        connection = self._take_idle(target, now)
         idle_s = 0.0 if connection is None else now - connection.idle_since
         if connection is None:
             connection = await self._open(target)
-        if not may_send():
+        if not still_accepts():
             connection.close()
-            raise Withdrawn
+            raise TargetWithdrawn
         try:
             reply = await connection.exchange(
-                outgoing.head,
-                outgoing.body,
-                outgoing.request_id,
+                request.head,
+                request.body,
+                request.request_id,
                 self._id_header,
-                outgoing.method == "HEAD",
+                request.method == "HEAD",
             )
         except AnswerLost:
-            self._lost(target.service, idle_s, now)
+            self._record_lost_reply(target.service, idle_s, now)
             raise
-        self._keep(target, connection, reply.get("keep-alive"))
+        self._release(target, connection, reply.get("keep-alive"))
         return reply
 
     async def check(self, target: Target) -> TargetCheck:
-        """Find out by a new connection whether a target still serves; keep that."""
+        """Probe a target with a new connection, and keep that connection if it opens.
+
+        Returns: whether the target serves, has ended or does not respond.
+        """
         try:
             connection = await self._open(target)
-        except NotSent as e:
+        except RequestNotSent as e:
             return TargetCheck.ENDED if e.refused else TargetCheck.SILENT
-        self._keep(target, connection, "")
+        self._release(target, connection, "")
         return TargetCheck.SERVES
 
-    def _lost(self, service: str, idle_s: float, sent_at: float) -> None:
-        """Learn from a lost answer whether targets forget idle connections."""
+    def _record_lost_reply(self, service: str, idle_s: float, sent_at: float) -> None:
+        """Record a lost reply, and report a service that resets idle connections."""
         now = asyncio.get_running_loop().time()
-        if self._idle_timeouts.lost(service, idle_s, now - sent_at, now):
-            self._log_forgotten(service)
-
-    def _take(self, target: Target, now: float) -> TargetConnection | None:
-        """Return the idle connection used last, if it is young enough."""
-        longest_s = self._idle_timeouts.longest_s(target.service, now)
-        kept = self._idle.get(target.name, [])
-        while kept:
-            connection = kept.pop()
+        if self._idle_timeouts.record_lost_reply(service, idle_s, now - sent_at, now):
+            self._on_idle_reset(service)
+
+    def _take_idle(self, target: Target, now: float) -> TargetConnection | None:
+        """Return the most recently used idle connection that has not expired."""
+        max_idle_s = self._idle_timeouts.max_idle_s(target.service, now)
+        idle = self._idle.get(target.name, [])
+        while idle:
+            connection = idle.pop()
             if connection.closed:
                 continue
-            limit_s = min(connection.idle_limit_s, longest_s)
+            limit_s = min(connection.idle_limit_s, max_idle_s)
             if now - connection.idle_since < limit_s:
                 return connection
             connection.close()
         return None
 
     async def _open(self, target: Target) -> TargetConnection:
-        """Open a connection; one to another region is given more time."""
+        """Open a connection; other regions have a longer connect timeout."""
         address = parse_address(target.address)
-        near = target.region == self._region
-        timeout_s = CONNECT_TIMEOUT_S if near else REMOTE_CONNECT_TIMEOUT_S
+        same_region = target.region == self._region
+        timeout_s = CONNECT_TIMEOUT_S if same_region else REMOTE_CONNECT_TIMEOUT_S
         self.opened += 1
         return await open_connection(
             address.host,
             address.port,
             timeout_s,
-            lambda reply: self._take_report(target, reply),
+            lambda reply: self._on_reply(target, reply),
         )
 
-    def _keep(
+    def _release(
         self, target: Target, connection: TargetConnection, keep_alive: str
     ) -> None:
-        """Keep a connection for the next request, if it can be used again.
+        """Return a connection to the pool, or close it if the pool is full.
 
         Args:
-          target: whose it is.
-          connection: nothing is under way on it.
-          keep_alive: the Keep-Alive header of its last answer; "" for none.
+          target: the target of the connection.
+          connection: a connection without a request in flight.
+          keep_alive: the Keep-Alive header of its last reply; "" if absent.
         """
         if connection.closed:
             return
-        kept = self._idle.setdefault(target.name, [])
-        if len(kept) >= self._most_idle(target.service):
+        idle = self._idle.setdefault(target.name, [])
+        if len(idle) >= self._max_idle(target.service):
             connection.close()
             return
         connection.idle_since = asyncio.get_running_loop().time()
         connection.idle_limit_s = _idle_limit_s(keep_alive)
-        kept.append(connection)
+        idle.append(connection)
 
-    def _most_idle(self, service: str) -> int:
-        """Return how many idle connections are kept for a target of a service.
+    def _max_idle(self, service: str) -> int:
+        """Return the maximum number of idle connections to one target of a service.
 
-        A target resets what all entries together open beyond its bound. An even part
-        sums up to it at any number of entries, and one that is not used costs no room:
-        a request that finds no idle connection opens one.
+        A target resets the connections that all entries together open beyond its
+        limit. Equal shares stay within the limit for any number of entries. An unused
+        share wastes nothing: a request without an idle connection opens one.
         """
-        most = self.max_connections.get(service, 0)
-        if not most:
-            return MAX_IDLE
-        return min(MAX_IDLE, int(IDLE_PART * most / self.entries))
+        max_connections = self.max_connections.get(service, 0)
+        if not max_connections:
+            return MAX_IDLE_PER_TARGET
+        return min(
+            MAX_IDLE_PER_TARGET, int(IDLE_SHARE * max_connections / self.entries)
+        )
 
     def idle_count(self, target: Target) -> int:
-        """Return how many idle connections to a target are kept."""
+        """Return the number of idle connections to a target."""
         return len(self._idle.get(target.name, ()))
 
     def close_expired(self, now: float) -> None:
-        """Close what has been idle for too long.
+        """Close the connections that have exceeded their idle timeout.
 
         Args:
           now: loop time in seconds.
         """
-        for name, kept in list(self._idle.items()):
-            fresh = []
-            for connection in kept:
-                old = now - connection.idle_since >= connection.idle_limit_s
-                if connection.closed or old:
+        for name, idle in list(self._idle.items()):
+            kept_open = []
+            for connection in idle:
+                expired = now - connection.idle_since >= connection.idle_limit_s
+                if connection.closed or expired:
                     connection.close()
                 else:
-                    fresh.append(connection)
-            self._idle[name] = fresh
-            if not fresh:
+                    kept_open.append(connection)
+            self._idle[name] = kept_open
+            if not kept_open:
                 del self._idle[name]
 
     def close_idle(self, name: str) -> None:
-        """Close the idle connections to a target that is gone."""
+        """Close the idle connections to a target."""
         for connection in self._idle.pop(name, []):
             connection.close()
 
@@ -238,9 +252,9 @@
 
 
 def _idle_limit_s(keep_alive: str) -> float:
-    """Return how long a connection may be idle, from a Keep-Alive header."""
+    """Return the idle timeout in seconds for a Keep-Alive header."""
     for part in keep_alive.split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdigit():
             return max(0.0, int(value) - IDLE_MARGIN_S)
-    return IDLE_S
+    return DEFAULT_IDLE_S
--- a/leverdoor/entry/requests/deadlines.py
+++ b/leverdoor/entry/requests/deadlines.py
@@ -1,71 +1,70 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How long a request may take here, and how much of that a target gets.
+"""Deadline arithmetic of the request path, as pure functions.
 
-All arithmetic on deadlines of the entry stands here, as pure functions:
+The deadline of a request at the entry (`until`) is the earlier of the client's deadline
+and the route's timeout, minus `CLIENT_MARGIN_S`. The deadline for the target's reply is
+`TARGET_MARGIN_S` earlier.
 
-    client's deadline or the route's time-out, the lesser
-      less RETURN_MARGIN_S: the entry gives up (`until` of a request)
-      less ANSWER_MARGIN_S: the entry gives up on the target that runs it
-
-Times are loop times in seconds.
+Times are loop times in seconds. Owns no state.
 """
 
 from leverdoor.model.resources import Route
 
-__all__ = ["DEFAULT_DEADLINE_MS", "give_up_at", "give_up_on_target_at", "ms_left"]
+__all__ = ["DEFAULT_DEADLINE_MS", "request_deadline", "target_deadline", "remaining_ms"]
 
 DEFAULT_DEADLINE_MS = 30_000
-"""Time of a request whose client names no deadline, in ms.
+"""Deadline of a request without a deadline header, in ms.
 
-A bulk upload fits. Greater, a target that hangs keeps a request longer; smaller,
-uploads over slow links are cut.
+Long enough for a bulk upload. A greater value makes requests wait longer for a target
+that hangs. A smaller one aborts uploads over slow links.
 """
-RETURN_MARGIN_S = 0.02
-"""Taken off a deadline for the way back to the client, in seconds.
+CLIENT_MARGIN_S = 0.02
+"""Margin for sending the response to the client, in seconds.
 
-Several times the 1 to 3 ms between client and entry. Greater, time is lost in which a
-target could answer; smaller, a late answer or refusal misses the client.
+Several times the network latency of 1 to 3 ms between client and entry. A greater value
+shortens the time in which a target may reply. With a smaller one, late responses and
+refusals reach the client after its deadline.
 """
-LEAST_PATIENCE_S = 0.001
-"""Time of a request whose deadline is all margin, in seconds.
+MIN_REQUEST_TIME_S = 0.001
+"""Minimum time for a request whose deadline does not exceed the margin, in seconds.
 
-It is refused by the rules of placement, with a code, rather than by a deadline in the
-past.
+Lets placement refuse the request with an error code; a deadline in the past would abort
+it first.
 """
-ANSWER_MARGIN_S = 0.03
-"""Taken off the entry's own time while a target runs the request, in seconds.
+TARGET_MARGIN_S = 0.03
+"""Margin for sending a refusal when a target exceeds its deadline, in seconds.
 
-The refusal is composed and sent on a busy loop before the client's deadline. Greater,
-answers that would still be in time are given up; smaller, the client times out and
-learns nothing of whether its request may have run.
+Lets a busy event loop send the refusal before the client's deadline. A greater value
+discards replies that would still arrive in time. With a smaller one, the client times
+out and does not learn whether its request may have run.
 """
-LEAST_LEFT_MS = 1
-"""Least deadline that a target is given, in ms: one that has not passed."""
+MIN_TARGET_DEADLINE_MS = 1
+"""Minimum deadline sent to a target, in ms, so that it never appears expired."""
 
 
-def give_up_at(arrived: float, deadline_ms: int, route: Route) -> float:
-    """Return when the entry gives a request up.
+def request_deadline(arrived: float, deadline_ms: int, route: Route) -> float:
+    """Return the loop time at which the entry aborts a request, in seconds.
 
     Args:
-      arrived: when its head arrived.
-      deadline_ms: the client's deadline, or `DEFAULT_DEADLINE_MS`.
-      route: its time-out bounds the deadline; 0 for none.
+      arrived: loop time at which the request headers arrived, in seconds.
+      deadline_ms: the client's deadline in ms, or `DEFAULT_DEADLINE_MS`.
+      route: the route, whose timeout limits the deadline unless it is 0.
     """
     if route.timeout_ms:
         deadline_ms = min(deadline_ms, route.timeout_ms)
-    return arrived + max(deadline_ms / 1000 - RETURN_MARGIN_S, LEAST_PATIENCE_S)
+    return arrived + max(deadline_ms / 1000 - CLIENT_MARGIN_S, MIN_REQUEST_TIME_S)
 
 
-def give_up_on_target_at(until: float) -> float:
-    """Return when a target's answer is no longer waited for.
+def target_deadline(deadline: float) -> float:
+    """Return the loop time at which waiting for a target's reply ends, in seconds.
 
     Args:
-      until: when the entry gives the request up.
+      deadline: loop time at which the entry aborts the request, in seconds.
     """
-    return until - ANSWER_MARGIN_S
+    return deadline - TARGET_MARGIN_S
 
 
-def ms_left(until: float, now: float) -> int:
-    """Return the deadline that a target is given, in ms from now."""
-    return max(int((until - now) * 1000), LEAST_LEFT_MS)
+def remaining_ms(deadline: float, now: float) -> int:
+    """Return the time remaining until a deadline in ms, as sent to a target."""
+    return max(int((deadline - now) * 1000), MIN_TARGET_DEADLINE_MS)
--- a/leverdoor/entry/requests/entry_request.py
+++ b/leverdoor/entry/requests/entry_request.py
@@ -1,6 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""One request of a client, from its intake to its last attempt. Owns no state."""
+"""The state of one client request, from routing to its last attempt.
+
+Owns no state beyond the request. Relies on `placement_request` for what placement
+needs to know.
+"""
 
 from collections.abc import AsyncIterator
 
@@ -8,39 +12,41 @@
 
 from leverdoor.entry.placement.placement_request import PlacementRequest
 
-__all__ = ["BUFFERED_BODY_BYTES", "EntryRequest"]
+__all__ = ["MAX_BUFFERED_BODY_BYTES", "EntryRequest"]
 
-BUFFERED_BODY_BYTES = 512 * 1024
-"""Longest body that is read whole before it is sent on, in bytes.
+MAX_BUFFERED_BODY_BYTES = 512 * 1024
+"""Maximum length of a body that is buffered before it is forwarded, in bytes.
 
-A body that is kept can be sent again to another target. Greater, fewer uploads at once
-fill the memory of a VM (600 of these a VM of 300 MB); smaller, more uploads fail that a
-target refuses to run.
+A buffered body can be sent again to another target. With a greater value, fewer
+concurrent uploads exhaust the memory of a VM (600 bodies of this length fill 300 MB).
+With a smaller one, more uploads fail when a target refuses to run them.
 """
 
 
 class EntryRequest(msgspec.Struct):
-    """A request with its route, its deadline and what is passed to a target."""
+    """A client request with its placement data and the parts sent to a target."""
 
     placement_request: PlacementRequest
     method: str
     path: str
-    """Path and query, unaltered."""
+    """Path and query as received."""
     headers: list[tuple[str, str]]
-    """The client's headers that pass to the target, Host included."""
+    """Headers forwarded to the target, including Host."""
     body: bytes | AsyncIterator[bytes] = b""
-    """The whole body, or the parts of a longer one as they arrive."""
+    """The whole body, or the parts of a streamed body."""
     chunked: bool = False
-    """The parts of the body are framed as chunks, since its length is not known."""
-    body_started: bool = False
-    """A streamed body was begun and can't be sent again."""
+    """Whether the body is sent in chunks because its length is unknown."""
+    stream_started: bool = False
+    """Whether reading of a streamed body has started, so that it can't be resent."""
 
     @property
     def replayable(self) -> bool:
-        """Return whether it can be sent to another target."""
-        return isinstance(self.body, bytes) or not self.body_started
+        """Return whether the request can be sent to another target."""
+        return isinstance(self.body, bytes) or not self.stream_started
 
     @property
     def body_size(self) -> int:
-        """Return the body's size in bytes; of a streamed one the least it can be."""
-        return len(self.body) if isinstance(self.body, bytes) else BUFFERED_BODY_BYTES
+        """Return the body's size in bytes, or its lower bound if it is streamed."""
+        return (
+            len(self.body) if isinstance(self.body, bytes) else MAX_BUFFERED_BODY_BYTES
+        )
--- a/leverdoor/entry/requests/forwarding.py
+++ b/leverdoor/entry/requests/forwarding.py
@@ -1,12 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Forwards one request: place it, send it, and retry where that is safe.
+"""Forwards a request: places it, sends it and retries it where that is safe.
 
-The loop of attempts; its rules stand in `retries` (what may be retried), `deadlines`
-(how long a target may take) and `retry_after` (when the client may come back).
+Contains the loop of attempts. Its rules are in `retries` (which requests may be
+retried), `deadlines` (how long a target may take) and `retry_after` (when the client
+may retry).
 
-Owns no state besides the requests it is serving; relies on placement for the target,
-on `connections` for the exchange, on the retry budget and on quotas.
+Owns no state besides the requests in flight. Relies on placement for the choice of a
+target, on `connection_pool` for the HTTP exchange, on the retry budget and on quotas.
 """
 
 import asyncio
@@ -15,15 +16,19 @@
 from leverdoor.entry.limits.asking import RoomAsking
 from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
-from leverdoor.entry.requests.connection import AnswerLost, NotSent, Withdrawn
+from leverdoor.entry.requests.connection import (
+    AnswerLost,
+    RequestNotSent,
+    TargetWithdrawn,
+)
 from leverdoor.entry.requests.connection_pool import ConnectionPool
-from leverdoor.entry.requests.deadlines import give_up_on_target_at
+from leverdoor.entry.requests.deadlines import target_deadline
 from leverdoor.entry.requests.entry_request import EntryRequest
 from leverdoor.entry.requests.outcomes import OutcomeRecorder
-from leverdoor.entry.requests.outgoing import outgoing
+from leverdoor.entry.requests.outgoing_request import build_outgoing_request
 from leverdoor.entry.requests.replies import TargetReply
-from leverdoor.entry.requests.retries import may_retry, says_not_run
-from leverdoor.entry.requests.retry_after import NOT_RUN_MS
+from leverdoor.entry.requests.retries import may_retry, reports_not_run
+from leverdoor.entry.requests.retry_after import NOT_RUN_RETRY_MS
 from leverdoor.entry.wire import Wire
 from leverdoor.errors import Code, Refusal, Rejection, Run
 from leverdoor.quarantine.crashes import LostRun
@@ -36,7 +41,7 @@
 
 
 class Forwarder:
-    """Forwards the requests of one entry."""
+    """Forwards the requests of an entry to targets."""
 
     def __init__(
         self,
@@ -44,69 +49,70 @@
         policy: PlacementPolicy,
         connections: ConnectionPool,
         outcomes: OutcomeRecorder,
-        rooms: RoomAsking,
+        capacity: RoomAsking,
         budget: RetryBudget,
         quotas: Quotas,
         quarantine: Quarantine,
         ended_targets: EndedTargets,
         events: Events,
     ) -> None:
-        """Create it from the entry's parts."""
+        """Initialize with the components of the entry that it uses."""
         self._headers = wire.headers
         self._policy = policy
         self._connections = connections
         self._outcomes = outcomes
-        self._rooms = rooms
+        self._capacity = capacity
         self._budget = budget
         self._quotas = quotas
         self._quarantine = quarantine
         self._ended_targets = ended_targets
         self._events = events
 
-    async def serve(self, request: EntryRequest) -> TargetReply:
-        """Get a whole answer of a target.
+    async def forward(self, request: EntryRequest) -> TargetReply:
+        """Return the complete reply of a target.
 
         Raises:
-          Refusal: it was given up on; the code says whether it may have run.
+          Refusal: all attempts failed; its code tells whether the request may have
+            run.
         """
         self._budget.deposit(request.placement_request.service)
         attempt = 0
-        maybe_ran: Refusal | None = None
+        may_have_run: Refusal | None = None
         while True:
             attempt += 1
             try:
                 return await self._attempt(request, attempt)
-            except Withdrawn:
+            except TargetWithdrawn:
                 attempt -= 1
             except _AttemptFailed as e:
                 if e.refusal.run is not Run.NO:
-                    maybe_ran = e.refusal
+                    may_have_run = e.refusal
                 if e.placed and self._may_retry(request, attempt, e):
                     continue
-                # What an earlier attempt may have run outweighs the last failure.
-                raise maybe_ran or e.refusal from None
+                # If any attempt may have run, the client must learn that.
+                raise may_have_run or e.refusal from None
 
     def _may_retry(
-        self, request: EntryRequest, attempt: int, failed: "_AttemptFailed"
+        self, request: EntryRequest, attempt: int, failure: "_AttemptFailed"
     ) -> bool:
-        """Return whether another target is tried; take that from the budget."""
+        """Return whether to retry at another target, and charge the retry budget."""
         placement_request = request.placement_request
-        may = may_retry(
+        safe = may_retry(
             placement_request.route,
             attempt,
-            failed.refusal,
-            reached_target=failed.reached_target,
+            failure.refusal,
+            reached_target=failure.reached_target,
             replayable=request.replayable,
         )
         now = asyncio.get_running_loop().time()
-        if not may or not self._quarantine.may_retry(
+        if not safe or not self._quarantine.may_retry(
             placement_request.fingerprint, now
         ):
             return False
         if not self._budget.try_withdraw(placement_request.service):
             return False
         workspace = placement_request.workspace
-        if workspace is not None and failed.refusal.run is not Run.NO:
+        if workspace is not None and failure.refusal.run is not Run.NO:
             self._quotas.count_retry(workspace, now)
         return True
 
@@ -114,20 +120,20 @@
         """Place a request and send it once.
 
         Raises:
-          Withdrawn: the target stopped taking requests meanwhile; it is placed anew,
-            which is no retry.
-          _AttemptFailed: it was not placed, or its target gave no whole answer.
+          TargetWithdrawn: the target stopped accepting requests before the request
+            was sent; placing it again does not count as a retry.
+          _AttemptFailed: the request was not placed, or no complete reply arrived.
         """
         loop = asyncio.get_running_loop()
         placement_request = request.placement_request
         placement = await self._place(placement_request)
         placement_request.tried.add(placement.target.name)
-        began = loop.time()
+        started_at = loop.time()
         outcome = "cancelled"
         try:
             reply = await self._send(request, placement)
             outcome = str(reply.status)
-        except Withdrawn:
+        except TargetWithdrawn:
             outcome = "withdrawn"
             raise
         except _AttemptFailed as e:
@@ -135,22 +141,23 @@
             raise
         finally:
             now = loop.time()
-            took_s = now - began
+            took_s = now - started_at
             self._policy.ended(placement, now)
             self._events.attempt(placement_request, placement, attempt, outcome, took_s)
-        self._outcomes.answered(request, placement, reply, loop.time() - began)
+        self._outcomes.record_reply(request, placement, reply, loop.time() - started_at)
         self._quarantine.answered(placement_request.fingerprint, loop.time())
         return reply
 
     async def _place(self, request: PlacementRequest) -> Placement:
-        """Choose a target that has room for one more request of all entries.
+        """Choose a target whose rate limit admits one more request.
 
-        A bound on all entries together can't be kept by each alone, so the limiter of
-        a limited target is asked before every attempt, a retry or an upload too. One
-        without room is left out, and the request is placed among the others.
+        A rate limit applies to all entries together and cannot be enforced by each
+        entry alone. Every attempt, including retries and uploads, therefore requests
+        a permit from the limiter of a limited target. If the limiter rejects it, the
+        request is placed among the remaining targets.
 
         Raises:
-          _AttemptFailed: no target can take it.
+          _AttemptFailed: no target can accept the request.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -161,7 +168,7 @@
                 )
             granted = False
             try:
-                granted = await self._rooms.acquire(request, placement.target)
+                granted = await self._capacity.acquire(request, placement.target)
             finally:
                 if not granted:
                     self._policy.ended(placement, loop.time())
@@ -170,63 +177,68 @@
             request.without_room.add(placement.target.name)
 
     async def _send(self, request: EntryRequest, placement: Placement) -> TargetReply:
-        """Send a request to a target and wait for its whole answer.
+        """Send a request to a target and wait for its complete reply.
 
         Raises:
-          Withdrawn: the target takes no requests any more; nothing was sent.
-          _AttemptFailed: there is no whole answer, or it says that nothing was run.
+          TargetWithdrawn: the target no longer accepts requests; nothing was sent.
+          _AttemptFailed: no complete reply arrived, or it reports that the request
+            was not run.
         """
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        sent = outgoing(request, placement.target, self._headers, began)
-        give_up_at = give_up_on_target_at(request.placement_request.until)
+        started_at = loop.time()
+        outgoing_request = build_outgoing_request(
+            request, placement.target, self._headers, started_at
+        )
+        deadline = target_deadline(request.placement_request.until)
         try:
-            async with asyncio.timeout_at(give_up_at):
+            async with asyncio.timeout_at(deadline):
                 reply = await self._connections.exchange(
                     placement.target,
-                    sent,
+                    outgoing_request,
                     lambda: self._policy.still_takes(placement.target, loop.time()),
                 )
-        except NotSent as e:
-            self._outcomes.unreached(placement, "not reached")
-            refusal = Refusal(Code.CONNECT_FAILED, str(e), retry_after_ms=NOT_RUN_MS)
+        except RequestNotSent as e:
+            self._outcomes.record_unreached(placement, "not reached")
+            refusal = Refusal(
+                Code.CONNECT_FAILED, str(e), retry_after_ms=NOT_RUN_RETRY_MS
+            )
             raise _AttemptFailed(refusal, reached_target=False) from None
         except AnswerLost as e:
-            self._outcomes.lost(placement, e.unreachable)
+            self._outcomes.record_lost(placement, e.unreachable)
             if e.closed:
                 fingerprint = request.placement_request.fingerprint
-                run = LostRun(fingerprint, began, loop.time())
+                run = LostRun(fingerprint, started_at, loop.time())
                 self._ended_targets.check(placement.target, run)
             raise _AttemptFailed(Refusal(Code.ANSWER_LOST, str(e))) from None
         except TimeoutError:
-            self._outcomes.overran(placement, loop.time() - began)
+            self._outcomes.record_overrun(placement, loop.time() - started_at)
             raise _AttemptFailed(Refusal(Code.DEADLINE_PASSED)) from None
-        self._check_run(placement, reply)
+        self._raise_if_not_run(placement, reply)
         return reply
 
-    def _check_run(self, placement: Placement, reply: TargetReply) -> None:
-        """Check that a target's answer does not say that nothing was run.
+    def _raise_if_not_run(self, placement: Placement, reply: TargetReply) -> None:
+        """Raise an error if a reply reports that the request was not run.
 
         Raises:
-          _AttemptFailed: it does.
+          _AttemptFailed: the target did not run the request.
         """
         marked = bool(reply.get(self._headers.not_run))
-        if not says_not_run(reply.status, marked):
+        if not reports_not_run(reply.status, marked):
             return
-        self._outcomes.not_run(placement, reply.status)
+        self._outcomes.record_not_run(placement, reply.status)
         detail = f"status {reply.status}"
         raise _AttemptFailed(
-            Refusal(Code.TARGET_REFUSED, detail, retry_after_ms=NOT_RUN_MS)
+            Refusal(Code.TARGET_REFUSED, detail, retry_after_ms=NOT_RUN_RETRY_MS)
         )
 
 
 class _AttemptFailed(Exception):
-    """One attempt failed.
+    """An attempt failed.
 
     Attributes:
-      refusal: what the client gets if no other attempt follows.
-      placed: there was a target for it.
-      arrived: the request may have reached the target.
+      refusal: the refusal sent to the client unless another attempt follows.
+      placed: whether a target was chosen.
+      reached_target: whether the request may have reached the target.
     """
 
     def __init__(
--- a/leverdoor/entry/requests/handler.py
+++ b/leverdoor/entry/requests/handler.py
@@ -1,13 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The path of one request at an entry, step by step, and its log line and metric.
+"""Handles client requests: the steps of one request, its log events and its metrics.
 
-A request is taken in (`router`: route, workspace, deadline), admitted (its workspace's
-quota), read (`bodies`), refused if targets are known to end under it (`quarantine`),
-forwarded (`forwarding`: placed, sent, retried) and answered (`responses`). Every
-refusal of these steps is logged here.
+A request is routed (`routing`), charged to the quota of its workspace, read (`bodies`),
+refused if it is quarantined because it is known to crash targets (`quarantine`),
+forwarded (`forwarding`) and answered (`responses`). Every refusal of these steps is
+logged here.
 
-Owns which connections have a request in flight; lost with the process.
+Owns the set of connections with a request in flight; lost with the process.
 """
 
 import asyncio
@@ -20,10 +20,14 @@
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.events import Events
 from leverdoor.entry.metrics import EntryMetrics
-from leverdoor.entry.requests.bodies import BodyStart, take_body
+from leverdoor.entry.requests.bodies import BodyPrefix, read_body
 from leverdoor.entry.requests.entry_request import EntryRequest
 from leverdoor.entry.requests.forwarding import Forwarder
-from leverdoor.entry.requests.responses import close_after, refusal_response, relayed
+from leverdoor.entry.requests.responses import (
+    close_connection_after,
+    refusal_response,
+    relay_response,
+)
 from leverdoor.entry.requests.routing import RequestRouter
 from leverdoor.entry.wire import Wire
 from leverdoor.errors import Code, Refusal, Run
@@ -37,24 +41,25 @@
 
 
 class _Progress(msgspec.Struct):
-    """How far a request came, for its log line and its metric."""
+    """The progress of a request, for its log event and its metric."""
 
     request_id: str
     arrived: float
-    """Loop time at which its head arrived, in seconds."""
+    """Loop time at which the request headers arrived, in seconds."""
     service: str = ""
-    """The service it was routed to; "" before that."""
+    """The service of the request; "" until it is routed."""
     workspace: Workspace | None = None
     fingerprint: int = 0
-    """0 until its body was read."""
+    """Fingerprint of the request; 0 until its body is read."""
     admitted: bool = False
-    """It is counted in its workspace's quota."""
+    """Whether the request is charged to the quota of its workspace."""
     outcome: str = "left"
-    """Status of the target, or name of the code; "left" if the client left."""
+    """HTTP status of the reply, or name of the error code; "left" if the client
+    disconnected."""
 
 
 class EntryHandler:
-    """The handler of client requests of one entry."""
+    """Handles the client requests of an entry."""
 
     def __init__(
         self,
@@ -63,54 +68,54 @@
         forwarder: Forwarder,
         quotas: Quotas,
         quarantine: Quarantine,
-        tries: Callable[[int], bool],
+        runs_trial: Callable[[int], bool],
         events: Events,
         metrics: EntryMetrics,
         catalog: Callable[[], Catalog],
     ) -> None:
-        """Create it from the entry's parts.
+        """Initialize the handler.
 
         Args:
-          wire: the names of headers.
-          intake: takes requests in.
-          forwarder: gets their answers.
-          quotas: the use of workspaces.
-          quarantine: what is held back.
-          tries: returns whether this entry tries a request, by its fingerprint, for
-            all entries.
-          events: the log.
-          metrics: counts requests.
-          catalog: returns the catalogue in force.
+          wire: the header names.
+          router: determines route, workspace and deadline of requests.
+          forwarder: forwards requests to targets.
+          quotas: the quotas of workspaces.
+          quarantine: the fingerprints of quarantined requests.
+          runs_trial: returns whether this entry runs the trial of a quarantined
+            request, given its fingerprint, on behalf of all entries.
+          events: the event log.
+          metrics: the metrics of the entry.
+          catalog: returns the active catalogue.
         """
         self._request_id_header = wire.headers.request_id
-        self._intake = router
+        self._router = router
         self._forwarder = forwarder
         self._quotas = quotas
         self._quarantine = quarantine
-        self._tries = tries
+        self._runs_trial = runs_trial
         self._events = events
         self._metrics = metrics
         self._catalog = catalog
         self.busy_connections: set[object] = set()
-        """The connections on which a request is being served."""
+        """The connections with a request in flight."""
         self.leaving = False
-        """The entry stops: each response ends its connection."""
+        """Whether the entry is shutting down; each response closes its connection."""
 
     @property
     def active_count(self) -> int:
-        """How many requests are being served."""
+        """Number of requests in flight."""
         return len(self.busy_connections)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request and send its answer."""
+        """Serve a request and send its response."""
         connection = request.protocol
         if request.transport is None:
-            raise asyncio.CancelledError("closed before the request was begun")
+            raise asyncio.CancelledError("connection closed before processing began")
         self.busy_connections.add(connection)
         try:
             response = await self._serve(request)
             if self.leaving:
-                close_after(response)
+                close_connection_after(response)
             await response.prepare(request)
             await response.write_eof()
             return response
@@ -118,20 +123,20 @@
             self.busy_connections.discard(connection)
 
     async def _serve(self, request: web.BaseRequest) -> web.Response:
-        """Return the response to one request, which may be a refusal."""
+        """Return the response to a request, which may be a refusal."""
         loop = asyncio.get_running_loop()
         request_id = request.headers.get(self._request_id_header, "")
         progress = _Progress(request_id, loop.time())
         try:
-            return await self._answer(request, progress)
+            return await self._process(request, progress)
         except Refusal as e:
-            return self._refuse(progress, e, loop.time() - progress.arrived)
+            return self._refuse_request(progress, e, loop.time() - progress.arrived)
         except (asyncio.CancelledError, ConnectionError, web.RequestPayloadError):
             took_s = loop.time() - progress.arrived
             self._events.left(request_id, progress.service, took_s)
             raise
         except Exception as e:
-            # A fault of ours must not claim that nothing was run.
+            # The request may have run before this internal error.
             logger.exception("request failed", request_id=request_id)
             progress.outcome = "fault"
             fault = Refusal(Code.ANSWER_LOST, repr(e))
@@ -140,58 +145,62 @@
             took_s = loop.time() - progress.arrived
             self._metrics.request(progress.service, progress.outcome, took_s)
 
-    async def _answer(
+    async def _process(
         self, request: web.BaseRequest, progress: _Progress
     ) -> web.Response:
-        """Take a request in, admit it, forward it, and pass the answer on.
+        """Route, admit, read and forward a request, and relay the reply.
 
         Raises:
-          Refusal: one of the steps gave it up.
+          Refusal: one of the steps refused the request.
         """
-        taken = self._intake.take(request, progress.request_id, progress.arrived)
-        progress.service = taken.placement_request.service
-        progress.workspace = taken.placement_request.workspace
+        entry_request = self._router.route(
+            request, progress.request_id, progress.arrived
+        )
+        progress.service = entry_request.placement_request.service
+        progress.workspace = entry_request.placement_request.workspace
         self._admit(progress)
-        start = BodyStart()
+        prefix = BodyPrefix()
         if request.body_exists:
-            most_bytes = self._catalog().limits.body_bytes
-            start = await take_body(request, taken, most_bytes)
-        progress.fingerprint = _fingerprint(request, taken, start)
-        taken.placement_request.fingerprint = progress.fingerprint
-        self._check_held(progress)
-        reply = await self._forwarder.serve(taken)
+            max_bytes = self._catalog().limits.body_bytes
+            prefix = await read_body(request, entry_request, max_bytes)
+        progress.fingerprint = _fingerprint(request, entry_request, prefix)
+        entry_request.placement_request.fingerprint = progress.fingerprint
+        self._check_quarantine(progress)
+        reply = await self._forwarder.forward(entry_request)
         progress.outcome = str(reply.status)
-        return relayed(reply)
+        return relay_response(reply)
 
-    def _check_held(self, progress: _Progress) -> None:
-        """Check that no target is known to end under a request.
+    def _check_quarantine(self, progress: _Progress) -> None:
+        """Check that a request is not quarantined, or may run as a trial.
 
         Raises:
-          Refusal: it is held back.
+          Refusal: the request is quarantined.
         """
         now = asyncio.get_running_loop().time()
         hold = self._quarantine.hold(progress.fingerprint, now)
         if hold is None:
             return
-        if self._tries(hold.fingerprint) and self._quarantine.try_once_more(hold, now):
+        if self._runs_trial(hold.fingerprint) and self._quarantine.try_once_more(
+            hold, now
+        ):
             self._events.tried(hold)
             return
         raise held_refusal(hold, now)
 
     def _admit(self, progress: _Progress) -> None:
-        """Count a request in the quota of its workspace, if it has one.
+        """Charge a request to the quota of its workspace, if it has one.
 
         Raises:
-          Refusal: the quota is used up.
+          Refusal: the quota is exhausted.
         """
         if progress.workspace is not None:
             self._quotas.admit(progress.workspace, progress.arrived)
             progress.admitted = True
 
-    def _refuse(
+    def _refuse_request(
         self, progress: _Progress, error: Refusal, took_s: float
     ) -> web.Response:
-        """Return the response to a request given up on; log it, give quota back."""
+        """Log a refusal, refund the quota if nothing ran, and return the response."""
         progress.outcome = error.code.name
         workspace = progress.workspace
         if workspace is not None and progress.admitted and error.run is Run.NO:
@@ -215,15 +224,15 @@
 
 
 def _fingerprint(
-    request: web.BaseRequest, taken: EntryRequest, start: BodyStart
+    request: web.BaseRequest, entry_request: EntryRequest, prefix: BodyPrefix
 ) -> int:
-    """Return the fingerprint of a request whose body was read, or begun."""
-    workspace = taken.placement_request.workspace
+    """Return the fingerprint of a request from its headers and its body prefix."""
+    workspace = entry_request.placement_request.workspace
     return request_fingerprint(
-        taken.method,
+        entry_request.method,
         request.headers.get("Host", ""),
-        taken.path,
+        entry_request.path,
         workspace.name if workspace is not None else "",
-        start.data,
-        start.length,
+        prefix.data,
+        prefix.length,
     )
--- a/leverdoor/entry/requests/idle_timeouts.py
+++ b/leverdoor/entry/requests/idle_timeouts.py
@@ -1,70 +1,72 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How long a connection may be idle where targets, or what is before them, forget it.
+"""Reduced idle timeouts for services whose targets silently drop idle connections.
 
-A target may drop an idle connection without closing it, and reset what is next sent on
-it. A request that must not run twice then fails, since nothing says that it did not
-run. Where this shows, only connections that were used a moment ago are used again, for
-all targets of the service and for a while.
+A target, or a middlebox in front of it, may drop an idle connection without closing it
+and reset it when the next request is sent. A request that must not run twice then
+fails, because nothing confirms that it did not run. When such a reset is detected, only
+recently used connections are reused for some time, for all targets of the service.
 
-Owns which services these are; lost with the process. A pure rule beside that.
+Owns the services with a reduced idle timeout; lost with the process. Performs no I/O.
 """
 
 __all__ = ["IdleTimeouts"]
 
 RESET_WITHIN_S = 0.15
-"""Time within which a lost answer shows a forgotten connection, in seconds.
+"""Time after sending within which a reset indicates a dropped connection, in seconds.
 
-Above the round trip between regions (0.11 s), so that the reset arrives; a target that
-fails while it runs a request mostly takes longer. Greater, such failures cost new
-connections; smaller, forgotten connections to other regions go unnoticed.
+Greater than the round trip between regions (0.11 s), so that the reset arrives in time.
+A target that fails while it runs a request usually takes longer. With a greater value,
+such failures cause new connections. With a smaller one, dropped connections to other
+regions go undetected.
 """
-LIMITED_IDLE_S = 0.15
-"""Longest idle time of a connection while its service forgets them, in seconds.
+REDUCED_IDLE_S = 0.15
+"""Reduced idle timeout, in seconds.
 
-Requests that follow one another still share a connection. Greater, more of them meet a
-forgotten one; smaller, nearly each opens its own.
+Successive requests still share a connection. With a greater value, more requests use a
+dropped connection. With a smaller one, nearly every request opens a connection.
 """
-LIMITED_FOR_S = 8.0
-"""How long this lasts after the last lost answer, in seconds.
+REDUCED_FOR_S = 8.0
+"""Duration of the reduction after the last lost reply, in seconds.
 
-The usual length of such a fault. Greater, new connections are opened for nothing;
-smaller, a request is lost each time the fault is found out anew.
+The usual duration of such a fault. A greater value opens connections unnecessarily.
+With a smaller one, a request is lost each time the fault is detected again.
 """
 
 
 class IdleTimeouts:
-    """The longest idle time of kept connections, by service."""
+    """The greatest idle time of reusable connections, by service."""
 
     def __init__(self) -> None:
-        """Create it with no service known to forget connections."""
-        self._limited_until: dict[str, float] = {}
+        """Initialize without any reduced idle timeout."""
+        self._reduced_until: dict[str, float] = {}
 
-    def longest_s(self, service: str, now: float) -> float:
-        """Return the longest idle time after which a connection may be used.
+    def max_idle_s(self, service: str, now: float) -> float:
+        """Return the greatest idle time after which a connection may be reused.
 
         Args:
-          service: of the target.
+          service: the service of the target.
           now: loop time in seconds.
-        Returns: seconds; infinite where nothing was forgotten lately.
+        Returns: the idle time in seconds; infinite unless it is reduced.
         """
-        if now < self._limited_until.get(service, 0.0):
-            return LIMITED_IDLE_S
+        if now < self._reduced_until.get(service, 0.0):
+            return REDUCED_IDLE_S
         return float("inf")
 
-    def lost(self, service: str, idle_s: float, took_s: float, now: float) -> bool:
-        """Record an answer that was lost on a connection that had been idle.
+    def record_lost_reply(
+        self, service: str, idle_s: float, took_s: float, now: float
+    ) -> bool:
+        """Record a reply that was lost, and reduce the idle timeout if appropriate.
 
         Args:
-          service: of the target.
-          idle_s: how long the connection had been idle before, in seconds.
-          took_s: how long after the sending it was lost, in seconds.
+          service: the service of the target.
+          idle_s: how long the connection was idle before the request, in seconds.
+          took_s: time from sending the request to losing its reply, in seconds.
           now: loop time in seconds.
-        Returns: whether the service's idle time is limited from now on, and was not
-          before.
+        Returns: whether this call starts a reduction of the service's idle timeout.
         """
-        if idle_s < LIMITED_IDLE_S or took_s > RESET_WITHIN_S:
+        if idle_s < REDUCED_IDLE_S or took_s > RESET_WITHIN_S:
             return False
-        before = now < self._limited_until.get(service, 0.0)
-        self._limited_until[service] = now + LIMITED_FOR_S
-        return not before
+        was_reduced = now < self._reduced_until.get(service, 0.0)
+        self._reduced_until[service] = now + REDUCED_FOR_S
+        return not was_reduced
--- a/leverdoor/entry/requests/outcomes.py
+++ b/leverdoor/entry/requests/outcomes.py
@@ -1,10 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What placement learns from the outcome of each attempt at a target.
+"""Reports the outcome of each attempt to placement.
 
-Run times and warm keys go to the placement policy, failures to the fleet; a target
-that they eject is logged. Owns no state; relies on `placement.fleet` for all rules of
-ejection.
+Passes run times and warm keys to the placement policy and failures to the fleet, and
+logs ejected targets. Owns no state. Relies on `placement.fleet` for the ejection rules.
 """
 
 import asyncio
@@ -20,14 +19,14 @@
 
 __all__ = ["OutcomeRecorder"]
 
-LEAST_EXPECTED_MS = 1.0
-"""Least expected time by which an overrun is divided, in ms; guards the division."""
-FAILED_STATUS = 400
-"""HTTP statuses from here on say nothing about run times or warm keys."""
+MIN_EXPECTED_MS = 1.0
+"""Lower bound of the expected run time in ms; prevents a division by zero."""
+FIRST_ERROR_STATUS = 400
+"""Replies with this or a greater HTTP status do not update run times or warm keys."""
 
 
 class OutcomeRecorder:
-    """Passes the outcomes of attempts to placement."""
+    """Records the outcomes of attempts in the placement policy and the fleet."""
 
     def __init__(
         self,
@@ -35,65 +34,66 @@
         fleet: Fleet,
         events: Events,
     ) -> None:
-        """Create it from the entry's parts."""
+        """Initialize with the components of the entry that it uses."""
         self._policy = policy
         self._fleet = fleet
         self._events = events
 
-    def answered(
+    def record_reply(
         self,
         request: EntryRequest,
         placement: Placement,
         reply: TargetReply,
         took_s: float,
     ) -> None:
-        """Learn how long the run of an answer took."""
+        """Record the run time of a request that received a complete reply."""
         now = asyncio.get_running_loop().time()
-        if reply.status >= FAILED_STATUS:
+        if reply.status >= FIRST_ERROR_STATUS:
             return
         size = len(reply.body) + request.body_size
         too_slow = self._policy.answered(
             request.placement_request, placement, took_s * 1000, size, now
         )
         if too_slow:
-            self._log_slow(placement)
+            self._log_slow_ejection(placement)
 
-    def overran(self, placement: Placement, took_s: float) -> None:
-        """Learn from a request that ran until it was given up on.
+    def record_overrun(self, placement: Placement, took_s: float) -> None:
+        """Record a request that exceeded its deadline at a target.
 
         Args:
-          placement: where it ran.
-          took_s: how long it ran, in seconds; against what was expected, it shows how
-            slow the target is.
+          placement: the placement of the request.
+          took_s: time until the deadline, in seconds; its ratio to the expected run
+            time measures how slow the target is.
         """
         now = asyncio.get_running_loop().time()
-        ratio = took_s * 1000 / max(placement.expected_ms, LEAST_EXPECTED_MS)
+        ratio = took_s * 1000 / max(placement.expected_ms, MIN_EXPECTED_MS)
         if self._fleet.of(placement.target, now).overran(ratio, now):
-            self._log_slow(placement)
+            self._log_slow_ejection(placement)
 
-    def not_run(self, placement: Placement, status: int) -> None:
-        """Learn from a target that did not run a request, by its HTTP status."""
+    def record_not_run(self, placement: Placement, status: int) -> None:
+        """Record that a target did not run a request, with its HTTP status."""
         if status == WRONG_INSTANCE_STATUS:
-            self.unreached(placement, "another instance")
+            self.record_unreached(placement, "another instance")
             return
         now = asyncio.get_running_loop().time()
         self._fleet.of(placement.target, now).refused(now)
 
-    def unreached(self, placement: Placement, reason: str) -> None:
-        """Eject a target that was not reached; the reason is for the log."""
+    def record_unreached(self, placement: Placement, reason: str) -> None:
+        """Eject an unreachable target and log the reason."""
         now = asyncio.get_running_loop().time()
         ejected_s = self._fleet.of(placement.target, now).unreached(now)
         self._events.target_ejected(placement.target.name, reason, ejected_s)
 
-    def lost(self, placement: Placement, unreachable: bool) -> None:
-        """Learn from a lost answer; a target that loses several is ejected.
+    def record_lost(self, placement: Placement, unreachable: bool) -> None:
+        """Record a lost reply; a target that loses several is ejected.
 
         Args:
-          placement: where the request was sent.
-          unreachable: the target did not even acknowledge what was sent.
+          placement: the placement of the request.
+          unreachable: whether the target failed to acknowledge the sent data at TCP
+            level.
         """
         if unreachable:
-            self.unreached(placement, "no acknowledgement")
+            self.record_unreached(placement, "no acknowledgement")
             return
         target = placement.target
         now = asyncio.get_running_loop().time()
@@ -101,5 +101,5 @@
         if ejected_s:
             self._events.target_ejected(target.name, "answers lost", ejected_s)
 
-    def _log_slow(self, placement: Placement) -> None:
+    def _log_slow_ejection(self, placement: Placement) -> None:
         self._events.target_ejected(placement.target.name, "slow", SLOW_EJECTION_S)
--- a/leverdoor/entry/requests/replies.py
+++ b/leverdoor/entry/requests/replies.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Parses what a target sends on one connection into whole answers.
+"""Parses the replies that a target sends on a connection.
 
-Parsing of HTTP/1.1 is httptools'. Owns the answer that is arriving; lost with its
-connection, which then fails the request.
+Owns the partially received reply, which is lost with its connection; the request then
+fails. Relies on httptools for parsing HTTP/1.1.
 """
 
 from collections.abc import Callable
@@ -13,138 +13,141 @@
 
 __all__ = ["ReplyParser", "TargetReply"]
 
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
-"""Longest answer that is read whole, in bytes; a fifth of a VM of 300 MB.
+MAX_BODY_BYTES = 64 * 1024 * 1024
+"""Maximum length of a reply body in bytes; a fifth of the memory of a 300 MB VM.
 
-Greater, few answers at once fill the VM's memory; smaller, long downloads are lost.
+With a greater value, a few concurrent replies exhaust the memory of the VM. With a
+smaller one, long downloads fail.
 """
-MAX_HEADER_BYTES = 64 * 1024
-"""Longest head of an answer in bytes.
+MAX_HEAD_BYTES = 64 * 1024
+"""Maximum length of the headers of a reply in bytes.
 
-Eight times the common limits of servers. Greater, a faulty target fills memory;
-smaller, answers with many cookies are lost.
+Eight times the usual limit of HTTP servers. With a greater value, a faulty target
+exhausts memory. With a smaller one, replies with many cookies fail.
 """
 BODYLESS_STATUSES = frozenset({204, 304})
-"""HTTP statuses whose answers have no body, whatever their head says."""
+"""HTTP statuses of replies that have no body regardless of their headers."""
 FIRST_FINAL_STATUS = 200
-"""HTTP statuses below are interim answers: another one follows."""
+"""First status of final replies; smaller ones are interim (1xx) replies."""
 
 
 class TargetReply(msgspec.Struct):
-    """A whole answer."""
+    """A complete reply of a target."""
 
     status: int
     reason: bytes
     headers: list[tuple[str, str]]
-    """Names in lower case, in the order in which they came."""
+    """Names in lower case and values, in the order of receipt."""
     body: bytes
     early: bool = False
-    """It came before the request's body was sent whole."""
+    """Whether it arrived before the whole request body was sent."""
 
     def get(self, name: str) -> str:
-        """Return the value of a header, by its name in lower case; "" if none."""
+        """Return the first value of a header (name in lower case), or "" if absent."""
         for key, value in self.headers:
             if key == name:
                 return value
         return ""
 
     def all(self, name: str) -> list[str]:
-        """Return the values of all headers of a name in lower case, in order."""
+        """Return all values of a header (name in lower case), in order."""
         return [value for key, value in self.headers if key == name]
 
 
 class ReplyParser:
-    """The answers on one connection, one after the other."""
+    """Parses the successive replies on one connection."""
 
-    def __init__(self, take: Callable[[TargetReply, bool], None]) -> None:
-        """Create it.
+    def __init__(self, on_reply: Callable[[TargetReply, bool], None]) -> None:
+        """Initialize the parser.
 
         Args:
-          take: called with each whole answer, and whether the target keeps the
-            connection open after it.
+          on_reply: called with each complete reply, and with whether the target keeps
+            the connection open afterwards.
         """
-        self._take = take
+        self._on_reply = on_reply
         self._parser = httptools.HttpResponseParser(self)
         self._headers: list[tuple[str, str]] = []
-        self._header_bytes = 0
+        self._head_bytes = 0
         self._body = bytearray()
         self._reason = b""
-        self._delimited = False
-        """The end of the answer shows without the end of the connection."""
-        self._in_message = False
+        self._self_delimited = False
+        """Whether the end of the reply is known without closing the connection."""
+        self._in_reply = False
         self.bodyless = False
-        """Answers have no body whatever their head says: the request was a HEAD."""
+        """Whether replies have no body regardless of their headers (HEAD requests)."""
 
     def feed(self, data: bytes) -> None:
-        """Parse what came.
+        """Parse received bytes.
 
         Raises:
-          httptools.HttpParserError: it is not an answer, or a part is too long.
-          ValueError: the same.
+          httptools.HttpParserError: the reply is malformed or too long.
+          ValueError: the reply is malformed or too long.
         """
         self._parser.feed_data(data)
 
-    def end(self) -> None:
-        """End an answer that only the end of the connection ends."""
-        if self._in_message and not self._delimited:
+    def feed_eof(self) -> None:
+        """Complete a reply that is delimited by the end of the connection."""
+        if self._in_reply and not self._self_delimited:
             self._complete()
 
-    # Called by httptools.
+    # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
-        """Start an answer."""
+        """Reset the state for the next reply."""
         self._headers = []
-        self._header_bytes = 0
+        self._head_bytes = 0
         self._body = bytearray()
         self._reason = b""
-        self._delimited = False
-        self._in_message = False
+        self._self_delimited = False
+        self._in_reply = False
 
     def on_status(self, status: bytes) -> None:
-        """Take the reason phrase, which may come in parts."""
+        """Append a part of the reason phrase."""
         self._reason += status
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
-        self._header_bytes += len(name) + len(value)
-        if self._header_bytes > MAX_HEADER_BYTES:
-            raise ValueError("the head is too long")
+        """Store a header."""
+        self._head_bytes += len(name) + len(value)
+        if self._head_bytes > MAX_HEAD_BYTES:
+            raise ValueError("reply headers too long")
         key = name.decode("latin-1").lower()
         self._headers.append((key, value.decode("latin-1")))
         if key == "content-length" or (
             key == "transfer-encoding" and b"chunked" in value.lower()
         ):
-            self._delimited = True
+            self._self_delimited = True
 
     def on_headers_complete(self) -> None:
-        """Note that a body follows, if one does."""
-        self._in_message = True
+        """Determine whether a body follows and how it is delimited."""
+        self._in_reply = True
         status = self._parser.get_status_code()
         if status < FIRST_FINAL_STATUS or status in BODYLESS_STATUSES:
-            self._delimited = True
+            self._self_delimited = True
         if self.bodyless and status >= FIRST_FINAL_STATUS:
-            self._delimited = True
+            self._self_delimited = True
             self._complete()
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
-        if len(self._body) + len(body) > MAX_ANSWER_BYTES:
-            raise ValueError("the body is too long")
+        """Append a part of the body."""
+        if len(self._body) + len(body) > MAX_BODY_BYTES:
+            raise ValueError("reply body too long")
         self._body += body
 
     def on_message_complete(self) -> None:
-        """End an answer."""
+        """Complete a reply."""
         self._complete()
 
     def _complete(self) -> None:
-        """Hand an answer over, once; interim ones are passed over."""
-        if not self._in_message:
+        """Pass a final reply to the callback once; ignore interim replies."""
+        if not self._in_reply:
             return
-        self._in_message = False
+        self._in_reply = False
         status = self._parser.get_status_code()
         if status < FIRST_FINAL_STATUS:
             return
         reply = TargetReply(status, self._reason, self._headers, bytes(self._body))
         closing = reply.get("connection").lower() == "close"
-        keeps = self._delimited and self._parser.should_keep_alive() and not closing
-        self._take(reply, keeps)
+        keep_alive = (
+            self._self_delimited and self._parser.should_keep_alive() and not closing
+        )
+        self._on_reply(reply, keep_alive)
--- a/leverdoor/entry/requests/responses.py
+++ b/leverdoor/entry/requests/responses.py
@@ -1,8 +1,8 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The responses that clients get: a target's whole answer, or a refusal.
+"""Builds the responses to clients: relayed replies of targets, and refusals.
 
-Pure functions; owns no state.
+Pure functions; owns no state. Relies on `errors` for the HTTP status of each code.
 """
 
 from aiohttp import web
@@ -14,18 +14,18 @@
 from leverdoor.errors import Refusal, code_info
 from leverdoor.headers import passing
 
-__all__ = ["close_after", "relayed", "refusal_response"]
+__all__ = ["close_connection_after", "relay_response", "refusal_response"]
 
-REPLY_HEADERS_DROPPED = frozenset({"content-length", "date", "server"})
-"""Headers of a target's answer that the HTTP library writes anew, in lower case."""
+DROPPED_REPLY_HEADERS = frozenset({"content-length", "date", "server"})
+"""Reply headers that aiohttp sets itself, in lower case."""
 
 
-def relayed(reply: TargetReply) -> web.Response:
-    """Return the response that passes a target's whole answer on."""
+def relay_response(reply: TargetReply) -> web.Response:
+    """Return the response that relays a target's reply."""
     connection = reply.get("connection")
     headers: CIMultiDict[str] = CIMultiDict()
     for name, value in passing(reply.headers, connection):
-        if name not in REPLY_HEADERS_DROPPED:
+        if name not in DROPPED_REPLY_HEADERS:
             headers.add(name, value)
     response = web.Response(
         status=reply.status,
@@ -41,12 +41,12 @@
 def refusal_response(
     error: Refusal, request_id: str, request_id_header: str
 ) -> web.Response:
-    """Return the response to a request that was given up on.
+    """Return the response to a refused request.
 
     Args:
-      error: the refusal; its code sets the status.
-      request_id: the client's; "" for none.
-      request_id_header: the header that carries it.
+      error: the refusal, whose code determines the HTTP status.
+      request_id: the id of the request; "" if absent.
+      request_id_header: name of the header with the request id.
     """
     info = code_info(error.code)
     response = web.Response(
@@ -62,7 +62,7 @@
     return response
 
 
-def close_after(response: web.Response) -> None:
-    """Have the client's connection closed after a response."""
+def close_connection_after(response: web.Response) -> None:
+    """Close the client's connection after a response."""
     response.force_close()
     response.headers["Connection"] = "close"
--- a/leverdoor/entry/requests/retries.py
+++ b/leverdoor/entry/requests/retries.py
@@ -1,29 +1,30 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Whether a request that failed may be sent to another target.
+"""Rules that decide whether a failed request may be retried at another target.
 
-Pure rules; the retry budget comes on top of them (`retry_budget.py`), and the loop of
-attempts stands in `forwarding`.
+Pure functions; owns no state. The retry budget (`retry_budget.py`) limits retries
+further. The loop of attempts is in `forwarding`.
 """
 
 from leverdoor.errors import Code, Refusal, Run
 from leverdoor.model.resources import Route, WorkClass
 
-__all__ = ["WRONG_INSTANCE_STATUS", "may_retry", "says_not_run"]
+__all__ = ["WRONG_INSTANCE_STATUS", "may_retry", "reports_not_run"]
 
-UNREACHED_ATTEMPTS = 2
-"""Further attempts of a request that reached no target.
+EXTRA_CONNECT_ATTEMPTS = 2
+"""Additional attempts if a request did not reach its target.
 
-A route's `attempts` bounds the targets that may run a request; one that was not reached
-can't run it. One dead target and one more. Greater, a request spends its deadline on
-connecting; smaller, it is refused while other targets of its key serve.
+A route's `attempts` limits how many targets may run a request; a target that was not
+reached cannot run it. Two additional attempts allow for two dead targets. With a
+greater value, a request spends its deadline on connecting. With a smaller one, it is
+refused while other targets of its key are available.
 """
 WRONG_INSTANCE_STATUS = 421
-"""HTTP status of a target at whose address another instance now serves."""
+"""HTTP status of a reply from another instance at the address of the target."""
 NOT_RUN_STATUSES = frozenset({400, 421, 429, 503})
-"""HTTP statuses of a target that did not run a request, if it says so.
+"""HTTP statuses for which the "not run" header of a reply is trusted.
 
-A mark of "not run" on any other status is not trusted: the answer is passed on.
+Replies with any other status are relayed even if they carry the header.
 """
 
 
@@ -35,31 +36,33 @@
     reached_target: bool,
     replayable: bool,
 ) -> bool:
-    """Return whether another target may be tried, the retry budget aside.
+    """Return whether a request may be retried, without regard to the retry budget.
 
-    Only look-ups and what was not run are retried, never after the deadline and never
-    with a streamed body that was begun.
+    Only look-ups and requests that were not run are retried. A request is not retried
+    after its deadline, or once streaming of its body has started.
 
     Args:
-      route: the request's; its `attempts` is the most targets that may get it.
-      attempt: number of the attempt that failed, from 1.
-      refusal: why it failed.
-      arrived: whether the request may have reached the target.
-      replayable: whether its body can be sent again.
+      route: the route; its `attempts` limits how many targets may run the request.
+      attempt: number of the failed attempt, counted from 1.
+      refusal: the refusal that describes the failure.
+      reached_target: whether the request may have reached the target.
+      replayable: whether the body can be sent again.
     """
     safe = route.work is WorkClass.LOOKUP or refusal.run is Run.NO
     if not safe or not replayable or refusal.code is Code.DEADLINE_PASSED:
         return False
-    most = route.attempts if reached_target else route.attempts + UNREACHED_ATTEMPTS
-    return attempt < most
+    max_attempts = (
+        route.attempts if reached_target else route.attempts + EXTRA_CONNECT_ATTEMPTS
+    )
+    return attempt < max_attempts
 
 
-def says_not_run(status: int, marked: bool) -> bool:
-    """Return whether a target's answer says that it did not run the request.
+def reports_not_run(status: int, marked: bool) -> bool:
+    """Return whether a reply reports that the target did not run the request.
 
     Args:
-      status: the HTTP status.
-      marked: whether the answer has the header that says so.
+      status: the HTTP status of the reply.
+      marked: whether the reply has the "not run" header.
     """
     marked = marked or status == WRONG_INSTANCE_STATUS
     return marked and status in NOT_RUN_STATUSES
--- a/leverdoor/entry/requests/retry_after.py
+++ b/leverdoor/entry/requests/retry_after.py
@@ -1,46 +1,48 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""When a client may come back after a refusal of the request path, in ms.
+"""Retry-After times in ms for refusals of the request path.
 
-Refusals of placement (`entry/placement/`), of quotas (`workspaces/quota.py`) and those
-without a rule of their own (`errors.py:SOON_MS`) bring their times with them.
+Refusals by placement (`entry/placement/`) and by quotas (`workspaces/quota.py`) set
+their own times; `errors.py:SOON_MS` is the default. Owns no state.
 """
 
 __all__ = [
-    "NOT_RUN_MS",
-    "NO_CONFIGURATION_MS",
-    "UNCONFIRMED_MS",
+    "NOT_RUN_RETRY_MS",
+    "NO_CONFIGURATION_RETRY_MS",
+    "KEY_UNCONFIRMED_RETRY_MS",
     "retry_after_value",
 ]
 
-NO_CONFIGURATION_MS = 500
-"""After a request at an entry that has no configuration yet.
+NO_CONFIGURATION_RETRY_MS = 500
+"""Retry-After time if the entry has no configuration yet.
 
-An entry that starts gets the state from a peer within that time. Greater, clients wait
-though the entry is ready; smaller, they spend their retries on it.
+A starting entry receives the state from a peer within this time. With a greater value,
+clients wait although the entry is ready. With a smaller one, they use up their retries
+before it is.
 """
-UNCONFIRMED_MS = 500
-"""After a workspace key that can't be confirmed.
+KEY_UNCONFIRMED_RETRY_MS = 500
+"""Retry-After time if the workspace key cannot be confirmed.
 
-Time to look up another entry. Greater, a client of an entry that is cut off waits for
-nothing; smaller, it comes back to the same entry.
+Gives the client time to look up another entry. With a greater value, clients of a
+partitioned entry wait unnecessarily. With a smaller one, they retry at the same entry.
 """
-NOT_RUN_MS = 250
-"""After the last attempt failed to connect, or its target did not run the request.
+NOT_RUN_RETRY_MS = 250
+"""Retry-After time if the last attempt did not connect or was not run by its target.
 
-A round of heartbeats (0.2 s) brings newer loads. Greater, a look-up loses much of its
-latency target; smaller, the entry knows no more than at the refusal.
+A round of heartbeats (0.2 s) delivers newer loads. With a greater value, look-ups lose
+much of their latency target. With a smaller one, the entry knows no more than when it
+refused the request.
 """
 RETRY_AFTER_STATUSES = frozenset({429, 503})
-"""HTTP statuses whose answers carry a Retry-After header."""
+"""HTTP statuses of responses with a Retry-After header."""
 
 
 def retry_after_value(status: int, retry_after_ms: int) -> str | None:
-    """Return the value of the Retry-After header, in seconds; None for no header.
+    """Return the value of the Retry-After header in seconds; None to omit it.
 
     Args:
       status: the HTTP status of the refusal.
-      retry_after_ms: when to come back, in ms; 0 for never.
+      retry_after_ms: time after which to retry, in ms; 0 if a retry is pointless.
     """
     if not retry_after_ms or status not in RETRY_AFTER_STATUSES:
         return None
--- a/leverdoor/entry/requests/routing.py
+++ b/leverdoor/entry/requests/routing.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Takes a request in: its route, whose it is, its deadline, what a target gets of it.
+"""Determines a request's route, workspace, deadline and forwarded headers.
 
-Owns no state. Relies on the catalogue in force, and on the store's answers for whether
-a workspace key still holds.
+Owns no state. Relies on the active catalogue, and on recent confirmations by the store
+that the workspace keys are still valid.
 """
 
 from collections.abc import Callable
@@ -12,9 +12,12 @@
 
 from leverdoor.entry.configuration.catalog import Catalog, entry_host
 from leverdoor.entry.placement.placement_request import PlacementRequest
-from leverdoor.entry.requests.deadlines import DEFAULT_DEADLINE_MS, give_up_at
+from leverdoor.entry.requests.deadlines import DEFAULT_DEADLINE_MS, request_deadline
 from leverdoor.entry.requests.entry_request import EntryRequest
-from leverdoor.entry.requests.retry_after import NO_CONFIGURATION_MS, UNCONFIRMED_MS
+from leverdoor.entry.requests.retry_after import (
+    KEY_UNCONFIRMED_RETRY_MS,
+    NO_CONFIGURATION_RETRY_MS,
+)
 from leverdoor.entry.wire import Wire
 from leverdoor.errors import Code, Refusal
 from leverdoor.headers import bounded_int, passing
@@ -22,48 +25,48 @@
 
 __all__ = ["RequestRouter"]
 
-LOGGED_PATH = 100
-"""Characters of a path without a route that the log line has."""
+MAX_LOGGED_PATH_CHARS = 100
+"""Maximum number of characters of an unroutable path that are logged."""
 
 
 class RequestRouter:
-    """Turns the requests of clients into requests of the entry."""
+    """Creates an `EntryRequest` from each client request."""
 
     def __init__(
         self,
         wire: Wire,
         catalog: Callable[[], Catalog],
         pick_service: Callable[[Route], str],
-        confirmed: Callable[[float], bool],
+        keys_confirmed: Callable[[float], bool],
     ) -> None:
-        """Create it.
+        """Initialize the router.
 
         Args:
-          wire: the names of headers.
-          catalog: returns the catalogue in force.
-          pick_service: chooses the service of a route that has several.
-          confirmed: returns whether keys can be known to hold at a loop time.
+          wire: the header names.
+          catalog: returns the active catalogue.
+          pick_service: chooses one of the services of a route.
+          keys_confirmed: returns whether workspace keys are confirmed at a loop time.
         """
         self._headers = wire.headers
         self._catalog = catalog
         self._pick_service = pick_service
-        self._confirmed = confirmed
+        self._keys_confirmed = keys_confirmed
 
-    def take(
+    def route(
         self, request: web.BaseRequest, request_id: str, arrived: float
     ) -> EntryRequest:
-        """Take a request in, without its body.
+        """Route a request, without its body.
 
         Args:
-          request: the client's.
-          request_id: its id; "" for none.
-          arrived: loop time at which its head arrived, in seconds.
+          request: the request of the client.
+          request_id: its id; "" if absent.
+          arrived: loop time at which its headers arrived, in seconds.
         Raises:
-          Refusal: it can't be routed, or is not acceptable.
+          Refusal: the request has no route, is malformed or has no valid workspace key.
         """
         catalog = self._catalog()
-        route = self._route(catalog, request, request_id)
-        workspace = self._workspace(catalog, request, route, arrived)
+        route = self._find_route(catalog, request, request_id)
+        workspace = self._identify_workspace(catalog, request, route, arrived)
         placement_request = PlacementRequest(
             request_id=request_id,
             route=route,
@@ -71,63 +74,69 @@
             key=request.headers.get(self._headers.affinity, request_id),
             version=catalog.version,
             arrived=arrived,
-            until=self._until(request, route, arrived),
+            until=self._deadline(request, route, arrived),
             workspace=workspace,
         )
-        headers = self._passing(request, workspace)
+        headers = self._forwarded_headers(request, workspace)
         return EntryRequest(
             placement_request, request.method, request.raw_path, headers
         )
 
-    def _route(
+    def _find_route(
         self, catalog: Catalog, request: web.BaseRequest, request_id: str
     ) -> Route:
         """Return the route of a request.
 
         Raises:
-          Refusal: there is none, or the request is malformed.
+          Refusal: no route matches, or the request is malformed.
         """
         if not catalog.configured:
-            raise Refusal(Code.NO_CONFIGURATION, retry_after_ms=NO_CONFIGURATION_MS)
+            raise Refusal(
+                Code.NO_CONFIGURATION, retry_after_ms=NO_CONFIGURATION_RETRY_MS
+            )
         path = request.raw_path
         if not path.startswith("/") or not request_id:
-            raise Refusal(Code.BAD_REQUEST, "no request id or no path")
+            raise Refusal(Code.BAD_REQUEST, "request id or absolute path missing")
         host = entry_host(request.headers.get("Host", ""))
         route = catalog.route(host, path.partition("?")[0])
         if route is None:
-            raise Refusal(Code.NO_ROUTE, f"{host} {path[:LOGGED_PATH]}")
+            raise Refusal(Code.NO_ROUTE, f"{host} {path[:MAX_LOGGED_PATH_CHARS]}")
         return route
 
-    def _workspace(
+    def _identify_workspace(
         self, catalog: Catalog, request: web.BaseRequest, route: Route, now: float
     ) -> Workspace | None:
-        """Return whose request it is; None where no workspace is needed.
+        """Return the workspace of a request; None if it needs none.
 
         Raises:
-          Refusal: its key is missing, unknown, or can't be confirmed.
+          Refusal: the workspace key is missing, unknown or unconfirmed.
         """
         key = request.headers.get(self._headers.workspace_key, "")
         workspace = catalog.workspaces.identify(key, anonymous=route.anonymous)
-        if workspace is not None and not self._confirmed(now):
-            raise Refusal(Code.WORKSPACE_KEY_UNCONFIRMED, retry_after_ms=UNCONFIRMED_MS)
+        if workspace is not None and not self._keys_confirmed(now):
+            raise Refusal(
+                Code.WORKSPACE_KEY_UNCONFIRMED, retry_after_ms=KEY_UNCONFIRMED_RETRY_MS
+            )
         return workspace
 
-    def _until(self, request: web.BaseRequest, route: Route, arrived: float) -> float:
-        """Return the loop time at which a request is given up, in seconds."""
+    def _deadline(
+        self, request: web.BaseRequest, route: Route, arrived: float
+    ) -> float:
+        """Return the loop time at which a request is aborted, in seconds."""
         name = self._headers.deadline_ms
         deadline_ms = bounded_int(request.headers, name, DEFAULT_DEADLINE_MS)
-        return give_up_at(arrived, deadline_ms, route)
+        return request_deadline(arrived, deadline_ms, route)
 
-    def _passing(
+    def _forwarded_headers(
         self, request: web.BaseRequest, workspace: Workspace | None
     ) -> list[tuple[str, str]]:
-        """Return the headers for the target, Host included.
+        """Return the headers to forward to the target, including Host.
 
-        The workspace's key stays here. The workspace's name is set by the entry
-        alone, since targets trust it.
+        The workspace key is not forwarded. Only the entry sets the workspace name,
+        because targets trust it.
         """
         names = self._headers
-        own = (
+        replaced = (
             names.deadline_ms,
             names.instance,
             names.workspace_key,
@@ -135,12 +144,12 @@
             "content-length",
         )
         connection = request.headers.get("Connection", "")
-        found = [("Host", request.headers.get("Host", ""))]
-        found += [
+        forwarded = [("Host", request.headers.get("Host", ""))]
+        forwarded += [
             (name, value)
             for name, value in passing(request.headers.items(), connection)
-            if name.lower() not in own
+            if name.lower() not in replaced
         ]
         if workspace is not None:
-            found.append((names.workspace, workspace.name))
-        return found
+            forwarded.append((names.workspace, workspace.name))
+        return forwarded
--- a/leverdoor/entry/requests/target_reports.py
+++ b/leverdoor/entry/requests/target_reports.py
@@ -1,12 +1,14 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What targets say of themselves in answers, taken at this one place.
+"""Processes the report headers with which targets describe their own state.
 
-Each whole answer is looked at when it arrives, whatever its status and whatever becomes
-of its request: whether the target leaves, the rest that it asks for, the limit that it
-names, and its load. The first two are kept at the target's state in the fleet, which
-all that chooses a target reads. Owns which unreadable texts were logged, lost with the
-process. Relies on the wire for the headers.
+The headers of every complete reply are processed on arrival, regardless of its status
+and of the fate of its request. A target can report that it is leaving, a rest period
+in which it wants no requests, a rate limit, and its load. Leaving and rest are stored
+in the target's state in the fleet, which every choice of a target consults.
+
+Owns the set of unreadable texts that were logged; lost with the process. Relies on
+`wire` for the header names and their parsing.
 """
 
 import asyncio
@@ -17,7 +19,7 @@
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.replies import TargetReply
-from leverdoor.entry.requests.retries import WRONG_INSTANCE_STATUS, says_not_run
+from leverdoor.entry.requests.retries import WRONG_INSTANCE_STATUS, reports_not_run
 from leverdoor.entry.unreadable import UnreadableTexts
 from leverdoor.entry.wire import TargetReport, UnreadableReport, Wire
 from leverdoor.model.resources import Target
@@ -26,7 +28,7 @@
 
 
 class TargetReportHandler:
-    """Takes what answers report of their targets."""
+    """Applies the reports in replies to the state of their targets."""
 
     def __init__(
         self,
@@ -36,7 +38,7 @@
         events: Events,
         metrics: EntryMetrics,
     ) -> None:
-        """Create it from the entry's parts."""
+        """Initialize the handler."""
         self._wire = wire
         self._policy = policy
         self._named_limits = named_limits
@@ -45,9 +47,10 @@
         self._unreadable = UnreadableTexts()
 
     def handle_reply(self, target: Target, reply: TargetReply) -> None:
-        """Take a whole answer to a request that still counts as in flight.
+        """Process a complete reply, while its request still counts as in flight.
 
-        An answer of another instance at the same address says nothing of this one.
+        A reply from another instance at the same address is ignored, since it does not
+        describe this target.
         """
         if reply.status == WRONG_INSTANCE_STATUS:
             return
@@ -62,14 +65,14 @@
         self._policy.take_report(target, report, now)
 
     def renew(self, targets: Container[str]) -> None:
-        """Take the names of the targets of a new configuration."""
+        """Discard the records of targets that a new configuration does not contain."""
         self._unreadable.keep_only(targets)
 
     def _parse(self, target: Target, reply: TargetReply) -> TargetReport:
-        """Parse a report; what can't be read counts as not said."""
+        """Parse the report headers; unreadable values count as absent."""
         wire, headers = self._wire, self._wire.headers
         return TargetReport(
-            says_not_run(reply.status, bool(reply.get(headers.not_run))),
+            reports_not_run(reply.status, bool(reply.get(headers.not_run))),
             self._parse_leaving(target, reply),
             self._parse_rest(target, reply),
             wire.parse_load(reply.get(headers.load)),
@@ -79,7 +82,7 @@
         try:
             return self._wire.parse_leaving(reply.all(self._wire.headers.leaving))
         except UnreadableReport as e:
-            self._note_unreadable(target, "leaving", str(e))
+            self._record_unreadable(target, "leaving", str(e))
             return False
 
     def _parse_rest(self, target: Target, reply: TargetReply) -> float | None:
@@ -87,10 +90,10 @@
         try:
             return self._wire.parse_rest(reply.status, values)
         except UnreadableReport as e:
-            self._note_unreadable(target, "rest", str(e))
+            self._record_unreadable(target, "rest", str(e))
             return None
 
-    def _note_unreadable(self, target: Target, what: str, text: str) -> None:
-        self._metrics.reports_unreadable.labels(target.service, what).inc()
+    def _record_unreadable(self, target: Target, field: str, text: str) -> None:
+        self._metrics.reports_unreadable.labels(target.service, field).inc()
         if self._unreadable.is_new(target.name, text):
-            self._events.report_unreadable(target.name, what, text)
+            self._events.report_unreadable(target.name, field, text)
--- a/leverdoor/entry/requests/tcp_keepalive.py
+++ b/leverdoor/entry/requests/tcp_keepalive.py
@@ -1,39 +1,44 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Socket options by which the kernel notices that a target's VM is gone.
+"""TCP keep-alive and user timeout, which detect a failed VM of a target.
 
-A process that ends closes its connections; a VM that loses power does not. Owns no
-state; the kernel then ends the connection with a time-out error.
+The connections of a process that exits are closed; those of a VM that loses power are
+not. Owns no state. Relies on the kernel, which fails the connection with a timeout
+error.
 """
 
 import contextlib
 import socket
 
-__all__ = ["notice_dead_peer"]
+__all__ = ["set_keepalive_options"]
 
-UNACKNOWLEDGED_MS = 1_500
-"""Time without acknowledgement after which a target is unreachable, in ms.
+USER_TIMEOUT_MS = 1_500
+"""Time without a TCP acknowledgement after which a target is unreachable, in ms.
 
-500 made no difference to worth (0.788 beside 0.789, 12 entries under high load).
+A value of 500 did not change the worth of the served requests (0.788 compared with
+0.789, 12 entries under high load).
 """
-PROBE_IDLE_S = 1
-"""Idle seconds before keep-alive probes; the least that the kernel takes."""
-PROBE_INTERVAL_S = 1
-"""Seconds between keep-alive probes; the least that the kernel takes."""
-PROBES = 2
-"""Unanswered probes after which a connection is dead; one may be a lost packet."""
-
-OPTIONS = (
+KEEPALIVE_IDLE_S = 1
+"""Idle time before the first keep-alive probe in seconds; the kernel's minimum."""
+KEEPALIVE_INTERVAL_S = 1
+"""Interval between keep-alive probes in seconds; the kernel's minimum."""
+KEEPALIVE_PROBES = 2
+"""Unanswered probes after which a connection is dead.
+
+A single unanswered probe may be a lost packet.
+"""
+
+SOCKET_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
 )
 
 
-def notice_dead_peer(sock: socket.socket) -> None:
-    """Set the options; those that the system does not know are left out."""
-    for level, option, value in OPTIONS:
+def set_keepalive_options(sock: socket.socket) -> None:
+    """Set the socket options, ignoring those that the system does not support."""
+    for level, option, value in SOCKET_OPTIONS:
         with contextlib.suppress(OSError):
             sock.setsockopt(level, option, value)
--- a/leverdoor/retry_budget.py
+++ b/leverdoor/retry_budget.py
@@ -1,46 +1,47 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The retry budget: how many retries a process may make, as a share of its requests.
+"""A retry budget, which limits the retries of a process to a share of its requests.
 
-Without it a fault that fails every request would multiply the load by the number of
-attempts. Entries and gates use it, each with its own ratio and limits, which stand
-beside the rule that retries.
+Without it, a fault that fails every request would multiply the load by the number of
+attempts. Entries and gates use separate budgets, whose ratio and limit are defined next
+to their retry rules.
+
+Owns the balance of each service; lost with the process.
 """
 
 __all__ = ["RetryBudget"]
 
 
 class RetryBudget:
-    """Retries earned by requests, by service, up to a limit.
+    """A token bucket of retries for each service, filled by requests.
 
-    Owns the retries saved by service; they start anew with the process.
 
-    Where several processes share a bound, each has its share of the requests it
-    took itself: the sum holds whether they are in touch or not.
+    If several processes share a bound, each earns retries from its own requests only.
+    The sum stays within the bound even if the processes cannot communicate.
     """
 
-    def __init__(self, ratio: float, limit: float, first: float) -> None:
-        """Create it.
+    def __init__(self, ratio: float, max_balance: float, initial: float) -> None:
+        """Initialize the budget.
 
         Args:
-          ratio: retries earned with each request.
-          limit: most retries saved for a service; it may be changed.
-          first: retries that a service starts with.
+          ratio: retries added by each request; may be changed later.
+          max_balance: maximum balance of a service; may be changed later.
+          initial: balance with which a service starts.
         """
         self.ratio = ratio
-        self.max_balance = limit
-        self._first = first
-        self._saved: dict[str, float] = {}
+        self.max_balance = max_balance
+        self._initial = initial
+        self._balances: dict[str, float] = {}
 
     def deposit(self, service: str) -> None:
-        """Count a request."""
-        saved = self._saved.get(service, self._first)
-        self._saved[service] = min(self.max_balance, saved + self.ratio)
+        """Add the share of a retry that a request earns."""
+        balance = self._balances.get(service, self._initial)
+        self._balances[service] = min(self.max_balance, balance + self.ratio)
 
     def try_withdraw(self, service: str) -> bool:
-        """Take a retry if one is saved; return whether it was."""
-        saved = self._saved.get(service, 0.0)
-        if saved < 1.0:
+        """Spend one retry; return whether the balance sufficed."""
+        balance = self._balances.get(service, 0.0)
+        if balance < 1.0:
             return False
-        self._saved[service] = saved - 1.0
+        self._balances[service] = balance - 1.0
         return True
--- a/leverdoor/workspaces/allowance.py
+++ b/leverdoor/workspaces/allowance.py
@@ -1,127 +1,142 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How much of what is left of a quota one entry may take before others know of it.
+"""The share of a quota that one entry may use before the other entries learn of it.
 
-The rule is `KnownUse.admits`: below the plan, and within this entry's allowance. The
-allowance is a part of what is left, half of it evenly and half by use; where much is
-left, some requests are free, since the use of hundreds of entries is sparse: one with a
-request in ten seconds has a part of next to nothing, and needs a whole request.
+`KnownUsage.admits` admits a request if total usage is below the admission limit and
+the unreported requests of this entry are within its allowance.
 
-Owns no state. Relies on the own use being exact (usage.py) and on the others' use being
-known within some tenths of a second (others_use.py).
+The allowance is a share of the remaining quota. Half of the remaining quota is divided
+evenly and half in proportion to usage. While much of the quota remains, every entry may
+admit a few requests regardless of its share. Usage is sparse with hundreds of entries:
+the share of an entry with one request in ten seconds is close to zero, but the entry
+must be able to admit a whole request.
+
+Owns no state. Relies on exact counts of this entry's usage (`usage.py`) and on the
+usage of the other entries, which is some tenths of a second old (`remote_usage.py`).
 """
 
 import msgspec
 
-__all__ = ["EVEN_SHARE", "KnownUse"]
+__all__ = ["EVEN_SHARE", "KnownUsage"]
 
 EVEN_SHARE = 0.5
-"""Part of a quota that is dealt evenly where entries don't know of each other; the rest
-goes by their use, which may be about to change.
-
-Greater: an entry with much of the use is refused while others leave theirs. Smaller:
-one whose use begins is refused. 0.25 made no difference: 0.0232 in place of 0.0196
-refused of a workspace at its whole rate, 1.03 in place of 1.02 of the bound in a cut
-(74 entries, benchmarks/quotas.py).
+"""Share of a quota that is divided evenly among entries that lack recent reports.
+
+The rest is divided in proportion to their usage, which may change at any time. With a
+greater value, an entry with high usage refuses requests while the others leave their
+shares unused. With a smaller one, an entry whose usage has just started refuses
+requests. A value of 0.25 made no difference: a workspace at its full rate had 0.0232
+refused compared with 0.0196, and usage in a network partition reached 1.03 compared
+with 1.02 of the bound (74 entries, benchmarks/quotas.py).
 """
-TAKEN_AT_ONCE = 0.35
-"""Part of a quota that all entries take before they know how much the others took.
-
-A cut is noticed after up to 1.2 s; until then each side takes what is left to the other
-too. Greater: more above the bound then. Smaller: more refusals without a cut. 0.15,
-0.25, 0.35 and 0.5 refuse 0.046, 0.020, 0.013 and 0.013 while a workspace requests its
-whole rate, and reach 1.11, 1.14, 1.20 and 1.20 of the bound when a cut and 7.5 times
-the demand come in the same second (74 entries, benchmarks/quotas.py).
+MAX_UNREPORTED_SHARE = 0.35
+"""Share of a quota that all entries together may use before their reports arrive.
+
+A network partition is detected after up to 1.2 s; until then each side also uses what
+remains for the other side. A greater value exceeds the bound further in this time. A
+smaller one refuses more requests without a partition. With 0.15, 0.25, 0.35 and 0.5,
+0.046, 0.020, 0.013 and 0.013 are refused while a workspace requests its full rate. If a
+partition and 7.5 times the demand start in the same second, usage reaches 1.11, 1.14,
+1.20 and 1.20 of the bound (74 entries, benchmarks/quotas.py).
 """
-PRIOR_USE = 0.1
-"""Requests that each entry is taken to have had besides.
+PRIOR_REQUESTS = 0.1
+"""Requests added to the usage of each entry when proportional shares are computed.
 
-The parts add up to one also where nobody had any. Greater: parts are more even than the
-use. Smaller: one request decides who has the whole part by use.
+The shares thus add up to one even if no entry has any usage. With a greater value, the
+shares are more even than the usage. With a smaller one, a single request gives an entry
+the whole proportional part.
 """
-FOUR_FREE_STEP = 5.0
-"""Times the expected requests that must be left for four of each entry to be free.
+FOUR_FREE_RATIO = 5.0
+"""Least ratio of remaining to expected requests at which each entry may admit four
+requests regardless of its share.
+
+With 7.5, 4 and 2 for the three ratios, a medium-sized workspace that requests nearly
+its whole quota had 0.16 of it refused instead of 0.09 (74 entries,
+benchmarks/quotas.py). Greater ratios refuse more requests. With smaller ones, the
+entries together use more than remains.
+"""
+TWO_FREE_RATIO = 2.0
+"""Least ratio of remaining to expected requests for two requests of each entry.
 
-With 7.5, 4 and 2 for the three steps a workspace of the middle that requests nearly its
-whole quota had 0.16 of it refused in place of 0.09 (74 entries, benchmarks/quotas.py).
-Greater: more refusals. Smaller: entries together take more than is left.
+With 74 entries and 8 requests per second of a workspace, an entry receives two within
+0.8 s in 0.4% of all cases.
 """
-TWO_FREE_STEP = 2.0
-"""The same for two requests of each entry.
+ONE_FREE_RATIO = 0.5
+"""Least ratio of remaining to expected requests for one request of each entry.
 
-At 74 entries and 8 requests a second of a workspace one entry gets two within 0.8 s
-in 0.4% of all cases.
+Below this ratio, an entry admits a request with a probability given by its share.
 """
-ONE_FREE_STEP = 0.5
-"""The same for one; below, an entry takes its part by chance."""
 
 
-class KnownUse(msgspec.Struct, frozen=True):
-    """What one entry knows of a workspace's use when a request arrives.
+class KnownUsage(msgspec.Struct, frozen=True):
+    """The usage of a workspace as one entry knows it when a request arrives.
 
-    All requests are those of the quota's window, unless a field says otherwise.
+    Numbers of requests refer to the window of the quota unless a field says otherwise.
     """
 
-    planned: float
-    """Requests up to which all entries together admit."""
-    others: float
-    """Requests of the other entries, as last reported."""
-    own: int
+    admission_limit: float
+    """Requests that all entries together admit."""
+    others_use: float
+    """Requests of the other entries as last reported."""
+    own_use: int
     """Requests of this entry."""
-    recent: int
-    """Those of them that what is known of the others' use may not go with: the last
-    UNSEEN_S before it arrived, and all since."""
+    unreported: int
+    """Requests of this entry that the other entries may not know yet: those of the
+    last `REPORT_DELAY_S` before the others' usage arrived, and all later ones."""
     entries: int
-    """How many entries there are, this one included."""
-    expected: float
-    """Requests of all entries that are expected within UNSEEN_S."""
+    """Number of entries, including this one."""
+    expected_use: float
+    """Requests of all entries expected within `REPORT_DELAY_S`."""
     silent: int = 0
-    """Others that are silent; what they may take is among what the others used."""
+    """Number of silent entries; `others_use` includes what is reserved for them."""
     expired: int = 0
-    """Own requests that left the window in the time of the recent ones: what others
-    know still counts them, and recent ones may take their place."""
+    """Requests of this entry that left the window while the unreported ones were
+    admitted. The others still count them, so unreported ones may replace them."""
 
     @property
-    def left(self) -> float:
-        """Return what was left before the requests that others may not know of."""
-        return self.planned - self.others - self.own + self.recent
+    def remaining(self) -> float:
+        """Return the quota that remained before the unreported requests."""
+        return self.admission_limit - self.others_use - self.own_use + self.unreported
 
     @property
     def allowance(self) -> float:
-        """Return how many recent requests this entry may have."""
-        live = self.entries - self.silent
-        left = self.left
-        if live > 1:
-            left = min(left, TAKEN_AT_ONCE * self.planned)
-        return self.expired + max(left * self._part(live), self._free_requests())
-
-    def _part(self, live: int) -> float:
-        """Return this entry's part of what is left, of 1.
+        """Return how many unreported requests this entry may have."""
+        active_entries = self.entries - self.silent
+        remaining = self.remaining
+        if active_entries > 1:
+            remaining = min(remaining, MAX_UNREPORTED_SHARE * self.admission_limit)
+        return self.expired + max(
+            remaining * self._share(active_entries), self._free_requests()
+        )
+
+    def _share(self, active_entries: int) -> float:
+        """Return this entry's share of the remaining quota, from 0 to 1.
 
         Args:
-          live: how many entries are not silent, this one included.
+          active_entries: number of entries that are not silent, including this one.
         """
-        before = self.own - self.recent
-        others = self.others * (live - 1) / max(self.entries - 1, 1)
-        used = others + before + PRIOR_USE * live
-        by_use = (before + PRIOR_USE) / used
-        return EVEN_SHARE / live + (1 - EVEN_SHARE) * by_use
+        reported = self.own_use - self.unreported
+        others_use = self.others_use * (active_entries - 1) / max(self.entries - 1, 1)
+        total_use = others_use + reported + PRIOR_REQUESTS * active_entries
+        proportional_share = (reported + PRIOR_REQUESTS) / total_use
+        return EVEN_SHARE / active_entries + (1 - EVEN_SHARE) * proportional_share
 
     def _free_requests(self) -> float:
-        """Return how many requests each entry may have whatever its part."""
-        steps = self.left / self.expected
-        if steps >= FOUR_FREE_STEP:
+        """Return how many requests each entry may admit regardless of its share."""
+        ratio = self.remaining / self.expected_use
+        if ratio >= FOUR_FREE_RATIO:
             return 4.0
-        if steps >= TWO_FREE_STEP:
+        if ratio >= TWO_FREE_RATIO:
             return 2.0
-        return 1.0 if steps >= ONE_FREE_STEP else 0.0
+        return 1.0 if ratio >= ONE_FREE_RATIO else 0.0
 
-    def admits(self, chance: float) -> bool:
+    def admits(self, random_fraction: float) -> bool:
         """Return whether one more request is within the allowance.
 
         Args:
-          chance: a number of [0, 1), by which a part of a request counts.
+          random_fraction: a random number in [0, 1), which rounds a fractional
+            allowance up or down at random.
         """
-        if self.others + self.own >= self.planned:
+        if self.others_use + self.own_use >= self.admission_limit:
             return False
-        return self.recent + chance < self.allowance
+        return self.unreported + random_fraction < self.allowance
--- a/leverdoor/workspaces/directory.py
+++ b/leverdoor/workspaces/directory.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which workspace a request belongs to, by the key that it carries.
+"""Looks up the workspace of a request by its workspace key.
 
-Owns an index of one configuration's workspaces; each configuration has its own. Relies
-on the configuration holding digests of keys, never the keys (keys.py).
+Owns an index of the workspaces of one configuration; each new configuration gets a new
+index. Relies on the configuration holding digests instead of keys (`keys.py`).
 """
 
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 
 class WorkspaceDirectory:
-    """The workspaces of one configuration, found by their keys."""
+    """The workspaces of one configuration, indexed by key digest."""
 
     def __init__(self, workspaces: Iterable[Workspace] = ()) -> None:
         """Index workspaces by their names and the digests of their keys."""
@@ -24,16 +24,16 @@
         self._by_digest = {d: w for w in self.by_name.values() for d in w.key_digests}
 
     def identify(self, key: str, *, anonymous: bool) -> Workspace | None:
-        """Return whose a request is.
+        """Return the workspace of a request.
 
         Args:
-          key: what the client sent; "" for none.
-          anonymous: whether the route serves requests without a key.
-        Returns: the workspace; None where there are none, and for a request of
-          nobody on an anonymous route.
+          key: the workspace key of the request; "" if absent.
+          anonymous: whether the route serves requests without a valid key.
+        Returns: the workspace; None if no workspaces are configured, or if the key
+          is missing or unknown on an anonymous route.
         Raises:
-          Refusal: a key is needed, and none or an unknown one was sent. The text
-            never holds the key.
+          Refusal: the route requires a key, and it is missing or unknown. The detail
+            never contains the key.
         """
         if not self.by_name:
             return None
--- a/leverdoor/workspaces/isolation.py
+++ b/leverdoor/workspaces/isolation.py
@@ -1,83 +1,101 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry that receives no digests may take of a quota.
+"""The share of a quota that an entry may use while it receives no digests.
 
-The others reserve the same for it (entry/exchange/use_merging.py), so that the sides
-of a cut together stay within the quota, whatever is requested of them. After RESERVATION_S
-they reserve nothing more, and it takes next to nothing.
+The other entries reserve the same share for it (`entry/exchange/use_merging.py`), so
+that all sides of a network partition together stay within the quota at any demand.
+After `RESERVATION_S` the reservation expires, and the isolated entry admits almost
+nothing.
 
-Owns no state.
+Owns no state. Relies on the last reported usage of all entries.
 """
 
 import msgspec
 
 from leverdoor.workspaces.allowance import EVEN_SHARE
 
-__all__ = ["RESERVATION_S", "ISOLATED_S", "IsolatedEntry", "isolated_use_factor"]
+__all__ = [
+    "RESERVATION_S",
+    "ISOLATION_TIMEOUT_S",
+    "IsolatedQuota",
+    "isolated_use_factor",
+]
 
-ISOLATED_S = 1.6
-"""Time without any digest from which on an entry takes itself for cut off, in seconds:
-four digests lost in a row.
+ISOLATION_TIMEOUT_S = 1.6
+"""Time without any digest after which an entry considers itself isolated, in seconds.
 
-Greater: each side of a cut takes what is left to the other for longer. Smaller: lost
-datagrams make an entry refuse.
+It equals four consecutive lost digests. With a greater value, each side of a network
+partition uses the other side's remaining quota for longer. With a smaller one, lost
+datagrams make an entry refuse requests.
 """
 RESERVATION_S = 20.0
-"""How long the others reserve what a silent entry may take, in seconds.
+"""How long the other entries reserve quota for a silent entry, in seconds.
 
-Greater: dead entries block a part of quotas for longer. Smaller: an entry that is cut
-off for longer refuses nearly all.
+With a greater value, dead entries block a share of each quota for longer. With a
+smaller one, entries that are isolated for longer refuse almost all requests.
 """
-MOST_STRETCH = 4.0
-"""Times its use that an isolated entry may take at most, and others reserve.
+MAX_USE_FACTOR = 4.0
+"""Greatest multiple of its usage that an isolated entry may use and others reserve.
 
-One request in a quiet time must not become a claim on a whole quota. Greater: more is
-reserved for silent ones. Smaller: a workspace whose use grows in a cut is refused.
+Prevents a single request at a quiet time from claiming a whole quota. A greater value
+reserves more for silent entries. A smaller one refuses requests of a workspace whose
+usage grows during a network partition.
 """
-SPARE_AFTER_HOLD = 0.5
-"""Part of the spare above the plan that all entries share once nothing is reserved.
+ISOLATED_MARGIN_SHARE = 0.5
+"""Share of the margin above the admission limit that isolated entries may use in total
+once the reservation has expired.
 
-Half, since others may be cut off too. Greater: the bound may be passed.
+It is half, since other entries may be isolated too. With a greater value, usage may
+exceed the bound.
 """
 
 
-def isolated_use_factor(planned: float, used: float) -> float:
-    """Return how many times its use an isolated entry may take.
+def isolated_use_factor(admission_limit: float, total_use: float) -> float:
+    """Return the multiple of its usage that an isolated entry may use.
 
-    Each side of a cut keeps its part of the quota, so that the sides together stay
-    within it, whatever is requested of them.
+    Each side of a network partition keeps its share of the quota, so that all sides
+    together stay within the quota at any demand.
 
     Args:
-      planned: requests of a window up to which all entries admit.
-      used: requests of all entries when they last knew of each other.
+      admission_limit: requests per window that all entries together admit.
+      total_use: requests of all entries at the last exchange of digests.
     """
-    return min(max(planned / max(used, 1.0), 1.0), MOST_STRETCH)
+    return min(max(admission_limit / max(total_use, 1.0), 1.0), MAX_USE_FACTOR)
 
 
-class IsolatedEntry(msgspec.Struct, frozen=True):
-    """What an isolated entry knows of one quota; requests are those of a window."""
+class IsolatedQuota(msgspec.Struct, frozen=True):
+    """A quota as an isolated entry knows it; requests are counted per window."""
 
-    planned: float
-    """Requests up to which all entries together admit."""
+    admission_limit: float
+    """Requests that all entries together admit."""
     bound: float
-    """Requests that must never be passed."""
+    """Requests that must never be exceeded."""
     entries: int
-    """How many entries there are, this one included."""
+    """Number of entries, including this one."""
     isolated_s: float
-    """Age of the others' use as it is known, in seconds."""
-    reported: int | None
-    """Own requests as the others last knew them; None if it never had a digest."""
-    others: float
-    """Requests of the others when the last digest came."""
+    """Age of the last received usage of the other entries, in seconds."""
+    last_reported: int | None
+    """Requests of this entry as last known to the others; None if this entry never
+    received a digest."""
+    others_use: float
+    """Requests of the other entries in the last received digest."""
 
     @property
     def ceiling(self) -> float:
-        """Return the own requests of a window that may not be passed."""
+        """Return the maximum number of requests of this entry per window."""
         if self.isolated_s > RESERVATION_S:
-            return (self.bound - self.planned) * SPARE_AFTER_HOLD / self.entries
-        even = self.planned / self.entries
-        if self.reported is None:
-            return EVEN_SHARE * even
-        used = self.others + self.reported
-        by_use = self.reported * isolated_use_factor(self.planned, used)
-        return max(even, EVEN_SHARE * even + (1 - EVEN_SHARE) * by_use)
+            return (
+                (self.bound - self.admission_limit)
+                * ISOLATED_MARGIN_SHARE
+                / self.entries
+            )
+        even_share = self.admission_limit / self.entries
+        if self.last_reported is None:
+            return EVEN_SHARE * even_share
+        total_use = self.others_use + self.last_reported
+        proportional_share = self.last_reported * isolated_use_factor(
+            self.admission_limit, total_use
+        )
+        return max(
+            even_share, EVEN_SHARE * even_share + (1 - EVEN_SHARE) * proportional_share
+        )
--- a/leverdoor/workspaces/keys.py
+++ b/leverdoor/workspaces/keys.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Digests of keys, so that the keys themselves are kept nowhere."""
+"""Computes the digests of workspace keys, so that the keys themselves are never stored.
+
+Owns no state.
+"""
 
 from hashlib import sha256
 
@@ -8,9 +11,9 @@
 
 
 def key_digest(key: str) -> str:
-    """Return the digest by which a key is known: SHA-256, in hexadecimal.
+    """Return the hexadecimal SHA-256 digest of a key.
 
-    Keys are drawn at random and long, so one round without salt does; it costs a
-    request less than a microsecond.
+    Keys are long and random, so a single round without salt is sufficient. It costs
+    less than a microsecond per request.
     """
     return sha256(key.encode()).hexdigest()
--- a/leverdoor/workspaces/quota.py
+++ b/leverdoor/workspaces/quota.py
@@ -1,19 +1,20 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Quotas of workspaces that hold over all entries, decided by each for itself.
+"""Quotas of workspaces that hold across all entries, enforced by each entry locally.
 
-An entry knows its own use of a quota exactly and the others' use as digests carry it,
-some tenths of a second old. What the others took since then it cannot know; so it takes
-no more in that time than its part of what was left (allowance.py). An entry that
-receives no digests keeps a ceiling by its use, which the others reserve for it
-(isolation.py). Nothing is exchanged on a request's path, and the store isn't called.
+An entry knows its own usage of a quota exactly, and the usage of the other entries with
+a delay of some tenths of a second. It cannot know what the others used since then, so
+during this delay it uses no more than its share of the remaining quota
+(`allowance.py`). An entry that receives no digests limits itself to a ceiling that
+depends on its last reported usage and that the others reserve for it (`isolation.py`).
+The request path neither exchanges messages nor accesses the store.
 
-Owns this entry's use by workspace (usage.py), the others' use as it last arrived, and
-its own as it was last reported. All of it is lost with the process; after a restart of
-all entries the window is earned anew.
+Owns this entry's usage by workspace (`usage.py`), the last received usage of the other
+entries, and this entry's last report. All of it is lost with the process. After a
+restart of all entries, admission grows with the part of the window that is known.
 
-Relies on `report` and `receive` being called with each round of digests, on `entries`
-being kept up to date, and on the operator's bounds (quota_bounds.py).
+Relies on calls of `report` and `receive` with each round of digests, on an up-to-date
+`entries`, and on the operator's bounds (`quota_bounds.py`).
 """
 
 from collections.abc import Iterable
@@ -21,197 +22,212 @@
 
 from leverdoor.errors import Code, Refusal
 from leverdoor.model.resources import Workspace
-from leverdoor.workspaces.allowance import EVEN_SHARE, KnownUse
-from leverdoor.workspaces.isolation import ISOLATED_S, IsolatedEntry
+from leverdoor.workspaces.allowance import EVEN_SHARE, KnownUsage
+from leverdoor.workspaces.isolation import ISOLATION_TIMEOUT_S, IsolatedQuota
 from leverdoor.workspaces.quota_bounds import QuotaBounds
-from leverdoor.workspaces.remote_usage import NOTHING_KNOWN, RemoteUsage
+from leverdoor.workspaces.remote_usage import NO_REMOTE_USAGE, RemoteUsage
 from leverdoor.workspaces.usage import UsageWindow
 
 __all__ = ["Quotas"]
 
-UNSEEN_S = 0.6
-"""Age of a use when digests arrive with it, at most, in seconds.
+REPORT_DELAY_S = 0.6
+"""Maximum age of usage when the digest that reports it arrives, in seconds.
 
-They bring it within 0.79 s (p99, 300 entries and 5% of datagrams lost,
-benchmarks/knowledge.py), of which up to 0.4 s are the time since the last digest.
-Greater: entries are refused for requests that others know of. Smaller: what others took
-is overlooked.
+Digests deliver usage within 0.79 s (p99, 300 entries, 5% of datagrams lost,
+benchmarks/knowledge.py), including up to 0.4 s since the last digest. With a greater
+value, entries refuse requests because of usage that the others already know. With a
+smaller one, usage of other entries is overlooked.
 """
-LEAST_EXPECTED = 0.15
-"""Part of a quota that counts as its use where less is known to be used.
+MIN_EXPECTED_SHARE = 0.15
+"""Minimum share of a quota that the computation of expected use assumes to be used.
 
-A start knows nothing. Greater: fewer requests are free. Smaller: an entry that has just
-started lets too many through.
+An entry that has just started does not know the usage. With a greater value, fewer
+requests are admitted regardless of shares. With a smaller one, an entry that has just
+started admits too many requests.
 """
-LEAST_RETRY_AFTER_S = 0.2
-"""Least time after which a refused request should come back, in seconds.
+MIN_RETRY_AFTER_S = 0.2
+"""Minimum Retry-After time of a refused request, in seconds.
 
-A round of heartbeats, before it nothing newer is known. Greater: callers wait while
-there is some of the quota left. Smaller: they are refused again.
+It equals a round of heartbeats, before which no newer usage is known. With a greater
+value, callers wait although quota remains. With a smaller one, they are refused again.
 """
 
 
 def retry_after_s(
-    excess: float, planned: float, window_s: float, chance: float
+    excess: float, admission_limit: float, window_s: float, random_fraction: float
 ) -> float:
-    """Return when a request beyond its quota should come back, in seconds.
+    """Return after how many seconds a request beyond its quota should be retried.
 
-    When the excess has left the window, if the plan is used evenly; spread, so that
-    refused requests come back one by one.
+    The time suffices for the excess to leave the window if usage is even. A random
+    delay spreads the retries.
 
     Args:
-      excess: requests beyond what may be planned with, this one included.
-      planned: requests of a window up to which all entries admit.
+      excess: requests beyond the admission limit, including this one.
+      admission_limit: requests per window that all entries together admit.
       window_s: length of the window, in seconds.
-      chance: a random number of [0, 1).
+      random_fraction: a random number in [0, 1).
     """
-    return max(excess * window_s / planned, LEAST_RETRY_AFTER_S) + UNSEEN_S * chance
+    return (
+        max(excess * window_s / admission_limit, MIN_RETRY_AFTER_S)
+        + REPORT_DELAY_S * random_fraction
+    )
 
 
 class Quotas:
-    """What workspaces used, and whether one more request is within their quota."""
+    """Tracks the usage of workspaces and admits requests within their quotas."""
 
     def __init__(
         self, bounds: QuotaBounds, rng: Random, now: float, *, first_start: bool
     ) -> None:
-        """Create it.
+        """Initialize without any usage.
 
         Args:
-          bounds: how far use may go beyond a quota.
-          rng: where all chance comes from.
+          bounds: the bounds on usage beyond a quota.
+          rng: the random number generator for admission and retry times.
           now: monotonic time in seconds.
-          first_start: whether there was nothing before: no use that is not known.
+          first_start: whether no entry ran before, so that all usage is known.
         """
         self._bounds = bounds
         self._rng = rng
-        self._usage = UsageWindow(bounds.window_s, UNSEEN_S + ISOLATED_S)
-        self._began = now
-        self._known_since = now - bounds.window_s if first_start else now
-        """Since when all use is known here."""
-        self._others = NOTHING_KNOWN
-        self._others_at = now
-        """When the others' use was as it is known, or when this began."""
+        self._usage = UsageWindow(bounds.window_s, REPORT_DELAY_S + ISOLATION_TIMEOUT_S)
+        self._started_at = now
+        self._complete_since = now - bounds.window_s if first_start else now
+        """Time since which all usage is known to this entry."""
+        self._remote_usage = NO_REMOTE_USAGE
+        self._remote_usage_at = now
+        """Time to which `_remote_usage` refers; initially the time of the start."""
         self._received = False
-        """Whether any of the others' use has arrived in this incarnation."""
+        """Whether usage of the other entries was received in this incarnation."""
         self.entries = 1
-        """How many entries there are, this one included."""
-        self._reported: dict[str, int] = {}
-        """Own use as last reported to the others."""
-        self._reported_before = self._reported
-        """The same at the time when the others' use last arrived."""
-
-    def receive(self, others: RemoteUsage, now: float) -> None:
-        """Take what the others used, if any of them is not silent.
-
-        An entry that merges the reports itself and gets none knows no more than at the
-        last time: what all others may take is so near to a whole quota that the rest is
-        chance.
+        """Number of entries, including this one."""
+        self._last_report: dict[str, int] = {}
+        """Usage of this entry as last reported to the others."""
+        self._report_at_receipt = self._last_report
+        """Value of `_last_report` when `_remote_usage` was received."""
+
+    def receive(self, others_use: RemoteUsage, now: float) -> None:
+        """Store the usage of the other entries, unless all of them are silent.
+
+        If an entry merges the reports itself and receives none, it learns nothing new.
+        The reservations for all others would be close to a whole quota, and admission
+        would depend on chance.
         """
-        if self.entries > 1 and others.silent >= self.entries - 1:
+        if self.entries > 1 and others_use.silent >= self.entries - 1:
             return
-        self._others = others
-        self._others_at = now - others.age_s
-        self._reported_before = self._reported
+        self._remote_usage = others_use
+        self._remote_usage_at = now - others_use.age_s
+        self._report_at_receipt = self._last_report
         self._received = True
-        self._known_since = min(self._known_since, now - others.covered_s)
+        self._complete_since = min(
+            self._complete_since, now - others_use.complete_for_s
+        )
 
     def report(self, now: float) -> dict[str, int]:
-        """Return the own use by workspace, to be reported to the others."""
-        self._reported = self._usage.totals(now)
-        return self._reported
+        """Return this entry's usage by workspace for the report to the others."""
+        self._last_report = self._usage.totals(now)
+        return self._last_report
 
     def tracked_s(self, now: float) -> float:
-        """Return for how long this entry has counted, in seconds."""
-        return now - self._began
+        """Return how long this entry has counted usage, in seconds."""
+        return now - self._started_at
 
     def admission_limits(self, workspaces: Iterable[Workspace]) -> dict[str, float]:
-        """Return what is planned with for each of the workspaces that have a quota."""
-        return {w.name: self._bounds.planned(w) for w in workspaces if w.rate_per_s}
+        """Return the admission limit of each workspace that has a quota."""
+        return {
+            w.name: self._bounds.admission_limit(w) for w in workspaces if w.rate_per_s
+        }
 
     # Requests.
 
     def admit(self, workspace: Workspace, now: float) -> None:
-        """Count a request of a workspace.
+        """Admit and count a request of a workspace.
 
         Raises:
-          Refusal: it is beyond the quota; the text has the figures.
+          Refusal: the request exceeds the quota; the detail contains the usage.
         """
         if not workspace.rate_per_s:
             return
-        known = self._known_use(workspace, now)
-        chance = self._rng.random()
-        if self._isolated(now):
-            admitted = known.own + chance < self._ceiling(workspace, known, now)
+        known = self._known_usage(workspace, now)
+        random_fraction = self._rng.random()
+        if self._is_isolated(now):
+            admitted = known.own_use + random_fraction < self._ceiling(
+                workspace, known, now
+            )
         else:
-            admitted = known.admits(chance)
+            admitted = known.admits(random_fraction)
         if not admitted:
             raise self._refusal(workspace, known, now)
         self._usage.add(workspace.name, now)
 
     def count_retry(self, workspace: Workspace, now: float) -> None:
-        """Count a retry of a request that may have run, at another target."""
+        """Count the retry, at another target, of a request that may have run."""
         if workspace.rate_per_s:
             self._usage.add(workspace.name, now)
 
     def refund(self, workspace: Workspace, at: float) -> None:
-        """Take back a request that was not run, by the time of its admission."""
+        """Refund a request that was not run and was admitted at a time."""
         if workspace.rate_per_s:
-            self._usage.take_back(workspace.name, at)
+            self._usage.remove(workspace.name, at)
 
-    def _isolated(self, now: float) -> bool:
-        """Return whether there are other entries and no digest came lately."""
-        return now - self._others_at > ISOLATED_S and self.entries > 1
+    def _is_isolated(self, now: float) -> bool:
+        """Return whether other entries exist but no recent digest was received."""
+        return now - self._remote_usage_at > ISOLATION_TIMEOUT_S and self.entries > 1
 
-    def _known_use(self, workspace: Workspace, now: float) -> KnownUse:
+    def _known_usage(self, workspace: Workspace, now: float) -> KnownUsage:
         bounds = self._bounds
         name = workspace.name
-        planned = bounds.planned(workspace)
-        own = self._usage.within(name, bounds.window_s, now)
-        silent = min(self._others.silent, self.entries - 1)
-        others = self._use_of_others(name, planned, silent)
-        used = max(own + others, LEAST_EXPECTED * planned)
-        unseen_s = UNSEEN_S + (now - self._others_at if self.entries > 1 else 0.0)
-        return KnownUse(
-            planned=bounds.planned_if_known_for(workspace, now - self._known_since),
-            others=others,
-            own=own,
-            recent=self._usage.within(name, unseen_s, now),
+        admission_limit = bounds.admission_limit(workspace)
+        own_use = self._usage.count_within(name, bounds.window_s, now)
+        silent = min(self._remote_usage.silent, self.entries - 1)
+        others_use = self._others_use(name, admission_limit, silent)
+        total_use = max(own_use + others_use, MIN_EXPECTED_SHARE * admission_limit)
+        delay_s = REPORT_DELAY_S + (
+            now - self._remote_usage_at if self.entries > 1 else 0.0
+        )
+        return KnownUsage(
+            admission_limit=bounds.admission_limit_after(
+                workspace, now - self._complete_since
+            ),
+            others_use=others_use,
+            own_use=own_use,
+            unreported=self._usage.count_within(name, delay_s, now),
             entries=self.entries,
-            expected=used * UNSEEN_S / bounds.window_s,
+            expected_use=total_use * REPORT_DELAY_S / bounds.window_s,
             silent=silent,
-            expired=self._usage.expired(name, unseen_s, now),
+            expired=self._usage.count_expired(name, delay_s, now),
         )
 
-    def _use_of_others(self, name: str, planned: float, silent: int) -> float:
-        """Return the others' use of a quota, with what is reserved for silent ones."""
-        others: float = self._others.use.get(name, 0)
-        if name not in self._others.use:
-            others = self._others.least_reported * planned
-        return others + EVEN_SHARE * planned * silent / self.entries
-
-    def _ceiling(self, workspace: Workspace, known: KnownUse, now: float) -> float:
-        """Return the own requests of a window that may not be passed in isolation."""
-        reported = self._reported_before.get(workspace.name, 0)
-        return IsolatedEntry(
-            planned=known.planned,
+    def _others_use(self, name: str, admission_limit: float, silent: int) -> float:
+        """Return the others' usage of a quota, plus reservations for silent ones."""
+        others_use: float = self._remote_usage.use.get(name, 0)
+        if name not in self._remote_usage.use:
+            others_use = self._remote_usage.min_reported_share * admission_limit
+        return others_use + EVEN_SHARE * admission_limit * silent / self.entries
+
+    def _ceiling(self, workspace: Workspace, known: KnownUsage, now: float) -> float:
+        """Return the maximum number of requests per window while isolated."""
+        last_reported = self._report_at_receipt.get(workspace.name, 0)
+        return IsolatedQuota(
+            admission_limit=known.admission_limit,
             bound=self._bounds.bound(workspace),
             entries=self.entries,
-            isolated_s=now - self._others_at,
-            reported=reported if self._received else None,
-            others=known.others,
+            isolated_s=now - self._remote_usage_at,
+            last_reported=last_reported if self._received else None,
+            others_use=known.others_use,
         ).ceiling
 
-    def _refusal(self, workspace: Workspace, known: KnownUse, now: float) -> Refusal:
-        excess = max(known.others + known.own + 1 - known.planned, 0.0)
+    def _refusal(self, workspace: Workspace, known: KnownUsage, now: float) -> Refusal:
+        excess = max(known.others_use + known.own_use + 1 - known.admission_limit, 0.0)
         wait_s = retry_after_s(
             excess,
-            self._bounds.planned(workspace),
+            self._bounds.admission_limit(workspace),
             self._bounds.window_s,
             self._rng.random(),
         )
-        age_ms = round((now - self._others_at) * 1000)
+        age_ms = round((now - self._remote_usage_at) * 1000)
         detail = (
-            f"{workspace.name}: {known.own} here, {known.others} elsewhere "
-            f"({age_ms} ms ago), of {known.planned:.0f}, part {known.allowance:.1f}"
+            f"{workspace.name}: {known.own_use} requests here, {known.others_use} "
+            f"elsewhere ({age_ms} ms ago), admission limit "
+            f"{known.admission_limit:.0f}, allowance {known.allowance:.1f}"
         )
         return Refusal(Code.QUOTA_EXCEEDED, detail, retry_after_ms=round(wait_s * 1000))
--- a/leverdoor/workspaces/quota_bounds.py
+++ b/leverdoor/workspaces/quota_bounds.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How far the use of a quota may go beyond it: the operator's bounds, and the plan.
+"""The bounds of a quota, from the operator's settings, and the admission limit.
 
-Three figures of a workspace, in requests a window: its *limit*, which it is allowed;
-the *bound*, which must never be passed; and what is *planned*, up to which all entries
-together admit. Owns no state.
+A workspace has three limits, in requests per window. The *limit* is its quota. The
+*bound* must never be exceeded. The *admission limit* lies between them; all entries
+together admit requests up to it. Owns no state. Relies on the rate and burst of the
+workspace.
 """
 
 import msgspec
@@ -13,60 +14,66 @@
 
 __all__ = ["QuotaBounds"]
 
-PLANNED_SPARE = 0.3
-"""Part of the spare between a limit and its bound that is planned with.
+ADMITTED_MARGIN_SHARE = 0.3
+"""Share of the margin between limit and bound that the admission limit includes.
 
-The rest is for entries that take the same requests before their digests arrive.
-Greater: the bound is passed sooner (with 0.4 a cut and 4.1 times the demand in the same
-second reached 1.05 of it, with 0.25 1.03; 74 entries, benchmarks/quotas.py). Smaller:
-workspaces are refused near their limit.
+The rest allows for entries that use the same part of the quota before their digests
+arrive. With a greater value, usage exceeds the bound sooner: when a network partition
+and 4.1 times the demand started in the same second, it reached 1.05 of the bound with
+0.4 and 1.03 with 0.25 (74 entries, benchmarks/quotas.py). With a smaller one, requests
+of a workspace are refused near its limit.
 """
-UNKNOWN_SPARE = 0.5
-"""Part of the spare above the plan that all entries together may take when they don't
-know what was used.
+UNKNOWN_USE_MARGIN_SHARE = 0.5
+"""Share of the margin above the admission limit that all entries together may use
+while previous usage is unknown.
 
-Half, since the other half is for what is on its way. Greater: a workspace that used up
-its quota before passes its bound. Smaller: more refusals after a restart of all
-entries.
+The other half allows for usage that is not yet reported. With a greater value, a
+workspace that had exhausted its quota exceeds its bound. A smaller one causes more
+refusals after a restart of all entries.
 """
 
 
 class QuotaBounds(msgspec.Struct, frozen=True):
-    """How far the use of a quota may go beyond it, as the operator's bounds say."""
+    """The operator's bounds on usage beyond a quota."""
 
     window_s: float = 5.0
-    """Length of the sliding windows in which use is counted."""
+    """Length of the sliding window of usage, in seconds."""
     overshoot: float = 0.1
-    """Part of a quota by which it may be passed."""
+    """Fraction of a quota by which usage may exceed it."""
     slack: float = 20.0
-    """Requests by which it may be passed besides."""
+    """Number of requests by which usage may exceed it in addition."""
 
     def limit(self, workspace: Workspace) -> float:
-        """Return the requests of a window that a workspace is allowed."""
+        """Return the quota of a workspace, in requests per window."""
         return workspace.rate_per_s * self.window_s + workspace.burst
 
     def bound(self, workspace: Workspace) -> float:
-        """Return the requests of a window that must never be passed."""
+        """Return the requests per window that must never be exceeded."""
         return self.limit(workspace) * (1 + self.overshoot) + self.slack
 
-    def planned(self, workspace: Workspace) -> float:
-        """Return the requests of a window up to which all entries admit."""
+    def admission_limit(self, workspace: Workspace) -> float:
+        """Return the requests per window that all entries together admit."""
         limit = self.limit(workspace)
-        return limit + PLANNED_SPARE * (self.bound(workspace) - limit)
+        return limit + ADMITTED_MARGIN_SHARE * (self.bound(workspace) - limit)
 
-    def planned_if_known_for(self, workspace: Workspace, known_s: float) -> float:
-        """Return the same while all use is known for a part of the window only.
+    def admission_limit_after(
+        self, workspace: Workspace, complete_for_s: float
+    ) -> float:
+        """Return the admission limit if usage is known for a part of the window only.
 
-        After a restart of all entries nobody knows what was used before. A quota that
-        was used up evenly stays within its bound.
+        After a restart of all entries, previous usage is unknown. The reduced limit
+        keeps a quota that was used up evenly within its bound.
 
         Args:
-          workspace: whose quota.
-          known_s: for how long all use has been known, in seconds.
+          workspace: the workspace.
+          complete_for_s: how long all usage has been known, in seconds.
         """
-        planned = self.planned(workspace)
-        part = known_s / self.window_s
-        if part >= 1.0:
-            return planned
-        spare = self.bound(workspace) - planned
-        return min(planned * part + spare * UNKNOWN_SPARE, planned)
+        admission_limit = self.admission_limit(workspace)
+        fraction = complete_for_s / self.window_s
+        if fraction >= 1.0:
+            return admission_limit
+        margin = self.bound(workspace) - admission_limit
+        return min(
+            admission_limit * fraction + margin * UNKNOWN_USE_MARGIN_SHARE,
+            admission_limit,
+        )
--- a/leverdoor/workspaces/remote_usage.py
+++ b/leverdoor/workspaces/remote_usage.py
@@ -1,28 +1,31 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What the other entries used of quotas, as the exchange of digests gives it."""
+"""The usage of quotas by the other entries, as received in digests.
+
+Owns no state. Relies on the exchange of digests, which creates the values.
+"""
 
 from collections.abc import Mapping
 
 import msgspec
 
-__all__ = ["NOTHING_KNOWN", "RemoteUsage"]
+__all__ = ["NO_REMOTE_USAGE", "RemoteUsage"]
 
 
 class RemoteUsage(msgspec.Struct, frozen=True):
-    """What all other entries used of quotas, as far as it is known."""
+    """The known usage of quotas by all other entries."""
 
     use: Mapping[str, int]
     """Requests in the window by workspace."""
     age_s: float
-    """Age of the oldest report in it, in seconds."""
-    covered_s: float
-    """For how long nothing of it can be missing, in seconds."""
-    least_reported: float
-    """Part of a quota below which a use may be left out."""
+    """Age of the oldest included report, in seconds."""
+    complete_for_s: float
+    """How long the reports have been complete, in seconds."""
+    min_reported_share: float
+    """Share of a quota below which the usage of a workspace may be omitted."""
     silent: int = 0
-    """How many others are silent: for each an even part is reserved besides."""
+    """Number of silent entries, for each of which an even share is also reserved."""
 
 
-NOTHING_KNOWN = RemoteUsage({}, 0.0, 0.0, 0.0)
-"""The use of others before anything has arrived."""
+NO_REMOTE_USAGE = RemoteUsage({}, 0.0, 0.0, 0.0)
+"""The value before the first digest is received."""
--- a/leverdoor/workspaces/usage.py
+++ b/leverdoor/workspaces/usage.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How many requests of each workspace an entry took in the last seconds.
+"""Counts the requests of each workspace that an entry admitted, in a sliding window.
 
-Owns the counts of one entry, in slices of time, for as long as a quota needs them; lost
-with the process. Exact but for the slice at the edge of a window.
+Owns the counts of one entry in time slices, retained as long as quotas need them; lost
+with the process. Counts are exact except for the slice at the edge of the window.
 """
 
 from collections import deque
@@ -13,36 +13,37 @@
 __all__ = ["UsageWindow"]
 
 SLICE_S = 0.1
-"""Resolution in seconds; a window counts up to one slice too much, never less.
+"""Length of a time slice, in seconds.
 
-A fiftieth of a window of 5 s. Greater: more refusals at the edge of the window.
-Smaller: more memory and time for each request.
+A window may include up to one additional slice, but never omits one. The value is a
+fiftieth of a 5 s window. A greater value causes more refusals at the window's edge. A
+smaller one costs more memory and time per request.
 """
 
 
 class _Slice(msgspec.Struct):
-    """The requests of one slice of time."""
+    """The number of requests in one time slice."""
 
     number: int
-    """Slices since the start of the clock."""
+    """Index of the slice, counted from the start of the clock."""
     count: int
 
 
 class UsageWindow:
-    """Requests by workspace, in a window that slides in steps of a slice."""
+    """Requests by workspace in a sliding window of time slices."""
 
-    def __init__(self, window_s: float, kept_s: float = 0.0) -> None:
-        """Create it without any request.
+    def __init__(self, window_s: float, retention_s: float = 0.0) -> None:
+        """Initialize an empty window.
 
         Args:
-          window_s: how long a request counts, in seconds.
-          kept_s: for how long requests that have left the window are kept besides,
-            in seconds (see `expired`).
+          window_s: length of the window, in seconds.
+          retention_s: how long requests are retained after they leave the window, for
+            `count_expired`, in seconds.
         """
-        self._window = int(window_s / SLICE_S) + 1
-        """Slices that count, the present one aside."""
-        self._kept = self._window + int(kept_s / SLICE_S)
-        """Slices that are kept, the present one aside."""
+        self._window_slices = int(window_s / SLICE_S) + 1
+        """Number of slices in the window, without the current one."""
+        self._retained_slices = self._window_slices + int(retention_s / SLICE_S)
+        """Number of retained slices, without the current one."""
         self._slices: dict[str, deque[_Slice]] = {}
 
     def add(self, name: str, now: float) -> None:
@@ -54,46 +55,52 @@
         else:
             slices.append(_Slice(number, 1))
 
-    def take_back(self, name: str, at: float) -> None:
-        """Take back a request that was counted at a time, if that is still kept."""
+    def remove(self, name: str, at: float) -> None:
+        """Subtract a request that was counted at a time, if its slice is retained."""
         number = int(at / SLICE_S)
-        for one_slice in reversed(self._slices.get(name, ())):
-            if one_slice.number == number:
-                one_slice.count -= 1
+        for time_slice in reversed(self._slices.get(name, ())):
+            if time_slice.number == number:
+                time_slice.count -= 1
                 return
 
-    def within(self, name: str, span_s: float, now: float) -> int:
-        """Return a workspace's requests of the last seconds, at most the window's."""
-        first = int(now / SLICE_S) - self._window
-        oldest = max(int((now - span_s) / SLICE_S), first)
-        return sum(s.count for s in self._of(name, now) if s.number >= oldest)
+    def count_within(self, name: str, span_s: float, now: float) -> int:
+        """Return the requests of a workspace in the last `span_s` of the window."""
+        first_slice = int(now / SLICE_S) - self._window_slices
+        oldest_slice = max(int((now - span_s) / SLICE_S), first_slice)
+        return sum(
+            s.count for s in self._slices_of(name, now) if s.number >= oldest_slice
+        )
 
-    def expired(self, name: str, span_s: float, now: float) -> int:
-        """Return a workspace's requests that left the window in the last seconds.
+    def count_expired(self, name: str, span_s: float, now: float) -> int:
+        """Return the requests of a workspace that left the window in `span_s`.
 
-        Never too many: a slice counts once all of it has left.
+        The count is never too high: a slice counts only after all of it has left.
         """
-        first = int(now / SLICE_S) - self._window
-        oldest = first - int(span_s / SLICE_S)
-        return sum(s.count for s in self._of(name, now) if oldest < s.number < first)
+        first_slice = int(now / SLICE_S) - self._window_slices
+        oldest_slice = first_slice - int(span_s / SLICE_S)
+        return sum(
+            s.count
+            for s in self._slices_of(name, now)
+            if oldest_slice < s.number < first_slice
+        )
 
     def totals(self, now: float) -> dict[str, int]:
-        """Return the requests of all workspaces that had any in the window."""
-        first = int(now / SLICE_S) - self._window
-        found = {}
+        """Return the requests in the window for each workspace that has any."""
+        first_slice = int(now / SLICE_S) - self._window_slices
+        result = {}
         for name in list(self._slices):
-            slices = self._of(name, now)
-            total = sum(s.count for s in slices if s.number >= first)
+            slices = self._slices_of(name, now)
+            total = sum(s.count for s in slices if s.number >= first_slice)
             if total > 0:
-                found[name] = total
+                result[name] = total
             elif not slices:
                 del self._slices[name]
-        return found
+        return result
 
-    def _of(self, name: str, now: float) -> deque[_Slice]:
-        """Return a workspace's slices, without those that are kept no longer."""
+    def _slices_of(self, name: str, now: float) -> deque[_Slice]:
+        """Return the slices of a workspace after discarding expired ones."""
         slices = self._slices.get(name, deque())
-        first = int(now / SLICE_S) - self._kept
-        while slices and slices[0].number < first:
+        first_slice = int(now / SLICE_S) - self._retained_slices
+        while slices and slices[0].number < first_slice:
             slices.popleft()
         return slices
--- a/tests/test_entry_connection.py
+++ b/tests/test_entry_connection.py
@@ -11,7 +11,7 @@
 
 from leverdoor.entry.requests.connection import (
     AnswerLost,
-    NotSent,
+    RequestNotSent,
     TargetConnection,
     open_connection,
 )
@@ -125,7 +125,7 @@
         async with asyncio.timeout(5):
             while not connection.closed:
                 await asyncio.sleep(0.001)
-        with pytest.raises(NotSent):
+        with pytest.raises(RequestNotSent):
             await send(connection, "2")
 
 
@@ -299,5 +299,5 @@
 async def test_a_port_that_is_dead_was_not_sent_to() -> None:
     async with Target(lambda r, w: asyncio.sleep(0)) as target:
         port = target.port
-    with pytest.raises(NotSent):
+    with pytest.raises(RequestNotSent):
         await open_connection("127.0.0.1", port, 1.0, lambda _: None)
--- a/tests/test_entry_connections.py
+++ b/tests/test_entry_connections.py
@@ -8,19 +8,19 @@
 
 from desk import target
 from leverdoor.entry.requests import idle_timeouts
-from leverdoor.entry.requests.connection import AnswerLost, Withdrawn
+from leverdoor.entry.requests.connection import AnswerLost, TargetWithdrawn
 from leverdoor.entry.requests.connection_pool import ConnectionPool
 from leverdoor.entry.requests.idle_timeouts import (
-    LIMITED_FOR_S,
-    LIMITED_IDLE_S,
+    REDUCED_FOR_S,
+    REDUCED_IDLE_S,
     IdleTimeouts,
 )
-from leverdoor.entry.requests.outgoing import Outgoing
+from leverdoor.entry.requests.outgoing_request import OutgoingRequest
 from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.model.resources import Target
 from leverdoor.quarantine.ended_targets import TargetCheck
 
-LONG_S = 2 * LIMITED_IDLE_S
+LONG_S = 2 * REDUCED_IDLE_S
 
 
 def takes() -> bool:
@@ -33,19 +33,19 @@
 
 def test_a_reset_at_once_after_a_rest_shows_forgotten_connections() -> None:
     limits = IdleTimeouts()
-    assert limits.longest_s("s", 0.0) > 1e9
-    assert limits.lost("s", LONG_S, SOON_S, 0.0)
-    assert not limits.lost("s", LONG_S, SOON_S, 1.0)
-    assert limits.longest_s("s", 2.0) == LIMITED_IDLE_S
-    assert limits.longest_s("other", 2.0) > 1e9
-    assert limits.longest_s("s", 1.0 + LIMITED_FOR_S) > 1e9
+    assert limits.max_idle_s("s", 0.0) > 1e9
+    assert limits.record_lost_reply("s", LONG_S, SOON_S, 0.0)
+    assert not limits.record_lost_reply("s", LONG_S, SOON_S, 1.0)
+    assert limits.max_idle_s("s", 2.0) == REDUCED_IDLE_S
+    assert limits.max_idle_s("other", 2.0) > 1e9
+    assert limits.max_idle_s("s", 1.0 + REDUCED_FOR_S) > 1e9
 
 
 def test_other_lost_answers_do_not() -> None:
     limits = IdleTimeouts()
-    assert not limits.lost("s", 0.0, SOON_S, 0.0)
-    assert not limits.lost("s", LONG_S, 1.0, 0.0)
-    assert limits.longest_s("s", 0.0) > 1e9
+    assert not limits.record_lost_reply("s", 0.0, SOON_S, 0.0)
+    assert not limits.record_lost_reply("s", LONG_S, 1.0, 0.0)
+    assert limits.max_idle_s("s", 0.0) > 1e9
 
 
 @pytest.mark.parametrize("entries", [1, 12, 195, 300])
@@ -76,9 +76,9 @@
     server.close()
 
 
-def outgoing(request_id: str) -> Outgoing:
+def make_request(request_id: str) -> OutgoingRequest:
     head = f"POST / HTTP/1.1\r\nHost: h\r\nX-Id: {request_id}\r\n\r\n"
-    return Outgoing(request_id, "POST", head.encode(), b"")
+    return OutgoingRequest(request_id, "POST", head.encode(), b"")
 
 
 async def test_a_service_that_forgets_gets_young_connections(
@@ -102,12 +102,12 @@
     connections = ConnectionPool("x-id", "a", told.append, lambda *_: None)
     one, two = target("one", address=address), target("two", address=address)
     for t in (one, two):
-        await connections.exchange(t, outgoing("first"), takes)
+        await connections.exchange(t, make_request("first"), takes)
     await asyncio.sleep(LONG_S)
     with pytest.raises(AnswerLost):
-        await connections.exchange(one, outgoing("second"), takes)
+        await connections.exchange(one, make_request("second"), takes)
     assert told == ["s"]
-    reply = await connections.exchange(two, outgoing("third"), takes)
+    reply = await connections.exchange(two, make_request("third"), takes)
     assert reply.status == 200
     assert connections.opened == 3
     connections.close()
@@ -126,7 +126,7 @@
     connections = ConnectionPool("x-id", "a", lambda _: None, lambda *_: None)
     one = target("one", address=address)
     assert await connections.check(one) is TargetCheck.SERVES
-    reply = await connections.exchange(one, outgoing("first"), takes)
+    reply = await connections.exchange(one, make_request("first"), takes)
     assert reply.status == 200
     assert connections.opened == 1
     connections.close()
@@ -147,8 +147,8 @@
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     connections = ConnectionPool("x-id", "a", lambda _: None, lambda *_: None)
     one = target("one", address=address)
-    with pytest.raises(Withdrawn):
-        await connections.exchange(one, outgoing("first"), lambda: False)
+    with pytest.raises(TargetWithdrawn):
+        await connections.exchange(one, make_request("first"), lambda: False)
     server.close()
     await server.wait_closed()
     assert not received
@@ -173,7 +173,7 @@
         request.cancel()
 
     connections = ConnectionPool("x-id", "a", lambda _: None, take)
-    sending = connections.exchange(one, outgoing("first"), takes)
+    sending = connections.exchange(one, make_request("first"), takes)
     request = asyncio.create_task(sending)
     with pytest.raises(asyncio.CancelledError):
         await request
--- a/tests/test_entry_request_rules.py
+++ b/tests/test_entry_request_rules.py
@@ -9,11 +9,11 @@
 from leverdoor.entry.membership.member import Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.requests.deadlines import (
-    give_up_at,
-    give_up_on_target_at,
-    ms_left,
+    remaining_ms,
+    request_deadline,
+    target_deadline,
 )
-from leverdoor.entry.requests.retries import says_not_run
+from leverdoor.entry.requests.retries import reports_not_run
 from leverdoor.entry.requests.retry_after import retry_after_value
 from leverdoor.entry.warm_up import may_warm_up
 from leverdoor.model.resources import Route, WorkClass
@@ -43,18 +43,18 @@
 def test_the_lesser_of_deadline_and_time_out_counts(
     deadline_ms: int, timeout_ms: int, expected_s: float
 ) -> None:
-    until = give_up_at(5.0, deadline_ms, route(timeout_ms))
+    until = request_deadline(5.0, deadline_ms, route(timeout_ms))
     assert until == pytest.approx(5.0 + expected_s)
 
 
 def test_a_target_is_given_up_on_before_the_request() -> None:
-    assert give_up_on_target_at(5.0) == pytest.approx(4.97)
+    assert target_deadline(5.0) == pytest.approx(4.97)
 
 
 def test_a_target_is_given_whole_milliseconds_and_one_at_least() -> None:
-    assert ms_left(5.0, 4.5) == 500
-    assert ms_left(5.0, 4.9985) == 1
-    assert ms_left(5.0, 6.0) == 1
+    assert remaining_ms(5.0, 4.5) == 500
+    assert remaining_ms(5.0, 4.9985) == 1
+    assert remaining_ms(5.0, 6.0) == 1
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
     ],
 )
 def test_which_answers_mean_not_run(status: int, marked: bool, expected: bool) -> None:
-    assert says_not_run(status, marked) is expected
+    assert reports_not_run(status, marked) is expected
 
 
 @pytest.mark.parametrize(
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -24,9 +24,9 @@
 from leverdoor.errors import Code, Refusal
 from leverdoor.model.resources import Workspace
 from leverdoor.standins.entry_site import SAMPLE_ROUTES, EntrySite
-from leverdoor.workspaces.allowance import EVEN_SHARE, KnownUse
+from leverdoor.workspaces.allowance import EVEN_SHARE, KnownUsage
 from leverdoor.workspaces.isolation import (
-    ISOLATED_S,
+    ISOLATION_TIMEOUT_S,
     RESERVATION_S,
     isolated_use_factor,
 )
@@ -36,13 +36,20 @@
 
 BOUNDS = QuotaBounds(window_s=5.0, overshoot=0.1, slack=20.0)
 WARD = Workspace(name="ward", rate_per_s=10.0, burst=10.0)
-KNOWN = KnownUse(planned=100.0, others=0.0, own=0, recent=0, entries=10, expected=1.0)
+KNOWN = KnownUsage(
+    admission_limit=100.0,
+    others_use=0.0,
+    own_use=0,
+    unreported=0,
+    entries=10,
+    expected_use=1.0,
+)
 
 
 def test_limit_plan_and_bound() -> None:
     assert BOUNDS.limit(WARD) == 60.0
     assert BOUNDS.bound(WARD) == pytest.approx(86.0)
-    assert 60.0 < BOUNDS.planned(WARD) < 86.0
+    assert 60.0 < BOUNDS.admission_limit(WARD) < 86.0
 
 
 def admitted(quotas: Quotas, count: int, now: float) -> int:
@@ -60,7 +67,9 @@
 
 def test_an_entry_alone_admits_what_is_planned_and_no_more() -> None:
     quotas = Quotas(BOUNDS, Random(1), 100.0, first_start=True)
-    assert admitted(quotas, 200, 100.0) == pytest.approx(BOUNDS.planned(WARD), abs=1)
+    assert admitted(quotas, 200, 100.0) == pytest.approx(
+        BOUNDS.admission_limit(WARD), abs=1
+    )
     assert admitted(quotas, 200, 102.0) == 0
     assert admitted(quotas, 200, 105.3) > 50
 
@@ -99,11 +108,11 @@
 def test_after_a_restart_of_all_the_window_is_earned_anew() -> None:
     """Nobody knows what was used before, so it is taken for used up."""
     quotas = Quotas(BOUNDS, Random(1), 100.0, first_start=False)
-    spare = BOUNDS.bound(WARD) - BOUNDS.planned(WARD)
+    spare = BOUNDS.bound(WARD) - BOUNDS.admission_limit(WARD)
     at_once = admitted(quotas, 200, 100.1)
-    assert at_once <= spare / 2 + BOUNDS.planned(WARD) * 0.1 / 5 + 1
+    assert at_once <= spare / 2 + BOUNDS.admission_limit(WARD) * 0.1 / 5 + 1
     so_far = at_once + admitted(quotas, 200, 102.6)
-    assert so_far < BOUNDS.planned(WARD) * 2.6 / 5 + 10
+    assert so_far < BOUNDS.admission_limit(WARD) * 2.6 / 5 + 10
     later = Quotas(BOUNDS, Random(1), 100.0, first_start=False)
     later.entries = 2
     later.receive(RemoteUsage({}, 0.0, 30.0, 0.0), 100.1)
@@ -117,7 +126,7 @@
     quotas.report(100.0)
     quotas.receive(RemoteUsage({"ward": 36}, 0.0, 5.0, 0.0), 100.0)
     took = admitted(quotas, 200, 100.0 + 5.2)
-    times = isolated_use_factor(BOUNDS.planned(WARD), 40)
+    times = isolated_use_factor(BOUNDS.admission_limit(WARD), 40)
     assert 4 <= took <= 4 * times + 1
     assert admitted(quotas, 200, 100.0 + RESERVATION_S + 10.0) <= 1
 
@@ -140,17 +149,19 @@
 
 def test_sparse_use_finds_a_whole_request_free_while_there_is_room() -> None:
     """An entry of 74 has a part of 1.3 of a room of 97; it may take four in a row."""
-    known = msgspec.structs.replace(KNOWN, entries=74, expected=100.0 / 7.5)
+    known = msgspec.structs.replace(KNOWN, entries=74, expected_use=100.0 / 7.5)
     assert known.admits(0.99)
-    assert msgspec.structs.replace(known, own=3, recent=3).admits(0.99)
-    assert not msgspec.structs.replace(known, own=4, recent=4).admits(0.99)
+    assert msgspec.structs.replace(known, own_use=3, unreported=3).admits(0.99)
+    assert not msgspec.structs.replace(known, own_use=4, unreported=4).admits(0.99)
 
 
 def test_little_room_is_dealt_by_chance() -> None:
-    known = msgspec.structs.replace(KNOWN, others=95.0, own=1, expected=20.0)
+    known = msgspec.structs.replace(
+        KNOWN, others_use=95.0, own_use=1, expected_use=20.0
+    )
     assert known.admits(0.0)
     assert not known.admits(0.9)
-    assert not msgspec.structs.replace(known, others=100.0).admits(0.0)
+    assert not msgspec.structs.replace(known, others_use=100.0).admits(0.0)
 
 
 class QuotaMachine(RuleBasedStateMachine):
@@ -205,7 +216,7 @@
         if number not in self.cut:
             return use
         total = max(sum(t[-1][1] for t in self.told if t), 1)
-        times = isolated_use_factor(BOUNDS.planned(WARD), total)
+        times = isolated_use_factor(BOUNDS.admission_limit(WARD), total)
         return math.ceil((1 - EVEN_SHARE) * use * times)
 
     @rule(number=st.integers(0, ENTRIES - 1))
@@ -237,7 +248,7 @@
 
 
 def test_no_order_of_cuts_and_restarts_passes_the_bound() -> None:
-    assert ISOLATED_S > QuotaMachine.DELAY_S
+    assert ISOLATION_TIMEOUT_S > QuotaMachine.DELAY_S
     run_state_machine_as_test(
         QuotaMachine,
         settings=settings(
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -14,22 +14,22 @@
     usage = UsageWindow(WINDOW_S)
     usage.add("w", 10.0)
     usage.add("w", 14.0)
-    assert usage.within("w", WINDOW_S, 14.0) == 2
-    assert usage.within("w", 1.0, 14.0) == 1
+    assert usage.count_within("w", WINDOW_S, 14.0) == 2
+    assert usage.count_within("w", 1.0, 14.0) == 1
     assert usage.totals(15.5) == {"w": 1}
     assert usage.totals(20.0) == {}
-    assert usage.within("other", WINDOW_S, 14.0) == 0
+    assert usage.count_within("other", WINDOW_S, 14.0) == 0
 
 
 def test_a_request_is_taken_back_where_it_was_counted() -> None:
     usage = UsageWindow(WINDOW_S)
     usage.add("w", 10.0)
     usage.add("w", 12.0)
-    usage.take_back("w", 10.0)
-    assert usage.within("w", 1.0, 12.0) == 1
+    usage.remove("w", 10.0)
+    assert usage.count_within("w", 1.0, 12.0) == 1
     assert usage.totals(12.0) == {"w": 1}
-    usage.take_back("w", 3.0)
-    usage.take_back("never", 3.0)
+    usage.remove("w", 3.0)
+    usage.remove("never", 3.0)
     assert usage.totals(12.0) == {"w": 1}
 
 
@@ -43,6 +43,6 @@
         now += pause
         usage.add("w", now)
         times.append(now)
-    counted = usage.within("w", WINDOW_S, now)
+    counted = usage.count_within("w", WINDOW_S, now)
     assert counted >= sum(t > now - WINDOW_S for t in times)
     assert counted <= sum(t > now - WINDOW_S - 2 * SLICE_S for t in times)
