--- a/leverdoor/entry/requests/handler.py
+++ b/leverdoor/entry/requests/handler.py
@@ -153,7 +153,7 @@
         Raises:
           Refusal: one of the steps refused the request.
         """
-        entry_request = self._router.route(
+        entry_request = self._router.resolve(
             request, progress.request_id, progress.arrived
         )
         progress.service = entry_request.placement_request.service
--- a/leverdoor/entry/requests/routing.py
+++ b/leverdoor/entry/requests/routing.py
@@ -52,7 +52,7 @@
         self._pick_service = pick_service
         self._keys_confirmed = keys_confirmed
 
-    def route(
+    def resolve(
         self, request: web.BaseRequest, request_id: str, arrived: float
     ) -> EntryRequest:
         """Route a request, without its body.
--- a/tests/test_entry_clients.py
+++ b/tests/test_entry_clients.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What real entries answer clients: long bodies, malformed, slow, many."""
+"""Responses of running entries to long, malformed, slow and concurrent requests."""
 
 import asyncio
 import hashlib
@@ -19,7 +19,9 @@
 from leverdoor.standins.upstreams import UpstreamStandin
 
 
-async def test_long_uploads_arrive_whole_in_either_framing(site: EntrySite) -> None:
+async def test_long_uploads_arrive_complete_with_either_framing(
+    site: EntrySite,
+) -> None:
     body = Random(5).randbytes(3 * 1024 * 1024)
 
     async def parts() -> AsyncIterator[bytes]:
@@ -34,7 +36,7 @@
         assert json.loads(answer.body)["digest"] == digest
 
 
-SMUGGLED = [
+MALFORMED_REQUESTS = [
     pytest.param(
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /look/z",
         id="two framings",
@@ -48,8 +50,8 @@
 ]
 
 
-@pytest.mark.parametrize("rest", SMUGGLED)
-async def test_malformed_requests_are_refused_and_not_passed_on(rest: str) -> None:
+@pytest.mark.parametrize("rest", MALFORMED_REQUESTS)
+async def test_malformed_requests_are_refused_and_not_forwarded(rest: str) -> None:
     site = EntrySite({"n1": PLACES["n1"]}, [UpstreamStandin("i-1", "file", "a1")])
     try:
         await site.start([dict(SAMPLE_ROUTES[1])])
@@ -66,14 +68,14 @@
         await site.stop()
 
 
-SLOW = [
+SLOW_REQUESTS = [
     pytest.param(b"", b"", id="nothing"),
-    pytest.param(b"GET /look/x HT", b"408", id="half a head"),
+    pytest.param(b"GET /look/x HT", b"408", id="incomplete headers"),
 ]
 
 
-@pytest.mark.parametrize(("sent", "status"), SLOW)
-async def test_clients_that_are_too_slow_are_let_go(
+@pytest.mark.parametrize(("sent", "status"), SLOW_REQUESTS)
+async def test_slow_clients_are_disconnected(
     site: EntrySite, sent: bytes, status: bytes
 ) -> None:
     n1 = site.entries["n1"]
@@ -89,8 +91,8 @@
     assert answer[9:12] == status
 
 
-async def test_an_empty_answer_is_passed_on(site: EntrySite) -> None:
-    """Without a body the HTTP library sets no type that could be removed."""
+async def test_empty_reply_is_relayed(site: EntrySite) -> None:
+    """aiohttp sets no Content-Type without a body, so there is none to remove."""
     n1 = site.entries["n1"]
     for target in site.targets.values():
         target.empty = True
@@ -98,7 +100,7 @@
     assert (answer.status, answer.body) == (200, b"")
 
 
-async def test_a_client_that_waits_to_be_asked_on_is_asked_on(site: EntrySite) -> None:
+async def test_expect_continue_is_answered(site: EntrySite) -> None:
     host, port = site.entries["n1"].ports["frontend"].split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(
@@ -114,8 +116,8 @@
     assert runs(site)["1"] == 1
 
 
-async def test_a_full_target_is_offered_no_queue(site: EntrySite) -> None:
-    """Far more than the slots bear: refusals say when to come back."""
+async def test_saturated_target_refuses_with_retry_after(site: EntrySite) -> None:
+    """Requests far beyond the target's slots are refused with a Retry-After header."""
     headers = {"X-Affinity-Key": "one"}
     n1 = site.entries["n1"]
     answers = await asyncio.gather(
--- a/tests/test_entry_connections.py
+++ b/tests/test_entry_connections.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Kept connections, and targets that forget them."""
+"""The connection pool, and targets that reset idle connections."""
 
 import asyncio
 
@@ -20,42 +20,42 @@
 from leverdoor.model.resources import Target
 from leverdoor.quarantine.ended_targets import TargetCheck
 
-LONG_S = 2 * REDUCED_IDLE_S
+LONG_IDLE_S = 2 * REDUCED_IDLE_S
 
 
-def takes() -> bool:
-    """Stand for a target that takes requests."""
+def accepts_requests() -> bool:
+    """Stand in for a target that accepts requests."""
     return True
 
 
-SOON_S = 0.01
+PROMPT_RESET_S = 0.01
 
 
-def test_a_reset_at_once_after_a_rest_shows_forgotten_connections() -> None:
+def test_prompt_reset_of_idle_connection_reduces_idle_timeout() -> None:
     limits = IdleTimeouts()
     assert limits.max_idle_s("s", 0.0) > 1e9
-    assert limits.record_lost_reply("s", LONG_S, SOON_S, 0.0)
-    assert not limits.record_lost_reply("s", LONG_S, SOON_S, 1.0)
+    assert limits.record_lost_reply("s", LONG_IDLE_S, PROMPT_RESET_S, 0.0)
+    assert not limits.record_lost_reply("s", LONG_IDLE_S, PROMPT_RESET_S, 1.0)
     assert limits.max_idle_s("s", 2.0) == REDUCED_IDLE_S
     assert limits.max_idle_s("other", 2.0) > 1e9
     assert limits.max_idle_s("s", 1.0 + REDUCED_FOR_S) > 1e9
 
 
-def test_other_lost_answers_do_not() -> None:
+def test_other_lost_replies_do_not_reduce_idle_timeout() -> None:
     limits = IdleTimeouts()
-    assert not limits.record_lost_reply("s", 0.0, SOON_S, 0.0)
-    assert not limits.record_lost_reply("s", LONG_S, 1.0, 0.0)
+    assert not limits.record_lost_reply("s", 0.0, PROMPT_RESET_S, 0.0)
+    assert not limits.record_lost_reply("s", LONG_IDLE_S, 1.0, 0.0)
     assert limits.max_idle_s("s", 0.0) > 1e9
 
 
 @pytest.mark.parametrize("entries", [1, 12, 195, 300])
-async def test_all_entries_together_keep_no_more_idle_than_a_target_takes(
+async def test_idle_connections_of_all_entries_stay_within_target_limit(
     entries: int,
 ) -> None:
-    """Found by reading: the bound of all entries together was used nowhere.
+    """The target's limit on connections of all entries must bound the idle ones.
 
-    Each entry kept up to 16 idle connections alone, 3,120 at 195 entries where 390 are
-    taken; a target resets those beyond.
+    If each entry keeps up to 16 idle connections, 195 entries keep 3,120 where the
+    target accepts 390 and resets the rest.
     """
 
     async def serve(r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
@@ -81,10 +81,10 @@
     return OutgoingRequest(request_id, "POST", head.encode(), b"")
 
 
-async def test_a_service_that_forgets_gets_young_connections(
+async def test_connections_of_resetting_service_are_not_reused_after_idling(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each connection answers once and is reset by what comes next."""
+    """The target replies once on each connection and resets it on the next byte."""
     monkeypatch.setattr(idle_timeouts, "RESET_WITHIN_S", 30.0)
 
     async def serve(r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
@@ -98,24 +98,24 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    told: list[str] = []
-    connections = ConnectionPool("x-id", "a", told.append, lambda *_: None)
+    reset_services: list[str] = []
+    connections = ConnectionPool("x-id", "a", reset_services.append, lambda *_: None)
     one, two = target("one", address=address), target("two", address=address)
     for t in (one, two):
-        await connections.exchange(t, make_request("first"), takes)
-    await asyncio.sleep(LONG_S)
+        await connections.exchange(t, make_request("first"), accepts_requests)
+    await asyncio.sleep(LONG_IDLE_S)
     with pytest.raises(AnswerLost):
-        await connections.exchange(one, make_request("second"), takes)
-    assert told == ["s"]
-    reply = await connections.exchange(two, make_request("third"), takes)
+        await connections.exchange(one, make_request("second"), accepts_requests)
+    assert reset_services == ["s"]
+    reply = await connections.exchange(two, make_request("third"), accepts_requests)
     assert reply.status == 200
     assert connections.opened == 3
     connections.close()
     server.close()
 
 
-async def test_a_check_tells_a_target_that_ended_from_one_that_serves() -> None:
-    """The connection that shows that it serves is kept for the next request."""
+async def test_check_distinguishes_serving_from_ended_target() -> None:
+    """The connection of a successful check is kept for the next request."""
 
     async def serve(r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
         await r.readuntil(b"\r\n\r\n")
@@ -126,7 +126,7 @@
     connections = ConnectionPool("x-id", "a", lambda _: None, lambda *_: None)
     one = target("one", address=address)
     assert await connections.check(one) is TargetCheck.SERVES
-    reply = await connections.exchange(one, make_request("first"), takes)
+    reply = await connections.exchange(one, make_request("first"), accepts_requests)
     assert reply.status == 200
     assert connections.opened == 1
     connections.close()
@@ -135,8 +135,8 @@
     assert await connections.check(one) is TargetCheck.ENDED
 
 
-async def test_a_request_whose_target_stopped_taking_requests_is_not_sent() -> None:
-    """A connection may take most of a second to open; the word can come meanwhile."""
+async def test_request_is_not_sent_to_withdrawn_target() -> None:
+    """The target may report that it is leaving while a connection is being opened."""
     received = bytearray()
 
     async def serve(r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
@@ -155,8 +155,8 @@
     assert connections.idle_count(one) == 0
 
 
-async def test_what_an_answer_reports_is_taken_before_its_request_gets_it() -> None:
-    """So that it holds also where the request is cancelled at that moment."""
+async def test_report_is_processed_before_reply_is_returned() -> None:
+    """The report must not be lost if the request is cancelled at that moment."""
     taken: list[int] = []
 
     async def serve(r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
@@ -173,7 +173,7 @@
         request.cancel()
 
     connections = ConnectionPool("x-id", "a", lambda _: None, take)
-    sending = connections.exchange(one, make_request("first"), takes)
+    sending = connections.exchange(one, make_request("first"), accepts_requests)
     request = asyncio.create_task(sending)
     with pytest.raises(asyncio.CancelledError):
         await request
--- a/tests/test_entry_request_rules.py
+++ b/tests/test_entry_request_rules.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Rules of the request path: deadlines, what was not run, Retry-After, warm-ups."""
+"""Rules of the request path: deadlines, "not run" replies, Retry-After, warm-ups."""
 
 import pytest
 
@@ -40,18 +40,18 @@
         (0, 0, 0.001),
     ],
 )
-def test_the_lesser_of_deadline_and_time_out_counts(
+def test_request_deadline_is_minimum_of_deadline_and_timeout(
     deadline_ms: int, timeout_ms: int, expected_s: float
 ) -> None:
     until = request_deadline(5.0, deadline_ms, route(timeout_ms))
     assert until == pytest.approx(5.0 + expected_s)
 
 
-def test_a_target_is_given_up_on_before_the_request() -> None:
+def test_target_deadline_precedes_request_deadline() -> None:
     assert target_deadline(5.0) == pytest.approx(4.97)
 
 
-def test_a_target_is_given_whole_milliseconds_and_one_at_least() -> None:
+def test_remaining_ms_is_whole_and_at_least_one() -> None:
     assert remaining_ms(5.0, 4.5) == 500
     assert remaining_ms(5.0, 4.9985) == 1
     assert remaining_ms(5.0, 6.0) == 1
@@ -70,7 +70,9 @@
         (500, True, False),
     ],
 )
-def test_which_answers_mean_not_run(status: int, marked: bool, expected: bool) -> None:
+def test_reports_not_run_by_status_and_header(
+    status: int, marked: bool, expected: bool
+) -> None:
     assert reports_not_run(status, marked) is expected
 
 
@@ -78,7 +80,7 @@
     ("status", "retry_after_ms", "expected"),
     [(503, 250, "0.250"), (429, 1_500, "1.500"), (503, 0, None), (408, 100, None)],
 )
-def test_which_refusals_have_a_retry_after(
+def test_retry_after_value_by_status(
     status: int, retry_after_ms: int, expected: str | None
 ) -> None:
     assert retry_after_value(status, retry_after_ms) == expected
@@ -88,14 +90,14 @@
     return Member(name, region, domain, "", name, "", 1)
 
 
-def test_the_entries_of_its_region_warm_a_target_up() -> None:
+def test_entry_may_warm_up_targets_nobody_is_closer_to() -> None:
     membership = Membership(member("n1", "a", "a1"))
     assert may_warm_up(membership, target("t", domain="a1"))
     assert may_warm_up(membership, target("t", domain="a2"))
     assert may_warm_up(membership, target("t", domain="b1"))
 
 
-def test_an_entry_far_from_a_cold_target_does_not_use_it() -> None:
+def test_entry_leaves_warm_up_to_closer_entries() -> None:
     membership = Membership(member("n1", "a", "a1"))
     others = [member("n2", "a", "a2"), member("n3", "b", "b1")]
     membership.add_registered({m.name: pack(m) for m in others}, 0.0)
--- a/tests/test_entry_retries.py
+++ b/tests/test_entry_retries.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which failed requests may be sent again."""
+"""Rules that decide which failed requests may be retried."""
 
 import pytest
 
@@ -33,7 +33,7 @@
         (WorkClass.ONCE, Code.CONNECT_FAILED, 4, False, True, False),
     ],
 )
-def test_only_what_is_safe_is_repeated_and_not_too_often(
+def test_only_safe_requests_are_retried_within_attempt_limit(
     work: WorkClass,
     code: Code,
     attempt: int,
--- a/tests/test_http_bytes.py
+++ b/tests/test_http_bytes.py
@@ -1,8 +1,8 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Calls, requests and answers over HTTP, byte by byte: stores, entries, gates.
+"""Byte-exact HTTP requests and responses of stores, entries and gates.
 
-The rule of `test_wire_bytes.py` holds: fix the code, not the literal.
+As in `test_wire_bytes.py`, a failure is fixed in the code, not in the literal.
 """
 
 import asyncio
@@ -43,13 +43,13 @@
     Write,
 )
 
-# Calls of the stores.
+# Requests to the stores.
 
 
 class RawServer:
-    """Answers each request with the next of some bytes, and keeps what came.
+    """Sends fixed responses in order and records the requests.
 
-    Probes of a target's load are answered with 404 and not kept.
+    Probes of a target's load receive status 404 and are not recorded.
     """
 
     def __init__(self, *answers: bytes) -> None:
@@ -58,7 +58,7 @@
         self._server: asyncio.Server | None = None
 
     async def __aenter__(self) -> str:
-        """Listen on a free port, and return the address."""
+        """Listen on a free port and return the address."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
@@ -81,23 +81,23 @@
                 writer.write(self._answers.pop(0))
         writer.close()
 
-    def line_and_body(self) -> tuple[str, bytes]:
-        """Return the line and the body of the only request."""
+    def only_request(self) -> tuple[str, bytes]:
+        """Return the request line and the body of the only request."""
         [request] = self.requests
         head, _, body = request.partition(b"\r\n\r\n")
         return head.split(b"\r\n")[0].decode(), body
 
 
 def json_reply(body: bytes) -> bytes:
-    """Return an answer with a body in JSON."""
+    """Return a response with a JSON body."""
     return (
         b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
         b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
     )
 
 
-async def first_of_watch(store: Store) -> list[Event]:
-    """Return what a watch yields first."""
+async def read_first_events(store: Store) -> list[Event]:
+    """Return the first events of a watch."""
     watch = store.watch("op/", 7)
     try:
         return await anext(watch)
@@ -106,7 +106,7 @@
 
 
 class StoreCall(msgspec.Struct, frozen=True):
-    """One call: what is sent, and what an answer means."""
+    """A store operation, its request, and the result of parsing a response."""
 
     name: str
     make: Callable[[Any], Awaitable[Any]]
@@ -142,7 +142,7 @@
     ),
     StoreCall(
         "watch",
-        first_of_watch,
+        read_first_events,
         "POST /v3/watch HTTP/1.1",
         b'{"create_request": {"key": "b3Av", "range_end": "b3Aw", '
         b'"start_revision": "8", "progress_notify": true}}',
@@ -155,13 +155,13 @@
 
 
 @pytest.mark.parametrize("call", ETCD_CALLS, ids=lambda call: call.name)
-async def test_call_of_etcd(call: StoreCall) -> None:
+async def test_etcd_call(call: StoreCall) -> None:
     server = RawServer(json_reply(call.answer))
     async with server as address:
         store = EtcdStore([f"http://{address}"])
         assert await call.make(store) == call.result
         await store.close()
-    assert server.line_and_body() == (call.line, call.body)
+    assert server.only_request() == (call.line, call.body)
 
 
 ITEM = b'{"private-key":"op/a","revision":8,"value":"MQ==","lease":5}'
@@ -184,7 +184,7 @@
     ),
     StoreCall(
         "watch",
-        first_of_watch,
+        read_first_events,
         "GET /api/kv-watch?path-prefix=op/&after=7&wait-ms=50 HTTP/1.1",
         b"",
         b'{"events":['
@@ -224,17 +224,17 @@
 
 
 @pytest.mark.parametrize("call", PLATFORM_CALLS, ids=lambda call: call.name)
-async def test_call_of_platform(call: StoreCall) -> None:
+async def test_platform_call(call: StoreCall) -> None:
     server = RawServer(json_reply(call.answer))
     async with server as address:
         store = PlatformStore(address)
         assert await call.make(store) == call.result
         await store.close()
-    assert server.line_and_body() == (call.line, call.body)
+    assert server.only_request() == (call.line, call.body)
 
 
 async def test_registration_on_the_platform() -> None:
-    """A lease, and the key under it."""
+    """Registration creates a lease and then a key under it."""
     server = RawServer(json_reply(b'{"lease":5}'), json_reply(b'{"revision":9}'))
     async with server as address:
         store = PlatformStore(address)
@@ -250,11 +250,11 @@
     )
 
 
-# Requests and answers over HTTP.
+# Requests and responses of entries and gates.
 
 
 def test_header_names() -> None:
-    """Names between callers, gates and targets of plain sites."""
+    """The header names between callers, gates and targets of plain sites."""
     assert {name: getattr(h, name) for name in h.__all__ if name.isupper()} == {
         "CALLER": "Leverdoor-Caller",
         "CODE": "Leverdoor-Code",
@@ -272,15 +272,15 @@
     }
 
 
-def masked(data: bytes) -> bytes:
-    """Return a message without what differs from run to run, or by versions."""
+def mask_variable_fields(data: bytes) -> bytes:
+    """Replace the header values and addresses that differ between runs or versions."""
     for name in (b"Date", b"Server", b"[\\w-]*Deadline-Ms"):
         data = re.sub(rb"(?im)^(%b): [^\r]+" % name, rb"\1: *", data)
     return re.sub(rb"127\.\d+\.\d+\.\d+:\d+", b"HOST:PORT", data)
 
 
 async def exchange(address: str, *lines: str, body: bytes = b"") -> bytes:
-    """Send one request over a connection of its own; return the masked answer."""
+    """Send a request over a new connection and return the masked response."""
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
@@ -289,18 +289,18 @@
     assert length
     answer = head + await reader.readexactly(int(length[1]))
     writer.close()
-    return masked(answer)
+    return mask_variable_fields(answer)
 
 
 def route(name: str, **fields: object) -> dict[str, object]:
-    """Return a route of the platform to the service of its name."""
+    """Return a route of the platform to the service with the same name."""
     prefix = f"/{name}/"
     named = {"name": name, "host": "records.example", "path-prefix": prefix}
     return {**named, "kind": "unsafe", "service": name, **fields}
 
 
 class EntryCase(msgspec.Struct, frozen=True):
-    """What a target answers an entry, and what the client gets then."""
+    """A reply of a target to an entry, and the resulting response to the client."""
 
     name: str
     target: bytes
@@ -370,8 +370,8 @@
 
 
 @contextlib.asynccontextmanager
-async def entry_before(target: str) -> AsyncIterator[EntrySite]:
-    """Run one entry before one target of the service `file`."""
+async def run_entry_for_target(target: str) -> AsyncIterator[EntrySite]:
+    """Run an entry with a single target of the service `file`."""
     site = EntrySite({"n1": Place("a1", "a")}, [])
     registered = UpstreamStandin("t1", "file", "a1").entry(target)
     site.store.put("servers/t1", registered)
@@ -385,31 +385,33 @@
 @pytest.mark.parametrize("case", ENTRY_CASES, ids=lambda case: case.name)
 async def test_request_through_an_entry(case: EntryCase) -> None:
     server = RawServer(case.target)
-    async with server as target, entry_before(target) as site:
+    async with server as target, run_entry_for_target(target) as site:
         front = site.front(site.entries["n1"])
         assert await exchange(front, *ENTRY_REQUEST, body=b"abc") == case.client
-    assert [masked(request) for request in server.requests] == [ENTRY_TO_TARGET]
+    assert [mask_variable_fields(request) for request in server.requests] == [
+        ENTRY_TO_TARGET
+    ]
 
 
 async def test_long_body_through_an_entry() -> None:
-    """It is streamed, and its length moves before the entry's own headers."""
+    """The body is streamed, and Content-Length precedes the entry's own headers."""
     body = b"x" * 600_000
     request = (*ENTRY_REQUEST[:-1], "Content-Length: 600000")
     server = RawServer(ENTRY_CASES[0].target)
-    async with server as target, entry_before(target) as site:
+    async with server as target, run_entry_for_target(target) as site:
         front = site.front(site.entries["n1"])
         assert await exchange(front, *request, body=body) == ENTRY_CASES[0].client
     [(head, _, arrived)] = [r.partition(b"\r\n\r\n") for r in server.requests]
     assert arrived == body
-    assert masked(head) == (
+    assert mask_variable_fields(head) == (
         b"POST /file/a?b=%2F HTTP/1.1\r\nHost: records.example\r\n"
         b"X-Request-ID: r1\r\nX-Other: c\r\nX-Affinity-Key: k\r\n"
         b"Content-Length: 600000\r\nx-deadline-ms: *\r\nx-expect-instance: t1"
     )
 
 
-async def test_requests_that_an_entry_answers_itself() -> None:
-    async with RawServer() as target, entry_before(target) as site:
+async def test_requests_answered_by_entry() -> None:
+    async with RawServer() as target, run_entry_for_target(target) as site:
         ports = site.entries["n1"].ports
         assert await exchange(
             ports["frontend"],
@@ -436,17 +438,17 @@
         ) == (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nDate: *\r\nServer: *\r\n\r\n")
 
 
-async def test_workspace_towards_a_target() -> None:
-    """A target gets the workspace's name in place of its key."""
+async def test_target_receives_workspace_name_instead_of_key() -> None:
+    """The target receives the workspace name instead of the key."""
     server = RawServer(ENTRY_CASES[0].target)
-    async with server as target, entry_before(target) as site:
+    async with server as target, run_entry_for_target(target) as site:
         tenant = {"name": "w1", "api-keys": ["key"]}
         site.configure([route("file"), route("look")], tenants=[tenant])
         await until_in_force(site, "/look/x", 401)
         front = site.front(site.entries["n1"])
         answer = await exchange(front, *ENTRY_REQUEST, "X-Credential: key", body=b"abc")
     assert answer == ENTRY_CASES[0].client
-    assert [masked(request) for request in server.requests] == [
+    assert [mask_variable_fields(request) for request in server.requests] == [
         ENTRY_TO_TARGET.replace(
             b"x-deadline-ms: *", b"x-tenant: w1\r\nx-deadline-ms: *"
         )
@@ -454,7 +456,7 @@
 
 
 class GateCase(msgspec.Struct, frozen=True):
-    """A request line of a caller, and the answer of the gate itself."""
+    """The request line of a caller, and the response that the gate generates."""
 
     line: str
     answer: bytes
@@ -486,7 +488,7 @@
 
 
 async def add_target(bench: Bench, address: str) -> None:
-    """Give the service `look` one target, and wait until it may be used."""
+    """Add a target to the service `look` and wait until it is usable."""
     plan = TargetPlan("only", "look", "r0", "r0-0", 4)
     operator = Operator([bench.api()])
     await operator.apply(Deployment([], [plan], []).target_resources({"only": address}))
@@ -527,7 +529,7 @@
         b"Leverdoor-Run: yes\r\nLeverdoor-Served-By: r0/only\r\n"
         b"Date: *\r\nServer: *\r\n\r\nhi"
     )
-    assert [masked(request) for request in server.requests] == [
+    assert [mask_variable_fields(request) for request in server.requests] == [
         b"POST /a?b=%2F HTTP/1.1\r\nHost: HOST:PORT\r\nX-Other: c\r\n"
         b"Content-Length: 3\r\nLeverdoor-Request-Id: r1\r\n"
         b"Leverdoor-Deadline-Ms: *\r\n\r\nabc"
@@ -535,7 +537,7 @@
 
 
 def test_refusal_of_a_gate() -> None:
-    """Retry-After is in whole seconds, rounded up."""
+    """Retry-After is rounded up to whole seconds."""
     refusal = Refusal(Code.QUEUE_FULL, "busy", retry_after_ms=1_250)
     answer = problem_answer(refusal, "r1")
     assert answer.status == 503
@@ -566,8 +568,8 @@
     )
 
 
-class Pull(msgspec.Struct, frozen=True):
-    """A stored value, and the head of the answer that carries it to a peer."""
+class StatePull(msgspec.Struct, frozen=True):
+    """A stored value, and the headers of the response that transfers it to a peer."""
 
     name: str
     value: bytes
@@ -575,19 +577,19 @@
     coding: Callable[[bytes], bytes]
 
 
-PULL_HEAD = (
+STATE_PULL_HEAD = (
     b"HTTP/1.1 200 OK\r\nContent-Encoding: %b\r\nContent-Length: *\r\n"
     b"Content-Type: application/octet-stream\r\nDate: *\r\nServer: *"
 )
-PULLS = [
-    Pull("short", b"{}", PULL_HEAD % b"identity", bytes),
-    Pull("long", b"{}" * 1_000, PULL_HEAD % b"deflate", zlib.decompress),
+STATE_PULLS = [
+    StatePull("short", b"{}", STATE_PULL_HEAD % b"identity", bytes),
+    StatePull("long", b"{}" * 1_000, STATE_PULL_HEAD % b"deflate", zlib.decompress),
 ]
 
 
-@pytest.mark.parametrize("pull", PULLS, ids=lambda pull: pull.name)
-async def test_pull_from_an_entry(pull: Pull) -> None:
-    """A state that does not fit one packet is compressed."""
+@pytest.mark.parametrize("pull", STATE_PULLS, ids=lambda pull: pull.name)
+async def test_state_pull_from_entry(pull: StatePull) -> None:
+    """The response is compressed if the state does not fit into one packet."""
     state = State()
     state.apply(Delta(0, 5, True, [Event(5, "op/a", pull.value)]))
     admin = AdminServer(
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Repeats within their budget."""
+"""Retries within the retry budget."""
 
 import pytest
 
@@ -8,16 +8,16 @@
 from leverdoor.retry_budget import RetryBudget
 
 
-def test_repeats_stay_within_their_share() -> None:
+def test_retries_stay_within_ratio() -> None:
     budget = RetryBudget(0.1, 4.0, 2.0)
-    repeats = 0
+    retries = 0
     for _ in range(1000):
         budget.deposit("s")
-        repeats += budget.try_withdraw("s")
-    assert repeats <= 0.1 * 1000 + 4
+        retries += budget.try_withdraw("s")
+    assert retries <= 0.1 * 1000 + 4
 
 
-def test_saved_repeats_are_bounded() -> None:
+def test_balance_is_bounded() -> None:
     budget = RetryBudget(0.5, 4.0, 2.0)
     for _ in range(1000):
         budget.deposit("s")
@@ -27,17 +27,15 @@
 @pytest.mark.parametrize(
     ("entries", "slack"), [(1, 64.0), (12, 64.0), (195, 430.0), (300, 430.0)]
 )
-def test_all_entries_together_save_no_more_than_the_slack(
-    entries: int, slack: float
-) -> None:
-    """Found by reading: each saved four alone, 780 at 195 entries of a slack of 430."""
+def test_balances_of_all_entries_stay_within_slack(entries: int, slack: float) -> None:
+    """With four retries each, 195 entries would save 780 for a slack of 430."""
     limit = retries_saved(slack, entries)
     budgets = [RetryBudget(0.1, limit, 2.0) for _ in range(entries)]
-    saved = 0
+    total_balance = 0
     for budget in budgets:
         for _ in range(100):
             budget.deposit("s")
         while budget.try_withdraw("s"):
-            saved += 1
-    assert entries <= saved <= slack
+            total_balance += 1
+    assert entries <= total_balance <= slack
     assert limit == 4.0 or entries * limit >= 0.5 * slack
--- a/tests/test_target_reports.py
+++ b/tests/test_target_reports.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What targets say of themselves in answers binds the entry that was told."""
+"""An entry obeys the leaving and rest reports in the replies that it receives."""
 
 import asyncio
 import json
@@ -10,21 +10,21 @@
 from leverdoor.standins.soak.report_promise import arrivals_by_entry, report_breaches
 from leverdoor.standins.upstreams import UpstreamStandin
 
-SERVED_SHARE = 0.97
-"""Least part of look-ups that is served while other targets have room."""
-REST = "2.5"
+MIN_SERVED_SHARE = 0.97
+"""Minimum share of look-ups that are served while other targets have capacity."""
+REST_VALUE = "2.5"
 
 
 def breaches(look_ups: LookUps, target: UpstreamStandin) -> list[str]:
-    """Return how entries did not heed what a target said."""
+    """Return the requests that entries sent in breach of a target's reports."""
     arrivals = arrivals_by_entry(target.arrivals, look_ups.senders)
     return list(report_breaches(target.name, arrivals, lambda *_: False))
 
 
-async def test_a_target_that_said_that_it_leaves_gets_nothing_more(
+async def test_leaving_target_receives_no_more_requests(
     site: EntrySite,
 ) -> None:
-    """The store goes on calling it ready."""
+    """The store still lists the target as ready."""
     look_ups = LookUps(site)
     leaving = site.targets["i-look-a1-0"]
     async with look_ups.running():
@@ -33,35 +33,35 @@
         await asyncio.sleep(6.0)
     assert any(a.leaving for a in leaving.arrivals)
     assert breaches(look_ups, leaving) == []
-    assert look_ups.served_share() >= SERVED_SHARE
+    assert look_ups.served_share() >= MIN_SERVED_SHARE
 
 
-async def test_a_target_that_asked_for_rest_is_left_alone_meanwhile(
+async def test_resting_target_receives_no_requests(
     site: EntrySite,
 ) -> None:
-    """Callers are served by the targets that have room."""
+    """The remaining targets serve the look-ups during the rest."""
     look_ups = LookUps(site)
     resting = [site.targets["i-look-a1-0"], site.targets["i-look-b1-1"]]
     async with look_ups.running():
         await asyncio.sleep(1.0)
         for target in resting:
-            target.rest = REST
+            target.rest = REST_VALUE
         await asyncio.sleep(8.0)
     assert all(any(a.rest_s for a in t.arrivals) for t in resting)
     assert [b for t in resting for b in breaches(look_ups, t)] == []
-    assert look_ups.served_share() >= SERVED_SHARE
+    assert look_ups.served_share() >= MIN_SERVED_SHARE
 
 
-async def test_where_all_targets_rest_requests_are_refused_at_once_and_served_after(
+async def test_requests_are_refused_while_all_targets_rest(
     site: EntrySite,
 ) -> None:
-    """With a time to come back of the rest that is left; none of those ran."""
+    """Refusals carry the remaining rest as Retry-After, and no refused request ran."""
     look_ups = LookUps(site)
     resting = [t for t in site.targets.values() if t.service == "look"]
     async with look_ups.running():
         await asyncio.sleep(1.0)
         for target in resting:
-            target.rest = REST
+            target.rest = REST_VALUE
         await asyncio.sleep(1.5)
         for target in resting:
             target.rest = ""
@@ -76,7 +76,7 @@
     assert refused
     for answer in refused:
         assert answer.request_id not in ran
-        assert 0.1 < float(answer.headers["Retry-After"]) <= float(REST) + 0.5
+        assert 0.1 < float(answer.headers["Retry-After"]) <= float(REST_VALUE) + 0.5
     assert look_ups.answers[-1].status == 200
     logged = [e for entry in site.entries.values() for e in entry.events()]
     events = {e["event"] for e in logged}
@@ -84,18 +84,21 @@
     assert "target_ejected" not in events
 
 
-async def test_absurd_words_of_a_target_change_nothing(site: EntrySite) -> None:
-    """One turns requests away for what is no time, one says neither yes nor no."""
+async def test_unreadable_reports_are_ignored(site: EntrySite) -> None:
+    """One target sends a rest that is not a number, one an invalid leaving value."""
     look_ups = LookUps(site)
-    odd, unclear = site.targets["i-look-a1-0"], site.targets["i-look-b1-1"]
+    unreadable_rest, unreadable_leaving = (
+        site.targets["i-look-a1-0"],
+        site.targets["i-look-b1-1"],
+    )
     async with look_ups.running():
-        odd.rest = "soon"
-        unclear.leaving = "perhaps"
+        unreadable_rest.rest = "soon"
+        unreadable_leaving.leaving = "perhaps"
         await asyncio.sleep(2.0)
-        odd.rest = ""
+        unreadable_rest.rest = ""
         since = asyncio.get_running_loop().time()
         await asyncio.sleep(2.0)
-    for target in (odd, unclear):
+    for target in (unreadable_rest, unreadable_leaving):
         assert any(r.at > since for r in target.runs), target.name
     logged = [e for entry in site.entries.values() for e in entry.events()]
     unreadable = {e["what"] for e in logged if e["event"] == "report_unreadable"}
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Use of workspaces in a sliding window."""
+"""Usage of workspaces in a sliding window."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -21,7 +21,7 @@
     assert usage.count_within("other", WINDOW_S, 14.0) == 0
 
 
-def test_a_request_is_taken_back_where_it_was_counted() -> None:
+def test_request_is_subtracted_from_its_slice() -> None:
     usage = UsageWindow(WINDOW_S)
     usage.add("w", 10.0)
     usage.add("w", 12.0)
@@ -35,7 +35,7 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.lists(st.floats(0.0, 2.0), max_size=40))
-def test_a_window_never_counts_too_little(pauses: list[float]) -> None:
+def test_window_never_undercounts(pauses: list[float]) -> None:
     usage = UsageWindow(WINDOW_S)
     now = 100.0
     times: list[float] = []
--- a/tests/test_workspaces.py
+++ b/tests/test_workspaces.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Whose a request is, where it may run, and what a target learns of it."""
+"""Identification of workspaces, home regions, and the workspace header of targets."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 ]
 
 
-def test_a_workspace_is_found_by_any_of_its_keys() -> None:
+def test_workspace_is_found_by_any_of_its_keys() -> None:
     ward = Workspace(name="ward", key_digests=[key_digest(KEY), key_digest("old")])
     found = WorkspaceDirectory([ward])
     assert found.identify(KEY, anonymous=False) is ward
@@ -37,7 +37,7 @@
     ("key", "code"),
     [("", Code.WORKSPACE_KEY_MISSING), ("wrong", Code.WORKSPACE_KEY_UNKNOWN)],
 )
-def test_a_missing_or_unknown_key_is_refused_without_naming_it(
+def test_missing_or_unknown_key_is_refused_without_revealing_it(
     key: str, code: Code
 ) -> None:
     known = WorkspaceDirectory([Workspace(name="ward", key_digests=[key_digest(KEY)])])
@@ -47,12 +47,12 @@
     assert not key or key not in str(refused.value)
 
 
-def test_without_workspaces_nobody_is_asked_for_a_key() -> None:
+def test_no_key_is_required_without_workspaces() -> None:
     assert WorkspaceDirectory().identify("any", anonymous=False) is None
 
 
-async def test_keys_homes_and_names_at_real_entries() -> None:
-    """No key reaches a target or a log; the name is the entry's to say."""
+async def test_keys_home_regions_and_names_through_entries() -> None:
+    """No key reaches a target or a log, and only the entry sets the workspace name."""
     site = EntrySite(PLACES, targets())
     await site.start(ROUTES)
     try:
