--- a/leverdoor/entry/requests/connection.py
+++ b/leverdoor/entry/requests/connection.py
@@ -2,11 +2,12 @@
 # SPDX-License-Identifier: Apache-2.0
 """An HTTP/1.1 client connection to a target that matches replies by request id.
 
-HTTP client libraries do not guarantee the following:
+HTTP client libraries do not guarantee the following properties, which this module
+provides:
 
-- a late, surplus reply is never taken for the reply to the next request;
-- a request is never retried silently;
-- a connection is never reused if its last request body was not sent completely.
+- A late duplicate reply is not taken for the reply to the next request.
+- A request is not resent without the caller's knowledge.
+- A connection is not reused if its last request body was not sent completely.
 
 Owns the pending request of the connection; it fails when the connection is lost.
 Relies on `replies` for parsing.
@@ -34,7 +35,8 @@
     """No byte of the request was sent.
 
     Attributes:
-      refused: the target's VM refused the TCP connection; no process listens there.
+      refused: whether the target's VM refused the connection because no process
+        listens at the address.
     """
 
     def __init__(self, reason: str, refused: bool = False) -> None:
@@ -51,8 +53,8 @@
     """The request was sent and no complete reply was received.
 
     Attributes:
-      unreachable: the target did not acknowledge the sent data at TCP level.
-      closed: the target or the kernel of its VM closed the connection.
+      unreachable: whether the sent data was not acknowledged at TCP level.
+      closed: whether the target or the kernel of its VM closed the connection.
     """
 
     def __init__(
@@ -70,7 +72,7 @@
     def __init__(self, request_id: str, id_header: str) -> None:
         self.request_id = request_id
         self.id_header = id_header
-        self.answer: asyncio.Future[TargetReply] = asyncio.Future()
+        self.reply: asyncio.Future[TargetReply] = asyncio.Future()
 
 
 class TargetConnection(asyncio.Protocol):
@@ -142,8 +144,8 @@
         self.reusable = False
         self._writable.set()
         pending = self._pending
-        if pending is not None and not pending.answer.done():
-            pending.answer.set_exception(AnswerLost(reason, unreachable, closed))
+        if pending is not None and not pending.reply.done():
+            pending.reply.set_exception(AnswerLost(reason, unreachable, closed))
         self.close()
 
     def _match_reply(self, reply: TargetReply, keep_alive: bool) -> None:
@@ -154,7 +156,7 @@
           keep_alive: whether the target keeps the connection open afterwards.
         """
         pending = self._pending
-        if pending is None or pending.answer.done():
+        if pending is None or pending.reply.done():
             # A second reply to one request matches no pending request.
             self.reusable = False
             return
@@ -163,7 +165,7 @@
         self._on_reply(reply)
         if not keep_alive:
             self.reusable = False
-        pending.answer.set_result(reply)
+        pending.reply.set_result(reply)
 
     # Methods that the connection pool calls.
 
@@ -206,7 +208,7 @@
         try:
             if isinstance(body, bytes):
                 self._transport.write(head + body)
-                return await pending.answer
+                return await pending.reply
             return await self._stream(pending, head, body)
         except BaseException:
             self.close()
@@ -224,24 +226,24 @@
         """Send a streamed body; the reply may arrive before all of it is sent."""
         assert self._transport is not None
         self._transport.write(head)
-        sending = asyncio.ensure_future(self._send_body(body))
+        send_task = asyncio.ensure_future(self._send_body(body))
         try:
             await asyncio.wait(
-                (sending, pending.answer), return_when=asyncio.FIRST_COMPLETED
+                (send_task, pending.reply), return_when=asyncio.FIRST_COMPLETED
             )
-            if sending.done():
-                sending.result()
-                return await pending.answer
-            reply = await pending.answer
+            if send_task.done():
+                send_task.result()
+                return await pending.reply
+            reply = await pending.reply
             reply.early = True
             self.reusable = False
             return reply
         finally:
-            sending.cancel()
+            send_task.cancel()
             with contextlib.suppress(asyncio.CancelledError, Exception):
-                await sending
-            if not pending.answer.done():
-                pending.answer.cancel()
+                await send_task
+            if not pending.reply.done():
+                pending.reply.cancel()
 
     async def _send_body(self, body: AsyncIterator[bytes]) -> None:
         """Send the parts of a body with flow control."""
@@ -261,7 +263,7 @@
     """Open a connection to a target.
 
     Args:
-      host: host of the target's address.
+      host: host part of the target's address.
       port: TCP port of the target.
       timeout_s: connect timeout in seconds.
       on_reply: called with each complete reply to a request.
