--- a/leverdoor/entry/requests/bodies.py
+++ b/leverdoor/entry/requests/bodies.py
@@ -49,7 +49,10 @@
     """
     length = request.content_length
     if length is not None and length > max_bytes:
-        raise Refusal(Code.BODY_TOO_LARGE)
+        raise Refusal(
+            Code.BODY_TOO_LARGE,
+            f"body of {length} bytes exceeds the limit of {max_bytes}",
+        )
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(CONTINUE_RESPONSE)
         request.writer.output_size = 0
@@ -109,7 +112,10 @@
     while chunk:
         size += len(chunk)
         if size > max_bytes:
-            raise Refusal(Code.BODY_TOO_LARGE)
+            raise Refusal(
+                Code.BODY_TOO_LARGE,
+                f"body exceeds the limit of {max_bytes} bytes, {size} received",
+            )
         if entry_request.chunked:
             yield b"%x\r\n%b\r\n" % (len(chunk), chunk)
         else:
--- a/leverdoor/entry/requests/replies.py
+++ b/leverdoor/entry/requests/replies.py
@@ -109,7 +109,7 @@
         """Store a header."""
         self._head_bytes += len(name) + len(value)
         if self._head_bytes > MAX_HEAD_BYTES:
-            raise ValueError("reply headers too long")
+            raise ValueError(f"reply headers exceed {MAX_HEAD_BYTES} bytes")
         key = name.decode("latin-1").lower()
         self._headers.append((key, value.decode("latin-1")))
         if key == "content-length" or (
@@ -130,7 +130,7 @@
     def on_body(self, body: bytes) -> None:
         """Append a part of the body."""
         if len(self._body) + len(body) > MAX_BODY_BYTES:
-            raise ValueError("reply body too long")
+            raise ValueError(f"reply body exceeds {MAX_BODY_BYTES} bytes")
         self._body += body
 
     def on_message_complete(self) -> None:
