--- a/benchmarks/emulated_quotas.py
+++ b/benchmarks/emulated_quotas.py
@@ -125,8 +125,8 @@
         """Return what it sends in a round."""
         self.quotas.entries = self.membership.count
         use = self.quotas.report(now)
-        tracked_s = self.quotas.tracked_s(now)
-        report = EntryStatus(SERVING, 1, {}, {}, -1, [], use, tracked_s)
+        counting_for_s = self.quotas.counting_for_s(now)
+        report = EntryStatus(SERVING, 1, {}, {}, -1, [], use, counting_for_s)
         sendings, update = self.exchange.round(report, now)
         self._receive(update, now)
         self.exchange.forget(now)
--- a/benchmarks/limit_node.py
+++ b/benchmarks/limit_node.py
@@ -98,7 +98,7 @@
             -1,
             [],
             use=self._quotas.report(now),
-            uptime_s=self._quotas.tracked_s(now),
+            uptime_s=self._quotas.counting_for_s(now),
             limits=list(self._own_words.values()),
         )
         sendings, update = self.exchange.round(status, now)
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -311,7 +311,7 @@
             self._keeper.outage.age_ms(now),
             self._data.placement.shared_warmth.recent(WARM_SENT_S, now),
             self._data.quotas.report(now),
-            self._data.quotas.tracked_s(now),
+            self._data.quotas.counting_for_s(now),
             self._keeper.confirmation.tell(self._store_copy.revision, now),
             self._control.is_unserved(now),
             self._data.limits.round(now),
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -135,7 +135,7 @@
             self._budget,
             self.quotas,
             self.quarantine,
-            EndedTargets(self.connections.check, self._take_checked),
+            EndedTargets(self.connections.probe, self._take_checked),
             events,
         )
         return EntryHandler(
--- a/leverdoor/entry/exchange/use_merging.py
+++ b/leverdoor/entry/exchange/use_merging.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from leverdoor.entry.exchange.use_lists import Use, summed
-from leverdoor.workspaces.allowance import EVEN_SHARE
+from leverdoor.workspaces.allowance import EVENLY_DIVIDED_FRACTION
 from leverdoor.workspaces.isolation import RESERVATION_S, isolated_use_factor
 
 __all__ = ["FRESH_S", "UseReport", "UseMerger", "UseSums"]
@@ -179,7 +179,7 @@
         for name, count in report.use.items():
             total = max(then.get(name, 0), count)
             times = isolated_use_factor(self.planned.get(name, 0.0), total)
-            found[name] = math.ceil((1 - EVEN_SHARE) * count * times)
+            found[name] = math.ceil((1 - EVENLY_DIVIDED_FRACTION) * count * times)
         return found
 
 
--- a/leverdoor/entry/limits/named_limits.py
+++ b/leverdoor/entry/limits/named_limits.py
@@ -56,7 +56,7 @@
         the last readable word holds.
         """
         try:
-            per_s = self._wire.parse_limit(reply.all(self._wire.headers.limit))
+            per_s = self._wire.parse_limit(reply.get_all(self._wire.headers.limit))
         except UnreadableLimit as e:
             self._note_unreadable(target, str(e))
             return
--- a/leverdoor/entry/requests/connection_pool.py
+++ b/leverdoor/entry/requests/connection_pool.py
@@ -139,7 +139,7 @@
         self._release(target, connection, reply.get("keep-alive"))
         return reply
 
-    async def check(self, target: Target) -> TargetCheck:
+    async def probe(self, target: Target) -> TargetCheck:
         """Probe a target with a new connection, and keep that connection if it opens.
 
         Returns: whether the target serves, has ended or does not respond.
--- a/leverdoor/entry/requests/replies.py
+++ b/leverdoor/entry/requests/replies.py
@@ -49,7 +49,7 @@
                 return value
         return ""
 
-    def all(self, name: str) -> list[str]:
+    def get_all(self, name: str) -> list[str]:
         """Return all values of a header (name in lower case), in order."""
         return [value for key, value in self.headers if key == name]
 
--- a/leverdoor/entry/requests/target_reports.py
+++ b/leverdoor/entry/requests/target_reports.py
@@ -80,13 +80,13 @@
 
     def _parse_leaving(self, target: Target, reply: TargetReply) -> bool:
         try:
-            return self._wire.parse_leaving(reply.all(self._wire.headers.leaving))
+            return self._wire.parse_leaving(reply.get_all(self._wire.headers.leaving))
         except UnreadableReport as e:
             self._record_unreadable(target, "leaving", str(e))
             return False
 
     def _parse_rest(self, target: Target, reply: TargetReply) -> float | None:
-        values = reply.all(self._wire.headers.rest)
+        values = reply.get_all(self._wire.headers.rest)
         try:
             return self._wire.parse_rest(reply.status, values)
         except UnreadableReport as e:
--- a/leverdoor/workspaces/allowance.py
+++ b/leverdoor/workspaces/allowance.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-__all__ = ["EVEN_SHARE", "KnownUsage"]
+__all__ = ["EVENLY_DIVIDED_FRACTION", "KnownUsage"]
 
-EVEN_SHARE = 0.5
+EVENLY_DIVIDED_FRACTION = 0.5
 """Share of a quota that is divided evenly among entries that lack recent reports.
 
 The rest is divided in proportion to their usage, which may change at any time. With a
@@ -119,7 +119,10 @@
         others_use = self.others_use * (active_entries - 1) / max(self.entries - 1, 1)
         total_use = others_use + reported + PRIOR_REQUESTS * active_entries
         proportional_share = (reported + PRIOR_REQUESTS) / total_use
-        return EVEN_SHARE / active_entries + (1 - EVEN_SHARE) * proportional_share
+        return (
+            EVENLY_DIVIDED_FRACTION / active_entries
+            + (1 - EVENLY_DIVIDED_FRACTION) * proportional_share
+        )
 
     def _free_requests(self) -> float:
         """Return how many requests each entry may admit regardless of its share."""
--- a/leverdoor/workspaces/isolation.py
+++ b/leverdoor/workspaces/isolation.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from leverdoor.workspaces.allowance import EVEN_SHARE
+from leverdoor.workspaces.allowance import EVENLY_DIVIDED_FRACTION
 
 __all__ = [
     "RESERVATION_S",
@@ -91,11 +91,13 @@
             )
         even_share = self.admission_limit / self.entries
         if self.last_reported is None:
-            return EVEN_SHARE * even_share
+            return EVENLY_DIVIDED_FRACTION * even_share
         total_use = self.others_use + self.last_reported
         proportional_share = self.last_reported * isolated_use_factor(
             self.admission_limit, total_use
         )
         return max(
-            even_share, EVEN_SHARE * even_share + (1 - EVEN_SHARE) * proportional_share
+            even_share,
+            EVENLY_DIVIDED_FRACTION * even_share
+            + (1 - EVENLY_DIVIDED_FRACTION) * proportional_share,
         )
--- a/leverdoor/workspaces/quota.py
+++ b/leverdoor/workspaces/quota.py
@@ -22,7 +22,7 @@
 
 from leverdoor.errors import Code, Refusal
 from leverdoor.model.resources import Workspace
-from leverdoor.workspaces.allowance import EVEN_SHARE, KnownUsage
+from leverdoor.workspaces.allowance import EVENLY_DIVIDED_FRACTION, KnownUsage
 from leverdoor.workspaces.isolation import ISOLATION_TIMEOUT_S, IsolatedQuota
 from leverdoor.workspaces.quota_bounds import QuotaBounds
 from leverdoor.workspaces.remote_usage import NO_REMOTE_USAGE, RemoteUsage
@@ -127,7 +127,7 @@
         self._last_report = self._usage.totals(now)
         return self._last_report
 
-    def tracked_s(self, now: float) -> float:
+    def counting_for_s(self, now: float) -> float:
         """Return how long this entry has counted usage, in seconds."""
         return now - self._started_at
 
@@ -202,7 +202,10 @@
         others_use: float = self._remote_usage.use.get(name, 0)
         if name not in self._remote_usage.use:
             others_use = self._remote_usage.min_reported_share * admission_limit
-        return others_use + EVEN_SHARE * admission_limit * silent / self.entries
+        return (
+            others_use
+            + EVENLY_DIVIDED_FRACTION * admission_limit * silent / self.entries
+        )
 
     def _ceiling(self, workspace: Workspace, known: KnownUsage, now: float) -> float:
         """Return the maximum number of requests per window while isolated."""
--- a/tests/test_entry_connections.py
+++ b/tests/test_entry_connections.py
@@ -67,7 +67,7 @@
     connections.entries = entries
     connections.max_connections = {"s": 390}
     one = target("one", address=address)
-    checks = [connections.check(one) for _ in range(20)]
+    checks = [connections.probe(one) for _ in range(20)]
     assert set(await asyncio.gather(*checks)) == {TargetCheck.SERVES}
     idle = connections.idle_count(one)
     assert 0 < idle * entries < 390
@@ -125,14 +125,14 @@
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     connections = ConnectionPool("x-id", "a", lambda _: None, lambda *_: None)
     one = target("one", address=address)
-    assert await connections.check(one) is TargetCheck.SERVES
+    assert await connections.probe(one) is TargetCheck.SERVES
     reply = await connections.exchange(one, make_request("first"), accepts_requests)
     assert reply.status == 200
     assert connections.opened == 1
     connections.close()
     server.close()
     await server.wait_closed()
-    assert await connections.check(one) is TargetCheck.ENDED
+    assert await connections.probe(one) is TargetCheck.ENDED
 
 
 async def test_request_is_not_sent_to_withdrawn_target() -> None:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -24,7 +24,7 @@
 from leverdoor.errors import Code, Refusal
 from leverdoor.model.resources import Workspace
 from leverdoor.standins.entry_site import SAMPLE_ROUTES, EntrySite
-from leverdoor.workspaces.allowance import EVEN_SHARE, KnownUsage
+from leverdoor.workspaces.allowance import EVENLY_DIVIDED_FRACTION, KnownUsage
 from leverdoor.workspaces.isolation import (
     ISOLATION_TIMEOUT_S,
     RESERVATION_S,
@@ -221,7 +221,7 @@
             return use
         total = max(sum(t[-1][1] for t in self.reports if t), 1)
         factor = isolated_use_factor(BOUNDS.admission_limit(WARD), total)
-        return math.ceil((1 - EVEN_SHARE) * use * factor)
+        return math.ceil((1 - EVENLY_DIVIDED_FRACTION) * use * factor)
 
     @rule(number=st.integers(0, ENTRIES - 1))
     def isolate(self, number: int) -> None:
