--- a/tests/test_entry_connection.py
+++ b/tests/test_entry_connection.py
@@ -142,7 +142,7 @@
 
 
 LOST_REPLIES = [
-    pytest.param(b"", id="no bytes"),
+    pytest.param(b"", id="closed"),
     pytest.param(b"HTTP/1.1 200 OK\r\nX-Id", id="truncated headers"),
     pytest.param(make_reply("1", b"whole")[:-2], id="truncated body"),
     pytest.param(
