--- a/leverdoor/entry/exchange/exchange_types.py
+++ b/leverdoor/entry/exchange/exchange_types.py
@@ -15,7 +15,7 @@
 from leverdoor.entry.membership.member import EntryState
 from leverdoor.limits.advertised import LimitAdvertisement
 from leverdoor.quarantine.notices import Notice
-from leverdoor.workspaces.others_use import OthersUse
+from leverdoor.workspaces.remote_usage import RemoteUsage
 
 __all__ = ["PeerUpdate", "EntryStatus", "OutgoingMessage"]
 
@@ -68,7 +68,7 @@
     """Address where a newer state can be fetched, as `ip:port`; empty if none."""
     answer: ReportedAnswer = NO_ANSWER
     """The newest answer of the store that confirms the sender's revision."""
-    use: OthersUse | None = None
+    use: RemoteUsage | None = None
     """Workspace usage of all other entries; None if unchanged."""
     limits: list[LimitAdvertisement] = []
     """Limits that targets reported to other entries."""
--- a/leverdoor/entry/exchange/usage_exchange.py
+++ b/leverdoor/entry/exchange/usage_exchange.py
@@ -22,8 +22,8 @@
 from leverdoor.entry.exchange.usage_merging import FRESH_S, UsageMerger, UsageReport
 from leverdoor.entry.membership.member import LEAVING, Member
 from leverdoor.entry.membership.members import Membership
-from leverdoor.workspaces.isolation import HOLD_S
-from leverdoor.workspaces.others_use import OthersUse
+from leverdoor.workspaces.isolation import RESERVATION_S
+from leverdoor.workspaces.remote_usage import RemoteUsage
 
 __all__ = ["DigestUsage", "UsageExchange"]
 
@@ -123,7 +123,7 @@
 
     def usage_of_others_from_digest(
         self, digest: Digest, own: Usage
-    ) -> OthersUse | None:
+    ) -> RemoteUsage | None:
         """Return the usage of others in a digest; None if its list is unknown.
 
         Args:
@@ -138,9 +138,9 @@
         age_s = digest.use_age_ms / 1000
         merged_s = digest.merged_ms / 1000
         omission_fraction = self._codec.parse_omission_fraction(digest.use)
-        return OthersUse(usage, age_s, merged_s, omission_fraction, digest.silent)
+        return RemoteUsage(usage, age_s, merged_s, omission_fraction, digest.silent)
 
-    def merged_usage_of_others(self, uptime_s: float, now: float) -> OthersUse | None:
+    def merged_usage_of_others(self, uptime_s: float, now: float) -> RemoteUsage | None:
         """Return the usage of all other entries as merged by this aggregator.
 
         Sets `_complete_since` when reports of all failure domains and regions are fresh
@@ -158,7 +158,7 @@
         sums = self._merger.compute_sums({}, self._unreported_parts(uptime_s, now), now)
         age_s = self._merger.age_s(now)
         merged_s = now - self._complete_since
-        return OthersUse(sums.total, age_s, merged_s, 0.0, sums.silent[-1])
+        return RemoteUsage(sums.total, age_s, merged_s, 0.0, sums.silent[-1])
 
     def stop_merging(self) -> None:
         """Record that this entry is not an aggregator."""
@@ -169,18 +169,18 @@
         report.
 
         One part is reserved for an entry that was never seen while this entry's uptime
-        is at most `HOLD_S`: after a restart of all entries, it may serve behind a
-        network partition. An entry that was seen may have reported to a former
+        is at most `RESERVATION_S`: after a restart of all entries, it may serve behind
+        a network partition. An entry that was seen may have reported to a former
         aggregator; see `UNKNOWN_USAGE_PARTS`.
         """
         domain = self._own.domain
         last_seen = self._membership.newest_heartbeats(domain)
         never_seen = self._membership.count_in_domain(domain) - 1 - len(last_seen)
-        never_seen = max(never_seen, 0) if uptime_s <= HOLD_S else 0
+        never_seen = max(never_seen, 0) if uptime_s <= RESERVATION_S else 0
         unreported = [
             s
             for s in last_seen
-            if FRESH_S < now - s.at <= HOLD_S
+            if FRESH_S < now - s.at <= RESERVATION_S
             and s.row.state != LEAVING
             and not self._merger.has_report(self._membership.name(s.row.id))
         ]
--- a/leverdoor/entry/exchange/usage_merging.py
+++ b/leverdoor/entry/exchange/usage_merging.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from leverdoor.entry.exchange.usage_encoding import Usage, sum_usage
-from leverdoor.workspaces.allowance import EVEN_PART
-from leverdoor.workspaces.isolation import HOLD_S, stretch
+from leverdoor.workspaces.allowance import EVENLY_DIVIDED_FRACTION
+from leverdoor.workspaces.isolation import RESERVATION_S, isolated_use_factor
 
 __all__ = ["FRESH_S", "UsageReport", "UsageMerger", "UsageSums"]
 
@@ -127,7 +127,7 @@
         self._entries = {
             name: report
             for name, report in self._entries.items()
-            if now - report.at <= HOLD_S
+            if now - report.at <= RESERVATION_S
         }
 
     def compute_sums(
@@ -184,7 +184,7 @@
             return report.use
         if report.is_leaving:
             return report.use if age_s <= ENDED_USAGE_S else {}
-        if age_s > HOLD_S:
+        if age_s > RESERVATION_S:
             return {}
         if report.reserved is None:
             report.reserved = self._reservation(report)
@@ -194,15 +194,18 @@
         """Return the usage that the silent entries of a report may reach.
 
         An entry without digests extrapolates its usage from the last total that it
-        knows (see `stretch`); this does the same with the total at the time of the
-        report. `UsageSums.silent` covers the reservation that is independent of usage.
+        knows (see `isolated_use_factor`); this does the same with the total at the time
+        of the report. `UsageSums.silent` covers the reservation that is independent of
+        usage.
         """
         total_then = next((total for at, total in self._totals if at >= report.at), {})
         reserved_usage = {}
         for name, count in report.use.items():
             total = max(total_then.get(name, 0), count)
-            factor = stretch(self.planned.get(name, 0.0), total)
-            reserved_usage[name] = math.ceil((1 - EVEN_PART) * count * factor)
+            factor = isolated_use_factor(self.planned.get(name, 0.0), total)
+            reserved_usage[name] = math.ceil(
+                (1 - EVENLY_DIVIDED_FRACTION) * count * factor
+            )
         return reserved_usage
 
 
@@ -223,7 +226,7 @@
         age_s = now - report.at
         if age_s <= fresh_s:
             count += report.silent
-        elif age_s <= HOLD_S and not report.is_leaving:
+        elif age_s <= RESERVATION_S and not report.is_leaving:
             count += report.entries
     return count
 
--- a/leverdoor/entry/limits/limit_collector.py
+++ b/leverdoor/entry/limits/limit_collector.py
@@ -56,7 +56,7 @@
         An unreadable limit changes nothing: the last readable one stays in force.
         """
         try:
-            per_s = self._wire.parse_limit(reply.all(self._wire.headers.limit))
+            per_s = self._wire.parse_limit(reply.get_all(self._wire.headers.limit))
         except UnreadableLimit as e:
             self._log_unreadable(target, str(e))
             return
--- a/leverdoor/entry/requests/connection.py
+++ b/leverdoor/entry/requests/connection.py
@@ -1,12 +1,16 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""One HTTP/1.1 connection to a target, which matches answers to requests by their id.
+"""An HTTP/1.1 client connection to a target that matches replies by request id.
 
-An HTTP client library gives no control over this: a surplus answer that comes late must
-not be taken for the next request's, a request must never be sent again unseen, and a
-connection whose request body was not sent whole must never be used again.
+HTTP client libraries do not guarantee the following properties, which this module
+provides:
 
-Owns the request on the connection. Relies on `replies` for parsing.
+- A late duplicate reply is not taken for the reply to the next request.
+- A request is never resent automatically.
+- A connection is not reused if its last request body was not sent completely.
+
+Owns the pending request of the connection; it fails when the connection is lost.
+Relies on `replies` for parsing.
 """
 
 import asyncio
@@ -15,155 +19,166 @@
 
 import httptools
 
-from leverdoor.entry.requests.dead_peers import notice_dead_peer
 from leverdoor.entry.requests.replies import ReplyParser, TargetReply
+from leverdoor.entry.requests.tcp_keepalive import set_keepalive_options
 
-__all__ = ["AnswerLost", "NotSent", "TargetConnection", "Withdrawn", "open_connection"]
+__all__ = [
+    "ReplyLost",
+    "RequestNotSent",
+    "TargetConnection",
+    "TargetWithdrawn",
+    "open_connection",
+]
 
 
-class NotSent(Exception):
-    """Not one byte of the request was sent.
+class RequestNotSent(Exception):
+    """No byte of the request was sent.
 
     Attributes:
-      refused: the target's VM answered that nothing listens there.
+      refused: whether the target's VM refused the connection because no process
+        listens at the address.
     """
 
-    def __init__(self, why: str, refused: bool = False) -> None:
-        """Create it with its reason."""
-        super().__init__(why)
-        self.refused = refused
+    def __init__(self, reason: str, connection_refused: bool = False) -> None:
+        """Initialize the error with its reason."""
+        super().__init__(reason)
+        self.connection_refused = connection_refused
 
 
-class Withdrawn(Exception):
-    """The target stopped taking requests before anything of this one was sent."""
+class TargetWithdrawn(Exception):
+    """The target stopped accepting requests before this one was sent."""
 
 
-class AnswerLost(Exception):
-    """The request went out and no whole answer came.
+class ReplyLost(Exception):
+    """The request was sent and no complete reply was received.
 
     Attributes:
-      unreachable: the target did not even acknowledge what was sent.
-      closed: the target, or the kernel of its VM, ended the connection.
+      unreachable: whether TCP acknowledgements of the sent data timed out.
+      closed: whether the target or the kernel of its VM closed the connection.
     """
 
     def __init__(
-        self, why: str, unreachable: bool = False, closed: bool = False
+        self, reason: str, unreachable: bool = False, closed: bool = False
     ) -> None:
-        """Create it with its reason."""
-        super().__init__(why)
+        """Initialize the error with its reason."""
+        super().__init__(reason)
         self.unreachable = unreachable
         self.closed = closed
 
 
-class _Pending:
-    """The request on a connection whose answer is awaited."""
+class _PendingRequest:
+    """The request on a connection that awaits its reply."""
 
     def __init__(self, request_id: str, id_header: str) -> None:
         self.request_id = request_id
         self.id_header = id_header
-        self.answer: asyncio.Future[TargetReply] = asyncio.Future()
+        self.reply: asyncio.Future[TargetReply] = asyncio.Future()
 
 
 class TargetConnection(asyncio.Protocol):
-    """One connection; it carries one request at a time."""
+    """A connection that carries one request at a time."""
 
-    def __init__(self, take_report: Callable[[TargetReply], None]) -> None:
-        """Create it; the loop's `create_connection` opens it.
+    def __init__(self, on_reply: Callable[[TargetReply], None]) -> None:
+        """Initialize the protocol; the loop's `create_connection` opens it.
 
         Args:
-          take_report: called with each whole answer to a request.
+          on_reply: called with each complete reply to a request.
         """
-        self._take_report = take_report
+        self._on_reply = on_reply
         self._transport: asyncio.Transport | None = None
-        self._parser = ReplyParser(self._take_reply)
-        self._pending: _Pending | None = None
+        self._parser = ReplyParser(self._match_reply)
+        self._pending: _PendingRequest | None = None
         self._writable = asyncio.Event()
         self._writable.set()
-        self.usable = True
-        """Another request may be sent once the present one has ended."""
+        self.reusable = True
+        """Whether another request may be sent after the current one."""
         self.idle_since = 0.0
-        """Loop time at which its last request ended, in seconds."""
-        self.idle_limit_s = 0.0
-        """How long it may then be idle before it is closed, in seconds."""
+        """Loop time at which the last request ended, in seconds."""
+        self.idle_timeout_s = 0.0
+        """Longest idle time before the connection is closed, in seconds."""
 
-    # The transport's side.
+    # Methods that the transport calls.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport and set how soon a dead VM is noticed."""
+        """Store the transport and enable TCP keep-alive."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            notice_dead_peer(sock)
+            set_keepalive_options(sock)
 
     def pause_writing(self) -> None:
-        """Hold the request's body back: the target does not read."""
+        """Pause the request body while the transport's buffer is full."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Go on with the request's body."""
+        """Resume sending the request body."""
         self._writable.set()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; bytes that belong to no request end the connection."""
+        """Parse received bytes; close the connection if no request is pending."""
         if self._pending is None:
-            self._fail("bytes that belong to no request")
+            self._fail("received bytes without a pending request")
             return
         try:
             self._parser.feed(data)
         except (httptools.HttpParserError, ValueError) as e:
-            self._fail(f"not an answer: {e!r}")
+            self._fail(f"malformed reply: {e!r}")
 
     def eof_received(self) -> bool:
-        """End an answer that has no length; anything else is cut short."""
+        """Complete a reply without length, or fail the request if it is incomplete."""
         if self._pending is not None:
-            self._parser.end()
+            self._parser.feed_eof()
         self._fail("closed by the target", closed=True)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the request that was on the connection."""
+        """Fail the pending request."""
+        # All errors but a timeout mean that the peer closed or reset the connection.
         unreachable = isinstance(exc, TimeoutError)
         self._fail(f"connection lost: {exc!r}", unreachable, closed=not unreachable)
 
-    def _fail(self, why: str, unreachable: bool = False, closed: bool = False) -> None:
-        """Close the connection; its request, if there is one, has lost its answer."""
-        self.usable = False
+    def _fail(
+        self, reason: str, unreachable: bool = False, closed: bool = False
+    ) -> None:
+        """Close the connection and fail its pending request, if any."""
+        self.reusable = False
         self._writable.set()
         pending = self._pending
-        if pending is not None and not pending.answer.done():
-            pending.answer.set_exception(AnswerLost(why, unreachable, closed))
+        if pending is not None and not pending.reply.done():
+            pending.reply.set_exception(ReplyLost(reason, unreachable, closed))
         self.close()
 
-    def _take_reply(self, reply: TargetReply, keeps: bool) -> None:
-        """Match a whole answer to the request on the connection.
+    def _match_reply(self, reply: TargetReply, keep_alive: bool) -> None:
+        """Match a complete reply to the pending request.
 
         Args:
-          reply: the answer; one with the id of another request is dropped.
-          keeps: whether the target keeps the connection open after it.
+          reply: the reply; if it carries the id of another request, it is dropped and
+            the pending request continues to wait.
+          keep_alive: whether the target keeps the connection open afterwards.
         """
         pending = self._pending
-        if pending is None or pending.answer.done():
-            # A second answer to one request: its bytes belong to nobody.
-            self.usable = False
+        if pending is None or pending.reply.done():
+            # After a surplus reply, later replies may be matched wrongly.
+            self.reusable = False
             return
         if reply.get(pending.id_header) not in ("", pending.request_id):
             return
-        self._take_report(reply)
-        if not keeps:
-            self.usable = False
-        pending.answer.set_result(reply)
+        self._on_reply(reply)
+        if not keep_alive:
+            self.reusable = False
+        pending.reply.set_result(reply)
 
-    # The caller's side.
+    # Methods that the connection pool calls.
 
     @property
     def closed(self) -> bool:
-        """Whether no more requests can be sent on it."""
-        return not self.usable or self._transport is None
+        """Whether the connection is closed or must not be reused."""
+        return not self.reusable or self._transport is None
 
     def close(self) -> None:
-        """Close at once, which cancels a request that runs."""
-        self.usable = False
+        """Abort the connection, which cancels a request in flight."""
+        self.reusable = False
         if self._transport is not None:
             self._transport.abort()
             self._transport = None
@@ -174,66 +189,66 @@
         body: bytes | AsyncIterator[bytes],
         request_id: str,
         id_header: str,
-        bodyless: bool,
+        reply_has_no_body: bool,
     ) -> TargetReply:
-        """Send a request and wait for its whole answer.
+        """Send a request and wait for its complete reply.
 
         Args:
-          head: request line and headers, up to the empty line.
-          body: all of it, or its parts framed already.
-          request_id: the id that the answer must carry, if it carries one.
-          id_header: the header, in lower case, that carries it.
-          bodyless: whether the answer has no body whatever its head says.
+          head: request line and headers, including the empty line.
+          body: the whole body, or its parts with their framing.
+          request_id: the expected id; a reply without an id is accepted.
+          id_header: name of the header with the id, in lower case.
+          bodyless: whether the reply has no body regardless of its headers.
         Raises:
-          NotSent: the connection was closed before.
-          AnswerLost: the request may have run.
+          RequestNotSent: the connection was already closed.
+          ReplyLost: the request may have been executed.
         """
-        if self._transport is None or not self.usable:
-            raise NotSent("closed before it was used")
-        pending = self._pending = _Pending(request_id, id_header)
-        self._parser.bodyless = bodyless
+        if self._transport is None or not self.reusable:
+            raise RequestNotSent("connection closed before use")
+        pending = self._pending = _PendingRequest(request_id, id_header)
+        self._parser.reply_has_no_body = reply_has_no_body
         try:
             if isinstance(body, bytes):
                 self._transport.write(head + body)
-                return await pending.answer
+                return await pending.reply
             return await self._stream(pending, head, body)
         except BaseException:
             self.close()
             raise
         finally:
             self._pending = None
-            if bodyless:
-                self.usable = False
-            if not self.usable:
+            if reply_has_no_body:
+                self.reusable = False
+            if not self.reusable:
                 self.close()
 
     async def _stream(
-        self, pending: _Pending, head: bytes, body: AsyncIterator[bytes]
+        self, pending: _PendingRequest, head: bytes, body: AsyncIterator[bytes]
     ) -> TargetReply:
-        """Send the parts of a body; an answer may come before the last."""
+        """Send a streamed body; the reply may arrive before all of it is sent."""
         assert self._transport is not None
         self._transport.write(head)
-        sending = asyncio.ensure_future(self._send_parts(body))
+        send_task = asyncio.ensure_future(self._send_body(body))
         try:
             await asyncio.wait(
-                (sending, pending.answer), return_when=asyncio.FIRST_COMPLETED
+                (send_task, pending.reply), return_when=asyncio.FIRST_COMPLETED
             )
-            if sending.done():
-                sending.result()
-                return await pending.answer
-            reply = await pending.answer
+            if send_task.done():
+                send_task.result()
+                return await pending.reply
+            reply = await pending.reply
             reply.early = True
-            self.usable = False
+            self.reusable = False
             return reply
         finally:
-            sending.cancel()
+            send_task.cancel()
             with contextlib.suppress(asyncio.CancelledError, Exception):
-                await sending
-            if not pending.answer.done():
-                pending.answer.cancel()
+                await send_task
+            if not pending.reply.done():
+                pending.reply.cancel()
 
-    async def _send_parts(self, body: AsyncIterator[bytes]) -> None:
-        """Send the parts of a body as fast as the target reads."""
+    async def _send_body(self, body: AsyncIterator[bytes]) -> None:
+        """Send the parts of a body with flow control."""
         async for part in body:
             await self._writable.wait()
             if self._transport is None:
@@ -245,25 +260,25 @@
     host: str,
     port: int,
     timeout_s: float,
-    take_report: Callable[[TargetReply], None],
+    on_reply: Callable[[TargetReply], None],
 ) -> TargetConnection:
     """Open a connection to a target.
 
     Args:
-      host: of the target.
-      port: of the target.
-      timeout_s: longest time to connect.
-      take_report: called with each whole answer to a request on it.
+      host: host part of the target's address.
+      port: TCP port of the target.
+      timeout_s: connect timeout in seconds.
+      on_reply: called with each complete reply to a request.
     Raises:
-      NotSent: it could not be opened in time.
+      RequestNotSent: the connection could not be opened within the timeout.
     """
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout_s):
             _, connection = await loop.create_connection(
-                lambda: TargetConnection(take_report), host, port
+                lambda: TargetConnection(on_reply), host, port
             )
     except (OSError, TimeoutError) as e:
-        refused = isinstance(e, ConnectionRefusedError)
-        raise NotSent(f"no connection: {e!r}", refused) from None
+        connection_refused = isinstance(e, ConnectionRefusedError)
+        raise RequestNotSent(f"no connection: {e!r}", connection_refused) from None
     return connection
--- a/leverdoor/workspaces/usage.py
+++ b/leverdoor/workspaces/usage.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""How many requests of each workspace an entry took in the last seconds.
+"""Counts the requests of each workspace that an entry admitted, in a sliding window.
 
-Owns the counts of one entry, in slices of time, for as long as a quota needs them; lost
-with the process. Exact but for the slice at the edge of a window.
+Owns the counts of one entry in time slices, for the window and a retention period after
+it; lost with the process. Counts are exact except for the slices at the window's edges.
 """
 
 from collections import deque
@@ -13,87 +13,98 @@
 __all__ = ["UsageWindow"]
 
 SLICE_S = 0.1
-"""Resolution in seconds; a window counts up to one slice too much, never less.
+"""Length of a time slice, in seconds.
 
-A fiftieth of a window of 5 s. Greater: more refusals at the edge of the window.
-Smaller: more memory and time for each request.
+A window includes up to one slice too many, and never too few. The value is a fiftieth
+of a 5 s window. A greater value causes more refusals at the window's edge. A smaller
+one costs more memory and time per request.
 """
 
 
 class _Slice(msgspec.Struct):
-    """The requests of one slice of time."""
+    """The number of requests in one time slice."""
 
-    number: int
-    """Slices since the start of the clock."""
+    index: int
+    """Index of the slice, counted from the start of the clock."""
     count: int
 
 
 class UsageWindow:
-    """Requests by workspace, in a window that slides in steps of a slice."""
+    """Requests by workspace in a sliding window of time slices."""
 
-    def __init__(self, window_s: float, kept_s: float = 0.0) -> None:
-        """Create it without any request.
+    def __init__(self, window_s: float, retention_s: float = 0.0) -> None:
+        """Initialize an empty window.
 
         Args:
-          window_s: how long a request counts, in seconds.
-          kept_s: for how long requests that have left the window are kept besides,
-            in seconds (see `expired`).
+          window_s: length of the window, in seconds.
+          retention_s: how long requests are retained after they leave the window, for
+            `count_expired`, in seconds.
         """
-        self._window = int(window_s / SLICE_S) + 1
-        """Slices that count, the present one aside."""
-        self._kept = self._window + int(kept_s / SLICE_S)
-        """Slices that are kept, the present one aside."""
+        self._window_slices = int(window_s / SLICE_S) + 1
+        """Number of slices in the window, without the current one. One is added because
+        the window begins within its oldest slice."""
+        self._retained_slices = self._window_slices + int(retention_s / SLICE_S)
+        """Number of retained slices, without the current one."""
         self._slices: dict[str, deque[_Slice]] = {}
 
-    def add(self, name: str, now: float) -> None:
+    def add(self, workspace: str, now: float) -> None:
         """Count a request of a workspace."""
-        number = int(now / SLICE_S)
-        slices = self._slices.setdefault(name, deque())
-        if slices and slices[-1].number == number:
+        index = int(now / SLICE_S)
+        slices = self._slices.setdefault(workspace, deque())
+        if slices and slices[-1].index == index:
             slices[-1].count += 1
         else:
-            slices.append(_Slice(number, 1))
-
-    def take_back(self, name: str, at: float) -> None:
-        """Take back a request that was counted at a time, if that is still kept."""
-        number = int(at / SLICE_S)
-        for one_slice in reversed(self._slices.get(name, ())):
-            if one_slice.number == number:
-                one_slice.count -= 1
+            slices.append(_Slice(index, 1))
+
+    def remove(self, workspace: str, counted_at: float) -> None:
+        """Subtract a request that was counted at a time, if its slice is retained."""
+        index = int(counted_at / SLICE_S)
+        for time_slice in reversed(self._slices.get(workspace, ())):
+            if time_slice.index == index:
+                time_slice.count -= 1
                 return
 
-    def within(self, name: str, span_s: float, now: float) -> int:
-        """Return a workspace's requests of the last seconds, at most the window's."""
-        first = int(now / SLICE_S) - self._window
-        oldest = max(int((now - span_s) / SLICE_S), first)
-        return sum(s.count for s in self._of(name, now) if s.number >= oldest)
-
-    def expired(self, name: str, span_s: float, now: float) -> int:
-        """Return a workspace's requests that left the window in the last seconds.
-
-        Never too many: a slice counts once all of it has left.
+    def count_within(self, workspace: str, span_s: float, now: float) -> int:
+        """Return the requests of a workspace in the last `span_s` of the window."""
+        first_slice = int(now / SLICE_S) - self._window_slices
+        oldest_slice = max(int((now - span_s) / SLICE_S), first_slice)
+        return sum(
+            s.count
+            for s in self._discard_old(workspace, now)
+            if s.index >= oldest_slice
+        )
+
+    def count_expired(self, workspace: str, span_s: float, now: float) -> int:
+        """Return the requests of a workspace that left the window in the last `span_s`.
+
+        The count is never too high, since a slice counts only when all of it is outside
+        the window.
         """
-        first = int(now / SLICE_S) - self._window
-        oldest = first - int(span_s / SLICE_S)
-        return sum(s.count for s in self._of(name, now) if oldest < s.number < first)
+        first_slice = int(now / SLICE_S) - self._window_slices
+        oldest_slice = first_slice - int(span_s / SLICE_S)
+        return sum(
+            s.count
+            for s in self._discard_old(workspace, now)
+            if oldest_slice < s.index < first_slice
+        )
 
     def totals(self, now: float) -> dict[str, int]:
-        """Return the requests of all workspaces that had any in the window."""
-        first = int(now / SLICE_S) - self._window
-        found = {}
-        for name in list(self._slices):
-            slices = self._of(name, now)
-            total = sum(s.count for s in slices if s.number >= first)
+        """Return the requests in the window for each workspace that has any."""
+        first_slice = int(now / SLICE_S) - self._window_slices
+        result = {}
+        for workspace in list(self._slices):
+            slices = self._discard_old(workspace, now)
+            total = sum(s.count for s in slices if s.index >= first_slice)
             if total > 0:
-                found[name] = total
+                result[workspace] = total
             elif not slices:
-                del self._slices[name]
-        return found
-
-    def _of(self, name: str, now: float) -> deque[_Slice]:
-        """Return a workspace's slices, without those that are kept no longer."""
-        slices = self._slices.get(name, deque())
-        first = int(now / SLICE_S) - self._kept
-        while slices and slices[0].number < first:
+                del self._slices[workspace]
+        return result
+
+    def _discard_old(self, workspace: str, now: float) -> deque[_Slice]:
+        """Discard the slices of a workspace beyond retention and return the others."""
+        slices = self._slices.get(workspace, deque())
+        first_retained = int(now / SLICE_S) - self._retained_slices
+        while slices and slices[0].index < first_retained:
             slices.popleft()
         return slices
--- a/tests/test_entry_connections.py
+++ b/tests/test_entry_connections.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Kept connections, and targets that forget them."""
+"""The connection pool, and targets that reset idle connections."""
 
 import asyncio
 
@@ -8,54 +8,54 @@
 
 from desk import target
 from leverdoor.entry.requests import idle_timeouts
-from leverdoor.entry.requests.connection import AnswerLost, Withdrawn
-from leverdoor.entry.requests.connections import Connections
+from leverdoor.entry.requests.connection import ReplyLost, TargetWithdrawn
+from leverdoor.entry.requests.connection_pool import ConnectionPool
 from leverdoor.entry.requests.idle_timeouts import (
-    LIMITED_FOR_S,
-    LIMITED_IDLE_S,
+    REDUCED_IDLE_S,
+    REDUCTION_DURATION_S,
     IdleTimeouts,
 )
-from leverdoor.entry.requests.outgoing import Outgoing
+from leverdoor.entry.requests.outgoing_request import OutgoingRequest
 from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.model.resources import Target
 from leverdoor.quarantine.crash_checker import TargetCheckResult
 
-LONG_S = 2 * LIMITED_IDLE_S
+LONG_IDLE_S = 2 * REDUCED_IDLE_S
 
 
-def takes() -> bool:
-    """Stand for a target that takes requests."""
+def accepts_requests() -> bool:
+    """Stand in for a target that accepts requests."""
     return True
 
 
-SOON_S = 0.01
+PROMPT_RESET_S = 0.01
 
 
-def test_a_reset_at_once_after_a_rest_shows_forgotten_connections() -> None:
-    limits = IdleTimeouts()
-    assert limits.longest_s("s", 0.0) > 1e9
-    assert limits.lost("s", LONG_S, SOON_S, 0.0)
-    assert not limits.lost("s", LONG_S, SOON_S, 1.0)
-    assert limits.longest_s("s", 2.0) == LIMITED_IDLE_S
-    assert limits.longest_s("other", 2.0) > 1e9
-    assert limits.longest_s("s", 1.0 + LIMITED_FOR_S) > 1e9
+def test_prompt_reset_of_idle_connection_reduces_idle_timeout() -> None:
+    timeouts = IdleTimeouts()
+    assert timeouts.max_idle_s("s", 0.0) > 1e9
+    assert timeouts.record_lost_reply("s", LONG_IDLE_S, PROMPT_RESET_S, 0.0)
+    assert not timeouts.record_lost_reply("s", LONG_IDLE_S, PROMPT_RESET_S, 1.0)
+    assert timeouts.max_idle_s("s", 2.0) == REDUCED_IDLE_S
+    assert timeouts.max_idle_s("other", 2.0) > 1e9
+    assert timeouts.max_idle_s("s", 1.0 + REDUCTION_DURATION_S) > 1e9
 
 
-def test_other_lost_answers_do_not() -> None:
-    limits = IdleTimeouts()
-    assert not limits.lost("s", 0.0, SOON_S, 0.0)
-    assert not limits.lost("s", LONG_S, 1.0, 0.0)
-    assert limits.longest_s("s", 0.0) > 1e9
+def test_other_lost_replies_do_not_reduce_idle_timeout() -> None:
+    timeouts = IdleTimeouts()
+    assert not timeouts.record_lost_reply("s", 0.0, PROMPT_RESET_S, 0.0)
+    assert not timeouts.record_lost_reply("s", LONG_IDLE_S, 1.0, 0.0)
+    assert timeouts.max_idle_s("s", 0.0) > 1e9
 
 
 @pytest.mark.parametrize("entries", [1, 12, 195, 300])
-async def test_all_entries_together_keep_no_more_idle_than_a_target_takes(
+async def test_idle_connections_of_all_entries_stay_within_target_limit(
     entries: int,
 ) -> None:
-    """Found by reading: the bound of all entries together was used nowhere.
+    """Idle connections of all entries must stay below the target's connection limit.
 
-    Each entry kept up to 16 idle connections alone, 3,120 at 195 entries where 390 are
-    taken; a target resets those beyond.
+    If each entry keeps up to 16 idle connections, 195 entries keep 3,120 where the
+    target accepts 390 and resets the rest.
     """
 
     async def serve(r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
@@ -63,11 +63,11 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    connections = Connections("x-id", "a", lambda _: None, lambda *_: None)
+    connections = ConnectionPool("x-id", "a", lambda _: None, lambda *_: None)
     connections.entries = entries
-    connections.most = {"s": 390}
+    connections.max_connections = {"s": 390}
     one = target("one", address=address)
-    checks = [connections.check(one) for _ in range(20)]
+    checks = [connections.probe(one) for _ in range(20)]
     assert set(await asyncio.gather(*checks)) == {TargetCheckResult.SERVES}
     idle = connections.idle_count(one)
     assert 0 < idle * entries < 390
@@ -76,15 +76,15 @@
     server.close()
 
 
-def outgoing(request_id: str) -> Outgoing:
+def make_request(request_id: str) -> OutgoingRequest:
     head = f"POST / HTTP/1.1\r\nHost: h\r\nX-Id: {request_id}\r\n\r\n"
-    return Outgoing(request_id, "POST", head.encode(), b"")
+    return OutgoingRequest(request_id, "POST", head.encode(), b"")
 
 
-async def test_a_service_that_forgets_gets_young_connections(
+async def test_connections_of_resetting_service_are_not_reused_after_idling(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each connection answers once and is reset by what comes next."""
+    """The target replies once on each connection and resets it on the next byte."""
     monkeypatch.setattr(idle_timeouts, "RESET_WITHIN_S", 30.0)
 
     async def serve(r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
@@ -98,24 +98,24 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    told: list[str] = []
-    connections = Connections("x-id", "a", told.append, lambda *_: None)
+    reset_services: list[str] = []
+    connections = ConnectionPool("x-id", "a", reset_services.append, lambda *_: None)
     one, two = target("one", address=address), target("two", address=address)
     for t in (one, two):
-        await connections.exchange(t, outgoing("first"), takes)
-    await asyncio.sleep(LONG_S)
-    with pytest.raises(AnswerLost):
-        await connections.exchange(one, outgoing("second"), takes)
-    assert told == ["s"]
-    reply = await connections.exchange(two, outgoing("third"), takes)
+        await connections.exchange(t, make_request("first"), accepts_requests)
+    await asyncio.sleep(LONG_IDLE_S)
+    with pytest.raises(ReplyLost):
+        await connections.exchange(one, make_request("second"), accepts_requests)
+    assert reset_services == ["s"]
+    reply = await connections.exchange(two, make_request("third"), accepts_requests)
     assert reply.status == 200
     assert connections.opened == 3
     connections.close()
     server.close()
 
 
-async def test_a_check_tells_a_target_that_ended_from_one_that_serves() -> None:
-    """The connection that shows that it serves is kept for the next request."""
+async def test_check_distinguishes_serving_from_ended_target() -> None:
+    """The connection of a successful check is kept for the next request."""
 
     async def serve(r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
         await r.readuntil(b"\r\n\r\n")
@@ -123,20 +123,20 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    connections = Connections("x-id", "a", lambda _: None, lambda *_: None)
+    connections = ConnectionPool("x-id", "a", lambda _: None, lambda *_: None)
     one = target("one", address=address)
-    assert await connections.check(one) is TargetCheckResult.SERVES
-    reply = await connections.exchange(one, outgoing("first"), takes)
+    assert await connections.probe(one) is TargetCheckResult.SERVES
+    reply = await connections.exchange(one, make_request("first"), accepts_requests)
     assert reply.status == 200
     assert connections.opened == 1
     connections.close()
     server.close()
     await server.wait_closed()
-    assert await connections.check(one) is TargetCheckResult.ENDED
+    assert await connections.probe(one) is TargetCheckResult.ENDED
 
 
-async def test_a_request_whose_target_stopped_taking_requests_is_not_sent() -> None:
-    """A connection may take most of a second to open; the word can come meanwhile."""
+async def test_request_is_not_sent_to_withdrawn_target() -> None:
+    """A target may withdraw while a connection opens, which can take up to 0.8 s."""
     received = bytearray()
 
     async def serve(r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
@@ -145,19 +145,19 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    connections = Connections("x-id", "a", lambda _: None, lambda *_: None)
+    connections = ConnectionPool("x-id", "a", lambda _: None, lambda *_: None)
     one = target("one", address=address)
-    with pytest.raises(Withdrawn):
-        await connections.exchange(one, outgoing("first"), lambda: False)
+    with pytest.raises(TargetWithdrawn):
+        await connections.exchange(one, make_request("first"), lambda: False)
     server.close()
     await server.wait_closed()
     assert not received
     assert connections.idle_count(one) == 0
 
 
-async def test_what_an_answer_reports_is_taken_before_its_request_gets_it() -> None:
-    """So that it holds also where the request is cancelled at that moment."""
-    taken: list[int] = []
+async def test_report_is_processed_before_reply_is_returned() -> None:
+    """The callback runs before `exchange` returns, so cancellation loses no report."""
+    reported: list[int] = []
 
     async def serve(r: asyncio.StreamReader, w: asyncio.StreamWriter) -> None:
         await r.readuntil(b"\r\n\r\n")
@@ -167,16 +167,16 @@
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     one = target("one", address=address)
 
-    def take(t: Target, reply: TargetReply) -> None:
+    def handle_reply(t: Target, reply: TargetReply) -> None:
         assert t is one
-        taken.append(reply.status)
+        reported.append(reply.status)
         request.cancel()
 
-    connections = Connections("x-id", "a", lambda _: None, take)
-    sending = connections.exchange(one, outgoing("first"), takes)
+    connections = ConnectionPool("x-id", "a", lambda _: None, handle_reply)
+    sending = connections.exchange(one, make_request("first"), accepts_requests)
     request = asyncio.create_task(sending)
     with pytest.raises(asyncio.CancelledError):
         await request
-    assert taken == [503]
+    assert reported == [503]
     connections.close()
     server.close()
--- a/tests/test_entry_use.py
+++ b/tests/test_entry_use.py
@@ -11,7 +11,7 @@
     sum_usage,
 )
 from leverdoor.entry.exchange.usage_merging import UsageMerger, UsageReport
-from leverdoor.workspaces.isolation import HOLD_S
+from leverdoor.workspaces.isolation import RESERVATION_S
 
 NAMES = [f"w{i}" for i in range(MAX_UNFILTERED_PAIRS + 50)]
 
@@ -86,8 +86,8 @@
     later = merger.compute_sums({"w": 15}, 0, 13.0)
     assert later.total == {"w": 15 + 20}
     assert later.silent == (1, 1, 1)
-    merger.forget(10.0 + HOLD_S + 1)
-    expired = merger.compute_sums({"w": 15}, 0, 10.0 + HOLD_S + 1)
+    merger.forget(10.0 + RESERVATION_S + 1)
+    expired = merger.compute_sums({"w": 15}, 0, 10.0 + RESERVATION_S + 1)
     assert (expired.total, expired.silent) == ({"w": 15}, (0, 0, 0))
 
 
