--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -324,3 +324,15 @@
         assert large == [200] * 9
     finally:
         await site.stop()
+
+
+def test_bound_holds_after_an_isolated_entry_reports_again() -> None:
+    """Usage that an entry admitted while isolated counts once it is reachable."""
+    site = QuotaMachine()
+    site.begin()
+    site.serve(steps=1, demand=0)
+    site.isolate(number=0)
+    site.serve(steps=11, demand=9)
+    site.heal()
+    site.serve(steps=3, demand=2)
+    site.bound_holds()
