--- a/benchmarks/emulated_following.py
+++ b/benchmarks/emulated_following.py
@@ -40,7 +40,7 @@
 )
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.settings import EntrySettings
-from leverdoor.entry.wire import Configured
+from leverdoor.entry.wire import StoreContents
 from leverdoor.platform.names import wire
 from leverdoor.settings import Address
 from leverdoor.storage.fetching import SILENCE_S
@@ -208,13 +208,13 @@
         self._site.note_in_force(self.member.name, self.state.revision)
         self.control.peers.spread_news()
 
-    def _put_in_force(self, _: Catalog, __: Catalog, configured: Configured) -> None:
+    def _put_in_force(self, _: Catalog, __: Catalog, configured: StoreContents) -> None:
         now = asyncio.get_running_loop().time()
         self.membership.add_registered(configured.peers, now)
 
     def _take_update(self, update: PeerUpdate, now: float) -> None:
         self.keeper.outage.peer_reported(update.outage_ms, now)
-        self.control.take_answer(update.answer, now)
+        self.control.receive_confirmation(update.answer, now)
 
     def _status(self) -> EntryStatus:
         now = asyncio.get_running_loop().time()
@@ -230,9 +230,9 @@
         )
 
 
-def _translate(items: Mapping[str, KeyValue]) -> Configured:
+def _translate(items: Mapping[str, KeyValue]) -> StoreContents:
     peers = {k: v.value for k, v in items.items() if k.startswith(PREFIX)}
-    return Configured("1", [], peers)
+    return StoreContents("1", [], peers)
 
 
 def _no_room(_: RoomMessage, __: float) -> RoomAnswer | None:
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -25,7 +25,7 @@
 from leverdoor.entry.membership.naming import Naming
 from leverdoor.entry.membership.peer_record import LastSeen
 from leverdoor.entry.membership.roles import Roles
-from leverdoor.entry.pauses import Pauses
+from leverdoor.entry.pause_detector import PauseDetector
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
@@ -160,7 +160,7 @@
         membership.introduce(other, 0.0)
         row = MemberRow(member_id(other.name), 1, SERVING)
         membership.observe(LastSeen(row, 1e6), 0.0)
-    pauses = Pauses(-60.0, lambda: 0.0)
+    pauses = PauseDetector(-60.0, lambda: 0.0)
     role = LimiterRole(membership, lambda: SERVING, pauses)
     limited = [t for t in resources(30_000, 1) if isinstance(t, Target)]
     mine = [t for t in limited if role.part(t, 0.0)][:1]
--- a/benchmarks/limit_node.py
+++ b/benchmarks/limit_node.py
@@ -20,7 +20,7 @@
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
-from leverdoor.entry.pauses import Pauses
+from leverdoor.entry.pause_detector import PauseDetector
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.room_notes import RoomNotes
 from leverdoor.errors import Refusal
@@ -70,7 +70,7 @@
         self.exchange = Exchange(self.membership, Roles(self.membership, rng))
         self.fleet = Fleet()
         self.book = self.fleet.limits
-        self.pauses = Pauses(now, shared.clock)
+        self.pauses = PauseDetector(now, shared.clock)
         self.role = LimiterRole(self.membership, lambda: SERVING, self.pauses)
         by_id = {target_id(t.name): t for t in shared.targets}
         self.limiter = Limiter(self.fleet, self.role, self.pauses, by_id.get)
@@ -86,7 +86,7 @@
 
     def round(self, now: float) -> list[Outgoing]:
         """Return what it sends in a round."""
-        self.pauses.running_s(now)
+        self.pauses.uninterrupted_s(now)
         self._quotas.entries = self.membership.count
         status = EntryStatus(
             SERVING,
--- a/leverdoor/emulator/entries.py
+++ b/leverdoor/emulator/entries.py
@@ -22,13 +22,13 @@
     RunOutcome,
 )
 from leverdoor.entry.bounds import (
-    MOVED_SHARE,
-    RETRIES_FIRST,
-    RETRIES_SAVED,
-    RETRY_SHARE,
+    INITIAL_RETRIES,
+    MAX_SAVED_RETRIES,
+    RETRY_FRACTION,
     SHARE_UPDATE_ROUNDS,
+    SHIFT_FRACTION,
     SHIFT_WINDOW_S,
-    WARM_SENT_S,
+    WARM_KEY_REPORT_S,
 )
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.exchange.exchange import Exchange
@@ -110,14 +110,14 @@
         roles = Roles(self._membership, self._rng)
         self._exchange = Exchange(self._membership, roles)
         self._budget = RetryBudget(
-            site.repeat_ratio * RETRY_SHARE, RETRIES_SAVED, RETRIES_FIRST
+            site.repeat_ratio * RETRY_FRACTION, MAX_SAVED_RETRIES, INITIAL_RETRIES
         )
         self._policy = PlacementPolicy(
             self.member.region,
             self.member.domain,
             self.fleet,
             self._rng,
-            site.max_shift * MOVED_SHARE / SHIFT_WINDOW_S,
+            site.max_shift * SHIFT_FRACTION / SHIFT_WINDOW_S,
             self._experiment.tuning,
         )
 
@@ -146,7 +146,7 @@
 
     def _report(self, now: float) -> EntryStatus:
         counts = self._experiment.shares_load and self._shared_fleet is None
-        warm = self._policy.shared_warmth.recent(WARM_SENT_S, now)
+        warm = self._policy.shared_warmth.recent(WARM_KEY_REPORT_S, now)
         return EntryStatus(
             SERVING,
             1,
--- a/leverdoor/entry/admin.py
+++ b/leverdoor/entry/admin.py
@@ -23,13 +23,13 @@
 PULL_PATH = "/v1/internal/state"
 """Where other entries fetch what changed since a revision."""
 METRICS_PATH = "/metrics"
-LONG_DELTA = 1_400
+COMPRESSION_THRESHOLD_BYTES = 1_400
 """Bytes beyond which a delta does not fit one packet and is compressed.
 
 Smaller, processor time is spent on answers that are one packet anyway; greater, more
 bytes cross narrow links.
 """
-FAST_LEVEL = 1
+ZLIB_LEVEL = 1
 """Level of zlib for states.
 
 Greater levels hold up the loop, on which requests wait, for somewhat fewer bytes.
@@ -64,9 +64,9 @@
         self._is_ready = is_ready
         self._addresses = addresses
         self._ttl_s = ttl_s
-        self._packed: dict[int, tuple[bytes, str]] = {}
+        self._encoded: dict[int, tuple[bytes, str]] = {}
         """Data and its coding, by the revision that the asking entry has."""
-        self._packed_at = 0
+        self._encoded_revision = 0
         """The state's revision at which they were encoded."""
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -89,13 +89,13 @@
         """
         since = bounded_int(request.query, "since", 0)
         revision = self._state.revision
-        if self._packed_at != revision:
-            self._packed_at = revision
-            self._packed.clear()
-        packed = self._packed.get(since)
-        if packed is None:
-            packed = self._packed[since] = _compressed(pack(self._state.delta(since)))
-        data, coding = packed
+        if self._encoded_revision != revision:
+            self._encoded_revision = revision
+            self._encoded.clear()
+        encoded = self._encoded.get(since)
+        if encoded is None:
+            encoded = self._encoded[since] = _compress(pack(self._state.delta(since)))
+        data, coding = encoded
         return web.Response(body=data, headers={"Content-Encoding": coding})
 
     def _resolve(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -112,8 +112,8 @@
         )
 
 
-def _compressed(data: bytes) -> tuple[bytes, str]:
+def _compress(data: bytes) -> tuple[bytes, str]:
     """Return the bytes to send, and the name of their coding."""
-    if len(data) <= LONG_DELTA:
+    if len(data) <= COMPRESSION_THRESHOLD_BYTES:
         return data, "identity"
-    return zlib.compress(data, FAST_LEVEL), DEFLATE
+    return zlib.compress(data, ZLIB_LEVEL), DEFLATE
--- a/leverdoor/entry/bounds.py
+++ b/leverdoor/entry/bounds.py
@@ -9,35 +9,35 @@
 """
 
 __all__ = [
-    "MOVED_SHARE",
-    "RETRIES_FIRST",
-    "RETRIES_SAVED",
-    "RETRY_SHARE",
+    "SHIFT_FRACTION",
+    "INITIAL_RETRIES",
+    "MAX_SAVED_RETRIES",
+    "RETRY_FRACTION",
     "SHARE_UPDATE_ROUNDS",
     "SHIFT_WINDOW_S",
-    "WARM_SENT_S",
-    "retries_saved",
+    "WARM_KEY_REPORT_S",
+    "max_saved_retries",
 ]
 
-RETRY_SHARE = 0.5
+RETRY_FRACTION = 0.5
 """Part of the bound on retries (the setting `repeat_ratio`) that is planned with.
 
 The rest is for entries that start with saved retries and for calls of retried requests.
 Greater: the bound is passed sooner; 0.75 made no difference to worth (0.787 beside
 0.789, 12 entries). Smaller: requests fail that a second attempt would have saved.
 """
-RETRIES_SAVED = 4.0
+MAX_SAVED_RETRIES = 4.0
 """Retries that an entry saves up for a service at most.
 
-Fewer where many entries share the slack of the bound (`retries_saved`). Greater: all
+Fewer where many entries share the slack of the bound (`max_saved_retries`). Greater: all
 entries together may pass the bound in a burst. Smaller: a target that dies with several
 requests fails most of them.
 """
-SLACK_SAVED = 0.75
+SAVED_SLACK_SHARE = 0.75
 """Part of the slack of the bound on retries that all entries together save up."""
-LEAST_SAVED = 1.0
+MIN_SAVED_RETRIES = 1.0
 """Retries that an entry saves up at least: with less it could make none."""
-RETRIES_FIRST = 2.0
+INITIAL_RETRIES = 2.0
 """Retries that an entry starts with, for a service.
 
 Half of those saved at most, since many entries may start together. Greater: starts pass
@@ -46,7 +46,7 @@
 SHIFT_WINDOW_S = 2.0
 """Window of the bound on shifts, in seconds: the setting `max_shift` is a share of a
 region's requests in two seconds."""
-MOVED_SHARE = 0.53
+SHIFT_FRACTION = 0.53
 """Part of the bound on shifts that is planned with.
 
 Agreement between entries may move half as much besides (spill.py:AGREEMENT_MOVE_PART),
@@ -60,7 +60,7 @@
 No move before the effect of the last one was reported. Greater: shares move in larger
 steps. Smaller: more processor time for the same rate.
 """
-WARM_SENT_S = 0.5
+WARM_KEY_REPORT_S = 0.5
 """How long heartbeats carry the digest of a warm key, in seconds.
 
 Two or three of them, one may be lost. Greater: longer heartbeats. Smaller: with one
@@ -68,7 +68,7 @@
 """
 
 
-def retries_saved(slack: float, entries: int) -> float:
+def max_saved_retries(slack: float, entries: int) -> float:
     """Return the retries that an entry saves up for a service.
 
     Each saves an even part of the slack, so that all together stay within it at any
@@ -78,4 +78,6 @@
       slack: retries that all entries together may make beyond a share of requests.
       entries: how many share it, this one included.
     """
-    return max(min(SLACK_SAVED * slack / entries, RETRIES_SAVED), LEAST_SAVED)
+    return max(
+        min(SAVED_SLACK_SHARE * slack / entries, MAX_SAVED_RETRIES), MIN_SAVED_RETRIES
+    )
--- a/leverdoor/entry/configuration/catalog_keeper.py
+++ b/leverdoor/entry/configuration/catalog_keeper.py
@@ -17,7 +17,7 @@
 from leverdoor.entry.configuration.expired_registrations import ExpiredRegistrations
 from leverdoor.entry.configuration.outage import Outage
 from leverdoor.entry.events import Events
-from leverdoor.entry.wire import Configured, Wire
+from leverdoor.entry.wire import StoreContents, Wire
 from leverdoor.model.resources import Target
 from leverdoor.storage.state import State
 
@@ -29,7 +29,7 @@
 Enough to find the mistake; more would make the line long for no gain.
 """
 
-PutInForce: TypeAlias = Callable[[Catalog, Catalog, Configured], None]
+PutInForce: TypeAlias = Callable[[Catalog, Catalog, StoreContents], None]
 """Called with the catalogue before, the new one, and what it was compiled from."""
 
 
--- a/leverdoor/entry/configuration/confirmation.py
+++ b/leverdoor/entry/configuration/confirmation.py
@@ -24,7 +24,7 @@
 NUMBER_BITS = 32
 """Bits of an answer's number that count the answers to one entry."""
 MOST_KNOWN = 32
-"""Answers kept, the newest ones: more than are told within `STALE_S`."""
+"""Answers kept, the newest ones: more than are told within `MAX_ANSWER_AGE_S`."""
 MOST_AHEAD = 16
 """Newer revisions of which it is kept when the store confirmed them.
 
--- a/leverdoor/entry/configuration/left_out.py
+++ b/leverdoor/entry/configuration/left_out.py
@@ -11,7 +11,7 @@
 
 from leverdoor.entry.events import Events
 from leverdoor.entry.metrics import EntryMetrics
-from leverdoor.entry.wire import LeftOut
+from leverdoor.entry.wire import LeftOutRegistration
 
 __all__ = ["LeftOutReport"]
 
@@ -34,7 +34,7 @@
         """When the minute of these lines began, monotonic time in seconds."""
         self._unlogged = 0
 
-    def take(self, left_out: Iterable[LeftOut], now: float) -> None:
+    def take(self, left_out: Iterable[LeftOutRegistration], now: float) -> None:
         """Take what is left out at present.
 
         Args:
@@ -51,9 +51,9 @@
         for one in new:
             self._log(one, now)
         causes = Counter(one.cause for one in present.values())
-        self._metrics.show_left_out(causes)
+        self._metrics.set_left_out_registrations(causes)
 
-    def _log(self, one: LeftOut, now: float) -> None:
+    def _log(self, one: LeftOutRegistration, now: float) -> None:
         if now - self._since >= MINUTE_S:
             self._since = now
             self._lines = 0
--- a/leverdoor/entry/control_plane.py
+++ b/leverdoor/entry/control_plane.py
@@ -82,7 +82,7 @@
         self._keeper = keeper
         self._membership = membership
         self._settings = context.settings
-        self._peers_read = asyncio.Event()
+        self._peers_discovered = asyncio.Event()
         self._roles = Roles(membership, context.rng)
         self.exchange = Exchange(membership, self._roles)
         self.peers = PeerLink(
@@ -105,10 +105,10 @@
             lambda: self._settings,
             context.rng,
         )
-        self._clocked_role = _ClockedRole(
+        self._follower_role = _ClockedFollowerRole(
             self._store_role,
             self._joining,
-            self._take_store_answer,
+            self._on_store_answer,
             context.time_of_day,
         )
         self._follower = self._create_follower()
@@ -139,11 +139,11 @@
         return StoreFollower(
             self._context.store,
             self._state,
-            self._clocked_role,
+            self._follower_role,
             self._context.rng,
             prefix="",
             longest_backoff_s=STORE_BACKOFF_S,
-            on_change=self._store_changed,
+            on_change=self._on_reachability_change,
         )
 
     def reload(self, settings: EntrySettings) -> None:
@@ -152,16 +152,16 @@
 
     async def join_and_follow(self) -> None:
         """Find the others, get the state, then follow the store while elected."""
-        if not self._peers_read.is_set():
+        if not self._peers_discovered.is_set():
             registered = await self._joining.find()
             self.registration.adopt(registered.get(self._own_key))
-            self._peers_read.set()
+            self._peers_discovered.set()
             await self._joining.fetch(self._settings.watchers)
         await self._follower.run()
 
     async def register(self) -> None:
         """Keep the entry registered in the store, once the others were read."""
-        await self._peers_read.wait()
+        await self._peers_discovered.wait()
         await self.registration.run()
 
     @property
@@ -176,9 +176,9 @@
 
     def follows_store(self) -> bool:
         """Return whether this entry follows the store now."""
-        return self._clocked_role.follows()
+        return self._follower_role.follows()
 
-    def take_answer(self, told: ToldAnswer, now: float) -> None:
+    def receive_confirmation(self, told: ToldAnswer, now: float) -> None:
         """Take what another entry's revision rests on.
 
         Who lacked a recent answer passes it on at once, so that those who lack one as
@@ -189,8 +189,8 @@
         if was_stale and not self._store_role.is_stale(now):
             self.peers.spread_news()
 
-    def _take_store_answer(self) -> None:
-        """Record that the store answered here, as `take_answer` does of others."""
+    def _on_store_answer(self) -> None:
+        """Record that the store answered here, as `receive_confirmation` does of others."""
         was_stale = self._store_role.is_stale(asyncio.get_running_loop().time())
         self._keeper.store_answered()
         if was_stale:
@@ -200,14 +200,14 @@
         """Return whether the store does not answer this entry."""
         return self._store_role.unserved(now)
 
-    def _store_changed(self, reachable: bool, why: str) -> None:
+    def _on_reachability_change(self, reachable: bool, why: str) -> None:
         """Record that the store was lost, or answers again."""
         self._keeper.outage.take(reachable, asyncio.get_running_loop().time())
         change = "answers" if reachable else "lost"
         self._context.events.store(change, self._state.revision, why)
 
 
-class _ClockedRole(FollowerRole):
+class _ClockedFollowerRole(FollowerRole):
     """An entry's role by its clocks; none before it has joined the others."""
 
     def __init__(
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -15,7 +15,7 @@
 from aiohttp import web
 
 from leverdoor.entry.admin import AdminServer
-from leverdoor.entry.bounds import SHARE_UPDATE_ROUNDS, WARM_SENT_S
+from leverdoor.entry.bounds import SHARE_UPDATE_ROUNDS, WARM_KEY_REPORT_S
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
 from leverdoor.entry.configuration.confirmation import NUMBER_BITS, Confirmation
@@ -33,8 +33,8 @@
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.quarantine_records import QuarantineRecords
 from leverdoor.entry.settings import EntrySettings, reload_settings
-from leverdoor.entry.shutdown import STOP_POLL_S, finish
-from leverdoor.entry.wire import Configured, Wire
+from leverdoor.entry.shutdown import STOP_POLL_S, drain
+from leverdoor.entry.wire import StoreContents, Wire
 from leverdoor.lifecycle import keep_running
 from leverdoor.settings import Address
 from leverdoor.storage.state import Delta, State
@@ -48,7 +48,7 @@
 What is cleaned up ages over seconds. Greater, idle connections and metrics are late;
 smaller, an entry spends processor time on them.
 """
-LISTEN_ON_S = 2.2
+LEAVE_LISTEN_S = 2.2
 """How long a leaving entry accepts connections, in seconds.
 
 A cached look-up lasts 2 s; 0.2 s, a round of heartbeats, is added. Smaller, clients
@@ -103,12 +103,12 @@
 
     def reload(self, settings: EntrySettings) -> None:
         """Take settings that changed; addresses and places stay as they are."""
-        reloaded = reload_settings(self._settings, settings)
-        self._settings = reloaded.settings
-        self._data.reload(reloaded.settings)
-        self._control.reload(reloaded.settings)
+        result = reload_settings(self._settings, settings)
+        self._settings = result.settings
+        self._data.reload(result.settings)
+        self._control.reload(result.settings)
         self._events.process(
-            "reload", changed=reloaded.changed, left_as_they_are=reloaded.left
+            "reload", changed=result.changed, left_as_they_are=result.restart_required
         )
 
     async def run(self) -> None:
@@ -246,7 +246,7 @@
             turn += 1
             now = loop.time()
             self._data.count_entries()
-            self._data.judge_requests(now)
+            self._data.update_quarantine(now)
             self._control.peers.round(now)
             if turn % SHARE_UPDATE_ROUNDS == 0:
                 shares = self._control.exchange.region_shares()
@@ -281,12 +281,12 @@
             self._control.peers.announce()
 
     def _take_catalog(
-        self, before: Catalog, catalog: Catalog, configured: Configured
+        self, before: Catalog, catalog: Catalog, configured: StoreContents
     ) -> None:
         """Put a newer catalogue in force in all parts."""
         now = asyncio.get_running_loop().time()
         self._membership.add_registered(configured.peers, now)
-        self._records.take(configured.held, now)
+        self._records.take(configured.held_records, now)
         self._left_out.take(configured.left_out, now)
         self._data.renew(before, catalog, now)
         exchange = self._control.exchange
@@ -298,7 +298,7 @@
         """Give the other parts what other entries reported."""
         self._data.receive(update, now)
         self._keeper.outage.peer_reported(update.outage_ms, now)
-        self._control.take_answer(update.answer, now)
+        self._control.receive_confirmation(update.answer, now)
 
     def _status(self) -> EntryStatus:
         """Return what heartbeats say of this entry."""
@@ -309,7 +309,7 @@
             self._data.fleet.in_flight(),
             self._data.placement.shares.reported(),
             self._keeper.outage.age_ms(now),
-            self._data.placement.shared_warmth.recent(WARM_SENT_S, now),
+            self._data.placement.shared_warmth.recent(WARM_KEY_REPORT_S, now),
             self._data.quotas.report(now),
             self._data.quotas.lived_s(now),
             self._keeper.confirmation.tell(self._store_copy.revision, now),
@@ -330,9 +330,9 @@
         self._events.process("leaving", in_flight=handler.active)
         self._control.peers.announce_leave()
         removal = asyncio.create_task(self._control.registration.end())
-        await asyncio.sleep(LISTEN_ON_S)
+        await asyncio.sleep(LEAVE_LISTEN_S)
         front.close()
         last = began + self._settings.grace_s - STOP_MARGIN_S
-        await finish(handler, self._data.server, last)
+        await drain(handler, self._data.server, last)
         removal.cancel()
         self._events.process("drained", in_flight=handler.active)
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -15,12 +15,12 @@
 from aiohttp import web
 
 from leverdoor.entry.bounds import (
-    MOVED_SHARE,
-    RETRIES_FIRST,
-    RETRIES_SAVED,
-    RETRY_SHARE,
+    INITIAL_RETRIES,
+    MAX_SAVED_RETRIES,
+    RETRY_FRACTION,
+    SHIFT_FRACTION,
     SHIFT_WINDOW_S,
-    retries_saved,
+    max_saved_retries,
 )
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.configuration.catalog_keeper import CatalogKeeper
@@ -94,8 +94,8 @@
         )
         now = asyncio.get_running_loop().time()
         self.quotas = Quotas(s.quotas, context.rng, now, first_start=s.first_start)
-        ratio = s.repeat_ratio * RETRY_SHARE
-        self._budget = RetryBudget(ratio, RETRIES_SAVED, RETRIES_FIRST)
+        ratio = s.repeat_ratio * RETRY_FRACTION
+        self._budget = RetryBudget(ratio, MAX_SAVED_RETRIES, INITIAL_RETRIES)
         self.quarantine = Quarantine()
         self._metrics = metrics
         self.handler = self._create_handler(metrics)
@@ -103,7 +103,7 @@
 
     def _create_placement(self) -> PlacementPolicy:
         s = self._context.settings
-        move_per_s = s.max_shift * MOVED_SHARE / SHIFT_WINDOW_S
+        move_per_s = s.max_shift * SHIFT_FRACTION / SHIFT_WINDOW_S
         policy = PlacementPolicy(
             s.region, s.domain, self.fleet, self._context.rng, move_per_s
         )
@@ -135,7 +135,7 @@
             self._budget,
             self.quotas,
             self.quarantine,
-            EndedTargets(self.connections.check, self._take_checked),
+            EndedTargets(self.connections.check, self._on_target_checked),
             events,
         )
         return EntryHandler(
@@ -144,7 +144,7 @@
             forwarder,
             self.quotas,
             self.quarantine,
-            self._tries,
+            self._is_trial_entry,
             events,
             metrics,
             self._catalog,
@@ -157,12 +157,12 @@
         longest_s = self._context.settings.confirm_within_s
         return self._keeper.confirmation.holds(longest_s, now)
 
-    def _tries(self, fingerprint: int) -> bool:
+    def _is_trial_entry(self, fingerprint: int) -> bool:
         """Return whether this entry tries a request that is held back, for all."""
         own = self._membership.own.name
         return tries_for_all(own, self._membership.names(), fingerprint)
 
-    def _take_checked(
+    def _on_target_checked(
         self, target: Target, found: TargetCheck, runs: list[LostRun], took_s: float
     ) -> None:
         """Take what was found of a target that lost the answers of some runs.
@@ -188,7 +188,7 @@
         for run in runs:
             self.quarantine.crashed(target_id(target.name), run, now)
 
-    def judge_requests(self, now: float) -> None:
+    def update_quarantine(self, now: float) -> None:
         """Hold back the requests that count as causes of ended targets by now."""
         for change in self.quarantine.judge(now):
             self._context.events.quarantine(change)
@@ -202,7 +202,7 @@
 
     def reload(self, settings: EntrySettings) -> None:
         """Take settings that changed while the entry runs."""
-        self._budget.ratio = settings.repeat_ratio * RETRY_SHARE
+        self._budget.ratio = settings.repeat_ratio * RETRY_FRACTION
 
     def renew(self, before: Catalog, catalog: Catalog, now: float) -> None:
         """Serve by a newer catalogue from now on."""
@@ -240,4 +240,6 @@
         count = self._membership.count
         self.quotas.entries = count
         self.connections.entries = count
-        self._budget.limit = retries_saved(self._context.settings.repeat_slack, count)
+        self._budget.limit = max_saved_retries(
+            self._context.settings.repeat_slack, count
+        )
--- a/leverdoor/entry/events.py
+++ b/leverdoor/entry/events.py
@@ -3,7 +3,7 @@
 """Every event that an entry logs: named here, bounded, never blocking.
 
 A line is one JSON object. Each kind has a budget of lines a second; what is left out is
-counted in the next line of the kind (`left_out`).
+counted in the next line of the kind (`suppressed`).
 
 Owns the budgets of kinds, lost with the process. Relies on `log_writer`: a reader that
 does not read costs lines, never time.
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from leverdoor.entry.log_writer import LineBudget, LineWriter
+from leverdoor.entry.log_writer import LineRateLimiter, LineWriter
 from leverdoor.errors import Refusal
 from leverdoor.quarantine.fingerprint import fingerprint_text
 
@@ -25,7 +25,7 @@
 __all__ = ["Events"]
 
 
-MOST_LOGGED_TEXT = 80
+MAX_LOGGED_CHARACTERS = 80
 """Characters of a foreign text in a line: enough to find where it is set."""
 
 
@@ -49,22 +49,22 @@
         """
         self._writer = writer
         self._entry = entry
-        self._budgets: dict[str, LineBudget] = {}
+        self._limiters: dict[str, LineRateLimiter] = {}
 
     def emit(self, kind: str, **fields: Any) -> None:
         """Write one line of a kind, within its budget."""
         now = time.monotonic()
-        budget = self._budgets.get(kind)
-        if budget is None:
-            budget = self._budgets[kind] = LineBudget(now)
-        if not budget.spend(now):
+        limiter = self._limiters.get(kind)
+        if limiter is None:
+            limiter = self._limiters[kind] = LineRateLimiter(now)
+        if not limiter.try_take(now):
             return
         line: dict[str, Any] = {"t": round(time.time(), 3), "event": kind}
         line["entry"] = self._entry
         line.update(fields)
-        if budget.left_out:
-            line["left_out"] = budget.left_out
-            budget.left_out = 0
+        if limiter.suppressed:
+            line["suppressed"] = limiter.suppressed
+            limiter.suppressed = 0
         self._writer.write(msgspec.json.encode(line) + b"\n")
 
     # Requests.
@@ -137,7 +137,7 @@
             took_ms=round(took_s * 1000),
         )
 
-    def left(self, request_id: str, service: str, took_s: float) -> None:
+    def client_left(self, request_id: str, service: str, took_s: float) -> None:
         """A client left before its answer."""
         took_ms = round(took_s * 1000)
         self.emit(
@@ -201,9 +201,9 @@
         """
         self.emit(
             "registration_left_out",
-            name=name[:MOST_LOGGED_TEXT],
+            name=name[:MAX_LOGGED_CHARACTERS],
             cause=cause,
-            detail=detail[:MOST_LOGGED_TEXT],
+            detail=detail[:MAX_LOGGED_CHARACTERS],
             unlogged=unlogged,
         )
 
@@ -234,7 +234,7 @@
 
     def limit_unreadable(self, target: str, text: str) -> None:
         """A target named as its limit what is no number; its last one holds on."""
-        self.emit("limit_unreadable", target=target, text=text[:MOST_LOGGED_TEXT])
+        self.emit("limit_unreadable", target=target, text=text[:MAX_LOGGED_CHARACTERS])
 
     def target_leaving(self, target: str) -> None:
         """A target said in an answer that it leaves; one line for each."""
@@ -253,7 +253,7 @@
             "report_unreadable",
             target=target,
             what=what,
-            text=text[:MOST_LOGGED_TEXT],
+            text=text[:MAX_LOGGED_CHARACTERS],
         )
 
     def target_checked(
@@ -287,7 +287,7 @@
             tries=change.tries,
         )
 
-    def tried(self, hold: "Hold") -> None:
+    def quarantine_try(self, hold: "Hold") -> None:
         """A request that is held back is run once more, since it may be harmless."""
         self.emit(
             "quarantine_try",
--- a/leverdoor/entry/limits/limiter.py
+++ b/leverdoor/entry/limits/limiter.py
@@ -15,7 +15,7 @@
 
 from leverdoor.entry.exchange.messages import RoomAnswer, RoomRequest
 from leverdoor.entry.limits.role import LimiterRole
-from leverdoor.entry.pauses import Pauses
+from leverdoor.entry.pause_detector import PauseDetector
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.limits.room import Room, RoomDecision, burst
 from leverdoor.model.resources import Target
@@ -37,7 +37,7 @@
         self,
         fleet: Fleet,
         role: LimiterRole,
-        pauses: Pauses,
+        pauses: PauseDetector,
         target: Callable[[int], Target | None],
     ) -> None:
         """Create it.
@@ -118,7 +118,9 @@
         if part < 1.0:
             return 0.0
         limited_s = self._fleet.limits.limited_s(key, now)
-        return min(min(limited_s, self._pauses.running_s(now)) * per_s, burst(per_s))
+        return min(
+            min(limited_s, self._pauses.uninterrupted_s(now)) * per_s, burst(per_s)
+        )
 
     def forget(self, now: float) -> None:
         """Drop the rooms of targets without a bound, and of those that are gone."""
--- a/leverdoor/entry/limits/named_limits.py
+++ b/leverdoor/entry/limits/named_limits.py
@@ -12,7 +12,7 @@
 from leverdoor.entry.events import Events
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.requests.replies import TargetReply
-from leverdoor.entry.unreadable import UnreadableTexts
+from leverdoor.entry.unreadable_texts import UnreadableTextFilter
 from leverdoor.entry.wire import Wire
 from leverdoor.limits.named import (
     KEPT_S,
@@ -42,7 +42,7 @@
         """Names of targets by their `target_id`."""
         self._own: dict[int, LimitWord] = {}
         """By target, the newest word that came here and counts."""
-        self._unreadable = UnreadableTexts()
+        self._unreadable = UnreadableTextFilter()
 
     def renew(self, targets: Collection[str]) -> None:
         """Take the names of the targets of a new configuration."""
--- a/leverdoor/entry/limits/role.py
+++ b/leverdoor/entry/limits/role.py
@@ -10,7 +10,7 @@
 one and a half times the limit.
 
 Owns no state but what it computed a moment ago. Relies on `Membership` for who is
-there, and on `Pauses` for how long this entry has known them.
+there, and on `PauseDetector` for how long this entry has known them.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 from leverdoor.entry.membership.member import LEAVING, SERVING, EntryState, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import PeerRecord
-from leverdoor.entry.pauses import Pauses
+from leverdoor.entry.pause_detector import PauseDetector
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
 
@@ -70,7 +70,7 @@
         self,
         membership: Membership,
         state: Callable[[], EntryState],
-        pauses: Pauses,
+        pauses: PauseDetector,
     ) -> None:
         """Create it.
 
@@ -103,7 +103,7 @@
         0 if another entry limits it.
         """
         part = self._find(target, now).part
-        if part and self._pauses.running_s(now) < NEWCOMER_S:
+        if part and self._pauses.uninterrupted_s(now) < NEWCOMER_S:
             return min(part, HANDOVER_PART)
         return part
 
--- a/leverdoor/entry/limits/target_limits.py
+++ b/leverdoor/entry/limits/target_limits.py
@@ -19,7 +19,7 @@
 from leverdoor.entry.membership.member import EntryState
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.metrics import EntryMetrics
-from leverdoor.entry.pauses import Pauses
+from leverdoor.entry.pause_detector import PauseDetector
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.limits.named import LimitWord
 from leverdoor.model.resources import Target
@@ -52,7 +52,7 @@
         """
         self._targets: dict[int, Target] = {}
         self.named = NamedLimits(context.wire, fleet.limits, context.events, metrics)
-        self._pauses = Pauses(asyncio.get_running_loop().time())
+        self._pauses = PauseDetector(asyncio.get_running_loop().time())
         role = LimiterRole(membership, state, self._pauses)
         self._limiter = Limiter(fleet, role, self._pauses, self._targets.get)
         self.asking = RoomAsking(
@@ -67,7 +67,7 @@
 
     def round(self, now: float) -> list[LimitWord]:
         """Note that the entry runs; return what it is to tell of limits."""
-        self._pauses.running_s(now)
+        self._pauses.uninterrupted_s(now)
         return self.named.own_words()
 
     def told(self, words: Iterable[LimitWord]) -> None:
--- a/leverdoor/entry/log_writer.py
+++ b/leverdoor/entry/log_writer.py
@@ -9,7 +9,7 @@
 import os
 from collections import deque
 
-__all__ = ["BURST_LINES", "MAX_PENDING_BYTES", "LineBudget", "LineWriter"]
+__all__ = ["BURST_LINES", "MAX_PENDING_BYTES", "LineRateLimiter", "LineWriter"]
 
 LINES_PER_S = 60.0
 """Lines of a kind in a second on average.
@@ -67,21 +67,23 @@
             self._pending.popleft()
 
 
-class LineBudget:
+class LineRateLimiter:
     """Lines that one kind of event may still write."""
 
     def __init__(self, now: float) -> None:
-        self.saved = BURST_LINES
-        self.at = now
-        self.left_out = 0
+        self.tokens = BURST_LINES
+        self.refilled_at = now
+        self.suppressed = 0
         """Lines left out since the last that was written."""
 
-    def spend(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Take a line if one is saved; return whether it was."""
-        self.saved = min(BURST_LINES, self.saved + (now - self.at) * LINES_PER_S)
-        self.at = now
-        if self.saved < 1.0:
-            self.left_out += 1
+        self.tokens = min(
+            BURST_LINES, self.tokens + (now - self.refilled_at) * LINES_PER_S
+        )
+        self.refilled_at = now
+        if self.tokens < 1.0:
+            self.suppressed += 1
             return False
-        self.saved -= 1.0
+        self.tokens -= 1.0
         return True
--- a/leverdoor/entry/metrics.py
+++ b/leverdoor/entry/metrics.py
@@ -14,7 +14,7 @@
 
 BUCKETS = (0.01, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 2.0, 4.0)
 """Bounds of the latency histogram in seconds, around the routes' latency targets."""
-MOST_WORKSPACES = 100
+MAX_LABELLED_WORKSPACES = 100
 """Workspaces with a label of their own: those that are refused first.
 
 The number of series stays bounded. Greater, scrapes grow with the workspaces; smaller,
@@ -129,14 +129,14 @@
         self._workspaces: set[str] = set()
         """Those that have a label of their own."""
 
-    def quota_refusal(self, workspace: str) -> None:
+    def count_quota_refusal(self, workspace: str) -> None:
         """Count a request beyond a quota, under its workspace's name or "other"."""
-        if len(self._workspaces) < MOST_WORKSPACES:
+        if len(self._workspaces) < MAX_LABELLED_WORKSPACES:
             self._workspaces.add(workspace)
         label = workspace if workspace in self._workspaces else "other"
         self._quota_refusals.labels(label).inc()
 
-    def show_left_out(self, causes: Mapping[str, int]) -> None:
+    def set_left_out_registrations(self, causes: Mapping[str, int]) -> None:
         """Show how many registrations are left out, by cause."""
         self._left_out.clear()
         for cause, count in causes.items():
--- a/leverdoor/entry/pauses.py
+++ b/leverdoor/entry/pause_detector.py
@@ -12,9 +12,9 @@
 import time
 from collections.abc import Callable
 
-__all__ = ["Pauses", "boot_time_s"]
+__all__ = ["PauseDetector", "boot_time_s"]
 
-PAUSE_S = 1.0
+MIN_PAUSE_S = 1.0
 """Time between two calls from which on the process counts as paused, in seconds: five
 rounds, less than after which others take it for silent."""
 
@@ -29,7 +29,7 @@
     return time.monotonic()
 
 
-class Pauses:
+class PauseDetector:
     """When this process last resumed."""
 
     def __init__(self, now: float, clock: Callable[[], float] = boot_time_s) -> None:
@@ -43,14 +43,14 @@
         self._ran_at = clock()
         self._since = now
 
-    def running_s(self, now: float) -> float:
+    def uninterrupted_s(self, now: float) -> float:
         """Note that the process runs; return for how long it has, without a pause.
 
         Args:
           now: monotonic time in seconds.
         """
         at = self._clock()
-        if at - self._ran_at > PAUSE_S:
+        if at - self._ran_at > MIN_PAUSE_S:
             self._since = now
         self._ran_at = at
         return now - self._since
--- a/leverdoor/entry/placement/spill.py
+++ b/leverdoor/entry/placement/spill.py
@@ -58,7 +58,7 @@
 AGREEMENT_MOVE_PART = 0.5
 """Part of the bound on moves by which agreement may move a share besides.
 
-With entry/bounds.py:MOVED_SHARE both together stay within 0.8 of the operator's cap.
+With entry/bounds.py:SHIFT_FRACTION both together stay within 0.8 of the operator's cap.
 Greater: nearer to it. Smaller: a gap between entries stays longer.
 """
 LONGEST_STEP_S = 1.0
--- a/leverdoor/entry/quarantine_records.py
+++ b/leverdoor/entry/quarantine_records.py
@@ -32,16 +32,16 @@
 
 __all__ = ["QuarantineRecords"]
 
-LOOK_S = 0.5
+MEAN_CHECK_INTERVAL_S = 0.5
 """Mean pause between two looks at what is to be written, in seconds.
 
 With the 0.6 s until a request is held back a record is there within two seconds, half
 of the operator's bound. Greater: a restart of all entries in between forgets more.
 Smaller: two followers write the same record more often.
 """
-MOST_WRITES = 8
+MAX_WRITES_PER_CHECK = 8
 """Records written or removed in one look: bounds the calls of the store."""
-REMOVED_AFTER_S = 5.0
+REMOVAL_DELAY_S = 5.0
 """Time after the end of a hold in which its record is removed, in seconds.
 
 Beyond the moments by which entries differ on when it was held back. Greater: records
@@ -80,9 +80,9 @@
         self._events = events
         self._rng = rng
         self._writes = writes
-        self._read: dict[int, KeyValue] = {}
+        self._stored: dict[int, KeyValue] = {}
         """By fingerprint, as the store has them."""
-        self._seen: dict[int, float] = {}
+        self._seen_since: dict[int, float] = {}
         """Since when each is known as it is, monotonic time in seconds."""
 
     def take(self, records: Mapping[str, KeyValue], now: float) -> None:
@@ -94,20 +94,20 @@
         """
         found = {}
         for text, entry in records.items():
-            fingerprint = _fingerprint(text)
-            before = self._read.get(fingerprint)
+            fingerprint = _parse_fingerprint(text)
+            before = self._stored.get(fingerprint)
             if before is not None and before.revision == entry.revision:
                 found[fingerprint] = before
-            elif self._take(fingerprint, entry, now):
+            elif self._receive_record(fingerprint, entry, now):
                 found[fingerprint] = entry
-                self._seen[fingerprint] = now
-        gone = self._read.keys() - found.keys()
-        self._read = found
+                self._seen_since[fingerprint] = now
+        gone = self._stored.keys() - found.keys()
+        self._stored = found
         for fingerprint in gone:
-            del self._seen[fingerprint]
+            del self._seen_since[fingerprint]
             self._quarantine.take_removed(fingerprint, now)
 
-    def _take(self, fingerprint: int, entry: KeyValue, now: float) -> bool:
+    def _receive_record(self, fingerprint: int, entry: KeyValue, now: float) -> bool:
         """Take one record; return whether it can be read."""
         try:
             record = parse_record(entry.value)
@@ -124,14 +124,14 @@
     async def run(self) -> None:
         """Write what is missing and remove what is over, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S * (0.5 + self._rng.random()))
+            await asyncio.sleep(MEAN_CHECK_INTERVAL_S * (0.5 + self._rng.random()))
             if not self._writes():
                 continue
             now = asyncio.get_running_loop().time()
-            for write in self.due(now, time.time())[:MOST_WRITES]:
+            for write in self.pending_writes(now, time.time())[:MAX_WRITES_PER_CHECK]:
                 await self._commit(write)
 
-    def due(self, now: float, wall_s: float) -> list[Write]:
+    def pending_writes(self, now: float, wall_s: float) -> list[Write]:
         """Return what is to be written and removed.
 
         Args:
@@ -140,17 +140,17 @@
         """
         held = self._quarantine.holds
         added = [
-            self._written(hold, 0, now, wall_s)
+            self._put(hold, 0, now, wall_s)
             for fingerprint, hold in held.items()
-            if fingerprint not in self._read
+            if fingerprint not in self._stored
         ]
         return added + [
-            self._changed(fingerprint, entry, now, wall_s)
-            for fingerprint, entry in self._read.items()
-            if self._is_over(fingerprint, entry, now, wall_s)
+            self._replace_or_delete(fingerprint, entry, now, wall_s)
+            for fingerprint, entry in self._stored.items()
+            if self._is_obsolete(fingerprint, entry, now, wall_s)
         ]
 
-    def _is_over(
+    def _is_obsolete(
         self, fingerprint: int, entry: KeyValue, now: float, wall_s: float
     ) -> bool:
         """Return whether a record's time is over, or what it says is not true.
@@ -158,16 +158,16 @@
         Its time goes by how long this process has seen it: a wall clock that is ahead
         would remove it, and so release the request at all entries.
         """
-        seen_s = now - self._seen[fingerprint]
+        seen_s = now - self._seen_since[fingerprint]
         record = parse_record(entry.value)
         hold = self._quarantine.holds.get(fingerprint)
         if hold is not None:
             return hold.tries < record.tries or seen_s > HOLD_S
-        if seen_s > HOLD_S + REMOVED_AFTER_S:
+        if seen_s > HOLD_S + REMOVAL_DELAY_S:
             return True
         return self._quarantine.is_void(hold_of(record, fingerprint, now, wall_s))
 
-    def _changed(
+    def _replace_or_delete(
         self, fingerprint: int, entry: KeyValue, now: float, wall_s: float
     ) -> Write:
         """Return the write that replaces a record that is over, or removes it.
@@ -178,14 +178,14 @@
         hold = self._quarantine.holds.get(fingerprint)
         if hold is None:
             return Write(self._key(fingerprint), None, entry.revision)
-        return self._written(hold, entry.revision, now, wall_s)
+        return self._put(hold, entry.revision, now, wall_s)
 
-    def _written(self, hold: Hold, expect: int, now: float, wall_s: float) -> Write:
+    def _put(self, hold: Hold, expect: int, now: float, wall_s: float) -> Write:
         record = record_of(hold, self._entry, now, wall_s)
         return Write(self._key(hold.fingerprint), serialize_record(record), expect)
 
     def _key(self, fingerprint: int) -> str:
-        return self._wire.held_key(fingerprint_text(fingerprint))
+        return self._wire.quarantine_record_key(fingerprint_text(fingerprint))
 
     async def _commit(self, write: Write) -> None:
         """Write or remove one record; one that failed is due again."""
@@ -195,7 +195,7 @@
             self._events.process("record not written", key=write.key, error=str(e))
 
 
-def _fingerprint(text: str) -> int:
+def _parse_fingerprint(text: str) -> int:
     """Return the fingerprint of its text; 0 if it is none, or written otherwise."""
     try:
         fingerprint = int(text, 16)
--- a/leverdoor/entry/requests/handler.py
+++ b/leverdoor/entry/requests/handler.py
@@ -128,7 +128,7 @@
             return self._refuse(progress, e, loop.time() - progress.arrived)
         except (asyncio.CancelledError, ConnectionError, web.RequestPayloadError):
             took_s = loop.time() - progress.arrived
-            self._events.left(request_id, progress.service, took_s)
+            self._events.client_left(request_id, progress.service, took_s)
             raise
         except Exception as e:
             # A fault of ours must not claim that nothing was run.
@@ -174,7 +174,7 @@
         if hold is None:
             return
         if self._tries(hold.fingerprint) and self._quarantine.try_once_more(hold, now):
-            self._events.tried(hold)
+            self._events.quarantine_try(hold)
             return
         raise held_refusal(hold, now)
 
@@ -208,7 +208,7 @@
             took_s,
         )
         if error.code is Code.QUOTA_EXCEEDED:
-            self._metrics.quota_refusal(name)
+            self._metrics.count_quota_refusal(name)
         if error.code is Code.QUARANTINED:
             self._metrics.quarantine_refusals.labels(progress.service).inc()
         return refusal_response(error, progress.request_id, self._request_id_header)
--- a/leverdoor/entry/requests/target_reports.py
+++ b/leverdoor/entry/requests/target_reports.py
@@ -18,7 +18,7 @@
 from leverdoor.entry.placement.policy import PlacementPolicy
 from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.entry.requests.retries import WRONG_INSTANCE_STATUS, says_not_run
-from leverdoor.entry.unreadable import UnreadableTexts
+from leverdoor.entry.unreadable_texts import UnreadableTextFilter
 from leverdoor.entry.wire import TargetReport, UnreadableReport, Wire
 from leverdoor.model.resources import Target
 
@@ -42,7 +42,7 @@
         self._named_limits = named_limits
         self._events = events
         self._metrics = metrics
-        self._unreadable = UnreadableTexts()
+        self._unreadable = UnreadableTextFilter()
 
     def take(self, target: Target, reply: TargetReply) -> None:
         """Take a whole answer to a request that still counts as in flight.
--- a/leverdoor/entry/settings.py
+++ b/leverdoor/entry/settings.py
@@ -10,7 +10,7 @@
 from leverdoor.settings import Address
 from leverdoor.workspaces.quota_bounds import QuotaBounds
 
-__all__ = ["EntrySettings", "Reloaded", "reload_settings"]
+__all__ = ["EntrySettings", "ReloadResult", "reload_settings"]
 
 RELOADABLE = (
     "grace_s",
@@ -73,17 +73,17 @@
     """Of all chance; 0 for another one at each start."""
 
 
-class Reloaded(msgspec.Struct, frozen=True):
+class ReloadResult(msgspec.Struct, frozen=True):
     """Settings after a change of their file."""
 
     settings: EntrySettings
     changed: list[str]
     """Fields that take effect now."""
-    left: list[str]
+    restart_required: list[str]
     """Fields that differ and need a restart: addresses and places."""
 
 
-def reload_settings(before: EntrySettings, after: EntrySettings) -> Reloaded:
+def reload_settings(before: EntrySettings, after: EntrySettings) -> ReloadResult:
     """Return the settings with those of the changes that need no restart."""
     differ = [
         name
@@ -93,4 +93,4 @@
     changed = [name for name in differ if name in RELOADABLE]
     taken = {name: getattr(after, name) for name in changed}
     left = [name for name in differ if name not in RELOADABLE]
-    return Reloaded(msgspec.structs.replace(before, **taken), changed, left)
+    return ReloadResult(msgspec.structs.replace(before, **taken), changed, left)
--- a/leverdoor/entry/shutdown.py
+++ b/leverdoor/entry/shutdown.py
@@ -11,7 +11,7 @@
 
 from leverdoor.entry.requests.handler import EntryHandler
 
-__all__ = ["STOP_POLL_S", "finish"]
+__all__ = ["STOP_POLL_S", "drain"]
 
 STOP_POLL_S = 0.02
 """Seconds between two looks at what is in flight.
@@ -27,7 +27,7 @@
 """
 
 
-async def finish(handler: EntryHandler, server: web.Server, until: float) -> None:
+async def drain(handler: EntryHandler, server: web.Server, until: float) -> None:
     """Close idle connections until no request has been in flight for some looks.
 
     Args:
--- a/leverdoor/entry/store_role.py
+++ b/leverdoor/entry/store_role.py
@@ -8,7 +8,7 @@
 - The region's first entries by link that the store answers follow it. One that it does
   not answer says so and is passed over; it tries again after a while.
 - The followers of all regions end their watches in turn, so that each entry knows an
-  answer of the store that is well below `STALE_S` old.
+  answer of the store that is well below `MAX_ANSWER_AGE_S` old.
 - An entry whose configuration rests on an older answer asks the store itself, whatever
   the reason: followers that are not served, fetches without an answer, messages that
   don't come. It then follows the store for a while.
@@ -17,9 +17,9 @@
 
 | at most | step |
 | --- | --- |
-| 1.2 | `STALE_S`: the answer that an entry knows is older than the change |
+| 1.2 | `MAX_ANSWER_AGE_S`: the answer that an entry knows is older than the change |
 | 0.1 | the messages that told it, by which the age is too small |
-| 0.1 | two places in the order of asking, by `ASK_SHARE` |
+| 0.1 | two places in the order of asking, by `QUERY_READ_SHARE` |
 | 0.1 | `storage.following.POLL_S`: the age is looked at |
 | 0.2 | a new connection to a store in another region, and the answer |
 | 0.15 | `peer_link.BUSY_NEWS_S`: news to entries that the store does not answer |
@@ -46,59 +46,59 @@
 from leverdoor.entry.settings import EntrySettings
 from leverdoor.storage.served import LEAST_OF_MEAN, Served
 
-__all__ = ["STALE_S", "StoreRole"]
+__all__ = ["MAX_ANSWER_AGE_S", "StoreRole"]
 
-STALE_S = 1.2
+MAX_ANSWER_AGE_S = 1.2
 """Age of the store's newest answer from which on an entry asks the store itself.
 
-Answers come each `CONFIRM_EVERY_S`, and are known to all 0.8 s later (p99, 195 entries
+Answers come each `CONFIRM_INTERVAL_S`, and are known to all 0.8 s later (p99, 195 entries
 and 5% of datagrams lost). Shorter, entries ask although nothing is wrong; longer, a
 change that nobody passes on is later by as much.
 """
-CONFIRM_EVERY_S = 0.42
+CONFIRM_INTERVAL_S = 0.42
 """Time between two answers of the store to any of its followers, in seconds.
 
-Six followers that wait 2.5 s each. Shorter, more calls; longer, `STALE_S` must grow.
+Six followers that wait 2.5 s each. Shorter, more calls; longer, `MAX_ANSWER_AGE_S` must grow.
 """
-LONGEST_WAIT_S = 2.5
+MAX_WATCH_WAIT_S = 2.5
 """Longest wait of one watch, in seconds.
 
 Longer, a follower that is not served learns of it later from its own watch.
 """
-SHORTEST_WAIT_S = 0.2
+MIN_WATCH_WAIT_S = 0.2
 """A watch that would end sooner waits until its next turn."""
-RANK_STEP_S = 0.03
+MIN_QUERY_STAGGER_S = 0.03
 """Time between two entries of a region that ask the store, by link, in seconds.
 
 Shorter, more ask before the answer to the first has spread; longer, those whose
 predecessors are not answered ask later.
 """
-ASK_SHARE = 0.08
+QUERY_READ_SHARE = 0.08
 """Part of the store's rate of reads that all entries together take to ask once.
 
 Most of the tenth that they may take while it answers nobody: the rest is for those that
 ask again, for followers and starts. Greater, an entry far down the order that alone is
 answered asks sooner.
 """
-ASK_AGAIN_SHARE = 0.025
+RETRY_READ_SHARE = 0.025
 """The same for those that asked in vain: followers notice that the store is back."""
-ASK_CALLS = 2
+CALLS_PER_FAILED_QUERY = 2
 """Calls that an entry makes as it asks in vain: the first one is made again."""
-ALONE_SHARE = 0.5
+ISOLATED_READ_SHARE = 0.5
 """The same where others know newer answers, which this entry can't fetch.
 
 The store answers then, and others can't help. Smaller, such an entry of a large site
 asks later; greater, many at once leave no reads for others.
 """
-ASK_AGAIN_S = 1.0
+MIN_RETRY_PAUSE_S = 1.0
 """Least mean pause after an entry asked in vain until it asks again, in seconds."""
-OUT_OF_TURN = 2
+TEMPORARY_FOLLOWER_FACTOR = 2
 """Times as many entries of a region as follow the store may do so out of turn.
 
 Fewer, the next ones may not be served either; all, each change costs as many calls as
 there are entries. The others ask again when they must.
 """
-OUT_OF_TURN_S = 5.0
+TEMPORARY_FOLLOW_S = 5.0
 """How long an entry that asked and was answered follows the store, in seconds.
 
 Until the followers before it have told that they are not served, or are served again.
@@ -134,10 +134,10 @@
         self._confirmation = confirmation
         self._settings = settings
         self._rng = rng
-        self._out_of_turn_until = NEVER
+        self._temporary_until = NEVER
         self._served = Served(rng)
-        self._ask_at = NEVER
-        self._asks = False
+        self._next_query_at = NEVER
+        self._is_querying = False
         """Whether it asks out of turn now."""
 
     def unserved(self, now: float) -> bool:
@@ -146,7 +146,7 @@
 
     def follows(self, now: float) -> bool:
         """Return whether this entry follows the store now."""
-        if now < self._out_of_turn_until:
+        if now < self._temporary_until:
             return True
         followers = self._settings().watchers
         if self._served.may_try(now):
@@ -162,19 +162,19 @@
         place, so that a few ask first; and no sooner again than the rate allows.
         """
         age_s = self._confirmation.age_s(now)
-        if age_s <= STALE_S or now < self._ask_at:
+        if age_s <= MAX_ANSWER_AGE_S or now < self._next_query_at:
             return False
         # Unserved ones count here: as the first fail, the others must not ask faster.
         place = self._roles.place(now, ())
-        alone = self._confirmation.knows_newer(STALE_S, now)
-        step_s = self._step_s(ALONE_SHARE if alone else ASK_SHARE, now)
+        alone = self._confirmation.knows_newer(MAX_ANSWER_AGE_S, now)
+        step_s = self._step_s(ISOLATED_READ_SHARE if alone else QUERY_READ_SHARE, now)
         if not alone:
-            step_s = max(step_s, RANK_STEP_S)
-        return age_s > STALE_S + place * step_s
+            step_s = max(step_s, MIN_QUERY_STAGGER_S)
+        return age_s > MAX_ANSWER_AGE_S + place * step_s
 
     def is_stale(self, now: float) -> bool:
         """Return whether what is in force may lack changes that are due."""
-        return self._confirmation.age_s(now) > STALE_S
+        return self._confirmation.age_s(now) > MAX_ANSWER_AGE_S
 
     def _place(self, now: float) -> int:
         """Return this entry's place among the region's that are served, from 0."""
@@ -188,29 +188,36 @@
           now: monotonic time in seconds.
         """
         regions = len(self._membership.live_regions(now))
-        return regions * ASK_CALLS / (share * self._settings().store_reads_per_s)
+        return (
+            regions
+            * CALLS_PER_FAILED_QUERY
+            / (share * self._settings().store_reads_per_s)
+        )
 
     def asked(self) -> None:
         """Record that this entry begins to ask out of turn."""
-        self._asks = True
+        self._is_querying = True
 
     def answered(self, now: float) -> None:
         """Record that the store answered this entry."""
         self._served.answered()
-        if self._asks and self._place(now) < OUT_OF_TURN * self._settings().watchers:
-            self._out_of_turn_until = now + OUT_OF_TURN_S
-        self._asks = False
+        if (
+            self._is_querying
+            and self._place(now) < TEMPORARY_FOLLOWER_FACTOR * self._settings().watchers
+        ):
+            self._temporary_until = now + TEMPORARY_FOLLOW_S
+        self._is_querying = False
 
     def failed(self, now: float) -> None:
         """Record that the store did not answer this entry."""
-        if self._asks:
-            reads_per_s = ASK_AGAIN_SHARE * self._settings().store_reads_per_s
-            mean_s = self._membership.count * ASK_CALLS / reads_per_s
+        if self._is_querying:
+            reads_per_s = RETRY_READ_SHARE * self._settings().store_reads_per_s
+            mean_s = self._membership.count * CALLS_PER_FAILED_QUERY / reads_per_s
             spread = LEAST_OF_MEAN + self._rng.random()
-            self._ask_at = now + max(ASK_AGAIN_S, mean_s) * spread
-        self._asks = False
+            self._next_query_at = now + max(MIN_RETRY_PAUSE_S, mean_s) * spread
+        self._is_querying = False
         self._served.failed(now)
-        self._out_of_turn_until = NEVER
+        self._temporary_until = NEVER
 
     def wait_s(self, now: float, time_of_day: float) -> float:
         """Return how long a watch that begins now may wait, in seconds.
@@ -228,6 +235,6 @@
         turns = followers * len(regions)
         turn = regions.index(self._membership.own.region) * followers
         turn += place % followers
-        period_s = min(LONGEST_WAIT_S, turns * CONFIRM_EVERY_S)
+        period_s = min(MAX_WATCH_WAIT_S, turns * CONFIRM_INTERVAL_S)
         wait_s = (turn * period_s / turns - time_of_day) % period_s
-        return wait_s if wait_s >= SHORTEST_WAIT_S else wait_s + period_s
+        return wait_s if wait_s >= MIN_WATCH_WAIT_S else wait_s + period_s
--- a/leverdoor/entry/unreadable.py
+++ b/leverdoor/entry/unreadable_texts.py
@@ -7,10 +7,10 @@
 
 from collections.abc import Container
 
-__all__ = ["UnreadableTexts"]
+__all__ = ["UnreadableTextFilter"]
 
 
-class UnreadableTexts:
+class UnreadableTextFilter:
     """The last unreadable text of each target."""
 
     def __init__(self) -> None:
--- a/leverdoor/entry/wire.py
+++ b/leverdoor/entry/wire.py
@@ -15,13 +15,13 @@
 from leverdoor.storage.store import KeyValue
 
 __all__ = [
-    "Configured",
+    "StoreContents",
     "HeaderNames",
-    "LeftOut",
+    "LeftOutRegistration",
     "Lookup",
     "TargetLoad",
     "TargetReport",
-    "Translate",
+    "TranslateStore",
     "UnreadableReport",
     "Wire",
 ]
@@ -31,7 +31,7 @@
     """A target said something of itself in a form that can't be read."""
 
 
-class LeftOut(msgspec.Struct, frozen=True):
+class LeftOutRegistration(msgspec.Struct, frozen=True):
     """A registration that names no target to use."""
 
     name: str
@@ -43,7 +43,7 @@
     """Of the store, at which it was written."""
 
 
-class Configured(msgspec.Struct, frozen=True):
+class StoreContents(msgspec.Struct, frozen=True):
     """What the store holds, as resources of the product."""
 
     version: str
@@ -51,13 +51,13 @@
     resources: list[Resource]
     peers: dict[str, bytes]
     """Registrations of other entries, by the entry's name."""
-    held: dict[str, KeyValue] = {}
+    held_records: dict[str, KeyValue] = {}
     """Records of requests that are held back, by the text of their fingerprint."""
-    left_out: list[LeftOut] = []
+    left_out: list[LeftOutRegistration] = []
     """Registrations that name no target to use."""
 
 
-Translate: TypeAlias = Callable[[Mapping[str, KeyValue]], Configured]
+TranslateStore: TypeAlias = Callable[[Mapping[str, KeyValue]], StoreContents]
 """From the keys of the store to resources."""
 
 
@@ -146,8 +146,8 @@
     the target asks this entry for, not bounded; None if it asks for none.
 
     Raises `UnreadableReport` if they name no time."""
-    translate: Translate
+    translate: TranslateStore
     peer_key: Callable[[str], str]
     """From an entry's name: the key of its registration in the store."""
-    held_key: Callable[[str], str]
+    quarantine_record_key: Callable[[str], str]
     """From the text of a fingerprint: the key of its record in the store."""
--- a/leverdoor/platform/__main__.py
+++ b/leverdoor/platform/__main__.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from leverdoor.entry.certificates import read_no_certificates
+from leverdoor.entry.certificates import disable_certificate_loading
 from leverdoor.signals import EarlyReload
 
 
@@ -14,7 +14,7 @@
     Returns: the exit status.
     """
     early = EarlyReload()
-    read_no_certificates()
+    disable_certificate_loading()
     from leverdoor.platform.program import run_entry
 
     return run_entry(early)
--- a/leverdoor/platform/formats.py
+++ b/leverdoor/platform/formats.py
@@ -12,7 +12,12 @@
 import msgspec
 from loguru import logger
 
-from leverdoor.entry.wire import Configured, LeftOut, TargetLoad, UnreadableReport
+from leverdoor.entry.wire import (
+    LeftOutRegistration,
+    StoreContents,
+    TargetLoad,
+    UnreadableReport,
+)
 from leverdoor.limits.named import UnreadableLimit
 from leverdoor.model.resources import Drain, Region, Resource, Target
 from leverdoor.platform.documents import Config
@@ -76,10 +81,10 @@
         self._places = Places(zones, frozenset())
         self._targets: dict[str, tuple[int, Target]] = {}
         """By key, with the revision that was translated."""
-        self._left_out: dict[str, LeftOut] = {}
+        self._left_out: dict[str, LeftOutRegistration] = {}
         """Those of which nothing is used, by key."""
 
-    def __call__(self, entries: Mapping[str, KeyValue]) -> Configured:
+    def __call__(self, entries: Mapping[str, KeyValue]) -> StoreContents:
         """Translate all keys of the store."""
         config = entries.get(CONFIG)
         if config is not None and config.revision != self._config_revision:
@@ -88,7 +93,7 @@
         peers: dict[str, bytes] = {}
         held: dict[str, KeyValue] = {}
         targets: dict[str, tuple[int, Target]] = {}
-        left_out: dict[str, LeftOut] = {}
+        left_out: dict[str, LeftOutRegistration] = {}
         for key, entry in entries.items():
             if key.startswith(SERVERS):
                 try:
@@ -106,7 +111,7 @@
         self._left_out = left_out
         resources += [target for _, target in targets.values()]
         bad = list(left_out.values())
-        return Configured(self._config.version, resources, peers, held, bad)
+        return StoreContents(self._config.version, resources, peers, held, bad)
 
     def _take_config(self, entry: KeyValue) -> None:
         """Read a new configuration; one that can't be read leaves the last in force."""
@@ -143,7 +148,7 @@
         try:
             return entry.revision, read_registration(name, entry.value, self._places)
         except BadRegistration as e:
-            left_out = LeftOut(name, e.cause.value, str(e), entry.revision)
+            left_out = LeftOutRegistration(name, e.cause.value, str(e), entry.revision)
             raise _LeftOutError(left_out) from None
 
 
@@ -154,7 +159,7 @@
       left_out: which, and why.
     """
 
-    def __init__(self, left_out: LeftOut) -> None:
+    def __init__(self, left_out: LeftOutRegistration) -> None:
         super().__init__(left_out.detail)
         self.left_out = left_out
 
--- a/leverdoor/platform/names.py
+++ b/leverdoor/platform/names.py
@@ -61,7 +61,7 @@
         parse_rest=parse_rest,
         translate=Translator(zones),
         peer_key=lambda name: PEERS + name,
-        held_key=lambda fingerprint: HELD + fingerprint,
+        quarantine_record_key=lambda fingerprint: HELD + fingerprint,
     )
 
 
--- a/tests/test_certificates.py
+++ b/tests/test_certificates.py
@@ -7,7 +7,10 @@
 
 import pytest
 
-from leverdoor.entry.certificates import DEFAULT_PLACES, read_no_certificates
+from leverdoor.entry.certificates import (
+    CERTIFICATE_VARIABLES,
+    disable_certificate_loading,
+)
 
 
 def unset(monkeypatch: pytest.MonkeyPatch, name: str) -> None:
@@ -17,14 +20,14 @@
 
 
 def test_no_certificates_are_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in DEFAULT_PLACES:
+    for name in CERTIFICATE_VARIABLES:
         unset(monkeypatch, name)
-    read_no_certificates()
+    disable_certificate_loading()
     assert ssl.create_default_context().cert_store_stats()["x509_ca"] == 0
 
 
 def test_places_that_are_named_stay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("SSL_CERT_FILE", "/etc/own.pem")
     unset(monkeypatch, "SSL_CERT_DIR")
-    read_no_certificates()
+    disable_certificate_loading()
     assert os.environ["SSL_CERT_FILE"] == "/etc/own.pem"
--- a/tests/test_entry_events.py
+++ b/tests/test_entry_events.py
@@ -45,14 +45,14 @@
     for i in range(int(BURST_LINES) + 50):
         events.emit("one", number=i)
     events.emit("two")
-    budget = events._budgets["one"]
-    assert budget.left_out >= 40
-    left_out = budget.left_out
-    budget.saved = 1.0
+    limiter = events._limiters["one"]
+    assert limiter.suppressed >= 40
+    left_out = limiter.suppressed
+    limiter.tokens = 1.0
     events.emit("one", number=-1)
     read = [json.loads(line) for line in os.read(reader, 1 << 16).splitlines()]
     assert read[-2]["event"] == "two"
-    assert read[-1]["left_out"] == left_out
+    assert read[-1]["suppressed"] == left_out
     assert {line["entry"] for line in read} == {"n1"}
     os.close(reader)
     os.close(writer)
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -31,7 +31,7 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import LastSeen
 from leverdoor.entry.metrics import EntryMetrics
-from leverdoor.entry.pauses import PAUSE_S, Pauses
+from leverdoor.entry.pause_detector import MIN_PAUSE_S, PauseDetector
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.placement_request import PlacementRequest
 from leverdoor.limits.named import LimitWord
@@ -62,7 +62,7 @@
     def __init__(self, own: str, others: list[str], state: EntryState = SERVING):
         self.membership = Membership(member(own))
         self.elapsed_s = 0.0
-        self.pauses = Pauses(0.0, lambda: self.elapsed_s)
+        self.pauses = PauseDetector(0.0, lambda: self.elapsed_s)
         self.role = LimiterRole(self.membership, lambda: state, self.pauses)
         for name in others:
             self.hear(name, LONG_S)
@@ -79,8 +79,8 @@
     def run_until(self, now: float) -> None:
         """Run without a pause."""
         while self.elapsed_s < now:
-            self.elapsed_s = min(self.elapsed_s + PAUSE_S / 2, now)
-            self.pauses.running_s(self.elapsed_s)
+            self.elapsed_s = min(self.elapsed_s + MIN_PAUSE_S / 2, now)
+            self.pauses.uninterrupted_s(self.elapsed_s)
 
 
 ENTRIES = ["a1-0", "a1-1", "a2-0", "b1-0", "b1-1"]
@@ -152,7 +152,7 @@
     former = limiter_of(View("b1-0", [n for n in ENTRIES if n != "b1-0"]))
     view = View(former, [n for n in ENTRIES if n != former])
     run_long(view)
-    view.elapsed_s = LONG_S + 2 * PAUSE_S
+    view.elapsed_s = LONG_S + 2 * MIN_PAUSE_S
     assert view.part(LONG_S) == HANDOVER_PART
     view = View(former, [], SERVING)
     assert view.part(NEWCOMER_S - 0.1) == HANDOVER_PART
@@ -192,7 +192,7 @@
     """Return the limiter of an entry that has long been alone."""
     view = View("a1-0", [])
     run_long(view)
-    view.pauses = Pauses(0.0, lambda: 0.0)
+    view.pauses = PauseDetector(0.0, lambda: 0.0)
     role = LimiterRole(view.membership, lambda: SERVING, view.pauses)
     return Limiter(fleet, role, view.pauses, {target_id(only.name): only}.get)
 
@@ -210,14 +210,14 @@
         other = "a1-1" if own == "a1-0" else "a1-0"
         self.limiting = self._limiter(other, now)
 
-    def _role(self, own: str, now: float) -> tuple[LimiterRole, Pauses]:
+    def _role(self, own: str, now: float) -> tuple[LimiterRole, PauseDetector]:
         membership = Membership(member(own))
         for name in ("a1-0", "a1-1"):
             if name != own:
                 membership.introduce(member(name), now)
                 row = MemberRow(member_id(name), 1, SERVING)
                 membership.observe(LastSeen(row, now), now)
-        pauses = Pauses(now - 60.0, lambda: 0.0)
+        pauses = PauseDetector(now - 60.0, lambda: 0.0)
         return LimiterRole(membership, lambda: SERVING, pauses), pauses
 
     def _limiter(self, own: str, now: float) -> Limiter:
--- a/tests/test_platform_registrations.py
+++ b/tests/test_platform_registrations.py
@@ -24,7 +24,7 @@
 from leverdoor.entry.exchange.target_counts import TargetLists
 from leverdoor.entry.membership.member import SERVING, Member
 from leverdoor.entry.metrics import EntryMetrics
-from leverdoor.entry.wire import Configured, LeftOut
+from leverdoor.entry.wire import LeftOutRegistration, StoreContents
 from leverdoor.model.resources import Target
 from leverdoor.platform.formats import Translator
 from leverdoor.settings import parse_address
@@ -55,7 +55,7 @@
     return json.dumps(SOUND | fields).encode()
 
 
-def targets(configured: Configured) -> dict[str, Target]:
+def targets(configured: StoreContents) -> dict[str, Target]:
     return {r.name: r for r in configured.resources if isinstance(r, Target)}
 
 
@@ -222,7 +222,7 @@
     carry(list(targets(found).values()), found)
 
 
-def carry(taken: list[Target], found: Configured) -> None:
+def carry(taken: list[Target], found: StoreContents) -> None:
     """All that carries a target takes each that is used."""
     catalog = Catalog(1, found.version, found.resources)
     lists = TargetLists()
@@ -252,7 +252,7 @@
 def test_a_bad_value_is_logged_once_and_counted_while_it_stays() -> None:
     lines, metrics = Lines(), EntryMetrics()
     report = LeftOutReport(lines, metrics)  # type: ignore[arg-type]
-    bad = LeftOut("x", "address", "''", 3)
+    bad = LeftOutRegistration("x", "address", "''", 3)
     for moment in range(5):
         report.take([bad], float(moment))
     assert [line[0] for line in lines.lines] == ["x"]
@@ -267,7 +267,7 @@
     lines = Lines()
     report = LeftOutReport(lines, EntryMetrics())  # type: ignore[arg-type]
     for number in range(500):
-        report.take([LeftOut("x", "address", "''", number)], number / 10)
+        report.take([LeftOutRegistration("x", "address", "''", number)], number / 10)
     assert len(lines.lines) == MOST_LINES
-    report.take([LeftOut("x", "address", "''", 900)], 61.0)
+    report.take([LeftOutRegistration("x", "address", "''", 900)], 61.0)
     assert lines.lines[-1][3] == 500 - MOST_LINES
--- a/tests/test_quarantine_records.py
+++ b/tests/test_quarantine_records.py
@@ -12,7 +12,7 @@
 
 from leverdoor.entry.events import Events
 from leverdoor.entry.log_writer import LineWriter
-from leverdoor.entry.quarantine_records import REMOVED_AFTER_S, QuarantineRecords
+from leverdoor.entry.quarantine_records import REMOVAL_DELAY_S, QuarantineRecords
 from leverdoor.errors import Code
 from leverdoor.platform.names import wire
 from leverdoor.quarantine.crashes import LostRun
@@ -37,7 +37,7 @@
 from leverdoor.storage.store import KeyValue, LeasingStore, Write
 
 CAUSE = 0xCA05E
-KEY = wire({}).held_key(fingerprint_text(CAUSE))
+KEY = wire({}).quarantine_record_key(fingerprint_text(CAUSE))
 WALL_S = 1.7e9
 HOUR_S = 3_600.0
 
@@ -61,7 +61,7 @@
 
     def write(self, wall_s: float) -> list[Write]:
         """Write what is due, as the store does."""
-        writes = self.records.due(self.now, wall_s)
+        writes = self.records.pending_writes(self.now, wall_s)
         for w in writes:
             held = self.store.get(w.key)
             assert w.expect == (held.revision if held else 0)
@@ -127,7 +127,7 @@
     one = Entry({})
     one.hold()
     one.write(WALL_S)
-    one.now += HOLD_S + REMOVED_AFTER_S
+    one.now += HOLD_S + REMOVAL_DELAY_S
     assert not one.held()
     assert one.write(WALL_S) == []
     one.now += 1.0
@@ -203,7 +203,7 @@
     """Have an entry read a record that another program wrote, and tell the others."""
     one = Entry({})
     one.records.take({text: KeyValue(KEY, value, 1)}, one.now)
-    one.records.due(one.now, WALL_S)
+    one.records.pending_writes(one.now, WALL_S)
     one.quarantine.judge(one.now)
     serialize_notices(one.quarantine.notices(one.now))
     return one
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from leverdoor.entry.bounds import retries_saved
+from leverdoor.entry.bounds import max_saved_retries
 from leverdoor.retry_budget import RetryBudget
 
 
@@ -31,7 +31,7 @@
     entries: int, slack: float
 ) -> None:
     """Found by reading: each saved four alone, 780 at 195 entries of a slack of 430."""
-    limit = retries_saved(slack, entries)
+    limit = max_saved_retries(slack, entries)
     budgets = [RetryBudget(0.1, limit, 2.0) for _ in range(entries)]
     saved = 0
     for budget in budgets:
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -15,12 +15,12 @@
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.settings import EntrySettings
 from leverdoor.entry.store_role import (
-    ASK_AGAIN_S,
-    CONFIRM_EVERY_S,
-    LONGEST_WAIT_S,
-    OUT_OF_TURN_S,
-    SHORTEST_WAIT_S,
-    STALE_S,
+    CONFIRM_INTERVAL_S,
+    MAX_ANSWER_AGE_S,
+    MAX_WATCH_WAIT_S,
+    MIN_RETRY_PAUSE_S,
+    MIN_WATCH_WAIT_S,
+    TEMPORARY_FOLLOW_S,
     StoreRole,
 )
 from leverdoor.settings import Address
@@ -158,14 +158,14 @@
 def test_an_entry_asks_once_the_newest_answer_is_too_old() -> None:
     third = Entry("a1-2")
     third.confirmation.peer_told(ToldAnswer(1, 9, 0), 1, AT)
-    assert not third.role.must_ask(AT + STALE_S)
-    third.hear(AT + STALE_S + 0.2)
-    assert third.role.must_ask(AT + STALE_S + 0.2)
+    assert not third.role.must_ask(AT + MAX_ANSWER_AGE_S)
+    third.hear(AT + MAX_ANSWER_AGE_S + 0.2)
+    assert third.role.must_ask(AT + MAX_ANSWER_AGE_S + 0.2)
 
 
 def test_the_first_by_link_ask_first() -> None:
     """So that their answer spares the others the call."""
-    now = AT + STALE_S + 0.07
+    now = AT + MAX_ANSWER_AGE_S + 0.07
     asking = []
     for i in range(4):
         entry = Entry(f"a1-{i}")
@@ -179,7 +179,7 @@
     """Else all of a large region asked twice as fast as the store's reads allow."""
     third = Entry("a1-2")
     third.confirmation.peer_told(ToldAnswer(1, 9, 0), 1, AT)
-    now = AT + STALE_S + 0.07
+    now = AT + MAX_ANSWER_AGE_S + 0.07
     third.hear(now)
     for name in ("a1-0", "a1-1"):
         third.tell_unserved(name, True, now)
@@ -190,8 +190,8 @@
     """Others have it, and their answers don't come here: nobody else can help."""
     last = Entry("a1-3")
     last.confirmation.peer_told(ToldAnswer(1, 9, 0), 1, AT)
-    last.confirmation.peer_told(ToldAnswer(2, 10, 0), 1, AT + STALE_S)
-    now = AT + STALE_S + 0.02
+    last.confirmation.peer_told(ToldAnswer(2, 10, 0), 1, AT + MAX_ANSWER_AGE_S)
+    now = AT + MAX_ANSWER_AGE_S + 0.02
     last.hear(now)
     assert last.role.must_ask(now)
 
@@ -200,8 +200,8 @@
     third = Entry("a1-2")
     third.role.asked()
     third.role.failed(AT)
-    assert not third.role.must_ask(AT + ASK_AGAIN_S * LEAST_OF_MEAN - 0.01)
-    later = AT + ASK_AGAIN_S * (1 + LEAST_OF_MEAN)
+    assert not third.role.must_ask(AT + MIN_RETRY_PAUSE_S * LEAST_OF_MEAN - 0.01)
+    later = AT + MIN_RETRY_PAUSE_S * (1 + LEAST_OF_MEAN)
     third.hear(later)
     assert third.role.must_ask(later)
 
@@ -221,7 +221,7 @@
     third.role.asked()
     third.role.answered(AT)
     assert third.role.follows(AT)
-    later = AT + OUT_OF_TURN_S
+    later = AT + TEMPORARY_FOLLOW_S
     third.hear(later)
     assert not third.role.follows(later)
     far_down = Entry("a1-9", size=20)
@@ -235,10 +235,10 @@
     for region in REGIONS:
         for i in range(2):
             role = Entry(f"{region}1-{i}").role
-            ends.append(role.wait_s(AT, 12_345.6) % LONGEST_WAIT_S)
+            ends.append(role.wait_s(AT, 12_345.6) % MAX_WATCH_WAIT_S)
     ends.sort()
     gaps = [b - a for a, b in zip(ends, ends[1:], strict=False)]
-    assert max(gaps) == pytest.approx(LONGEST_WAIT_S / 6)
+    assert max(gaps) == pytest.approx(MAX_WATCH_WAIT_S / 6)
 
 
 @pytest.mark.parametrize("time_of_day", [0.0, 0.1, 1.3, 2.49, 1e9 + 0.7])
@@ -246,7 +246,7 @@
     time_of_day: float,
 ) -> None:
     wait_s = Entry("b1-1").role.wait_s(AT, time_of_day)
-    assert SHORTEST_WAIT_S <= wait_s < LONGEST_WAIT_S + SHORTEST_WAIT_S
+    assert MIN_WATCH_WAIT_S <= wait_s < MAX_WATCH_WAIT_S + MIN_WATCH_WAIT_S
 
 
 def test_a_region_alone_has_shorter_waits() -> None:
@@ -257,4 +257,4 @@
         if m.region == "a":
             row = MemberRow(member_id(m.name), m.incarnation, SERVING)
             alone.membership.observe(LastSeen(row, later), later)
-    assert alone.role.wait_s(later, 0.0) <= 2 * CONFIRM_EVERY_S + SHORTEST_WAIT_S
+    assert alone.role.wait_s(later, 0.0) <= 2 * CONFIRM_INTERVAL_S + MIN_WATCH_WAIT_S
