--- a/leverdoor/entry/__init__.py
+++ b/leverdoor/entry/__init__.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The entry: one process a VM that names entries to clients, routes and forwards.
+"""The entry: one proxy process per VM that routes and forwards client requests.
 
-`daemon` is the process. `data_plane` connects what serves requests (`requests/`,
-`placement/`), `control_plane` what follows the store and other entries (`membership/`);
-`configuration/` compiles what is in force. `admin` answers all that is not a client's
-request, `events` and `metrics` show what happens, `wire` names the surroundings.
+It also serves the look-ups by which clients find entries. `daemon` runs the process.
+`data_plane` assembles the request path (`requests/`, `placement/`). `control_plane`
+assembles store following and membership (`membership/`, `exchange/`). `configuration/`
+compiles the catalogue in force. `admin` serves the internal HTTP endpoints, `events`
+and `metrics` provide observability, and `wire` defines the platform's interface.
 """
--- a/leverdoor/entry/admin.py
+++ b/leverdoor/entry/admin.py
@@ -1,8 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry answers besides requests: readiness, directory, state, metrics.
+"""HTTP endpoints of an entry besides the proxy: readiness, directory, state, metrics.
 
-Owns the encoded answers to other entries at the state's present revision, a cache.
+Owns a cache of the deltas encoded at the current revision; it is lost with the process.
+Relies on the local copy of the store's state and on the entry's metrics.
 """
 
 import asyncio
@@ -21,23 +22,23 @@
 __all__ = ["PULL_PATH", "AdminServer"]
 
 PULL_PATH = "/v1/internal/state"
-"""Where other entries fetch what changed since a revision."""
+"""Path at which other entries fetch the state's changes since a revision."""
 METRICS_PATH = "/metrics"
 COMPRESSION_THRESHOLD_BYTES = 1_400
-"""Bytes beyond which a delta does not fit one packet and is compressed.
+"""Size in bytes above which a delta exceeds one packet and is compressed.
 
-Smaller, processor time is spent on answers that are one packet anyway; greater, more
-bytes cross narrow links.
+A smaller value spends processor time on deltas that fit one packet anyway. A greater
+value sends more bytes over narrow links.
 """
 ZLIB_LEVEL = 1
-"""Level of zlib for states.
+"""zlib compression level for deltas.
 
-Greater levels hold up the loop, on which requests wait, for somewhat fewer bytes.
+Greater levels block the event loop, and so requests, for longer and save few bytes.
 """
 
 
 class AdminServer:
-    """The handler of all that is not a client's request."""
+    """Handles readiness checks, entry look-ups, state fetches and metrics scrapes."""
 
     def __init__(
         self,
@@ -48,15 +49,16 @@
         addresses: Callable[[str, str, float], list[str]],
         ttl_s: float,
     ) -> None:
-        """Create it.
+        """Create the server.
 
         Args:
-          wire: the paths and formats of the surroundings.
+          wire: the platform's paths and formats.
           state: the copy of the store that other entries may fetch.
           metrics: the entry's metrics.
-          is_ready: whether the entry serves.
-          addresses: entries to name, by a client's region and domain and the time.
-          ttl_s: how long an answer of the directory may be kept, in seconds.
+          is_ready: returns whether the entry serves requests.
+          addresses: returns entry addresses for a client's region and failure domain
+            at a loop time in seconds.
+          ttl_s: how long clients may cache a look-up, in seconds.
         """
         self._wire = wire
         self._state = state
@@ -65,12 +67,12 @@
         self._addresses = addresses
         self._ttl_s = ttl_s
         self._encoded: dict[int, tuple[bytes, str]] = {}
-        """Data and its coding, by the revision that the asking entry has."""
+        """Encoded delta and its content coding, by the requesting entry's revision."""
         self._encoded_revision = 0
-        """The state's revision at which they were encoded."""
+        """The state's revision that the cached deltas lead to."""
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer by the path."""
+        """Dispatch a request by its path; unknown paths get status 404."""
         path = request.path
         if path == self._wire.resolve_path:
             return self._resolve(request)
@@ -83,9 +85,9 @@
         return web.Response(status=404)
 
     def _delta(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Send another entry what it lacks, compressed if it is long.
+        """Return the changes since the requested revision, compressed if they are long.
 
-        When something has just changed, many entries fetch the same.
+        The encoded delta is cached because many entries fetch it after a change.
         """
         since = bounded_int(request.query, "since", 0)
         revision = self._state.revision
@@ -99,7 +101,7 @@
         return web.Response(body=data, headers={"Content-Encoding": coding})
 
     def _resolve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Name the entries that a client may use; 503 if there are none."""
+        """Return the entries that a client may use; status 503 if there are none."""
         self._metrics.lookups.inc()
         lookup = self._wire.parse_resolve(request.query)
         now = asyncio.get_running_loop().time()
@@ -113,7 +115,7 @@
 
 
 def _compress(data: bytes) -> tuple[bytes, str]:
-    """Return the bytes to send, and the name of their coding."""
+    """Return the data as it is sent, and its content coding."""
     if len(data) <= COMPRESSION_THRESHOLD_BYTES:
         return data, "identity"
     return zlib.compress(data, ZLIB_LEVEL), DEFLATE
--- a/leverdoor/entry/bounds.py
+++ b/leverdoor/entry/bounds.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which part of the platform's bounds an entry plans with, and how often it acts.
+"""Safety margins below the platform's bounds on retries and traffic shifts.
 
-The platform bounds retries and shifts of traffic over all entries. Each entry keeps to
-a part of them by itself, since it knows what the others did only some tenths of a
-second later. The product and the emulator build an entry from these same values, so
-they stand here and not beside the rule. Owns no state.
+The platform bounds the retries and shifts of all entries together. Each entry limits
+itself to a fraction of a bound because reports of other entries arrive some tenths of a
+second late. The product and the emulator share these values, so they are defined here
+and not in the modules that apply them. Owns no state.
 """
 
 __all__ = [
@@ -20,63 +20,68 @@
 ]
 
 RETRY_FRACTION = 0.5
-"""Part of the bound on retries (the setting `repeat_ratio`) that is planned with.
+"""Fraction of the retry ratio (the setting `repeat_ratio`) that the retry budget uses.
 
-The rest is for entries that start with saved retries and for calls of retried requests.
-Greater: the bound is passed sooner; 0.75 made no difference to worth (0.787 beside
-0.789, 12 entries). Smaller: requests fail that a second attempt would have saved.
+The rest covers the initial retries of starting entries and calls of retried requests. A
+greater value exceeds the bound sooner; 0.75 did not change worth (0.787 against 0.789,
+12 entries). With a smaller value, requests fail that a second attempt would have saved.
 """
 MAX_SAVED_RETRIES = 4.0
-"""Retries that an entry saves up for a service at most.
+"""Maximum retries that an entry saves for a service.
 
-Fewer where many entries share the slack of the bound (`max_saved_retries`). Greater: all
-entries together may pass the bound in a burst. Smaller: a target that dies with several
-requests fails most of them.
+`max_saved_retries` lowers it where many entries share the slack of the bound. With a
+greater value, a burst of all entries may exceed the bound. With a smaller value, most
+requests fail on a target that dies with several in flight.
 """
 SAVED_SLACK_SHARE = 0.75
-"""Part of the slack of the bound on retries that all entries together save up."""
+"""Fraction of the retry bound's slack that all entries together may save."""
 MIN_SAVED_RETRIES = 1.0
-"""Retries that an entry saves up at least: with less it could make none."""
+"""Minimum capacity for saved retries; below 1 an entry could not retry at all."""
 INITIAL_RETRIES = 2.0
-"""Retries that an entry starts with, for a service.
+"""Retries that an entry may make for a service right after its start.
 
-Half of those saved at most, since many entries may start together. Greater: starts pass
-the bound. Smaller: the first failures after a start are not retried.
+This is half of `MAX_SAVED_RETRIES` because many entries may start together. With a
+greater value, simultaneous starts exceed the bound. With a smaller value, the first
+failures after a start are not retried.
 """
 SHIFT_WINDOW_S = 2.0
-"""Window of the bound on shifts, in seconds: the setting `max_shift` is a share of a
-region's requests in two seconds."""
+"""Window of the shift bound, in seconds.
+
+The setting `max_shift` is a share of a region's requests within two seconds.
+"""
 SHIFT_FRACTION = 0.53
-"""Part of the bound on shifts that is planned with.
+"""Fraction of the shift cap that an entry's own share updates may use.
 
-Agreement between entries may move half as much besides (spill.py:AGREEMENT_MOVE_PART),
-0.8 in all; the rest is for chance, since keys have unequal numbers of requests.
-Greater: the operator's cap may be passed. Smaller: keys leave a full region more
-slowly.
+Agreement between entries may move half as much in addition
+(spill.py:AGREEMENT_MOVE_PART), 0.8 in all. The rest absorbs random variation because
+keys have unequal numbers of requests. With a greater value, traffic may exceed the
+operator's shift cap. With a smaller value, keys leave a full region more slowly.
 """
 SHARE_UPDATE_ROUNDS = 2
-"""Rounds of heartbeats between two moves of the regions' shares: 0.4 s.
+"""Heartbeat rounds between two updates of the regions' shares: 0.4 s.
 
-No move before the effect of the last one was reported. Greater: shares move in larger
-steps. Smaller: more processor time for the same rate.
+The effect of an update must be reported before the next one. With a greater value,
+shares move in larger steps. A smaller value costs more processor time for the same
+rate.
 """
 WARM_KEY_REPORT_S = 0.5
 """How long heartbeats carry the digest of a warm key, in seconds.
 
-Two or three of them, one may be lost. Greater: longer heartbeats. Smaller: with one
-datagram lost the key counts as cold at other entries.
+Two or three heartbeats carry it, so one may be lost. A greater value makes heartbeats
+longer. With a smaller value, other entries treat the key as cold after the loss of one
+datagram.
 """
 
 
 def max_saved_retries(slack: float, entries: int) -> float:
-    """Return the retries that an entry saves up for a service.
+    """Return the maximum retries that an entry saves for a service.
 
-    Each saves an even part of the slack, so that all together stay within it at any
-    number of entries, in touch or not.
+    Each entry saves an equal part of the slack, so that the total stays within it at
+    any number of entries, even if they cannot exchange messages.
 
     Args:
       slack: retries that all entries together may make beyond a share of requests.
-      entries: how many share it, this one included.
+      entries: number of entries that share the slack, including this one.
     """
     return max(
         min(SAVED_SLACK_SHARE * slack / entries, MAX_SAVED_RETRIES), MIN_SAVED_RETRIES
--- a/leverdoor/entry/certificates.py
+++ b/leverdoor/entry/certificates.py
@@ -1,21 +1,25 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Spares a process that uses no TLS the reading of the VM's certificates."""
+"""Prevents the loading of the VM's CA certificates in a process that uses no TLS.
+
+Owns no state; sets environment variables of the process. Relies on OpenSSL, which reads
+its default certificate locations from them.
+"""
 
 import os
 
 __all__ = ["disable_certificate_loading"]
 
 CERTIFICATE_VARIABLES = ("SSL_CERT_FILE", "SSL_CERT_DIR")
-"""Environment variables by which OpenSSL finds the certificates it trusts."""
+"""Environment variables that name OpenSSL's trusted certificates."""
 
 
 def disable_certificate_loading() -> None:
-    """Let OpenSSL find no certificates; call it before aiohttp is imported.
+    """Point OpenSSL at an empty set of certificates. Call before aiohttp is imported.
 
-    aiohttp reads all of them as it is imported: 0.14 of 0.55 s of processor time at
-    each start of an entry (least of six), during which a VM of 0.43 cores does not
-    serve. Places that the environment names are left as they are.
+    aiohttp loads all trusted certificates on import, which takes 0.14 of the 0.55 s of
+    processor time of an entry's start (minimum of six runs). A VM with 0.43 cores does
+    not serve requests meanwhile. Variables that are already set keep their values.
     """
     for name in CERTIFICATE_VARIABLES:
         os.environ.setdefault(name, os.devnull)
--- a/leverdoor/entry/context.py
+++ b/leverdoor/entry/context.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What the parts of an entry are created from."""
+"""The dependencies that an entry passes to its components.
+
+Owns no state; relies on the daemon to create the store, the network and the log.
+"""
 
 import time
 from collections.abc import Callable
@@ -18,7 +21,7 @@
 
 
 class EntryContext(msgspec.Struct, frozen=True):
-    """An entry's settings at its start, and what connects it to its surroundings."""
+    """An entry's initial settings and its external dependencies."""
 
     settings: EntrySettings
     store: LeasingStore
@@ -26,6 +29,6 @@
     wire: Wire
     events: Events
     rng: Random
-    """Where all chance comes from."""
+    """Source of all randomness of the entry."""
     time_of_day: Callable[[], float] = time.time
-    """Returns seconds since the epoch; the loop's clock is for all else."""
+    """Returns seconds since the epoch; all other times are event loop times."""
--- a/leverdoor/entry/control_plane.py
+++ b/leverdoor/entry/control_plane.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The parts of an entry that follow the store and exchange messages with other entries.
+"""The control plane of an entry: store following, registration and peer messages.
 
-Owns who the other entries are and when they were last seen (membership), what is sent
-to whom (exchange), the entry's registration in the store, and its turn as a follower of
-the store. All of it is lost with the process and found again from the store and from
-heartbeats. Relies on the store, on the UDP and HTTP addresses of the other entries, and
+Owns the election of store followers (roles), the exchange of messages, the entry's
+registration in the store, and its role as a follower of the store. All of it is lost
+with the process and restored from the store and from heartbeats. Relies on the entry's
+membership view, on the store, on the UDP and HTTP addresses of the other entries, and
 on the copy of the store's state that `configuration` compiles.
 """
 
@@ -32,15 +32,16 @@
 __all__ = ["ControlPlane", "create_member"]
 
 STORE_BACKOFF_S = 1.0
-"""Longest pause between calls to a store that is away, in seconds.
+"""Maximum pause between calls to an unreachable store, in seconds.
 
-With the spread of half of it, changes are read again within 2 s of its return. Greater,
-they are later; smaller, all followers load a store that is just coming back.
+With a jitter of half of it, entries read changes within 2 s of the store's return. A
+greater value delays them. With a smaller value, all followers load a store that is just
+recovering.
 """
 
 
 def create_member(settings: EntrySettings) -> Member:
-    """Return this process as other entries know it, with a new incarnation."""
+    """Return this process's membership record, with a new incarnation."""
     return Member(
         settings.name,
         settings.region,
@@ -54,7 +55,7 @@
 
 
 class ControlPlane:
-    """What keeps one entry in step with the store and with other entries."""
+    """Synchronizes one entry with the store and with the other entries."""
 
     def __init__(
         self,
@@ -66,16 +67,16 @@
         take_update: TakeUpdate,
         take_room: TakeRoomMessage,
     ) -> None:
-        """Create all parts; nothing is opened yet.
+        """Create all components without opening any socket or connection.
 
         Args:
-          context: the entry's settings and surroundings.
-          state: the copy of the store.
-          keeper: compiles the copy.
-          membership: the entries known.
-          status: returns what heartbeats say of this entry.
-          take_update: called with what other entries reported, and the loop time.
-          take_room: called with questions for room at targets, and their answers.
+          context: the entry's settings and external dependencies.
+          state: the local copy of the store's state.
+          keeper: compiles that copy into the catalogue in force.
+          membership: the known entries.
+          status: returns the status that this entry's heartbeats carry.
+          take_update: called with reports of other entries and the loop time in s.
+          take_room: called with requests for capacity at targets, and their replies.
         """
         self._context = context
         self._state = state
@@ -147,11 +148,11 @@
         )
 
     def reload(self, settings: EntrySettings) -> None:
-        """Take settings that changed while the entry runs."""
+        """Apply settings that changed while the entry runs."""
         self._settings = settings
 
     async def join_and_follow(self) -> None:
-        """Find the others, get the state, then follow the store while elected."""
+        """Discover the other entries, fetch the state, then run the store follower."""
         if not self._peers_discovered.is_set():
             registered = await self._joining.find()
             self.registration.adopt(registered.get(self._own_key))
@@ -160,17 +161,17 @@
         await self._follower.run()
 
     async def register(self) -> None:
-        """Keep the entry registered in the store, once the others were read."""
+        """Keep the entry registered in the store once discovery has finished."""
         await self._peers_discovered.wait()
         await self.registration.run()
 
     @property
     def _own_key(self) -> str:
-        """The key under which this entry registers in the store."""
+        """The key of this entry's registration in the store."""
         return self._context.wire.peer_key(self._membership.own.name)
 
     def _registration_pause_s(self) -> float:
-        """Return the pause after a failed registration, in seconds."""
+        """Return the mean pause after a failed registration, in seconds."""
         writes_per_s = self._settings.store_writes_per_s
         return retry_pause_s(self._membership.count, writes_per_s)
 
@@ -179,10 +180,10 @@
         return self._follower_role.follows()
 
     def receive_confirmation(self, told: ToldAnswer, now: float) -> None:
-        """Take what another entry's revision rests on.
+        """Process another entry's report of the store answer behind its revision.
 
-        Who lacked a recent answer passes it on at once, so that those who lack one as
-        well don't ask the store for it.
+        If this entry lacked a recent answer, it forwards the new one at once, so that
+        other entries that lack one do not query the store.
         """
         was_stale = self._store_role.is_stale(now)
         self._keeper.confirmation.peer_told(told, self._state.revision, now)
@@ -190,25 +191,28 @@
             self.peers.spread_news()
 
     def _on_store_answer(self) -> None:
-        """Record that the store answered here, as `receive_confirmation` does of others."""
+        """Record a store answer; forward it if this entry lacked a recent one."""
         was_stale = self._store_role.is_stale(asyncio.get_running_loop().time())
         self._keeper.store_answered()
         if was_stale:
             self.peers.spread_news()
 
     def is_unserved(self, now: float) -> bool:
-        """Return whether the store does not answer this entry."""
+        """Return whether the store recently failed to answer this entry."""
         return self._store_role.unserved(now)
 
     def _on_reachability_change(self, reachable: bool, why: str) -> None:
-        """Record that the store was lost, or answers again."""
+        """Record and log that the store became unreachable or reachable."""
         self._keeper.outage.take(reachable, asyncio.get_running_loop().time())
         change = "answers" if reachable else "lost"
         self._context.events.store(change, self._state.revision, why)
 
 
 class _ClockedFollowerRole(FollowerRole):
-    """An entry's role by its clocks; none before it has joined the others."""
+    """Supplies a `StoreRole` with clock readings; inactive until the entry has joined.
+
+    Before joining has settled, the entry neither follows nor queries the store.
+    """
 
     def __init__(
         self,
--- a/leverdoor/entry/log_writer.py
+++ b/leverdoor/entry/log_writer.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Writes log lines without ever waiting for their reader, and bounds their number.
+"""Non-blocking writer of log lines, and the rate limiter of one kind of line.
 
-Owns the lines that the reader has not taken yet, and the budget of a kind of line; both
-are lost with the process.
+Owns the lines not yet written and the tokens of the rate limiter. Both are lost with
+the process. Relies on a descriptor that supports non-blocking writes.
 """
 
 import os
@@ -12,26 +12,26 @@
 __all__ = ["BURST_LINES", "MAX_PENDING_BYTES", "LineRateLimiter", "LineWriter"]
 
 LINES_PER_S = 60.0
-"""Lines of a kind in a second on average.
+"""Average rate of lines of one kind, per second.
 
-Logs of an entry stay below 100 kB/s. Greater, logging takes processor time from
-requests; smaller, fewer requests can be explained afterwards.
+It keeps an entry's log below 100 kB/s. With a greater value, logging takes processor
+time from requests. With a smaller value, the log explains fewer requests.
 """
 BURST_LINES = 200.0
-"""Lines of a kind at once, so that the start of a fault is logged whole."""
+"""Burst of lines of one kind, so that the beginning of a fault is logged completely."""
 MAX_PENDING_BYTES = 256 * 1024
-"""Bytes kept for a reader that does not read; then lines are dropped.
+"""Maximum bytes buffered for a slow reader; further lines are dropped.
 
-A few seconds of log, for a reader that pauses. Greater, a reader that is gone costs
-memory; smaller, a short pause costs lines.
+The buffer holds a few seconds of log. With a greater value, a reader that never returns
+costs memory. With a smaller value, a short pause of the reader loses lines.
 """
 
 
 class LineWriter:
-    """Writes lines to a descriptor that nobody may be reading."""
+    """Writes lines to a descriptor without waiting for its reader."""
 
     def __init__(self, descriptor: int) -> None:
-        """Create it; the descriptor is made non-blocking.
+        """Create the writer and make the descriptor non-blocking.
 
         Args:
           descriptor: an open file descriptor, owned by the caller.
@@ -40,11 +40,11 @@
         self._pending: deque[bytes] = deque()
         self._pending_bytes = 0
         self.dropped = 0
-        """Lines that were dropped since nobody read."""
+        """Number of lines dropped because the buffer was full."""
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
-        """Write a line, or keep it for later, or drop it."""
+        """Write a line, buffer it, or drop it if the buffer is full."""
         if self._pending_bytes + len(line) > MAX_PENDING_BYTES:
             self.dropped += 1
             return
@@ -53,7 +53,10 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what the descriptor takes now; the rest is tried at the next line."""
+        """Write buffered lines until the descriptor would block or fails.
+
+        The next line retries the rest.
+        """
         while self._pending:
             line = self._pending[0]
             try:
@@ -68,16 +71,16 @@
 
 
 class LineRateLimiter:
-    """Lines that one kind of event may still write."""
+    """Token bucket that limits the log lines of one kind of event."""
 
     def __init__(self, now: float) -> None:
         self.tokens = BURST_LINES
         self.refilled_at = now
         self.suppressed = 0
-        """Lines left out since the last that was written."""
+        """Number of lines suppressed since the last written line."""
 
     def try_take(self, now: float) -> bool:
-        """Take a line if one is saved; return whether it was."""
+        """Take a token for one line; return False if none is available."""
         self.tokens = min(
             BURST_LINES, self.tokens + (now - self.refilled_at) * LINES_PER_S
         )
--- a/leverdoor/entry/metrics.py
+++ b/leverdoor/entry/metrics.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """Prometheus metrics of an entry.
 
-Owns its counters and histograms; they start anew with the process.
+Owns the counters, gauges and histograms; they are lost with the process.
 """
 
 from collections.abc import Mapping
@@ -13,20 +13,22 @@
 __all__ = ["EntryMetrics"]
 
 BUCKETS = (0.01, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 2.0, 4.0)
-"""Bounds of the latency histogram in seconds, around the routes' latency targets."""
+"""Bucket bounds of the latency histogram in seconds, near the routes' latency targets.
+"""
 MAX_LABELLED_WORKSPACES = 100
-"""Workspaces with a label of their own: those that are refused first.
+"""Maximum number of workspaces with a label of their own.
 
-The number of series stays bounded. Greater, scrapes grow with the workspaces; smaller,
-more of them are counted as "other".
+The workspaces refused first get the labels, which bounds the number of series. With a
+greater value, scrapes grow with the workspaces. With a smaller value, more workspaces
+are counted as "other".
 """
 
 
 class EntryMetrics:
-    """Counters and latency histograms of one entry."""
+    """Counters, gauges and latency histograms of one entry."""
 
     def __init__(self) -> None:
-        """Create them in a registry of their own."""
+        """Create the metrics in a separate registry."""
         self.registry = CollectorRegistry()
         self._requests = Histogram(
             "leverdoor_entry_request_seconds",
@@ -127,31 +129,31 @@
             registry=self.registry,
         )
         self._workspaces: set[str] = set()
-        """Those that have a label of their own."""
+        """Workspaces that have a label of their own."""
 
     def count_quota_refusal(self, workspace: str) -> None:
-        """Count a request beyond a quota, under its workspace's name or "other"."""
+        """Count a request over quota under its workspace's label, or "other"."""
         if len(self._workspaces) < MAX_LABELLED_WORKSPACES:
             self._workspaces.add(workspace)
         label = workspace if workspace in self._workspaces else "other"
         self._quota_refusals.labels(label).inc()
 
     def set_left_out_registrations(self, causes: Mapping[str, int]) -> None:
-        """Show how many registrations are left out, by cause."""
+        """Set the number of left-out registrations by cause."""
         self._left_out.clear()
         for cause, count in causes.items():
             self._left_out.labels(cause).set(count)
 
     def request(self, service: str, outcome: str, took_s: float) -> None:
-        """Count a request that ended.
+        """Record the latency and outcome of a request.
 
         Args:
-          service: the service it was routed to, "" if it could not be routed.
-          outcome: status of the target, or name of the code.
-          took_s: how long it took, in seconds.
+          service: the service it was routed to, "" if no route matched.
+          outcome: the target's HTTP status, or the name of the refusal code.
+          took_s: latency in seconds.
         """
         self._requests.labels(service, outcome).observe(took_s)
 
     def text(self) -> bytes:
-        """Return all figures in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/leverdoor/entry/pause_detector.py
+++ b/leverdoor/entry/pause_detector.py
@@ -1,12 +1,14 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Whether this process stood still: frozen, or its VM suspended.
+"""Detects that the process was frozen or its VM suspended.
 
-What it knows of others is then as old as the pause, though its steady clock may not
-have counted it; it must not act on it as if it had been there all the time.
+After a pause, what the process knows of other entries is as old as the pause, although
+the monotonic clock may not have counted it. The process must not treat that knowledge
+as continuous.
 
-Owns when it last ran, lost with the process. Relies on a clock that counts suspended
-time, and on being called in each round.
+Owns the time of the last call and of the last resumption; both are lost with the
+process. Relies on a clock that counts suspended time, and on a call in each heartbeat
+round.
 """
 
 import time
@@ -15,14 +17,17 @@
 __all__ = ["PauseDetector", "boot_time_s"]
 
 MIN_PAUSE_S = 1.0
-"""Time between two calls from which on the process counts as paused, in seconds: five
-rounds, less than after which others take it for silent."""
+"""Time between two calls above which the process counts as paused, in seconds.
+
+It equals five heartbeat rounds, less than the time after which other entries consider
+this one silent.
+"""
 
 
 def boot_time_s() -> float:
-    """Return a time in seconds that counts while the VM is suspended.
+    """Return a time in seconds that advances while the VM is suspended.
 
-    Where the system has no such clock, one that stands still then.
+    Systems without such a clock use one that stops during suspension.
     """
     if hasattr(time, "CLOCK_BOOTTIME"):
         return time.clock_gettime(time.CLOCK_BOOTTIME)
@@ -30,21 +35,21 @@
 
 
 class PauseDetector:
-    """When this process last resumed."""
+    """Tracks when this process last resumed after a pause."""
 
     def __init__(self, now: float, clock: Callable[[], float] = boot_time_s) -> None:
-        """Create it as the process starts.
+        """Create the detector when the process starts.
 
         Args:
           now: monotonic time in seconds.
-          clock: counts suspended time as well, in seconds.
+          clock: returns a time in seconds that includes suspended time.
         """
         self._clock = clock
         self._ran_at = clock()
         self._since = now
 
     def uninterrupted_s(self, now: float) -> float:
-        """Note that the process runs; return for how long it has, without a pause.
+        """Record that the process runs; return the time in s since its last pause.
 
         Args:
           now: monotonic time in seconds.
--- a/leverdoor/entry/settings.py
+++ b/leverdoor/entry/settings.py
@@ -1,8 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Checked settings of an entry, and which of them may change while it runs.
+"""Validated settings of an entry, and the rules for reloading them.
 
-Read from the platform's file by `leverdoor.platform.settings`. Owns no state.
+Owns no state. Relies on `leverdoor.platform.settings`, which reads and validates the
+platform's settings file.
 """
 
 import msgspec
@@ -19,78 +20,89 @@
     "store_writes_per_s",
     "store_reads_per_s",
 )
-"""Settings that take effect at a reload; the others need a restart."""
+"""Settings that a reload applies; the others require a restart."""
 
 
 class EntrySettings(msgspec.Struct, frozen=True):
-    """Settings of one entry; times in seconds unless the name says otherwise."""
+    """Settings of one entry."""
 
     name: str
     region: str
     domain: str
     domains: dict[str, str]
-    """All failure domains of the deployment, each with its region."""
+    """Region of each failure domain of the deployment."""
     front: Address
-    """Where clients send requests."""
+    """Address on which the entry accepts client requests."""
     ready: Address
-    """Where the platform checks whether the entry is ready."""
+    """Address of the readiness endpoint for the platform."""
     directory: Address
-    """Where clients look up which entries to use."""
+    """Address at which clients look up entries."""
     gossip: Address
-    """UDP address for heartbeats."""
+    """UDP address on which the entry receives heartbeats and digests."""
     pull: Address
-    """Where other entries fetch the state."""
+    """Address at which other entries fetch the state."""
     metrics: Address
-    """Where metrics are scraped."""
+    """Address of the metrics endpoint."""
     lookup_ttl_s: float = 2.0
-    """How long clients may keep the answer to a look-up."""
+    """How long clients may cache a look-up, in seconds."""
     grace_s: float = 6.0
-    """How long a stop may take."""
+    """Maximum duration of a stop, in seconds."""
     leave_s: float = 2.5
-    """Within which time a leaving target must get no new requests."""
+    """Time in seconds after which a leaving target must receive no new requests."""
     repeat_ratio: float = 0.2
-    """Retries that all entries together may make, as a share of requests."""
+    """Maximum retries of all entries together, as a share of requests."""
     repeat_slack: float = 64.0
-    """Retries that all entries together may make beyond that."""
+    """Retries that all entries together may make beyond `repeat_ratio`."""
     max_shift: float = 0.15
-    """Largest share of a region's requests that may change region in 2 s."""
+    """Maximum share of a region's requests that may move to another region in 2 s."""
     watchers: int = 2
-    """Entries of a region that follow the store."""
+    """Number of entries per region that follow the store."""
     link_mbps: int = 0
-    """Bandwidth of the VM's link in Mbit/s; 0 if it is not known."""
+    """Bandwidth of the VM's link in Mbit/s; 0 if unknown."""
     store_writes_per_s: float = 400.0
-    """Writing calls that the store takes in a second, of all entries together."""
+    """Maximum rate of write calls of all entries together to the store, per second."""
     store_reads_per_s: float = 2_000.0
-    """The same for reading calls."""
+    """Maximum rate of read calls of all entries together to the store, per second."""
     quotas: QuotaBounds = QuotaBounds()
-    """How far the use of a workspace's quota may go beyond it."""
+    """How far the use of a workspace may exceed its quota."""
     confirm_within_s: float = 0.0
-    """Age of the store's newest answer to any entry from which on workspace keys are
-    refused, since they may have been revoked; 0 for never."""
+    """Maximum age in seconds of the store's newest answer to any entry.
+
+    Beyond it, the entry refuses workspace keys because they may have been revoked. The
+    value 0 disables the check.
+    """
     first_start: bool = False
-    """No entry ran before, so that no use of quotas is unknown."""
+    """No entry ran before, so there is no earlier use of quotas to account for."""
     seed: int = 0
-    """Of all chance; 0 for another one at each start."""
+    """Seed of the random generator; 0 selects a random seed at each start."""
 
 
 class ReloadResult(msgspec.Struct, frozen=True):
-    """Settings after a change of their file."""
+    """The result of reloading the settings file."""
 
     settings: EntrySettings
     changed: list[str]
-    """Fields that take effect now."""
+    """Names of the changed fields that take effect immediately."""
     restart_required: list[str]
-    """Fields that differ and need a restart: addresses and places."""
+    """Names of the changed fields that require a restart, such as addresses."""
 
 
 def reload_settings(before: EntrySettings, after: EntrySettings) -> ReloadResult:
-    """Return the settings with those of the changes that need no restart."""
-    differ = [
+    """Apply the changes that require no restart.
+
+    Args:
+      before: the settings in force.
+      after: the settings that were just read.
+    Returns: the new settings in force, and which changes were applied.
+    """
+    differing = [
         name
         for name in after.__struct_fields__
         if getattr(after, name) != getattr(before, name)
     ]
-    changed = [name for name in differ if name in RELOADABLE]
-    taken = {name: getattr(after, name) for name in changed}
-    left = [name for name in differ if name not in RELOADABLE]
-    return ReloadResult(msgspec.structs.replace(before, **taken), changed, left)
+    changed = [name for name in differing if name in RELOADABLE]
+    applied = {name: getattr(after, name) for name in changed}
+    restart_required = [name for name in differing if name not in RELOADABLE]
+    return ReloadResult(
+        msgspec.structs.replace(before, **applied), changed, restart_required
+    )
--- a/leverdoor/entry/shutdown.py
+++ b/leverdoor/entry/shutdown.py
@@ -1,8 +1,8 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The end of a planned stop: requests in flight finish, idle connections are closed.
+"""Connection draining at a planned stop.
 
-Owns no state; relies on the handler for which connections have a request in flight.
+Owns no state; relies on the handler to know the connections with a request in flight.
 """
 
 import asyncio
@@ -14,26 +14,26 @@
 __all__ = ["STOP_POLL_S", "drain"]
 
 STOP_POLL_S = 0.02
-"""Seconds between two looks at what is in flight.
+"""Interval between two checks for requests in flight, in seconds.
 
-A stop ends within some of them. Greater, it ends later; smaller, it takes processor
-time from the requests in flight.
+A stop ends a few intervals after the last request. A greater value delays it. A smaller
+value takes processor time from the requests in flight.
 """
 IDLE_ROUNDS = 3
-"""Looks without a request in flight before the end.
+"""Consecutive checks without a request in flight that end draining.
 
-A request on a connection that was just accepted arrives meanwhile. Smaller, it is cut;
-greater, each stop takes longer.
+They leave time for the request on a connection that was just accepted. A smaller value
+cuts that request off. A greater value prolongs each stop.
 """
 
 
 async def drain(handler: EntryHandler, server: web.Server, until: float) -> None:
-    """Close idle connections until no request has been in flight for some looks.
+    """Close idle connections until `IDLE_ROUNDS` checks find no request in flight.
 
     Args:
       handler: knows which connections have a request in flight.
-      server: holds the connections; its listener is closed already.
-      until: loop time at which it is given up, in seconds.
+      server: owns the connections; its listener is already closed.
+      until: loop time in seconds at which draining ends even if requests remain.
     """
     loop = asyncio.get_running_loop()
     idle_rounds = 0
@@ -47,16 +47,16 @@
 def _close_idle(
     handler: EntryHandler, server: web.Server, before: set[object]
 ) -> set[object]:
-    """Close the connections that were idle a moment ago and still are.
+    """Close the connections that were idle at the previous check and still are.
 
-    The HTTP library's own shutdown leaves them open without reading until the process
-    ends, so that a request sent meanwhile is neither answered nor refused.
+    The HTTP library's own shutdown keeps idle connections open without reading them
+    until the process ends. A request sent meanwhile is neither answered nor refused.
 
     Args:
       handler: knows which connections have a request in flight.
-      server: holds the connections.
-      before: the connections that were idle at the last call.
-    Returns: those that are idle now.
+      server: owns the connections.
+      before: the connections that were idle at the previous check.
+    Returns: the open connections that are idle now.
     """
     idle: set[object] = set()
     for connection in server.connections:
--- a/leverdoor/entry/unreadable_texts.py
+++ b/leverdoor/entry/unreadable_texts.py
@@ -1,8 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which texts of targets that can't be read were logged already.
+"""Suppresses repeated reports of the same malformed header value of a target.
 
-Owns the last such text of each target, lost with the process.
+Owns the last malformed value of each target; it is lost with the process. Relies on its
+caller to drop targets that are gone.
 """
 
 from collections.abc import Container
@@ -11,19 +12,19 @@
 
 
 class UnreadableTextFilter:
-    """The last unreadable text of each target."""
+    """Detects whether a target's malformed value differs from its previous one."""
 
     def __init__(self) -> None:
-        """Create it without any."""
+        """Create a filter that has seen no values."""
         self._last: dict[str, str] = {}
 
     def is_new(self, target: str, text: str) -> bool:
-        """Return whether a text differs from the target's last one; remember it."""
+        """Record a malformed value; return whether it differs from the last one."""
         if self._last.get(target) == text:
             return False
         self._last[target] = text
         return True
 
     def keep_only(self, targets: Container[str]) -> None:
-        """Forget those of targets that are gone."""
+        """Drop the values of targets that are not in `targets`."""
         self._last = {t: text for t, text in self._last.items() if t in targets}
--- a/leverdoor/entry/warm_up.py
+++ b/leverdoor/entry/warm_up.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which entries use a cold target. Owns no state."""
+"""The rule for which entries send requests to a cold target.
+
+Owns no state; relies on the membership view for the regions of the live entries.
+"""
 
 from leverdoor.entry.membership.members import Membership
 from leverdoor.model.resources import Target
@@ -9,13 +12,13 @@
 
 
 def may_warm_up(membership: Membership, target: Target) -> bool:
-    """Return whether this entry may send requests to a target in its warm-up.
+    """Return whether this entry may send requests to a target that warms up.
 
-    Those of its region may; all may where its region has no entries. From afar a
-    request would cross regions to wait for a cold run.
+    Only entries of the target's region may, unless that region has no entries. A
+    request from another region would cross regions only to wait for a cold run.
 
     Args:
-      membership: the entries known here.
+      membership: the entries known to this entry.
       target: the cold target.
     """
     if membership.own.region == target.region:
