--- a/leverdoor/entry/store_role.py
+++ b/leverdoor/entry/store_role.py
@@ -1,38 +1,40 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""When this entry follows the store, when it asks it, and how long a watch waits.
+"""Decides when an entry follows or queries the store, and how long a watch waits.
 
-A change that the store confirmed must be in force at every entry in touch within
-2.5 s, whoever is dead, cut off or not served. Three rules do that, each by itself:
+A change that the store confirmed must be in force within 2.5 s at every entry that can
+exchange messages, even if other entries are dead, partitioned or not served by the
+store. Three independent rules ensure this:
 
-- The region's first entries by link that the store answers follow it. One that it does
-  not answer says so and is passed over; it tries again after a while.
-- The followers of all regions end their watches in turn, so that each entry knows an
-  answer of the store that is well below `MAX_ANSWER_AGE_S` old.
-- An entry whose configuration rests on an older answer asks the store itself, whatever
-  the reason: followers that are not served, fetches without an answer, messages that
-  don't come. It then follows the store for a while.
+- In each region, the entries with the widest links among those that the store answers
+  follow it. An entry without an answer reports itself as unserved and is skipped; it
+  tries again later.
+- The followers of all regions end their watches at staggered times, so that each entry
+  knows a store answer much younger than `MAX_ANSWER_AGE_S`.
+- An entry whose configuration rests on an older answer queries the store itself,
+  whatever the cause: unserved followers, unanswered fetches or lost messages. It then
+  follows the store temporarily.
 
-The longest way of a change, in seconds after the store confirmed it:
+Worst-case delay of a change in seconds after the store confirmed it:
 
 | at most | step |
 | --- | --- |
-| 1.2 | `MAX_ANSWER_AGE_S`: the answer that an entry knows is older than the change |
-| 0.1 | the messages that told it, by which the age is too small |
-| 0.1 | two places in the order of asking, by `QUERY_READ_SHARE` |
-| 0.1 | `storage.following.POLL_S`: the age is looked at |
+| 1.2 | `MAX_ANSWER_AGE_S`: an entry knows an answer older than the change |
+| 0.1 | message delay, by which the entry underestimates the age of the answer |
+| 0.1 | two positions in the query order, by `QUERY_READ_SHARE` |
+| 0.1 | `storage.following.POLL_S`: interval of the age check |
 | 0.2 | a new connection to a store in another region, and the answer |
-| 0.15 | `peer_link.BUSY_NEWS_S`: news to entries that the store does not answer |
-| 0.15 | their fetch |
+| 0.15 | `peer_link.BUSY_NEWS_S`: announcement to entries the store does not answer |
+| 0.15 | the fetch by those entries |
 | 2.0 | |
 
-A first packet that is lost on the way to the store adds 0.45 s, until that call is made
-again.
+The loss of the first packet to the store adds 0.45 s, until the call is retried.
 
-Owns until when this entry follows out of turn, and since when the store does not answer
-it; lost with the process. Relies on `Confirmation` for the age, on `Roles` for the
-order, on `UnservedEntries` for who is not served. Pure but for the chance passed in;
-both clocks are passed in as well.
+Owns the end of this entry's temporary role as follower, the time of its next query, and
+since when the store has not answered it; all are lost with the process. Relies on
+`Confirmation` for the age of answers, on `Roles` for the order of entries, and on
+`UnservedEntries` for the entries that the store does not answer. The module does no
+I/O; the random generator and both clocks are passed in.
 """
 
 from collections.abc import Callable
@@ -49,65 +51,71 @@
 __all__ = ["MAX_ANSWER_AGE_S", "StoreRole"]
 
 MAX_ANSWER_AGE_S = 1.2
-"""Age of the store's newest answer from which on an entry asks the store itself.
+"""Age in seconds of the newest store answer above which an entry queries the store.
 
-Answers come each `CONFIRM_INTERVAL_S`, and are known to all 0.8 s later (p99, 195 entries
-and 5% of datagrams lost). Shorter, entries ask although nothing is wrong; longer, a
-change that nobody passes on is later by as much.
+The store answers every `CONFIRM_INTERVAL_S`, and all entries know an answer 0.8 s later
+(p99, 195 entries, 5% datagram loss). With a smaller value, entries query the store
+without a fault. A greater value delays a change that nobody forwards by the difference.
 """
 CONFIRM_INTERVAL_S = 0.42
-"""Time between two answers of the store to any of its followers, in seconds.
+"""Interval between two store answers to any of the followers, in seconds.
 
-Six followers that wait 2.5 s each. Shorter, more calls; longer, `MAX_ANSWER_AGE_S` must grow.
+It results from six followers that wait 2.5 s each. A smaller value costs more calls. A
+greater value requires a greater `MAX_ANSWER_AGE_S`.
 """
 MAX_WATCH_WAIT_S = 2.5
-"""Longest wait of one watch, in seconds.
+"""Maximum wait of one watch, in seconds.
 
-Longer, a follower that is not served learns of it later from its own watch.
+With a greater value, an unserved follower detects later that its watch has failed.
 """
 MIN_WATCH_WAIT_S = 0.2
-"""A watch that would end sooner waits until its next turn."""
+"""Minimum wait of one watch, in seconds; a shorter one is extended by one period."""
 MIN_QUERY_STAGGER_S = 0.03
-"""Time between two entries of a region that ask the store, by link, in seconds.
+"""Minimum delay between the queries of successive entries of a region, in seconds.
 
-Shorter, more ask before the answer to the first has spread; longer, those whose
-predecessors are not answered ask later.
+Entries query in the order of their link bandwidth. With a smaller value, more entries
+query before the first answer has spread. With a greater value, entries whose
+predecessors get no answer query later.
 """
 QUERY_READ_SHARE = 0.08
-"""Part of the store's rate of reads that all entries together take to ask once.
+"""Fraction of the store's read rate that the first queries of all entries may use.
 
-Most of the tenth that they may take while it answers nobody: the rest is for those that
-ask again, for followers and starts. Greater, an entry far down the order that alone is
-answered asks sooner.
+While the store answers nobody, all entries together may use a tenth of its reads. This
+is most of the tenth; the rest is for repeated queries, followers and starts. With a
+greater value, an entry late in the order that alone gets an answer queries sooner.
 """
 RETRY_READ_SHARE = 0.025
-"""The same for those that asked in vain: followers notice that the store is back."""
+"""Fraction of the store's read rate for entries that repeat a failed query.
+
+It can be small because the followers detect the return of the store.
+"""
 CALLS_PER_FAILED_QUERY = 2
-"""Calls that an entry makes as it asks in vain: the first one is made again."""
+"""Store calls of one failed query: the call and one retry."""
 ISOLATED_READ_SHARE = 0.5
-"""The same where others know newer answers, which this entry can't fetch.
+"""Fraction of the store's read rate for an entry that cannot fetch a newer state.
 
-The store answers then, and others can't help. Smaller, such an entry of a large site
-asks later; greater, many at once leave no reads for others.
+Other entries know newer answers, so the store works, but they cannot help this entry.
+With a smaller value, such an entry of a large site queries later. With a greater value,
+many such entries at once leave no reads for the others.
 """
 MIN_RETRY_PAUSE_S = 1.0
-"""Least mean pause after an entry asked in vain until it asks again, in seconds."""
+"""Minimum mean pause between a failed query and the next one, in seconds."""
 TEMPORARY_FOLLOWER_FACTOR = 2
-"""Times as many entries of a region as follow the store may do so out of turn.
+"""Number of candidates for temporary followers per regular follower of a region.
 
-Fewer, the next ones may not be served either; all, each change costs as many calls as
-there are entries. The others ask again when they must.
+With a smaller factor, the candidates may be unserved as well. Without a limit, each
+change would cost one call per entry. The other entries query again when necessary.
 """
 TEMPORARY_FOLLOW_S = 5.0
-"""How long an entry that asked and was answered follows the store, in seconds.
+"""How long an entry follows the store after an answered query, in seconds.
 
-Until the followers before it have told that they are not served, or are served again.
-Longer, more entries watch the store after a trouble.
+The time allows the regular followers to report that they are unserved, or to be served
+again. With a greater value, more entries watch the store after a fault.
 """
 
 
 class StoreRole:
-    """What this entry does to keep the region in step with the store."""
+    """Decides this entry's part in synchronizing its region with the store."""
 
     def __init__(
         self,
@@ -118,15 +126,15 @@
         settings: Callable[[], EntrySettings],
         rng: Random,
     ) -> None:
-        """Create it.
+        """Create the role.
 
         Args:
-          membership: the entries known.
-          roles: the order of the region's entries.
-          unserved: which of them the store does not answer.
-          confirmation: what the configuration in force rests on.
+          membership: the known entries.
+          roles: ranks the entries of the region.
+          unserved: the entries that the store does not answer.
+          confirmation: the store answer behind the configuration in force.
           settings: returns the settings in force.
-          rng: spreads calls to a store that does not answer.
+          rng: adds jitter to calls to a store that does not answer.
         """
         self._membership = membership
         self._roles = roles
@@ -138,10 +146,10 @@
         self._served = Served(rng)
         self._next_query_at = NEVER
         self._is_querying = False
-        """Whether it asks out of turn now."""
+        """Whether a query outside the follower role is in progress."""
 
     def unserved(self, now: float) -> bool:
-        """Return whether the store did not answer this entry lately."""
+        """Return whether the store recently failed to answer this entry."""
         return self._served.is_unserved(now)
 
     def follows(self, now: float) -> bool:
@@ -156,35 +164,38 @@
         )
 
     def must_ask(self, now: float) -> bool:
-        """Return whether this entry is to ask the store out of turn.
+        """Return whether this entry must query the store without being a follower.
 
-        It is once the newest answer that its configuration rests on is too old, by
-        place, so that a few ask first; and no sooner again than the rate allows.
+        It must when the newest answer behind its configuration is too old. Entries
+        query in the order of their rank, so that only a few query first, and repeat a
+        failed query no sooner than the read rate allows.
         """
         age_s = self._confirmation.age_s(now)
         if age_s <= MAX_ANSWER_AGE_S or now < self._next_query_at:
             return False
-        # Unserved ones count here: as the first fail, the others must not ask faster.
+        # Count unserved entries: failures of the first must not speed up the others.
         place = self._roles.place(now, ())
-        alone = self._confirmation.knows_newer(MAX_ANSWER_AGE_S, now)
-        step_s = self._step_s(ISOLATED_READ_SHARE if alone else QUERY_READ_SHARE, now)
-        if not alone:
+        isolated = self._confirmation.knows_newer(MAX_ANSWER_AGE_S, now)
+        step_s = self._step_s(
+            ISOLATED_READ_SHARE if isolated else QUERY_READ_SHARE, now
+        )
+        if not isolated:
             step_s = max(step_s, MIN_QUERY_STAGGER_S)
         return age_s > MAX_ANSWER_AGE_S + place * step_s
 
     def is_stale(self, now: float) -> bool:
-        """Return whether what is in force may lack changes that are due."""
+        """Return whether the configuration may lack changes that must be in force."""
         return self._confirmation.age_s(now) > MAX_ANSWER_AGE_S
 
     def _place(self, now: float) -> int:
-        """Return this entry's place among the region's that are served, from 0."""
+        """Return this entry's rank among the region's served entries, from 0."""
         return self._roles.place(now, self._unserved.all_known(now))
 
     def _step_s(self, share: float, now: float) -> float:
-        """Return the least time between two entries of the region that ask, in s.
+        """Return the minimum delay between two querying entries of the region, in s.
 
         Args:
-          share: part of the store's reads that all regions together may take.
+          share: fraction of the store's read rate available to all regions together.
           now: monotonic time in seconds.
         """
         regions = len(self._membership.live_regions(now))
@@ -195,7 +206,7 @@
         )
 
     def asked(self) -> None:
-        """Record that this entry begins to ask out of turn."""
+        """Record that this entry starts a query outside the follower role."""
         self._is_querying = True
 
     def answered(self, now: float) -> None:
@@ -209,7 +220,7 @@
         self._is_querying = False
 
     def failed(self, now: float) -> None:
-        """Record that the store did not answer this entry."""
+        """Record that the store failed to answer this entry."""
         if self._is_querying:
             reads_per_s = RETRY_READ_SHARE * self._settings().store_reads_per_s
             mean_s = self._membership.count * CALLS_PER_FAILED_QUERY / reads_per_s
@@ -220,14 +231,14 @@
         self._temporary_until = NEVER
 
     def wait_s(self, now: float, time_of_day: float) -> float:
-        """Return how long a watch that begins now may wait, in seconds.
+        """Return the maximum wait of a watch that starts now, in seconds.
 
-        The followers of all regions have turns, evenly spread over one wait. Clocks
-        that differ make turns uneven, no more.
+        The watches of all regions' followers end at evenly spaced times of a period.
+        Clock differences between entries only make the spacing uneven.
 
         Args:
           now: monotonic time in seconds.
-          time_of_day: seconds since the epoch; all entries have about the same.
+          time_of_day: seconds since the epoch, roughly equal at all entries.
         """
         regions = self._membership.live_regions(now)
         followers = self._settings().watchers
--- a/leverdoor/entry/wire.py
+++ b/leverdoor/entry/wire.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Names, paths and formats that an entry uses towards its surroundings.
+"""Interface between an entry and its platform: names, paths and formats.
 
-A wire translates and decides nothing. The platform's stands in `leverdoor.platform`.
-Owns no state.
+A wire only translates; it makes no decisions. Owns no state. Relies on
+`leverdoor.platform`, which implements the interface.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -28,41 +28,41 @@
 
 
 class UnreadableReport(ValueError):
-    """A target said something of itself in a form that can't be read."""
+    """A target sent a malformed report about itself."""
 
 
 class LeftOutRegistration(msgspec.Struct, frozen=True):
-    """A registration that names no target to use."""
+    """A registration in the store that does not yield a usable target."""
 
     name: str
-    """Under which it stands."""
+    """Name in the registration's key."""
     cause: str
-    """One of a few, for metrics."""
+    """Cause from a small fixed set, used as a metrics label."""
     detail: str
     revision: int
-    """Of the store, at which it was written."""
+    """Store revision at which the registration was written."""
 
 
 class StoreContents(msgspec.Struct, frozen=True):
-    """What the store holds, as resources of the product."""
+    """The contents of the store, translated to the product's types."""
 
     version: str
-    """The operator's name of the configuration; "" for none yet."""
+    """The operator's version of the configuration; "" if there is none yet."""
     resources: list[Resource]
     peers: dict[str, bytes]
     """Registrations of other entries, by the entry's name."""
     held_records: dict[str, KeyValue] = {}
-    """Records of requests that are held back, by the text of their fingerprint."""
+    """Records of quarantined requests by the text of their fingerprint."""
     left_out: list[LeftOutRegistration] = []
-    """Registrations that name no target to use."""
+    """Registrations that do not yield a usable target."""
 
 
 TranslateStore: TypeAlias = Callable[[Mapping[str, KeyValue]], StoreContents]
-"""From the keys of the store to resources."""
+"""Translates the store's keys and values to the product's types."""
 
 
 class Lookup(NamedTuple):
-    """A client's look-up of entries."""
+    """The parameters of a client's look-up of entries."""
 
     host: str
     region: str
@@ -70,84 +70,87 @@
 
 
 class TargetLoad(msgspec.Struct, frozen=True):
-    """What a target reports of its own load, in requests."""
+    """The load that a target reports, in requests."""
 
     running: int
-    """Those that run, the one that was just answered aside."""
+    """Requests being executed, excluding the one just answered."""
     waiting: int
     slots: int
-    """How many it runs at a time."""
+    """Maximum number of requests that the target executes concurrently."""
 
 
 class TargetReport(msgspec.Struct, frozen=True):
-    """What a whole answer reports of its target, limits aside."""
+    """What a complete response reports about its target, except for rate limits."""
 
     not_run: bool = False
-    """The request was turned away."""
+    """The target rejected the request without executing it."""
     leaving: bool = False
-    """The target leaves."""
+    """The target is leaving service."""
     rest_s: float | None = None
-    """Rest that the target asks this entry for, in seconds, not bounded."""
+    """Time in seconds for which the target wants no requests from this entry.
+
+    The value is not bounded. None if the target requests no rest."""
     load: TargetLoad | None = None
 
 
 class HeaderNames(msgspec.Struct, frozen=True):
-    """Names of headers towards clients and targets, in lower case."""
+    """Lower-case names of the headers exchanged with clients and targets."""
 
     request_id: str
     deadline_ms: str
-    """From clients and towards targets: time left, in ms."""
+    """From clients and to targets: the remaining time in ms."""
     affinity: str
-    """From clients: the key of requests that share a target."""
+    """From clients: the affinity key; requests with one key share a target."""
     instance: str
-    """Towards targets: which instance is meant."""
+    """To targets: the instance that the request is intended for."""
     stamp: str
-    """From targets: proof that an answer is theirs."""
+    """From targets: proof that the target itself sent the response."""
     not_run: str
-    """From targets: the request was not run."""
+    """From targets: the request was not executed."""
     load: str
     """From targets: their load, see `Wire.parse_load`."""
     limit: str
-    """From targets: requests a second that they take from all entries together, see
-    `Wire.parse_limit`."""
+    """From targets: the requests per second that they accept from all entries
+    together, see `Wire.parse_limit`."""
     leaving: str
-    """From targets: they leave, see `Wire.parse_leaving`."""
+    """From targets: whether they are leaving service, see `Wire.parse_leaving`."""
     rest: str
-    """From targets that turn a request away: for how long they want nothing more of
-    this entry, see `Wire.parse_rest`."""
+    """From targets that reject a request: how long this entry must not send further
+    requests, see `Wire.parse_rest`."""
     workspace_key: str
-    """From clients: the key that shows whose request it is."""
+    """From clients: the key that authenticates the workspace."""
     workspace: str
-    """Towards targets: the name of the workspace that holds the key."""
+    """To targets: the name of the workspace that owns the key."""
 
 
 class Wire(msgspec.Struct, frozen=True):
-    """Names, paths and formats of an entry's surroundings."""
+    """Header names, paths, store keys and formats of an entry's platform."""
 
     headers: HeaderNames
     ready_path: str
     resolve_path: str
     parse_resolve: Callable[[Mapping[str, str]], Lookup]
-    """From the query of a client's look-up."""
+    """Parses the query parameters of a client's look-up."""
     serialize_resolve: Callable[[list[str], float], bytes]
-    """From addresses and the seconds for which they may be kept: the answer's body."""
+    """Serializes entry addresses and their cache lifetime in seconds."""
     parse_load: Callable[[str], TargetLoad | None]
-    """From a header; None if it is not a load."""
+    """Parses a load header; returns None if it is malformed."""
     parse_limit: Callable[[Sequence[str]], float | None]
-    """From all headers of that name in an answer; None for none of them.
+    """Parses all limit headers of a response; returns None if there are none.
 
-    Raises `UnreadableLimit` if they name no limit."""
+    Raises `UnreadableLimit` if they are malformed."""
     parse_leaving: Callable[[Sequence[str]], bool]
-    """From all headers of that name in an answer: whether the target leaves.
+    """Parses all leaving headers of a response: whether the target is leaving.
 
-    Raises `UnreadableReport` if they say neither."""
+    Raises `UnreadableReport` if they are malformed."""
     parse_rest: Callable[[int, Sequence[str]], float | None]
-    """From an answer's status and all its headers of that name: seconds of rest that
-    the target asks this entry for, not bounded; None if it asks for none.
+    """Parses the status and all rest headers of a response.
 
-    Raises `UnreadableReport` if they name no time."""
+    Returns the seconds for which the target wants no requests from this entry, not
+    bounded, or None if it requests no rest. Raises `UnreadableReport` if the headers
+    contain no valid time."""
     translate: TranslateStore
     peer_key: Callable[[str], str]
-    """From an entry's name: the key of its registration in the store."""
+    """Returns the store key of an entry's registration, by the entry's name."""
     quarantine_record_key: Callable[[str], str]
-    """From the text of a fingerprint: the key of its record in the store."""
+    """Returns the store key of a quarantine record, by the fingerprint's text."""
