--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -1,11 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The entry daemon: starts the parts of one entry, runs its loops, and ends it.
+"""The entry daemon: creates the components of an entry, runs its loops, and stops it.
 
-Owns the state that other entries and the platform see (starting, serving, leaving) and
-the listening sockets. What serves requests stands in `data_plane`, what follows the
-store and other entries in `control_plane`; between the two the daemon passes newer
-catalogues and what other entries reported. Everything runs on one event loop.
+Owns the lifecycle state that other entries and the platform see (starting, serving,
+leaving) and the listening sockets; both are lost with the process. Relies on
+`data_plane` to serve requests and on `control_plane` to follow the store and exchange
+messages with other entries. The daemon passes new catalogues and peer reports between
+the two. Everything runs on one event loop.
 """
 
 import asyncio
@@ -43,33 +44,36 @@
 __all__ = ["Entry"]
 
 SWEEP_HEARTBEATS = 5
-"""Rounds of heartbeats between two clean-ups: 1 s.
+"""Heartbeat rounds between two sweeps of expired state: 1 s.
 
-What is cleaned up ages over seconds. Greater, idle connections and metrics are late;
-smaller, an entry spends processor time on them.
+The swept state ages over seconds. With a greater value, the closing of idle connections
+and the metrics are late. A smaller value costs processor time.
 """
 LEAVE_LISTEN_S = 2.2
 """How long a leaving entry accepts connections, in seconds.
 
-A cached look-up lasts 2 s; 0.2 s, a round of heartbeats, is added. Smaller, clients
-with a cached look-up are refused connections; greater, a stop takes longer.
+Clients cache a look-up for 2 s; one heartbeat round of 0.2 s is added. With a smaller
+value, clients with a cached look-up are refused connections. A greater value prolongs a
+stop.
 """
 STOP_MARGIN_S = 0.4
-"""Seconds before the end of the grace by which an entry ends itself.
+"""Time reserved at the end of the grace period for the shutdown, in seconds.
 
-It closes its sockets and writes its last log lines. Greater, requests in flight get
-less time; smaller, the platform may kill the process in between.
+In it the entry closes its sockets and writes its last log lines. With a greater value,
+requests in flight get less time. With a smaller value, the platform may kill the
+process during the shutdown.
 """
 BACKLOG = 512
-"""Connections that wait to be accepted.
+"""Listen backlog: maximum number of connections that wait to be accepted.
 
-A second of new ones at a burst. Smaller, clients' connections are dropped by the kernel
-while the loop is busy; greater, they wait beyond their deadlines.
+It holds one second of new connections in a burst. With a smaller value, the kernel
+drops clients' connections while the event loop is busy. With a greater value,
+connections wait beyond the deadlines of their requests.
 """
 
 
 class Entry:
-    """One entry process."""
+    """The components and the lifecycle of one entry process."""
 
     def __init__(
         self,
@@ -79,14 +83,14 @@
         events: Events,
         network: PeerNetwork | None = None,
     ) -> None:
-        """Create an entry; nothing is opened yet.
+        """Create an entry without opening any socket or connection.
 
         Args:
-          settings: at its start.
-          store: the platform's service.
-          wire: translates what comes from the platform.
-          events: the log.
-          network: the way to other entries; sockets if left out.
+          settings: the initial settings.
+          store: the platform's key-value store.
+          wire: the platform's names, paths and formats.
+          events: the event log.
+          network: the transport to other entries; sockets by default.
         """
         self._settings = settings
         self._store = store
@@ -98,11 +102,11 @@
         self._servers: list[asyncio.Server] = []
 
     def stop(self) -> None:
-        """Ask the entry to leave: finish all in flight, then end."""
+        """Request a planned stop: finish the requests in flight, then end."""
         self._stop.set()
 
     def reload(self, settings: EntrySettings) -> None:
-        """Take settings that changed; addresses and places stay as they are."""
+        """Apply changed settings; those that require a restart keep their values."""
         result = reload_settings(self._settings, settings)
         self._settings = result.settings
         self._data.reload(result.settings)
@@ -112,7 +116,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until stopped and everything in flight has ended."""
+        """Serve until a stop is requested and the entry has left."""
         self._build()
         s = self._settings
         self._events.process(
@@ -134,7 +138,7 @@
             self._heartbeat,
             self._keep_records,
         )
-        tasks = [asyncio.create_task(keep_running(w.__qualname__, w)) for w in loops]
+        tasks = [asyncio.create_task(keep_running(f.__qualname__, f)) for f in loops]
         try:
             await self._stop.wait()
             await self._leave(front)
@@ -145,10 +149,10 @@
             await self._close()
         self._events.process("end")
 
-    # Parts.
+    # Components.
 
     def _build(self) -> None:
-        """Create all parts; nothing is opened yet."""
+        """Create all components without opening any socket or connection."""
         s = self._settings
         rng = Random(s.seed or None)
         context = EntryContext(
@@ -226,7 +230,7 @@
         await self._control.peers.close()
         await self._store.close()
 
-    # The loops; their names are logged.
+    # Loops. `keep_running` logs their names.
 
     async def _join_and_follow(self) -> None:
         await self._control.join_and_follow()
@@ -238,24 +242,24 @@
         await self._records.run()
 
     async def _heartbeat(self) -> None:
-        """Send heartbeats and digests, and expire what has grown old."""
+        """Run the heartbeat rounds, share updates and sweeps until cancelled."""
         loop = asyncio.get_running_loop()
-        turn = 0
+        rounds = 0
         while True:
             await asyncio.sleep(HEARTBEAT_S)
-            turn += 1
+            rounds += 1
             now = loop.time()
             self._data.count_entries()
             self._data.update_quarantine(now)
             self._control.peers.round(now)
-            if turn % SHARE_UPDATE_ROUNDS == 0:
+            if rounds % SHARE_UPDATE_ROUNDS == 0:
                 shares = self._control.exchange.region_shares()
                 self._data.placement.shares.update([shares], now)
-            if turn % SWEEP_HEARTBEATS == 0:
+            if rounds % SWEEP_HEARTBEATS == 0:
                 self._sweep(now)
 
     def _sweep(self, now: float) -> None:
-        """Drop what has grown old, and report what changed."""
+        """Drop expired state, update gauges, and log changes of peers and shares."""
         self._data.connections.sweep(now)
         self._membership.forget(now)
         self._control.exchange.forget(now)
@@ -268,10 +272,10 @@
         for service, shares in self._data.placement.shares.moved().items():
             self._events.shares(service, shares)
 
-    # Between the store, other entries and requests.
+    # Data flow between the store, other entries and the request path.
 
     def _take_delta(self, _: Delta) -> None:
-        """Compile a newer state, and announce it to other entries."""
+        """Compile a newer state and announce it to other entries."""
         self._keeper.compile()
         self._metrics.revision.set(self._store_copy.revision)
         self._control.peers.spread_news()
@@ -283,7 +287,7 @@
     def _take_catalog(
         self, before: Catalog, catalog: Catalog, configured: StoreContents
     ) -> None:
-        """Put a newer catalogue in force in all parts."""
+        """Put a newer catalogue in force in all components."""
         now = asyncio.get_running_loop().time()
         self._membership.add_registered(configured.peers, now)
         self._records.take(configured.held_records, now)
@@ -295,13 +299,13 @@
         exchange.use.renew(self._data.quotas.plans(workspaces))
 
     def _take_update(self, update: PeerUpdate, now: float) -> None:
-        """Give the other parts what other entries reported."""
+        """Distribute the reports of other entries to the components."""
         self._data.receive(update, now)
         self._keeper.outage.peer_reported(update.outage_ms, now)
         self._control.receive_confirmation(update.answer, now)
 
     def _status(self) -> EntryStatus:
-        """Return what heartbeats say of this entry."""
+        """Return the status that this entry's heartbeats carry."""
         now = asyncio.get_running_loop().time()
         return EntryStatus(
             self._state,
@@ -321,18 +325,18 @@
     # Leaving.
 
     async def _leave(self, front: asyncio.Server) -> None:
-        """Leave the directory, serve cached look-ups for a while, finish, end."""
+        """Announce the leave, serve clients with cached look-ups, then drain."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started = loop.time()
         self._state = LEAVING
         handler = self._data.handler
         handler.leaving = True
         self._events.process("leaving", in_flight=handler.active)
         self._control.peers.announce_leave()
-        removal = asyncio.create_task(self._control.registration.end())
+        deregistration = asyncio.create_task(self._control.registration.end())
         await asyncio.sleep(LEAVE_LISTEN_S)
         front.close()
-        last = began + self._settings.grace_s - STOP_MARGIN_S
-        await drain(handler, self._data.server, last)
-        removal.cancel()
+        deadline = started + self._settings.grace_s - STOP_MARGIN_S
+        await drain(handler, self._data.server, deadline)
+        deregistration.cancel()
         self._events.process("drained", in_flight=handler.active)
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -1,12 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The parts of an entry that serve requests, and how they are connected.
+"""The data plane of an entry: the components that serve requests.
 
-Owns the loads and run times of targets (fleet), the regions' shares of keys
-(placement), connections to targets, targets' limits, the use of quotas, the retry
-budget, and which requests are held back. All of it is lost with the process and learned
-again from answers and other entries; what is held back also from the store. Relies on
-the catalogue in force (`configuration`) and on the entries known (`membership`).
+Owns the loads and execution times of targets (fleet), the regions' shares of keys
+(placement), connections to targets, targets' limits, quota usage, the retry budget, and
+the quarantine of requests. All of it is lost with the process and learned again from
+responses and other entries, the quarantine also from the store. Relies on the catalogue
+in force (`configuration`) and on the known entries (`membership`).
 """
 
 import asyncio
@@ -55,7 +55,7 @@
 
 
 class DataPlane:
-    """What serves the requests of one entry."""
+    """Creates and connects the components that serve requests in one entry."""
 
     def __init__(
         self,
@@ -66,15 +66,15 @@
         state: Callable[[], EntryState],
         ask_room: Callable[[RoomRequest, str], None],
     ) -> None:
-        """Create all parts; nothing is opened yet.
+        """Create all components without opening any socket or connection.
 
         Args:
-          context: the entry's settings and surroundings.
-          keeper: has the configuration in force.
-          membership: the entries known.
-          metrics: what is counted.
-          state: returns the state of this entry.
-          ask_room: sends a question for room to an address.
+          context: the entry's settings and external dependencies.
+          keeper: holds the catalogue in force.
+          membership: the known entries.
+          metrics: the entry's metrics.
+          state: returns the lifecycle state of this entry.
+          ask_room: sends a request for capacity at a target to another entry's address.
         """
         s = context.settings
         self._context = context
@@ -154,22 +154,25 @@
         return self._keeper.catalog
 
     def _keys_confirmed(self, now: float) -> bool:
-        longest_s = self._context.settings.confirm_within_s
-        return self._keeper.confirmation.holds(longest_s, now)
+        max_age_s = self._context.settings.confirm_within_s
+        return self._keeper.confirmation.holds(max_age_s, now)
 
     def _is_trial_entry(self, fingerprint: int) -> bool:
-        """Return whether this entry tries a request that is held back, for all."""
+        """Return whether this entry runs the trials of a quarantined request.
+
+        One entry runs them on behalf of all.
+        """
         own = self._membership.own.name
         return tries_for_all(own, self._membership.names(), fingerprint)
 
     def _on_target_checked(
         self, target: Target, found: TargetCheck, runs: list[LostRun], took_s: float
     ) -> None:
-        """Take what was found of a target that lost the answers of some runs.
+        """Process the check of a target that closed connections without a response.
 
-        They are noted if it ended. One that had left service ended as planned, which
-        says nothing of its requests: long ones are cut at each target of a release in
-        turn.
+        If the target crashed, its lost runs are reported to the quarantine. A target
+        that had left service ended as planned, which does not implicate its requests:
+        a rollout cuts long requests off at one target after another.
         """
         events = self._context.events
         events.target_checked(
@@ -189,23 +192,23 @@
             self.quarantine.crashed(target_id(target.name), run, now)
 
     def update_quarantine(self, now: float) -> None:
-        """Hold back the requests that count as causes of ended targets by now."""
+        """Update the quarantine with requests that evidently cause targets to end."""
         for change in self.quarantine.judge(now):
             self._context.events.quarantine(change)
         self._metrics.quarantined.set(len(self.quarantine.holds))
 
     def create_connection(self) -> ClientConnection:
-        """Create the protocol of a client's connection, with the limits in force."""
+        """Create the protocol of a client connection, with the limits in force."""
         loop = asyncio.get_running_loop()
         limits = self._keeper.catalog.limits
         return ClientConnection(self.server, loop, limits, self.handler.busy)
 
     def reload(self, settings: EntrySettings) -> None:
-        """Take settings that changed while the entry runs."""
+        """Apply settings that changed while the entry runs."""
         self._budget.ratio = settings.repeat_ratio * RETRY_FRACTION
 
     def renew(self, before: Catalog, catalog: Catalog, now: float) -> None:
-        """Serve by a newer catalogue from now on."""
+        """Put a newer catalogue in force for the request path."""
         self.count_entries()
         self.fleet.renew(catalog.targets, now, catalog.services.values())
         self.limits.renew(catalog.targets)
@@ -218,7 +221,7 @@
         self.placement.renew(catalog)
 
     def receive(self, update: PeerUpdate, now: float) -> None:
-        """Take what other entries reported of targets, keys, quotas and requests."""
+        """Process reports of other entries on targets, keys, quotas and requests."""
         self.quarantine.receive(update.notices, now)
         self.limits.told(update.limits)
         if update.others is not None:
@@ -229,14 +232,14 @@
             self.quotas.receive(update.use, now)
 
     def forget(self, now: float) -> None:
-        """Drop what has grown old of targets, and show how many take no requests."""
+        """Drop expired state of targets; update the gauges of unavailable targets."""
         self.limits.forget(now)
         self.fleet.forget(now)
         self._metrics.leaving_targets.set(self.fleet.leaving_count())
         self._metrics.resting_targets.set(self.fleet.resting_count(now))
 
     def count_entries(self) -> None:
-        """Count the entries that share what holds for all of them together."""
+        """Update the number of entries that share quotas, connections and retries."""
         count = self._membership.count
         self.quotas.entries = count
         self.connections.entries = count
--- a/leverdoor/entry/events.py
+++ b/leverdoor/entry/events.py
@@ -1,12 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Every event that an entry logs: named here, bounded, never blocking.
+"""Structured event log of an entry: one method per kind of event.
 
-A line is one JSON object. Each kind has a budget of lines a second; what is left out is
-counted in the next line of the kind (`suppressed`).
+Each line is one JSON object. A token bucket limits the lines of each kind; the next
+line of a kind reports the number of suppressed lines in `left_out`.
 
-Owns the budgets of kinds, lost with the process. Relies on `log_writer`: a reader that
-does not read costs lines, never time.
+Owns the rate limiters of the kinds; they are lost with the process. Relies on
+`log_writer`, which drops lines rather than wait for a slow reader.
 """
 
 import time
@@ -26,25 +26,25 @@
 
 
 MAX_LOGGED_CHARACTERS = 80
-"""Characters of a foreign text in a line: enough to find where it is set."""
+"""Maximum characters logged of an external text, enough to locate its origin."""
 
 
 class Events:
-    """The log of one entry; one method for each kind of event.
-
-    Fields of `attempt` whose names do not say all: `load_age_ms` is the time since the
-    newest report or digest about the target arrived, not the age of what it counts;
-    `rank` is the target's place in its region's order for the key; `seen` says that an
-    entry had an answer for the key from there; `limit_per_s` is what the entry took the
-    target's limit to be, null for none; `version` is the configuration by which
-    the request was routed.
+    """The event log of one entry, with one method for each kind of event.
+
+    Some fields of `attempt` need explanation: `load_age_ms` is the time since the
+    newest report or digest about the target arrived, not the age of the counted load;
+    `rank` is the target's position in its region's order for the key; `seen` means that
+    some entry has received an answer for the key from the target; `limit_per_s` is the
+    target's limit as known to the entry, null for none; `version` is the version of the
+    configuration that routed the request.
     """
 
     def __init__(self, writer: LineWriter, entry: str) -> None:
-        """Create it.
+        """Create the log.
 
         Args:
-          writer: where lines go.
+          writer: writes the lines.
           entry: this entry's name.
         """
         self._writer = writer
@@ -52,7 +52,7 @@
         self._limiters: dict[str, LineRateLimiter] = {}
 
     def emit(self, kind: str, **fields: Any) -> None:
-        """Write one line of a kind, within its budget."""
+        """Write one line of a kind unless its rate limit suppresses it."""
         now = time.monotonic()
         limiter = self._limiters.get(kind)
         if limiter is None:
@@ -77,10 +77,10 @@
         outcome: str,
         took_s: float,
     ) -> None:
-        """A request was sent to a target and ended there.
+        """Log the end of an attempt to execute a request at a target.
 
-        Attempts that did not succeed have a budget of their own, so that they are not
-        left out for the many that did.
+        Failed attempts are a separate kind with its own rate limit, so that the many
+        successful ones do not suppress them.
         """
         self.emit(
             "attempt" if outcome.startswith("2") else "attempt_failed",
@@ -117,10 +117,10 @@
         version: str,
         took_s: float,
     ) -> None:
-        """A request was given up on.
+        """Log that the entry refused a request.
 
-        Its service is "" if it was not routed, its workspace if it has none, its
-        fingerprint if its body was not read.
+        The field `service` is "" if the request was not routed, `workspace` is "" if it
+        has none, and `fingerprint` is "" if its body was not read.
         """
         self.emit(
             "refused",
@@ -138,13 +138,13 @@
         )
 
     def client_left(self, request_id: str, service: str, took_s: float) -> None:
-        """A client left before its answer."""
+        """Log that a client disconnected before its response."""
         took_ms = round(took_s * 1000)
         self.emit(
             "client_left", request_id=request_id, service=service, took_ms=took_ms
         )
 
-    # What the entry knows.
+    # Configuration, targets and peers.
 
     def configuration(
         self,
@@ -155,10 +155,10 @@
         source: str,
         confirmed_ms: int,
     ) -> None:
-        """A newer configuration is in force; `source` is a peer or the store.
+        """Log that a newer configuration is in force; `source` is a peer or the store.
 
-        `confirmed_ms` is the age of the store's newest answer that this entry knew of
-        before it, -1 for none.
+        `confirmed_ms` is the age of the newest store answer that this entry knew before
+        the change, -1 for none.
         """
         self.emit(
             "configuration",
@@ -178,10 +178,10 @@
         expired: list[str],
         revision: int,
     ) -> None:
-        """Targets came, went (by leaving or by an evacuation), or turned cold.
+        """Log targets that were added, removed (left or evacuated), or became cold.
 
-        Those that expired have had no registration since an outage of the store, and
-        are used for a moment longer.
+        Targets in `expired` lost their registration during an outage of the store; the
+        entry continues to use them for a short time.
         """
         self.emit(
             "targets",
@@ -195,9 +195,9 @@
     def registration_left_out(
         self, name: str, cause: str, detail: str, unlogged: int
     ) -> None:
-        """A registration names no target to use; its name may be anything.
+        """Log a registration without a usable target; its name may be any text.
 
-        `unlogged` counts those for which there was no line in the last minutes.
+        `unlogged` counts such registrations that were not logged in the last minutes.
         """
         self.emit(
             "registration_left_out",
@@ -208,11 +208,11 @@
         )
 
     def homeless(self, count: int, pairs: list[tuple[str, str]]) -> None:
-        """A configuration has routes and workspaces without a common home."""
+        """Log that a configuration has routes and workspaces without a common home."""
         self.emit("homeless", count=count, pairs=pairs)
 
     def target_ejected(self, target: str, reason: str, ejected_s: float) -> None:
-        """A target is ejected: it gets nothing for a while."""
+        """Log that a target is ejected and receives no requests for `ejected_s`."""
         self.emit(
             "target_ejected",
             target=target,
@@ -223,29 +223,29 @@
     def target_limit(
         self, target: str, change: str, per_s: float | None, source: str
     ) -> None:
-        """A target named a limit for all entries together, another one, or none.
+        """Log that a target set, changed or removed its limit for all entries together.
 
-        `change` is "named", "changed" or "ended"; `source` says who received that:
-        "answer" for this entry, "peer" for another one.
+        `change` is "named", "changed" or "ended". `source` is "answer" if this entry
+        received the limit, "peer" if another entry did.
         """
         self.emit(
             "target_limit", target=target, change=change, per_s=per_s, source=source
         )
 
     def limit_unreadable(self, target: str, text: str) -> None:
-        """A target named as its limit what is no number; its last one holds on."""
+        """Log a malformed limit of a target; its previous limit remains in force."""
         self.emit("limit_unreadable", target=target, text=text[:MAX_LOGGED_CHARACTERS])
 
     def target_leaving(self, target: str) -> None:
-        """A target said in an answer that it leaves; one line for each."""
+        """Log that a target announced in a response that it leaves; once per target."""
         self.emit("target_leaving", target=target)
 
     def target_rest(self, target: str, rest_s: float) -> None:
-        """A target turned a request away and asked this entry for rest."""
+        """Log that a target rejected a request and asked this entry to pause."""
         self.emit("target_rest", target=target, rest_s=round(rest_s, 3))
 
     def report_unreadable(self, target: str, what: str, text: str) -> None:
-        """A target said of itself what can't be read; nothing is taken from it.
+        """Log a malformed report of a target about itself; the report is ignored.
 
         `what` is "leaving" or "rest".
         """
@@ -259,10 +259,10 @@
     def target_checked(
         self, target: str, service: str, found: str, lost: int, took_s: float
     ) -> None:
-        """A target closed connections without an answer, and was then looked at.
+        """Log the check of a target that closed connections without a response.
 
-        It is "ended" if connections to it are refused, "serves" if it takes them,
-        "silent" if neither; `lost` is how many answers of this entry went with it.
+        `found` is "ended" if the target refuses connections, "serves" if it accepts
+        them, and "silent" otherwise. `lost` counts the responses that this entry lost.
         """
         self.emit(
             "target_checked",
@@ -274,9 +274,10 @@
         )
 
     def quarantine(self, change: "Change") -> None:
-        """A request is held back, or released; `ends` are those known here.
+        """Log that a request is quarantined or released.
 
-        `tries` is how often it is still run, since it may be harmless.
+        `ends` are the target ends known to this entry. `tries` is the number of trial
+        executions left, which show whether the request is harmless.
         """
         self.emit(
             "quarantine",
@@ -288,7 +289,7 @@
         )
 
     def quarantine_try(self, hold: "Hold") -> None:
-        """A request that is held back is run once more, since it may be harmless."""
+        """Log the trial execution of a quarantined request that may be harmless."""
         self.emit(
             "quarantine_try",
             fingerprint=fingerprint_text(hold.fingerprint),
@@ -296,15 +297,18 @@
         )
 
     def connections_forgotten(self, service: str) -> None:
-        """A service's targets reset idle connections; only young ones are used."""
+        """Log that a service's targets reset idle connections.
+
+        From then on, the entry reuses only connections that were idle briefly.
+        """
         self.emit("connections_forgotten", service=service)
 
     def peer(self, name: str, change: str, silent_s: float) -> None:
-        """Another entry was seen again, or has been silent for too long."""
+        """Log that another entry was heard from again or has been silent too long."""
         self.emit("peer", peer=name, change=change, silent_s=round(silent_s, 2))
 
     def shares(self, service: str, shares: dict[str, float]) -> None:
-        """The regions' shares of a service's keys moved."""
+        """Log that the regions' shares of a service's keys changed."""
         self.emit(
             "shares",
             service=service,
@@ -316,9 +320,9 @@
     def fetch(
         self, peer: str, newer: bool, since: int, revision: int, took_s: float
     ) -> None:
-        """A fetch of a newer state from another entry was slow, or brought nothing.
+        """Log that a state fetch from another entry was slow or returned nothing newer.
 
-        `since` is the revision held when it began, `revision` the one held now.
+        `since` is the local revision when the fetch began, `revision` the current one.
         """
         self.emit(
             "fetch",
@@ -330,9 +334,9 @@
         )
 
     def store(self, change: str, revision: int, detail: str = "") -> None:
-        """The store was lost or answers again."""
+        """Log that the store became unreachable or answers again."""
         self.emit("store", change=change, revision=revision, detail=detail)
 
     def process(self, change: str, **fields: Any) -> None:
-        """The process started, is ready, leaves, ends, or read its settings."""
+        """Log a change of the process, such as its start, reload or end."""
         self.emit("process", change=change, **fields)
--- a/leverdoor/entry/quarantine_records.py
+++ b/leverdoor/entry/quarantine_records.py
@@ -1,13 +1,15 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Keeps what is held back in the store, so that it outlasts a restart of all entries.
+"""Persists quarantined requests in the store to survive a restart of all entries.
 
-The followers of the store write what is missing there and remove what is over; two that
-do so at once do no harm, since each write has a condition. Entries that start get the
-records with the state. A record that is gone, by whomever, releases its request.
+The followers of the store write missing records and remove expired ones. Concurrent
+writes by two followers are harmless because each write is conditional on a revision. A
+starting entry receives the records with the state. The removal of a record, by an entry
+or by an operator, releases its request.
 
-Owns the records as they were last read; lost with the process. Relies on `Quarantine`
-for what is held back, and on the copy of the store for what is written.
+Owns the records as last read and the time each was first seen; both are lost with the
+process. Relies on `Quarantine` for the requests in quarantine, and on the copy of the
+store for the stored records.
 """
 
 import asyncio
@@ -33,24 +35,25 @@
 __all__ = ["QuarantineRecords"]
 
 MEAN_CHECK_INTERVAL_S = 0.5
-"""Mean pause between two looks at what is to be written, in seconds.
+"""Mean interval between two checks for records to write, in seconds.
 
-With the 0.6 s until a request is held back a record is there within two seconds, half
-of the operator's bound. Greater: a restart of all entries in between forgets more.
-Smaller: two followers write the same record more often.
+A request is quarantined within 0.6 s, so its record exists within two seconds, half of
+the operator's bound. With a greater value, a restart of all entries forgets more
+requests. With a smaller value, two followers write the same record more often.
 """
 MAX_WRITES_PER_CHECK = 8
-"""Records written or removed in one look: bounds the calls of the store."""
+"""Maximum records written or removed per check, which bounds the store calls."""
 REMOVAL_DELAY_S = 5.0
-"""Time after the end of a hold in which its record is removed, in seconds.
+"""Delay between the expiry of a hold and the removal of its record, in seconds.
 
-Beyond the moments by which entries differ on when it was held back. Greater: records
-stay for longer. Smaller: the first to remove it releases it at the others.
+It exceeds the differences between entries in the start of the hold. With a greater
+value, records stay longer. With a smaller value, the first entry that removes a record
+releases the request at the others before their holds expire.
 """
 
 
 class QuarantineRecords:
-    """The records of what is held back, between the store and one entry."""
+    """Synchronizes the quarantine of one entry with its records in the store."""
 
     def __init__(
         self,
@@ -62,16 +65,16 @@
         rng: Random,
         writes: Callable[[], bool],
     ) -> None:
-        """Create it.
+        """Create the records.
 
         Args:
-          quarantine: what is held back here.
-          store: the platform's service.
-          wire: names the records' keys.
+          quarantine: the requests that this entry has quarantined.
+          store: the platform's key-value store.
+          wire: provides the keys of records.
           entry: this entry's name.
-          events: the log.
-          rng: spreads the looks of several followers.
-          writes: returns whether this entry writes records now.
+          events: the event log.
+          rng: adds jitter to the checks of several followers.
+          writes: returns whether this entry currently writes records.
         """
         self._quarantine = quarantine
         self._store = store
@@ -81,23 +84,23 @@
         self._rng = rng
         self._writes = writes
         self._stored: dict[int, KeyValue] = {}
-        """By fingerprint, as the store has them."""
+        """The stored records by fingerprint."""
         self._seen_since: dict[int, float] = {}
-        """Since when each is known as it is, monotonic time in seconds."""
+        """When each record's current revision was first seen, monotonic time in s."""
 
     def take(self, records: Mapping[str, KeyValue], now: float) -> None:
-        """Take all records of the store, by the text of their fingerprint.
+        """Process all records of the store.
 
         Args:
-          records: as the copy of the store has them.
+          records: the stored records by the text of their fingerprint.
           now: monotonic time in seconds.
         """
         found = {}
         for text, entry in records.items():
             fingerprint = _parse_fingerprint(text)
-            before = self._stored.get(fingerprint)
-            if before is not None and before.revision == entry.revision:
-                found[fingerprint] = before
+            previous = self._stored.get(fingerprint)
+            if previous is not None and previous.revision == entry.revision:
+                found[fingerprint] = previous
             elif self._receive_record(fingerprint, entry, now):
                 found[fingerprint] = entry
                 self._seen_since[fingerprint] = now
@@ -108,7 +111,7 @@
             self._quarantine.take_removed(fingerprint, now)
 
     def _receive_record(self, fingerprint: int, entry: KeyValue, now: float) -> bool:
-        """Take one record; return whether it can be read."""
+        """Process one new or changed record; return False if it is malformed."""
         try:
             record = parse_record(entry.value)
         except msgspec.MsgspecError as e:
@@ -122,7 +125,7 @@
         return True
 
     async def run(self) -> None:
-        """Write what is missing and remove what is over, until cancelled."""
+        """Write missing records and remove expired ones until cancelled."""
         while True:
             await asyncio.sleep(MEAN_CHECK_INTERVAL_S * (0.5 + self._rng.random()))
             if not self._writes():
@@ -132,7 +135,7 @@
                 await self._commit(write)
 
     def pending_writes(self, now: float, wall_s: float) -> list[Write]:
-        """Return what is to be written and removed.
+        """Return the conditional writes that create, replace and delete records.
 
         Args:
           now: monotonic time in seconds.
@@ -153,10 +156,11 @@
     def _is_obsolete(
         self, fingerprint: int, entry: KeyValue, now: float, wall_s: float
     ) -> bool:
-        """Return whether a record's time is over, or what it says is not true.
+        """Return whether a record has expired, has too many tries, or is void.
 
-        Its time goes by how long this process has seen it: a wall clock that is ahead
-        would remove it, and so release the request at all entries.
+        Expiry is measured by how long this process has seen the record. A wall clock
+        that is ahead would remove the record early and release the request at all
+        entries.
         """
         seen_s = now - self._seen_since[fingerprint]
         record = parse_record(entry.value)
@@ -170,10 +174,10 @@
     def _replace_or_delete(
         self, fingerprint: int, entry: KeyValue, now: float, wall_s: float
     ) -> Write:
-        """Return the write that replaces a record that is over, or removes it.
+        """Return the write that replaces or deletes an obsolete record.
 
-        A request that is held back once more has a record that is over, one that was
-        tried a record with a try too many.
+        A request that was quarantined again replaces its expired record. A request that
+        was tried replaces a record with too many remaining tries.
         """
         hold = self._quarantine.holds.get(fingerprint)
         if hold is None:
@@ -188,7 +192,7 @@
         return self._wire.quarantine_record_key(fingerprint_text(fingerprint))
 
     async def _commit(self, write: Write) -> None:
-        """Write or remove one record; one that failed is due again."""
+        """Write or remove one record; a later check retries a failed write."""
         try:
             await self._store.commit([write])
         except LeverdoorError as e:
@@ -196,7 +200,7 @@
 
 
 def _parse_fingerprint(text: str) -> int:
-    """Return the fingerprint of its text; 0 if it is none, or written otherwise."""
+    """Return the fingerprint for its text; 0 if the text is not in canonical form."""
     try:
         fingerprint = int(text, 16)
     except ValueError:
