--- a/tests/test_certificates.py
+++ b/tests/test_certificates.py
@@ -19,14 +19,14 @@
     monkeypatch.delenv(name)
 
 
-def test_no_certificates_are_read(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_default_context_loads_no_certificates(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in CERTIFICATE_VARIABLES:
         unset(monkeypatch, name)
     disable_certificate_loading()
     assert ssl.create_default_context().cert_store_stats()["x509_ca"] == 0
 
 
-def test_places_that_are_named_stay(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_preset_certificate_variables_are_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("SSL_CERT_FILE", "/etc/own.pem")
     unset(monkeypatch, "SSL_CERT_DIR")
     disable_certificate_loading()
--- a/tests/test_config_in_force.py
+++ b/tests/test_config_in_force.py
@@ -61,12 +61,12 @@
     return found
 
 
-def test_calm_changes_are_in_force_in_time() -> None:
+def test_changes_without_faults_are_in_force_in_time() -> None:
     late, worst = play(lambda site: [])
     assert not late, worst
 
 
-def test_followers_that_the_store_does_not_serve_hand_the_role_on() -> None:
+def test_unserved_followers_do_not_delay_changes() -> None:
     """The others got no change while it lasted: nobody else asked the store."""
     for fault in WayFault:
         if fault is WayFault.NONE:
@@ -81,7 +81,7 @@
         assert not late, f"{fault}: {late} late, the worst by {worst:.2f} s"
 
 
-def test_kept_connections_that_went_silent_delay_no_change() -> None:
+def test_silent_kept_connections_do_not_delay_changes() -> None:
     """Single entries were behind for two seconds or more, fetch after fetch."""
 
     def begin(site: FollowingSite) -> list[str]:
@@ -94,7 +94,7 @@
     assert not late, f"{late} late, the worst by {worst:.2f} s"
 
 
-def test_an_entry_that_reaches_no_other_asks_the_store() -> None:
+def test_entry_with_failing_fetches_queries_the_store() -> None:
     """It heard of newer states, and its fetches of them got no answer."""
 
     def begin(site: FollowingSite) -> list[str]:
@@ -106,7 +106,7 @@
     assert not late, f"{late} late, the worst by {worst:.2f} s"
 
 
-def test_an_entry_that_hears_nothing_asks_the_store() -> None:
+def test_entry_without_incoming_messages_queries_the_store() -> None:
     """It counted itself as a follower after 1.6 s, and had a call and a look to go."""
 
     def begin(site: FollowingSite) -> list[str]:
@@ -118,7 +118,7 @@
     assert not late, f"{late} late, the worst by {worst:.2f} s"
 
 
-def test_a_calm_site_makes_no_more_calls_than_six_watches() -> None:
+def test_idle_site_makes_calls_of_six_watches_only() -> None:
     """Six followers, each of which waits for 2.5 s at most."""
 
     async def run() -> float:
@@ -134,7 +134,7 @@
     assert calls_per_s <= 6 / 2.5 + 0.1
 
 
-def test_a_store_that_answers_nobody_gets_few_calls() -> None:
+def test_call_rate_is_bounded_while_store_is_down() -> None:
     """A tenth of its reads at most, in each second, also as it returns."""
     entries, reads_per_s = 60, 2_000.0
 
@@ -158,7 +158,7 @@
     assert last_s <= IN_FORCE_S, "in force soon after the store is back"
 
 
-def test_a_revision_never_goes_back() -> None:
+def test_revisions_never_decrease() -> None:
     """Whatever answers late: a watch, a second fetch, a listing after lost history."""
 
     async def run() -> None:
@@ -182,7 +182,7 @@
     run_virtual(run())
 
 
-def test_news_are_made_without_the_status_of_a_round(
+def test_change_announcements_do_not_read_the_status(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What a round is to tell counts how often it was told; news tell none of it."""
--- a/tests/test_entry_events.py
+++ b/tests/test_entry_events.py
@@ -9,7 +9,7 @@
 from leverdoor.entry.log_writer import BURST_LINES, MAX_PENDING_BYTES, LineWriter
 
 
-def test_a_pipe_that_nobody_reads_does_not_block() -> None:
+def test_unread_pipe_does_not_block_the_writer() -> None:
     reader, writer = os.pipe()
     lines = LineWriter(writer)
     for _ in range(20_000):
@@ -30,7 +30,7 @@
     os.close(writer)
 
 
-def test_a_closed_reader_does_no_harm() -> None:
+def test_closed_reader_raises_no_error() -> None:
     reader, writer = os.pipe()
     os.close(reader)
     lines = LineWriter(writer)
@@ -39,7 +39,7 @@
     os.close(writer)
 
 
-def test_each_kind_has_a_budget_and_tells_what_it_left_out() -> None:
+def test_rate_limit_per_kind_reports_suppressed_lines() -> None:
     reader, writer = os.pipe()
     events = Events(LineWriter(writer), "n1")
     for i in range(int(BURST_LINES) + 50):
--- a/tests/test_entry_whole.py
+++ b/tests/test_entry_whole.py
@@ -21,7 +21,7 @@
 from leverdoor.storage.state import Delta
 
 
-async def test_the_whole_path(site: EntrySite) -> None:
+async def test_requests_pass_from_client_to_target(site: EntrySite) -> None:
     n1 = site.entries["n1"]
     named = await site.resolve(n1)
     assert set(named) <= {e.ports["frontend"] for e in site.entries.values()}
@@ -40,7 +40,7 @@
     assert (await site.request(n1, "GET", "/nowhere/")).status == 404
 
 
-async def test_a_configuration_is_in_force_everywhere_and_for_good(
+async def test_configuration_reaches_all_entries_and_is_not_reverted(
     site: EntrySite,
 ) -> None:
     added = {**SAMPLE_ROUTES[0], "name": "new", "path-prefix": "/new/"}
@@ -56,7 +56,7 @@
         assert versions == sorted(versions)
 
 
-async def test_a_store_that_was_silent_is_followed_again(site: EntrySite) -> None:
+async def test_store_is_followed_again_after_silence(site: EntrySite) -> None:
     site.store.faults = MetadataFaults(silent=True)
     assert (await site.request(site.entries["n1"], "GET", "/look/x")).status == 200
     site.store.faults = MetadataFaults()
@@ -64,7 +64,7 @@
     await until_in_force(site, "/look/x", 404)
 
 
-async def test_targets_that_lapse_in_an_outage_are_held_and_then_gone(
+async def test_targets_lost_in_store_outage_expire_before_removal(
     site: EntrySite,
 ) -> None:
     entries = list(site.entries.values())
@@ -99,7 +99,7 @@
         assert fields[0] == "expired"
 
 
-async def test_a_start_beside_others_costs_the_store_next_to_nothing(
+async def test_start_with_running_peers_makes_few_store_calls(
     site: EntrySite,
 ) -> None:
     """The state comes from a peer, the former life's lease is kept.
@@ -125,7 +125,7 @@
     assert site.store.calls["kv-range stale"] == before["kv-range stale"] + 1
 
 
-async def test_a_planned_stop_loses_nothing(site: EntrySite) -> None:
+async def test_planned_stop_loses_no_requests(site: EntrySite) -> None:
     n1, n2 = site.entries["n1"], site.entries["n2"]
     answers: list[Answer] = []
     unsafe: set[str] = set()
@@ -154,7 +154,7 @@
     assert n1.ports["frontend"] not in await site.resolve(n2)
 
 
-async def test_a_draining_target_gets_nothing_once_all_know(site: EntrySite) -> None:
+async def test_draining_target_receives_no_requests_once_known(site: EntrySite) -> None:
     site.drain_target("i-look-a1-0")
     revision = site.store.revision
     added = {**SAMPLE_ROUTES[0], "name": "new", "path-prefix": "/new/"}
@@ -181,7 +181,7 @@
     )
 
 
-async def test_reading_the_settings_again_ends_nothing(site: EntrySite) -> None:
+async def test_settings_reload_keeps_the_entry_running(site: EntrySite) -> None:
     n1 = site.entries["n1"]
     settings = json.loads(n1.settings.read_bytes())
     settings["bounds"] = {"retry-budget-ratio": 0.1, "of-tomorrow": 1}
@@ -199,7 +199,7 @@
     assert n1.running
 
 
-async def test_a_setting_that_is_wrong_ends_the_start_with_its_name(
+async def test_invalid_setting_fails_start_and_is_named(
     site: EntrySite,
 ) -> None:
     n1 = site.entries["n1"]
@@ -213,7 +213,7 @@
     assert b"`ready`" in n1.log.read_bytes().splitlines()[-1]
 
 
-async def test_a_long_delta_is_sent_compressed(site: EntrySite) -> None:
+async def test_long_delta_is_compressed(site: EntrySite) -> None:
     many = [
         {**SAMPLE_ROUTES[0], "name": f"r{i}", "path-prefix": f"/r{i}/"}
         for i in range(300)
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -87,12 +87,12 @@
         self.unserved.take_heartbeat(beat, now)
 
 
-def test_the_widest_links_follow_while_the_store_answers_them() -> None:
+def test_entries_with_widest_links_follow_the_store() -> None:
     following = [Entry(f"a1-{i}").role.follows(AT) for i in range(4)]
     assert following == [True, True, False, False]
 
 
-def test_the_role_goes_to_the_next_that_is_served_and_back() -> None:
+def test_follower_role_moves_from_unserved_entry_and_back() -> None:
     """An entry that was alive kept the role, whether or not the store answered it."""
     third = Entry("a1-2")
     third.tell_unserved("a1-0", True, AT)
@@ -101,7 +101,7 @@
     assert not third.role.follows(AT)
 
 
-def test_who_is_not_answered_hands_the_role_on_and_tries_again() -> None:
+def test_unserved_entry_yields_role_and_retries() -> None:
     first = Entry("a1-0")
     first.role.failed(AT)
     assert first.role.unserved(AT)
@@ -114,7 +114,7 @@
     assert not first.role.unserved(later)
 
 
-def test_while_the_store_answers_nobody_the_widest_links_go_on_trying() -> None:
+def test_widest_links_keep_trying_when_all_are_unserved() -> None:
     first = Entry("a1-0")
     first.role.failed(AT)
     for i in (1, 2, 3):
@@ -122,7 +122,7 @@
     assert first.role.follows(AT)
 
 
-def test_what_was_told_of_an_unserved_entry_is_forgotten() -> None:
+def test_unserved_report_expires() -> None:
     third = Entry("a1-2")
     third.tell_unserved("a1-0", True, AT)
     later = AT + TRUST_S + 0.1
@@ -130,7 +130,7 @@
     assert not third.role.follows(later)
 
 
-def test_aggregators_pass_on_who_is_unserved() -> None:
+def test_aggregators_forward_unserved_entries() -> None:
     """From the heartbeats of one failure domain to the entries of another."""
     a1, a2 = member("a1-0"), member("a2-0")
     first, second = UnservedEntries(a1), UnservedEntries(a2)
@@ -155,7 +155,7 @@
     return b"".join(i.to_bytes(4, "little") for i in told)
 
 
-def test_an_entry_asks_once_the_newest_answer_is_too_old() -> None:
+def test_entry_queries_store_when_newest_answer_is_too_old() -> None:
     third = Entry("a1-2")
     third.confirmation.peer_told(ToldAnswer(1, 9, 0), 1, AT)
     assert not third.role.must_ask(AT + MAX_ANSWER_AGE_S)
@@ -163,7 +163,7 @@
     assert third.role.must_ask(AT + MAX_ANSWER_AGE_S + 0.2)
 
 
-def test_the_first_by_link_ask_first() -> None:
+def test_queries_follow_the_order_of_links() -> None:
     """So that their answer spares the others the call."""
     now = AT + MAX_ANSWER_AGE_S + 0.07
     asking = []
@@ -175,7 +175,7 @@
     assert asking == [True, True, False, False]
 
 
-def test_the_order_of_asking_does_not_close_up_as_the_first_fail() -> None:
+def test_unserved_entries_keep_their_rank_in_the_query_order() -> None:
     """Else all of a large region asked twice as fast as the store's reads allow."""
     third = Entry("a1-2")
     third.confirmation.peer_told(ToldAnswer(1, 9, 0), 1, AT)
@@ -186,7 +186,7 @@
     assert not third.role.must_ask(now)
 
 
-def test_who_knows_of_a_newer_state_asks_without_waiting_for_others() -> None:
+def test_entry_that_cannot_fetch_newer_state_queries_early() -> None:
     """Others have it, and their answers don't come here: nobody else can help."""
     last = Entry("a1-3")
     last.confirmation.peer_told(ToldAnswer(1, 9, 0), 1, AT)
@@ -196,7 +196,7 @@
     assert last.role.must_ask(now)
 
 
-def test_who_asked_in_vain_pauses() -> None:
+def test_failed_query_is_followed_by_a_pause() -> None:
     third = Entry("a1-2")
     third.role.asked()
     third.role.failed(AT)
@@ -206,7 +206,7 @@
     assert third.role.must_ask(later)
 
 
-def test_pauses_grow_with_the_number_of_entries() -> None:
+def test_query_pause_grows_with_number_of_entries() -> None:
     """All together keep to a part of the store's reads while it answers nobody."""
     one = Entry("a1-2", size=100)
     one.role.asked()
@@ -216,7 +216,7 @@
     assert not one.role.must_ask(AT + mean_s * LEAST_OF_MEAN - 0.01)
 
 
-def test_the_next_few_that_were_answered_follow_for_a_while() -> None:
+def test_answered_query_makes_low_ranks_temporary_followers() -> None:
     third = Entry("a1-2")
     third.role.asked()
     third.role.answered(AT)
@@ -230,7 +230,7 @@
     assert not far_down.role.follows(AT), "each follower costs a call a change"
 
 
-def test_the_followers_of_all_regions_end_their_watches_in_turn() -> None:
+def test_watch_ends_are_evenly_spaced_over_all_regions() -> None:
     ends = []
     for region in REGIONS:
         for i in range(2):
@@ -242,14 +242,14 @@
 
 
 @pytest.mark.parametrize("time_of_day", [0.0, 0.1, 1.3, 2.49, 1e9 + 0.7])
-def test_a_watch_neither_ends_at_once_nor_waits_for_longer_than_two_turns(
+def test_watch_wait_stays_within_bounds(
     time_of_day: float,
 ) -> None:
     wait_s = Entry("b1-1").role.wait_s(AT, time_of_day)
     assert MIN_WATCH_WAIT_S <= wait_s < MAX_WATCH_WAIT_S + MIN_WATCH_WAIT_S
 
 
-def test_a_region_alone_has_shorter_waits() -> None:
+def test_isolated_region_has_shorter_waits() -> None:
     """Its own followers are all that it learns the age of an answer from."""
     alone = Entry("a1-0")
     later = AT + 10.0
