--- a/tests/test_certificates.py
+++ b/tests/test_certificates.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A start reads no certificates."""
+"""An entry's start loads no CA certificates."""
 
 import os
 import ssl
@@ -14,7 +14,7 @@
 
 
 def unset(monkeypatch: pytest.MonkeyPatch, name: str) -> None:
-    """Unset a variable; what sets it in a test is undone after it."""
+    """Unset a variable; monkeypatch restores it even if the test sets it again."""
     monkeypatch.setenv(name, "")
     monkeypatch.delenv(name)
 
--- a/tests/test_entry_events.py
+++ b/tests/test_entry_events.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Logs are bounded and never block, whoever reads them or not."""
+"""The log writer never blocks on its reader, and rate limits bound each kind."""
 
 import json
 import os
--- a/tests/test_entry_whole.py
+++ b/tests/test_entry_whole.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Real entries as a whole: path, configuration, stops, settings, metrics."""
+"""End-to-end tests of entry processes: requests, configuration, stops, settings."""
 
 import asyncio
 import hashlib
@@ -23,20 +23,20 @@
 
 async def test_requests_pass_from_client_to_target(site: EntrySite) -> None:
     n1 = site.entries["n1"]
-    named = await site.resolve(n1)
-    assert set(named) <= {e.ports["frontend"] for e in site.entries.values()}
-    assert n1.ports["frontend"] in named
-    look = await site.request(
+    resolved = await site.resolve(n1)
+    assert set(resolved) <= {e.ports["frontend"] for e in site.entries.values()}
+    assert n1.ports["frontend"] in resolved
+    fetched = await site.request(
         n1, "GET", "/look/x?q=%2F&r", headers={"X-Affinity-Key": "17"}
     )
-    check_own(look)
-    assert look.status == 200
+    check_own(fetched)
+    assert fetched.status == 200
     body = b"complaint" * 1000
     filed = await site.request(n1, "POST", "/file/y", body)
     assert json.loads(filed.body)["digest"] == hashlib.sha256(body).hexdigest()
-    ran = {r.request_id: r for t in site.targets.values() for r in t.runs}
-    assert ran[look.request_id].path == "/look/x?q=%2F&r"
-    assert 0 < ran[look.request_id].deadline_ms <= 2000
+    runs_by_id = {r.request_id: r for t in site.targets.values() for r in t.runs}
+    assert runs_by_id[fetched.request_id].path == "/look/x?q=%2F&r"
+    assert 0 < runs_by_id[fetched.request_id].deadline_ms <= 2000
     assert (await site.request(n1, "GET", "/nowhere/")).status == 404
 
 
@@ -69,8 +69,8 @@
 ) -> None:
     entries = list(site.entries.values())
 
-    async def until_told(field: str) -> None:
-        """Wait until every entry has told of every target in a field."""
+    async def until_logged(field: str) -> None:
+        """Wait until every entry has logged every target in a field."""
         while not all(
             {n for e in entry.events() for n in e.get(field, [])} >= set(site.targets)  # type: ignore[attr-defined]
             for entry in entries
@@ -81,13 +81,13 @@
     while not all(
         any(e.get("change") == "lost" for e in entry.events()) for entry in entries
     ):
-        # A call that waited before the outage is not struck by it here.
+        # The stand-in's outage does not affect calls that were already waiting.
         await asyncio.sleep(0.02)
     for name in site.targets:
         site.store.remove(f"servers/{name}")
     site.store.faults = MetadataFaults()
-    await until_told("expired")
-    await until_told("gone")
+    await until_logged("expired")
+    await until_logged("gone")
     for entry in entries:
         fields = [
             f
@@ -102,17 +102,17 @@
 async def test_start_with_running_peers_makes_few_store_calls(
     site: EntrySite,
 ) -> None:
-    """The state comes from a peer, the former life's lease is kept.
+    """The state comes from a peer, and the previous process's lease is adopted.
 
-    Before, each start listed everything, wrote a lease and a key, and watched: five
-    calls or more, the greatest part of the calls at 195 entries.
+    Otherwise each start makes five calls or more: it lists all keys, writes a lease and
+    a key, and watches. At 195 entries these were most of the store's calls.
     """
     while not all(
         any(e.get("change") == "registered" for e in entry.events())
         for entry in site.entries.values()
     ):
         await asyncio.sleep(0.02)
-    # n3 is alone in its region and lists for it; of n1 and n2 one has a wide link.
+    # n3 is alone in its region and lists the keys; n1 or n2 has the wider link.
     entry = site.entries["n2"]
     before = dict(site.store.calls)
     entry.send(signal.SIGKILL)
