--- a/leverdoor/entry/events.py
+++ b/leverdoor/entry/events.py
@@ -62,9 +62,9 @@
         line: dict[str, Any] = {"t": round(time.time(), 3), "event": kind}
         line["entry"] = self._entry
         line.update(fields)
-        if limiter.suppressed:
-            line["suppressed"] = limiter.suppressed
-            limiter.suppressed = 0
+        if limiter.left_out:
+            line["left_out"] = limiter.left_out
+            limiter.left_out = 0
         self._writer.write(msgspec.json.encode(line) + b"\n")
 
     # Requests.
--- a/leverdoor/entry/log_writer.py
+++ b/leverdoor/entry/log_writer.py
@@ -76,7 +76,7 @@
     def __init__(self, now: float) -> None:
         self.tokens = BURST_LINES
         self.refilled_at = now
-        self.suppressed = 0
+        self.left_out = 0
         """Number of lines suppressed since the last written line."""
 
     def try_take(self, now: float) -> bool:
@@ -86,7 +86,7 @@
         )
         self.refilled_at = now
         if self.tokens < 1.0:
-            self.suppressed += 1
+            self.left_out += 1
             return False
         self.tokens -= 1.0
         return True
--- a/tests/test_entry_events.py
+++ b/tests/test_entry_events.py
@@ -46,13 +46,13 @@
         events.emit("one", number=i)
     events.emit("two")
     limiter = events._limiters["one"]
-    assert limiter.suppressed >= 40
-    left_out = limiter.suppressed
+    assert limiter.left_out >= 40
+    left_out_lines = limiter.left_out
     limiter.tokens = 1.0
     events.emit("one", number=-1)
     read = [json.loads(line) for line in os.read(reader, 1 << 16).splitlines()]
     assert read[-2]["event"] == "two"
-    assert read[-1]["suppressed"] == left_out
+    assert read[-1]["left_out"] == left_out_lines
     assert {line["entry"] for line in read} == {"n1"}
     os.close(reader)
     os.close(writer)
