--- a/leverdoor/entry/control_plane.py
+++ b/leverdoor/entry/control_plane.py
@@ -179,14 +179,14 @@
         """Return whether this entry follows the store now."""
         return self._follower_role.follows()
 
-    def receive_confirmation(self, told: ToldAnswer, now: float) -> None:
+    def receive_confirmation(self, reported: ToldAnswer, now: float) -> None:
         """Process another entry's report of the store answer behind its revision.
 
         If this entry lacked a recent answer, it forwards the new one at once, so that
         other entries that lack one do not query the store.
         """
         was_stale = self._store_role.is_stale(now)
-        self._keeper.confirmation.peer_told(told, self._state.revision, now)
+        self._keeper.confirmation.peer_told(reported, self._state.revision, now)
         if was_stale and not self._store_role.is_stale(now):
             self.peers.spread_news()
 
@@ -201,11 +201,11 @@
         """Return whether the store recently failed to answer this entry."""
         return self._store_role.unserved(now)
 
-    def _on_reachability_change(self, reachable: bool, why: str) -> None:
+    def _on_reachability_change(self, reachable: bool, reason: str) -> None:
         """Record and log that the store became unreachable or reachable."""
         self._keeper.outage.take(reachable, asyncio.get_running_loop().time())
         change = "answers" if reachable else "lost"
-        self._context.events.store(change, self._state.revision, why)
+        self._context.events.store(change, self._state.revision, reason)
 
 
 class _ClockedFollowerRole(FollowerRole):
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -117,7 +117,7 @@
 
     async def run(self) -> None:
         """Serve until a stop is requested and the entry has left."""
-        self._build()
+        self._create_components()
         s = self._settings
         self._events.process(
             "start",
@@ -151,7 +151,7 @@
 
     # Components.
 
-    def _build(self) -> None:
+    def _create_components(self) -> None:
         """Create all components without opening any socket or connection."""
         s = self._settings
         rng = Random(s.seed or None)
@@ -159,19 +159,19 @@
             s, self._store, self._network, self._wire, self._events, rng
         )
         self._store_copy = State()
-        self._store_copy.changes.subscribe(self._take_delta)
+        self._store_copy.changes.subscribe(self._on_delta)
         self._keeper = CatalogKeeper(
             self._wire,
             self._store_copy,
             Confirmation(member_id(s.name), rng.getrandbits(NUMBER_BITS)),
             self._events,
             s.leave_s,
-            self._take_catalog,
+            self._on_catalog,
         )
         self._membership = Membership(create_member(s))
         self._naming = Naming(self._membership)
         self._metrics = EntryMetrics()
-        self._left_out = LeftOutReport(self._events, self._metrics)
+        self._left_out_report = LeftOutReport(self._events, self._metrics)
         self._data = DataPlane(
             context,
             self._keeper,
@@ -186,7 +186,7 @@
             self._keeper,
             self._membership,
             self._status,
-            self._take_update,
+            self._on_peer_update,
             self._data.limits.take,
         )
         self._records = QuarantineRecords(
@@ -274,7 +274,7 @@
 
     # Data flow between the store, other entries and the request path.
 
-    def _take_delta(self, _: Delta) -> None:
+    def _on_delta(self, _: Delta) -> None:
         """Compile a newer state and announce it to other entries."""
         self._keeper.compile()
         self._metrics.revision.set(self._store_copy.revision)
@@ -284,21 +284,21 @@
             self._events.process("ready", version=self._keeper.catalog.version)
             self._control.peers.announce()
 
-    def _take_catalog(
-        self, before: Catalog, catalog: Catalog, configured: StoreContents
+    def _on_catalog(
+        self, previous: Catalog, catalog: Catalog, contents: StoreContents
     ) -> None:
         """Put a newer catalogue in force in all components."""
         now = asyncio.get_running_loop().time()
-        self._membership.add_registered(configured.peers, now)
-        self._records.take(configured.held_records, now)
-        self._left_out.take(configured.left_out, now)
-        self._data.renew(before, catalog, now)
+        self._membership.add_registered(contents.peers, now)
+        self._records.take(contents.held_records, now)
+        self._left_out_report.take(contents.left_out, now)
+        self._data.renew(previous, catalog, now)
         exchange = self._control.exchange
         exchange.lists.renew(catalog.names_by_region)
         workspaces = catalog.workspaces.by_name.values()
         exchange.use.renew(self._data.quotas.plans(workspaces))
 
-    def _take_update(self, update: PeerUpdate, now: float) -> None:
+    def _on_peer_update(self, update: PeerUpdate, now: float) -> None:
         """Distribute the reports of other entries to the components."""
         self._data.receive(update, now)
         self._keeper.outage.peer_reported(update.outage_ms, now)
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -192,7 +192,7 @@
             self.quarantine.crashed(target_id(target.name), run, now)
 
     def update_quarantine(self, now: float) -> None:
-        """Update the quarantine with requests that evidently cause targets to end."""
+        """Quarantine requests identified as the cause of ended targets."""
         for change in self.quarantine.judge(now):
             self._context.events.quarantine(change)
         self._metrics.quarantined.set(len(self.quarantine.holds))
@@ -207,7 +207,7 @@
         """Apply settings that changed while the entry runs."""
         self._budget.ratio = settings.repeat_ratio * RETRY_FRACTION
 
-    def renew(self, before: Catalog, catalog: Catalog, now: float) -> None:
+    def renew(self, previous: Catalog, catalog: Catalog, now: float) -> None:
         """Put a newer catalogue in force for the request path."""
         self.count_entries()
         self.fleet.renew(catalog.targets, now, catalog.services.values())
@@ -216,7 +216,7 @@
         self.connections.most = {
             s.name: s.connections for s in catalog.services.values()
         }
-        for name in before.in_service - catalog.in_service:
+        for name in previous.in_service - catalog.in_service:
             self.connections.drop(name)
         self.placement.renew(catalog)
 
--- a/leverdoor/entry/quarantine_records.py
+++ b/leverdoor/entry/quarantine_records.py
@@ -82,7 +82,7 @@
         self._entry = entry
         self._events = events
         self._rng = rng
-        self._writes = writes
+        self._is_writer = writes
         self._stored: dict[int, KeyValue] = {}
         """The stored records by fingerprint."""
         self._seen_since: dict[int, float] = {}
@@ -95,18 +95,18 @@
           records: the stored records by the text of their fingerprint.
           now: monotonic time in seconds.
         """
-        found = {}
+        readable = {}
         for text, entry in records.items():
             fingerprint = _parse_fingerprint(text)
             previous = self._stored.get(fingerprint)
             if previous is not None and previous.revision == entry.revision:
-                found[fingerprint] = previous
+                readable[fingerprint] = previous
             elif self._receive_record(fingerprint, entry, now):
-                found[fingerprint] = entry
+                readable[fingerprint] = entry
                 self._seen_since[fingerprint] = now
-        gone = self._stored.keys() - found.keys()
-        self._stored = found
-        for fingerprint in gone:
+        removed = self._stored.keys() - readable.keys()
+        self._stored = readable
+        for fingerprint in removed:
             del self._seen_since[fingerprint]
             self._quarantine.take_removed(fingerprint, now)
 
@@ -128,7 +128,7 @@
         """Write missing records and remove expired ones until cancelled."""
         while True:
             await asyncio.sleep(MEAN_CHECK_INTERVAL_S * (0.5 + self._rng.random()))
-            if not self._writes():
+            if not self._is_writer():
                 continue
             now = asyncio.get_running_loop().time()
             for write in self.pending_writes(now, time.time())[:MAX_WRITES_PER_CHECK]:
@@ -184,9 +184,13 @@
             return Write(self._key(fingerprint), None, entry.revision)
         return self._put(hold, entry.revision, now, wall_s)
 
-    def _put(self, hold: Hold, expect: int, now: float, wall_s: float) -> Write:
+    def _put(
+        self, hold: Hold, expected_revision: int, now: float, wall_s: float
+    ) -> Write:
         record = record_of(hold, self._entry, now, wall_s)
-        return Write(self._key(hold.fingerprint), serialize_record(record), expect)
+        return Write(
+            self._key(hold.fingerprint), serialize_record(record), expected_revision
+        )
 
     def _key(self, fingerprint: int) -> str:
         return self._wire.quarantine_record_key(fingerprint_text(fingerprint))
@@ -205,5 +209,5 @@
         fingerprint = int(text, 16)
     except ValueError:
         return 0
-    fits = 0 < fingerprint < 1 << (8 * FINGERPRINT_BYTES)
-    return fingerprint if fits and fingerprint_text(fingerprint) == text else 0
+    in_range = 0 < fingerprint < 1 << (8 * FINGERPRINT_BYTES)
+    return fingerprint if in_range and fingerprint_text(fingerprint) == text else 0
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -109,7 +109,9 @@
     later = NOW + TRY_AGAIN_S * (1 + LEAST_OF_MEAN)
     first.receive_heartbeats(later)
     assert first.role.follows(later), "an unserved entry retries after the pause"
-    assert first.role.unserved(later), "it stays unserved until an answer arrives"
+    assert first.role.unserved(later), (
+        "it stays unserved, so the next entry keeps the role"
+    )
     first.role.answered(later)
     assert not first.role.unserved(later)
 
