--- a/leverdoor/entry/admin.py
+++ b/leverdoor/entry/admin.py
@@ -19,9 +19,9 @@
 from leverdoor.storage.fetching import DEFLATE
 from leverdoor.storage.state import State
 
-__all__ = ["PULL_PATH", "AdminServer"]
+__all__ = ["STATE_PATH", "AdminServer"]
 
-PULL_PATH = "/v1/internal/state"
+STATE_PATH = "/v1/internal/state"
 """Path at which other entries fetch the state's changes since a revision."""
 METRICS_PATH = "/metrics"
 COMPRESSION_THRESHOLD_BYTES = 1_400
@@ -47,7 +47,7 @@
         metrics: EntryMetrics,
         is_ready: Callable[[], bool],
         addresses: Callable[[str, str, float], list[str]],
-        ttl_s: float,
+        lookup_ttl_s: float,
     ) -> None:
         """Create the server.
 
@@ -58,14 +58,14 @@
           is_ready: returns whether the entry serves requests.
           addresses: returns entry addresses for a client's region and failure domain
             at a loop time in seconds.
-          ttl_s: how long clients may cache a look-up, in seconds.
+          lookup_ttl_s: how long clients may cache a look-up, in seconds.
         """
         self._wire = wire
         self._state = state
         self._metrics = metrics
         self._is_ready = is_ready
         self._addresses = addresses
-        self._ttl_s = ttl_s
+        self._lookup_ttl_s = lookup_ttl_s
         self._encoded: dict[int, tuple[bytes, str]] = {}
         """Encoded delta and its content coding, by the requesting entry's revision."""
         self._encoded_revision = 0
@@ -75,16 +75,16 @@
         """Dispatch a request by its path; unknown paths get status 404."""
         path = request.path
         if path == self._wire.resolve_path:
-            return self._resolve(request)
+            return self._handle_lookup(request)
         if path == self._wire.ready_path:
             return web.Response(status=200 if self._is_ready() else 503)
-        if path == PULL_PATH:
-            return self._delta(request)
+        if path == STATE_PATH:
+            return self._handle_state_fetch(request)
         if path == METRICS_PATH:
             return web.Response(body=self._metrics.text(), content_type="text/plain")
         return web.Response(status=404)
 
-    def _delta(self, request: web.BaseRequest) -> web.StreamResponse:
+    def _handle_state_fetch(self, request: web.BaseRequest) -> web.StreamResponse:
         """Return the changes since the requested revision, compressed if they are long.
 
         The encoded delta is cached because many entries fetch it after a change.
@@ -100,7 +100,7 @@
         data, coding = encoded
         return web.Response(body=data, headers={"Content-Encoding": coding})
 
-    def _resolve(self, request: web.BaseRequest) -> web.StreamResponse:
+    def _handle_lookup(self, request: web.BaseRequest) -> web.StreamResponse:
         """Return the entries that a client may use; status 503 if there are none."""
         self._metrics.lookups.inc()
         lookup = self._wire.parse_resolve(request.query)
@@ -109,7 +109,7 @@
         if not addresses:
             return web.Response(status=503)
         return web.Response(
-            body=self._wire.serialize_resolve(addresses, self._ttl_s),
+            body=self._wire.serialize_resolve(addresses, self._lookup_ttl_s),
             content_type="application/json",
         )
 
--- a/leverdoor/entry/control_plane.py
+++ b/leverdoor/entry/control_plane.py
@@ -106,7 +106,7 @@
             lambda: self._settings,
             context.rng,
         )
-        self._follower_role = _ClockedFollowerRole(
+        self._follower_role = _FollowerRoleAdapter(
             self._store_role,
             self._joining,
             self._on_store_answer,
@@ -179,14 +179,14 @@
         """Return whether this entry follows the store now."""
         return self._follower_role.follows()
 
-    def receive_confirmation(self, reported: ToldAnswer, now: float) -> None:
+    def receive_confirmation(self, report: ToldAnswer, now: float) -> None:
         """Process another entry's report of the store answer behind its revision.
 
         If this entry lacked a recent answer, it forwards the new one at once, so that
         other entries that lack one do not query the store.
         """
         was_stale = self._store_role.is_stale(now)
-        self._keeper.confirmation.peer_told(reported, self._state.revision, now)
+        self._keeper.confirmation.peer_told(report, self._state.revision, now)
         if was_stale and not self._store_role.is_stale(now):
             self.peers.spread_news()
 
@@ -208,7 +208,7 @@
         self._context.events.store(change, self._state.revision, reason)
 
 
-class _ClockedFollowerRole(FollowerRole):
+class _FollowerRoleAdapter(FollowerRole):
     """Supplies a `StoreRole` with clock readings; inactive until the entry has joined.
 
     Before joining has settled, the entry neither follows nor queries the store.
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -43,7 +43,7 @@
 
 __all__ = ["Entry"]
 
-SWEEP_HEARTBEATS = 5
+SWEEP_ROUNDS = 5
 """Heartbeat rounds between two sweeps of expired state: 1 s.
 
 The swept state ages over seconds. With a greater value, the closing of idle connections
@@ -249,13 +249,13 @@
             await asyncio.sleep(HEARTBEAT_S)
             rounds += 1
             now = loop.time()
-            self._data.count_entries()
+            self._data.update_entry_count()
             self._data.update_quarantine(now)
             self._control.peers.round(now)
             if rounds % SHARE_UPDATE_ROUNDS == 0:
                 shares = self._control.exchange.region_shares()
                 self._data.placement.shares.update([shares], now)
-            if rounds % SWEEP_HEARTBEATS == 0:
+            if rounds % SWEEP_ROUNDS == 0:
                 self._sweep(now)
 
     def _sweep(self, now: float) -> None:
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -144,7 +144,7 @@
             forwarder,
             self.quotas,
             self.quarantine,
-            self._is_trial_entry,
+            self._runs_trials,
             events,
             metrics,
             self._catalog,
@@ -157,7 +157,7 @@
         max_age_s = self._context.settings.confirm_within_s
         return self._keeper.confirmation.holds(max_age_s, now)
 
-    def _is_trial_entry(self, fingerprint: int) -> bool:
+    def _runs_trials(self, fingerprint: int) -> bool:
         """Return whether this entry runs the trials of a quarantined request.
 
         One entry runs them on behalf of all.
@@ -209,7 +209,7 @@
 
     def renew(self, previous: Catalog, catalog: Catalog, now: float) -> None:
         """Put a newer catalogue in force for the request path."""
-        self.count_entries()
+        self.update_entry_count()
         self.fleet.renew(catalog.targets, now, catalog.services.values())
         self.limits.renew(catalog.targets)
         self._reports.renew(catalog.targets)
@@ -228,7 +228,7 @@
             self.fleet.receive(OTHERS, update.others, now)
         self.placement.shared_warmth.receive(update.warm, now)
         if update.use is not None:
-            self.count_entries()
+            self.update_entry_count()
             self.quotas.receive(update.use, now)
 
     def forget(self, now: float) -> None:
@@ -238,7 +238,7 @@
         self._metrics.leaving_targets.set(self.fleet.leaving_count())
         self._metrics.resting_targets.set(self.fleet.resting_count(now))
 
-    def count_entries(self) -> None:
+    def update_entry_count(self) -> None:
         """Update the number of entries that share quotas, connections and retries."""
         count = self._membership.count
         self.quotas.entries = count
--- a/leverdoor/entry/metrics.py
+++ b/leverdoor/entry/metrics.py
@@ -12,7 +12,7 @@
 
 __all__ = ["EntryMetrics"]
 
-BUCKETS = (0.01, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 2.0, 4.0)
+LATENCY_BUCKETS_S = (0.01, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 2.0, 4.0)
 """Bucket bounds of the latency histogram in seconds, near the routes' latency targets.
 """
 MAX_LABELLED_WORKSPACES = 100
@@ -34,7 +34,7 @@
             "leverdoor_entry_request_seconds",
             "Time from a request's head to the end of its answer.",
             ["service", "outcome"],
-            buckets=BUCKETS,
+            buckets=LATENCY_BUCKETS_S,
             registry=self.registry,
         )
         self.lookups = Counter(
--- a/leverdoor/entry/quarantine_records.py
+++ b/leverdoor/entry/quarantine_records.py
@@ -63,7 +63,7 @@
         entry: str,
         events: Events,
         rng: Random,
-        writes: Callable[[], bool],
+        may_write: Callable[[], bool],
     ) -> None:
         """Create the records.
 
@@ -82,7 +82,7 @@
         self._entry = entry
         self._events = events
         self._rng = rng
-        self._is_writer = writes
+        self._may_write = may_write
         self._stored: dict[int, KeyValue] = {}
         """The stored records by fingerprint."""
         self._seen_since: dict[int, float] = {}
@@ -101,7 +101,7 @@
             previous = self._stored.get(fingerprint)
             if previous is not None and previous.revision == entry.revision:
                 readable[fingerprint] = previous
-            elif self._receive_record(fingerprint, entry, now):
+            elif self._apply_record(fingerprint, entry, now):
                 readable[fingerprint] = entry
                 self._seen_since[fingerprint] = now
         removed = self._stored.keys() - readable.keys()
@@ -110,7 +110,7 @@
             del self._seen_since[fingerprint]
             self._quarantine.take_removed(fingerprint, now)
 
-    def _receive_record(self, fingerprint: int, entry: KeyValue, now: float) -> bool:
+    def _apply_record(self, fingerprint: int, entry: KeyValue, now: float) -> bool:
         """Process one new or changed record; return False if it is malformed."""
         try:
             record = parse_record(entry.value)
@@ -128,33 +128,33 @@
         """Write missing records and remove expired ones until cancelled."""
         while True:
             await asyncio.sleep(MEAN_CHECK_INTERVAL_S * (0.5 + self._rng.random()))
-            if not self._is_writer():
+            if not self._may_write():
                 continue
             now = asyncio.get_running_loop().time()
             for write in self.pending_writes(now, time.time())[:MAX_WRITES_PER_CHECK]:
                 await self._commit(write)
 
-    def pending_writes(self, now: float, wall_s: float) -> list[Write]:
+    def pending_writes(self, now: float, time_of_day: float) -> list[Write]:
         """Return the conditional writes that create, replace and delete records.
 
         Args:
           now: monotonic time in seconds.
-          wall_s: seconds since the epoch.
+          time_of_day: seconds since the epoch.
         """
-        held = self._quarantine.holds
+        quarantined = self._quarantine.holds
         added = [
-            self._put(hold, 0, now, wall_s)
-            for fingerprint, hold in held.items()
+            self._write_of(hold, 0, now, time_of_day)
+            for fingerprint, hold in quarantined.items()
             if fingerprint not in self._stored
         ]
         return added + [
-            self._replace_or_delete(fingerprint, entry, now, wall_s)
+            self._replace_or_delete(fingerprint, entry, now, time_of_day)
             for fingerprint, entry in self._stored.items()
-            if self._is_obsolete(fingerprint, entry, now, wall_s)
+            if self._is_obsolete(fingerprint, entry, now, time_of_day)
         ]
 
     def _is_obsolete(
-        self, fingerprint: int, entry: KeyValue, now: float, wall_s: float
+        self, fingerprint: int, entry: KeyValue, now: float, time_of_day: float
     ) -> bool:
         """Return whether a record has expired, has too many tries, or is void.
 
@@ -169,10 +169,10 @@
             return hold.tries < record.tries or seen_s > HOLD_S
         if seen_s > HOLD_S + REMOVAL_DELAY_S:
             return True
-        return self._quarantine.is_void(hold_of(record, fingerprint, now, wall_s))
+        return self._quarantine.is_void(hold_of(record, fingerprint, now, time_of_day))
 
     def _replace_or_delete(
-        self, fingerprint: int, entry: KeyValue, now: float, wall_s: float
+        self, fingerprint: int, entry: KeyValue, now: float, time_of_day: float
     ) -> Write:
         """Return the write that replaces or deletes an obsolete record.
 
@@ -182,12 +182,12 @@
         hold = self._quarantine.holds.get(fingerprint)
         if hold is None:
             return Write(self._key(fingerprint), None, entry.revision)
-        return self._put(hold, entry.revision, now, wall_s)
+        return self._write_of(hold, entry.revision, now, time_of_day)
 
-    def _put(
-        self, hold: Hold, expected_revision: int, now: float, wall_s: float
+    def _write_of(
+        self, hold: Hold, expected_revision: int, now: float, time_of_day: float
     ) -> Write:
-        record = record_of(hold, self._entry, now, wall_s)
+        record = record_of(hold, self._entry, now, time_of_day)
         return Write(
             self._key(hold.fingerprint), serialize_record(record), expected_revision
         )
--- a/leverdoor/entry/shutdown.py
+++ b/leverdoor/entry/shutdown.py
@@ -19,7 +19,7 @@
 A stop ends a few intervals after the last request. A greater value delays it. A smaller
 value takes processor time from the requests in flight.
 """
-IDLE_ROUNDS = 3
+IDLE_CHECKS = 3
 """Consecutive checks without a request in flight that end draining.
 
 They leave time for the request on a connection that was just accepted. A smaller value
@@ -28,7 +28,7 @@
 
 
 async def drain(handler: EntryHandler, server: web.Server, until: float) -> None:
-    """Close idle connections until `IDLE_ROUNDS` checks find no request in flight.
+    """Close idle connections until `IDLE_CHECKS` checks find no request in flight.
 
     Args:
       handler: knows which connections have a request in flight.
@@ -36,16 +36,16 @@
       until: loop time in seconds at which draining ends even if requests remain.
     """
     loop = asyncio.get_running_loop()
-    idle_rounds = 0
+    idle_checks = 0
     idle: set[object] = set()
-    while idle_rounds < IDLE_ROUNDS and loop.time() < until:
+    while idle_checks < IDLE_CHECKS and loop.time() < until:
         idle = _close_idle(handler, server, idle)
         await asyncio.sleep(STOP_POLL_S)
-        idle_rounds = 0 if handler.active else idle_rounds + 1
+        idle_checks = 0 if handler.active else idle_checks + 1
 
 
 def _close_idle(
-    handler: EntryHandler, server: web.Server, before: set[object]
+    handler: EntryHandler, server: web.Server, previously_idle: set[object]
 ) -> set[object]:
     """Close the connections that were idle at the previous check and still are.
 
@@ -62,7 +62,7 @@
     for connection in server.connections:
         if connection in handler.busy:
             continue
-        if connection in before:
+        if connection in previously_idle:
             connection.force_close()
         else:
             idle.add(connection)
--- a/leverdoor/entry/store_role.py
+++ b/leverdoor/entry/store_role.py
@@ -91,7 +91,7 @@
 """
 CALLS_PER_FAILED_QUERY = 2
 """Store calls of one failed query: the call and one retry."""
-ISOLATED_READ_SHARE = 0.5
+FETCH_FAILED_READ_SHARE = 0.5
 """Fraction of the store's read rate for an entry that cannot fetch a newer state.
 
 Other entries know newer answers, so the store works, but they cannot help this entry.
@@ -175,23 +175,23 @@
             return False
         # Count unserved entries: failures of the first must not speed up the others.
         place = self._roles.place(now, ())
-        isolated = self._confirmation.knows_newer(MAX_ANSWER_AGE_S, now)
-        step_s = self._step_s(
-            ISOLATED_READ_SHARE if isolated else QUERY_READ_SHARE, now
+        knows_newer_state = self._confirmation.knows_newer(MAX_ANSWER_AGE_S, now)
+        stagger_s = self._query_stagger_s(
+            FETCH_FAILED_READ_SHARE if knows_newer_state else QUERY_READ_SHARE, now
         )
-        if not isolated:
-            step_s = max(step_s, MIN_QUERY_STAGGER_S)
-        return age_s > MAX_ANSWER_AGE_S + place * step_s
+        if not knows_newer_state:
+            stagger_s = max(stagger_s, MIN_QUERY_STAGGER_S)
+        return age_s > MAX_ANSWER_AGE_S + place * stagger_s
 
     def is_stale(self, now: float) -> bool:
         """Return whether the configuration may lack changes that must be in force."""
         return self._confirmation.age_s(now) > MAX_ANSWER_AGE_S
 
-    def _place(self, now: float) -> int:
+    def _rank_among_served(self, now: float) -> int:
         """Return this entry's rank among the region's served entries, from 0."""
         return self._roles.place(now, self._unserved.all_known(now))
 
-    def _step_s(self, share: float, now: float) -> float:
+    def _query_stagger_s(self, share: float, now: float) -> float:
         """Return the minimum delay between two querying entries of the region, in s.
 
         Args:
@@ -214,7 +214,8 @@
         self._served.answered()
         if (
             self._is_querying
-            and self._place(now) < TEMPORARY_FOLLOWER_FACTOR * self._settings().watchers
+            and self._rank_among_served(now)
+            < TEMPORARY_FOLLOWER_FACTOR * self._settings().watchers
         ):
             self._temporary_until = now + TEMPORARY_FOLLOW_S
         self._is_querying = False
@@ -224,8 +225,8 @@
         if self._is_querying:
             reads_per_s = RETRY_READ_SHARE * self._settings().store_reads_per_s
             mean_s = self._membership.count * CALLS_PER_FAILED_QUERY / reads_per_s
-            spread = LEAST_OF_MEAN + self._rng.random()
-            self._next_query_at = now + max(MIN_RETRY_PAUSE_S, mean_s) * spread
+            jitter = LEAST_OF_MEAN + self._rng.random()
+            self._next_query_at = now + max(MIN_RETRY_PAUSE_S, mean_s) * jitter
         self._is_querying = False
         self._served.failed(now)
         self._temporary_until = NEVER
@@ -242,10 +243,10 @@
         """
         regions = self._membership.live_regions(now)
         followers = self._settings().watchers
-        place = self._place(now)
-        turns = followers * len(regions)
-        turn = regions.index(self._membership.own.region) * followers
-        turn += place % followers
-        period_s = min(MAX_WATCH_WAIT_S, turns * CONFIRM_INTERVAL_S)
-        wait_s = (turn * period_s / turns - time_of_day) % period_s
-        return wait_s if wait_s >= MIN_WATCH_WAIT_S else wait_s + period_s
+        place = self._rank_among_served(now)
+        slots = followers * len(regions)
+        slot = regions.index(self._membership.own.region) * followers
+        slot += place % followers
+        cycle_s = min(MAX_WATCH_WAIT_S, slots * CONFIRM_INTERVAL_S)
+        wait_s = (slot * cycle_s / slots - time_of_day) % cycle_s
+        return wait_s if wait_s >= MIN_WATCH_WAIT_S else wait_s + cycle_s
--- a/tests/test_config_in_force.py
+++ b/tests/test_config_in_force.py
@@ -25,7 +25,7 @@
 from leverdoor.entry.exchange.exchange_types import EntryStatus
 from virtual_clock import run_virtual
 
-IN_FORCE_S = 2.5
+MAX_DELAY_S = 2.5
 """Maximum delay after the store's confirmation, in seconds."""
 FAULT_DURATION_S = 9.0
 ENTRIES = 12
@@ -48,10 +48,10 @@
         affected = set(start_fault(site))
         await site.change_for(FAULT_DURATION_S)
         checked = [name for name in site.entries if name not in affected]
-        await site.change_for(2 * IN_FORCE_S)
-        delays = list(site.delays(checked, older_than_s=IN_FORCE_S))
+        await site.change_for(2 * MAX_DELAY_S)
+        delays = list(site.delays(checked, older_than_s=MAX_DELAY_S))
         await site.stop()
-        return sum(d > IN_FORCE_S for d in delays), max(delays)
+        return sum(d > MAX_DELAY_S for d in delays), max(delays)
 
     result: tuple[int, float] = run_virtual(run())
     return result
@@ -116,7 +116,7 @@
     assert not late_count, f"{late_count} late, the worst by {max_delay_s:.2f} s"
 
 
-def test_idle_site_makes_calls_of_six_watches_only() -> None:
+def test_idle_site_makes_only_the_calls_of_six_watches() -> None:
     """The site has six followers, and each watch waits at most 2.5 s."""
 
     async def run() -> float:
@@ -145,7 +145,7 @@
         await asyncio.sleep(FAULT_DURATION_S)
         site.store.down = False
         change = site.change()
-        await asyncio.sleep(IN_FORCE_S)
+        await asyncio.sleep(MAX_DELAY_S)
         await site.stop()
         seconds = Counter(
             int(t - started) for t in site.store.call_times if t > started
@@ -155,7 +155,7 @@
 
     max_calls_per_s, delay_s = run_virtual(run())
     assert max_calls_per_s <= reads_per_s / 10
-    assert delay_s <= IN_FORCE_S, (
+    assert delay_s <= MAX_DELAY_S, (
         "the change must be in force in time after the store's return"
     )
 
--- a/tests/test_entry_whole.py
+++ b/tests/test_entry_whole.py
@@ -64,7 +64,7 @@
     await until_in_force(site, "/look/x", 404)
 
 
-async def test_targets_lost_in_store_outage_expire_before_removal(
+async def test_targets_unregistered_in_outage_expire_before_removal(
     site: EntrySite,
 ) -> None:
     entries = list(site.entries.values())
@@ -128,14 +128,14 @@
 async def test_planned_stop_loses_no_requests(site: EntrySite) -> None:
     n1, n2 = site.entries["n1"], site.entries["n2"]
     answers: list[Answer] = []
-    unsafe: set[str] = set()
+    post_ids: set[str] = set()
     stopping = asyncio.Event()
 
     async def client(number: int) -> None:
         for i in range(40):
             request_id = f"{number:08x}{i:08x}"
             entry = n2 if stopping.is_set() else n1
-            unsafe.add(request_id)
+            post_ids.add(request_id)
             answers.append(
                 await site.request(entry, "POST", "/file/x", b"x", None, request_id)
             )
@@ -150,11 +150,13 @@
     await asyncio.gather(*clients)
     assert await n1.ended() == 0
     assert 0 not in {a.status for a in answers}
-    check_promises(site, answers, unsafe)
+    check_promises(site, answers, post_ids)
     assert n1.ports["frontend"] not in await site.resolve(n2)
 
 
-async def test_draining_target_receives_no_requests_once_known(site: EntrySite) -> None:
+async def test_draining_target_receives_nothing_once_in_force(
+    site: EntrySite,
+) -> None:
     site.drain_target("i-look-a1-0")
     revision = site.store.revision
     added = {**SAMPLE_ROUTES[0], "name": "new", "path-prefix": "/new/"}
@@ -199,7 +201,7 @@
     assert n1.running
 
 
-async def test_invalid_setting_fails_start_and_is_named(
+async def test_missing_setting_ends_start_with_its_name_logged(
     site: EntrySite,
 ) -> None:
     n1 = site.entries["n1"]
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -30,7 +30,7 @@
 from leverdoor.agent.api import Api
 from leverdoor.agent.probing import PROBE_PATH
 from leverdoor.cli import main as leverdoor_command
-from leverdoor.entry.admin import METRICS_PATH, PULL_PATH
+from leverdoor.entry.admin import METRICS_PATH, STATE_PATH
 from leverdoor.entry.events import Events
 from leverdoor.entry.log_writer import LineWriter
 from leverdoor.entry.metrics import EntryMetrics
@@ -369,7 +369,7 @@
     assert routes(Api.app(AsyncMock())) == table.AGENT_ROUTES
     assert routes(GateHandler.caller_app(AsyncMock())) == table.GATE_ROUTES
     assert routes(GateHandler.relay_app(AsyncMock())) == table.RELAY_ROUTES
-    assert (PULL_PATH, METRICS_PATH) == ("/v1/internal/state", "/metrics")
+    assert (STATE_PATH, METRICS_PATH) == ("/v1/internal/state", "/metrics")
     assert PROBE_PATH == "/.leverdoor/report"
 
 
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -238,7 +238,7 @@
     assert not one.role.must_ask(NOW + mean_s * LEAST_OF_MEAN - 0.01)
 
 
-def test_answered_query_makes_low_ranks_temporary_followers() -> None:
+def test_answered_query_makes_first_ranks_temporary_followers() -> None:
     third = Entry("a1-2")
     third.role.asked()
     third.role.answered(NOW)
@@ -246,10 +246,10 @@
     later = NOW + TEMPORARY_FOLLOW_S
     third.receive_heartbeats(later)
     assert not third.role.follows(later)
-    low_ranked = Entry("a1-9", size=20)
-    low_ranked.role.asked()
-    low_ranked.role.answered(NOW)
-    assert not low_ranked.role.follows(NOW), (
+    late_ranked = Entry("a1-9", size=20)
+    late_ranked.role.asked()
+    late_ranked.role.answered(NOW)
+    assert not late_ranked.role.follows(NOW), (
         "each follower costs one store call per change"
     )
 
