--- a/leverdoor/entry/admin.py
+++ b/leverdoor/entry/admin.py
@@ -69,7 +69,7 @@
         self._encoded: dict[int, tuple[bytes, str]] = {}
         """Encoded delta and its content coding, by the requesting entry's revision."""
         self._encoded_revision = 0
-        """The state's revision that the cached deltas lead to."""
+        """Target revision of the cached deltas."""
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Dispatch a request by its path; unknown paths get status 404."""
--- a/leverdoor/entry/bounds.py
+++ b/leverdoor/entry/bounds.py
@@ -31,7 +31,7 @@
 
 `max_saved_retries` lowers it where many entries share the slack of the bound. With a
 greater value, a burst of all entries may exceed the bound. With a smaller value, most
-requests fail on a target that dies with several in flight.
+requests in flight at a crashing target are not retried.
 """
 SAVED_SLACK_SHARE = 0.75
 """Fraction of the retry bound's slack that all entries together may save."""
@@ -53,16 +53,16 @@
 """Fraction of the shift cap that an entry's own share updates may use.
 
 Agreement between entries may move half as much in addition
-(spill.py:AGREEMENT_MOVE_PART), 0.8 in all. The rest absorbs random variation because
-keys have unequal numbers of requests. With a greater value, traffic may exceed the
+(spill.py:AGREEMENT_MOVE_PART), 0.8 in all. The rest absorbs the random variation that
+unequal numbers of requests per key cause. With a greater value, traffic may exceed the
 operator's shift cap. With a smaller value, keys leave a full region more slowly.
 """
 SHARE_UPDATE_ROUNDS = 2
 """Heartbeat rounds between two updates of the regions' shares: 0.4 s.
 
 The effect of an update must be reported before the next one. With a greater value,
-shares move in larger steps. A smaller value costs more processor time for the same
-rate.
+shares move in larger steps. A smaller value costs more processor time for the same rate
+of shift.
 """
 WARM_KEY_REPORT_S = 0.5
 """How long heartbeats carry the digest of a warm key, in seconds.
--- a/leverdoor/entry/control_plane.py
+++ b/leverdoor/entry/control_plane.py
@@ -2,8 +2,8 @@
 # SPDX-License-Identifier: Apache-2.0
 """The control plane of an entry: store following, registration and peer messages.
 
-Owns the election of store followers (roles), the exchange of messages, the entry's
-registration in the store, and its role as a follower of the store. All of it is lost
+Owns the ranking of entries (`Roles`), the exchange of messages, the entry's
+registration, and its decision to follow the store (`StoreRole`). All of it is lost
 with the process and restored from the store and from heartbeats. Relies on the entry's
 membership view, on the store, on the UDP and HTTP addresses of the other entries, and
 on the copy of the store's state that `configuration` compiles.
@@ -180,7 +180,7 @@
         return self._follower_role.follows()
 
     def receive_confirmation(self, report: ToldAnswer, now: float) -> None:
-        """Process another entry's report of the store answer behind its revision.
+        """Process another entry's report of its newest store answer.
 
         If this entry lacked a recent answer, it forwards the new one at once, so that
         other entries that lack one do not query the store.
@@ -199,7 +199,7 @@
 
     def is_unserved(self, now: float) -> bool:
         """Return whether the store recently failed to answer this entry."""
-        return self._store_role.unserved(now)
+        return self._store_role.is_unserved(now)
 
     def _on_reachability_change(self, reachable: bool, reason: str) -> None:
         """Record and log that the store became unreachable or reachable."""
@@ -209,9 +209,9 @@
 
 
 class _FollowerRoleAdapter(FollowerRole):
-    """Supplies a `StoreRole` with clock readings; inactive until the entry has joined.
+    """Supplies a `StoreRole` with clock readings.
 
-    Before joining has settled, the entry neither follows nor queries the store.
+    The entry neither follows nor queries the store until it has joined the others.
     """
 
     def __init__(
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -46,8 +46,8 @@
 SWEEP_ROUNDS = 5
 """Heartbeat rounds between two sweeps of expired state: 1 s.
 
-The swept state ages over seconds. With a greater value, the closing of idle connections
-and the metrics are late. A smaller value costs processor time.
+State expires after seconds. With a greater value, idle connections are closed late and
+metrics lag. A smaller value costs processor time.
 """
 LEAVE_LISTEN_S = 2.2
 """How long a leaving entry accepts connections, in seconds.
@@ -230,7 +230,7 @@
         await self._control.peers.close()
         await self._store.close()
 
-    # Loops. `keep_running` logs their names.
+    # Loops. Their names appear in the log through `keep_running`.
 
     async def _join_and_follow(self) -> None:
         await self._control.join_and_follow()
@@ -275,7 +275,7 @@
     # Data flow between the store, other entries and the request path.
 
     def _on_delta(self, _: Delta) -> None:
-        """Compile a newer state and announce it to other entries."""
+        """Compile a newer state, announce it, and serve once configured."""
         self._keeper.compile()
         self._metrics.revision.set(self._store_copy.revision)
         self._control.peers.spread_news()
@@ -305,7 +305,10 @@
         self._control.receive_confirmation(update.answer, now)
 
     def _status(self) -> EntryStatus:
-        """Return the status that this entry's heartbeats carry."""
+        """Return the status for the next heartbeat.
+
+        Reading the status counts as reporting it.
+        """
         now = asyncio.get_running_loop().time()
         return EntryStatus(
             self._state,
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -70,7 +70,7 @@
 
         Args:
           context: the entry's settings and external dependencies.
-          keeper: holds the catalogue in force.
+          keeper: provides the catalogue in force.
           membership: the known entries.
           metrics: the entry's metrics.
           state: returns the lifecycle state of this entry.
@@ -158,10 +158,7 @@
         return self._keeper.confirmation.holds(max_age_s, now)
 
     def _runs_trials(self, fingerprint: int) -> bool:
-        """Return whether this entry runs the trials of a quarantined request.
-
-        One entry runs them on behalf of all.
-        """
+        """Return whether this entry runs a quarantined request's trials for all."""
         own = self._membership.own.name
         return tries_for_all(own, self._membership.names(), fingerprint)
 
@@ -170,9 +167,9 @@
     ) -> None:
         """Process the check of a target that closed connections without a response.
 
-        If the target crashed, its lost runs are reported to the quarantine. A target
-        that had left service ended as planned, which does not implicate its requests:
-        a rollout cuts long requests off at one target after another.
+        If the target ended while in service, its lost runs are reported to the
+        quarantine. Runs lost to a planned stop are not, because a rollout cuts long
+        requests off at one target after another.
         """
         events = self._context.events
         events.target_checked(
@@ -239,7 +236,7 @@
         self._metrics.resting_targets.set(self.fleet.resting_count(now))
 
     def update_entry_count(self) -> None:
-        """Update the number of entries that share quotas, connections and retries."""
+        """Apply the number of known entries to quotas, connections and retries."""
         count = self._membership.count
         self.quotas.entries = count
         self.connections.entries = count
--- a/leverdoor/entry/events.py
+++ b/leverdoor/entry/events.py
@@ -157,8 +157,8 @@
     ) -> None:
         """Log that a newer configuration is in force; `source` is a peer or the store.
 
-        `confirmed_ms` is the age of the newest store answer that this entry knew before
-        the change, -1 for none.
+        `confirmed_ms` is the age of the newest known store answer when the change
+        arrived, -1 for none.
         """
         self.emit(
             "configuration",
@@ -178,10 +178,11 @@
         expired: list[str],
         revision: int,
     ) -> None:
-        """Log targets that were added, removed (left or evacuated), or became cold.
+        """Log changes of the set of targets.
 
-        Targets in `expired` lost their registration during an outage of the store; the
-        entry continues to use them for a short time.
+        `came` are new targets, `gone` those that left or were evacuated, and `cold`
+        those that became cold. Targets in `expired` have had no registration since an
+        outage of the store; the entry continues to use them for a short time.
         """
         self.emit(
             "targets",
@@ -197,7 +198,7 @@
     ) -> None:
         """Log a registration without a usable target; its name may be any text.
 
-        `unlogged` counts such registrations that were not logged in the last minutes.
+        `unlogged` counts the registrations whose log lines were recently suppressed.
         """
         self.emit(
             "registration_left_out",
@@ -225,7 +226,8 @@
     ) -> None:
         """Log that a target set, changed or removed its limit for all entries together.
 
-        `change` is "named", "changed" or "ended". `source` is "answer" if this entry
+        `change` is "named" (set), "changed" or "ended" (removed). `source` is "answer"
+        if this entry
         received the limit, "peer" if another entry did.
         """
         self.emit(
@@ -276,8 +278,8 @@
     def quarantine(self, change: "Change") -> None:
         """Log that a request is quarantined or released.
 
-        `ends` are the target ends known to this entry. `tries` is the number of trial
-        executions left, which show whether the request is harmless.
+        `ends` are the known ends of targets attributed to the request. `tries` is the
+        number of remaining trial executions, which show whether it is harmless.
         """
         self.emit(
             "quarantine",
@@ -304,7 +306,7 @@
         self.emit("connections_forgotten", service=service)
 
     def peer(self, name: str, change: str, silent_s: float) -> None:
-        """Log that another entry was heard from again or has been silent too long."""
+        """Log that another entry's heartbeats resumed or have been missing too long."""
         self.emit("peer", peer=name, change=change, silent_s=round(silent_s, 2))
 
     def shares(self, service: str, shares: dict[str, float]) -> None:
@@ -334,9 +336,9 @@
         )
 
     def store(self, change: str, revision: int, detail: str = "") -> None:
-        """Log that the store became unreachable or answers again."""
+        """Log that the store became unreachable ("lost") or "answers" again."""
         self.emit("store", change=change, revision=revision, detail=detail)
 
     def process(self, change: str, **fields: Any) -> None:
-        """Log a change of the process, such as its start, reload or end."""
+        """Log an event of the process, such as its start or a failed record write."""
         self.emit("process", change=change, **fields)
--- a/leverdoor/entry/log_writer.py
+++ b/leverdoor/entry/log_writer.py
@@ -15,7 +15,7 @@
 """Average rate of lines of one kind, per second.
 
 It keeps an entry's log below 100 kB/s. With a greater value, logging takes processor
-time from requests. With a smaller value, the log explains fewer requests.
+time from requests. With a smaller value, fewer requests can be analysed from the log.
 """
 BURST_LINES = 200.0
 """Burst of lines of one kind, so that the beginning of a fault is logged completely."""
@@ -55,7 +55,7 @@
     def flush(self) -> None:
         """Write buffered lines until the descriptor would block or fails.
 
-        The next line retries the rest.
+        The next call writes the rest.
         """
         while self._pending:
             line = self._pending[0]
--- a/leverdoor/entry/metrics.py
+++ b/leverdoor/entry/metrics.py
@@ -18,7 +18,7 @@
 MAX_LABELLED_WORKSPACES = 100
 """Maximum number of workspaces with a label of their own.
 
-The workspaces refused first get the labels, which bounds the number of series. With a
+The first workspaces to exceed a quota get a label, which bounds the series. With a
 greater value, scrapes grow with the workspaces. With a smaller value, more workspaces
 are counted as "other".
 """
--- a/leverdoor/entry/quarantine_records.py
+++ b/leverdoor/entry/quarantine_records.py
@@ -65,7 +65,7 @@
         rng: Random,
         may_write: Callable[[], bool],
     ) -> None:
-        """Create the records.
+        """Create the synchronizer.
 
         Args:
           quarantine: the requests that this entry has quarantined.
@@ -74,7 +74,7 @@
           entry: this entry's name.
           events: the event log.
           rng: adds jitter to the checks of several followers.
-          writes: returns whether this entry currently writes records.
+          may_write: returns whether this entry currently writes records.
         """
         self._quarantine = quarantine
         self._store = store
@@ -89,20 +89,20 @@
         """When each record's current revision was first seen, monotonic time in s."""
 
     def take(self, records: Mapping[str, KeyValue], now: float) -> None:
-        """Process all records of the store.
+        """Apply all stored records; a missing record releases its request.
 
         Args:
           records: the stored records by the text of their fingerprint.
           now: monotonic time in seconds.
         """
         readable = {}
-        for text, entry in records.items():
+        for text, item in records.items():
             fingerprint = _parse_fingerprint(text)
             previous = self._stored.get(fingerprint)
-            if previous is not None and previous.revision == entry.revision:
+            if previous is not None and previous.revision == item.revision:
                 readable[fingerprint] = previous
-            elif self._apply_record(fingerprint, entry, now):
-                readable[fingerprint] = entry
+            elif self._apply_record(fingerprint, item, now):
+                readable[fingerprint] = item
                 self._seen_since[fingerprint] = now
         removed = self._stored.keys() - readable.keys()
         self._stored = readable
@@ -110,15 +110,15 @@
             del self._seen_since[fingerprint]
             self._quarantine.take_removed(fingerprint, now)
 
-    def _apply_record(self, fingerprint: int, entry: KeyValue, now: float) -> bool:
+    def _apply_record(self, fingerprint: int, item: KeyValue, now: float) -> bool:
         """Process one new or changed record; return False if it is malformed."""
         try:
-            record = parse_record(entry.value)
+            record = parse_record(item.value)
         except msgspec.MsgspecError as e:
-            self._events.process("record not readable", key=entry.key, error=str(e))
+            self._events.process("record not readable", key=item.key, error=str(e))
             return False
         if not fingerprint:
-            self._events.process("record not readable", key=entry.key, error="key")
+            self._events.process("record not readable", key=item.key, error="key")
             return False
         hold = hold_of(record, fingerprint, now, time.time())
         self._quarantine.take_stored(hold, now)
@@ -148,22 +148,25 @@
             if fingerprint not in self._stored
         ]
         return added + [
-            self._replace_or_delete(fingerprint, entry, now, time_of_day)
-            for fingerprint, entry in self._stored.items()
-            if self._is_obsolete(fingerprint, entry, now, time_of_day)
+            self._replace_or_delete(fingerprint, item, now, time_of_day)
+            for fingerprint, item in self._stored.items()
+            if self._is_obsolete(fingerprint, item, now, time_of_day)
         ]
 
     def _is_obsolete(
-        self, fingerprint: int, entry: KeyValue, now: float, time_of_day: float
+        self, fingerprint: int, item: KeyValue, now: float, time_of_day: float
     ) -> bool:
-        """Return whether a record has expired, has too many tries, or is void.
+        """Return whether a record has expired or disagrees with the quarantine.
+
+        It disagrees if it lists more remaining tries than the hold, or if its hold
+        has become void.
 
         Expiry is measured by how long this process has seen the record. A wall clock
         that is ahead would remove the record early and release the request at all
         entries.
         """
         seen_s = now - self._seen_since[fingerprint]
-        record = parse_record(entry.value)
+        record = parse_record(item.value)
         hold = self._quarantine.holds.get(fingerprint)
         if hold is not None:
             return hold.tries < record.tries or seen_s > HOLD_S
@@ -172,7 +175,7 @@
         return self._quarantine.is_void(hold_of(record, fingerprint, now, time_of_day))
 
     def _replace_or_delete(
-        self, fingerprint: int, entry: KeyValue, now: float, time_of_day: float
+        self, fingerprint: int, item: KeyValue, now: float, time_of_day: float
     ) -> Write:
         """Return the write that replaces or deletes an obsolete record.
 
@@ -181,8 +184,8 @@
         """
         hold = self._quarantine.holds.get(fingerprint)
         if hold is None:
-            return Write(self._key(fingerprint), None, entry.revision)
-        return self._write_of(hold, entry.revision, now, time_of_day)
+            return Write(self._key(fingerprint), None, item.revision)
+        return self._write_of(hold, item.revision, now, time_of_day)
 
     def _write_of(
         self, hold: Hold, expected_revision: int, now: float, time_of_day: float
--- a/leverdoor/entry/settings.py
+++ b/leverdoor/entry/settings.py
@@ -2,8 +2,8 @@
 # SPDX-License-Identifier: Apache-2.0
 """Validated settings of an entry, and the rules for reloading them.
 
-Owns no state. Relies on `leverdoor.platform.settings`, which reads and validates the
-platform's settings file.
+Owns no state. `leverdoor.platform.settings` reads and validates the platform's settings
+file and creates the settings from it.
 """
 
 import msgspec
@@ -48,11 +48,11 @@
     grace_s: float = 6.0
     """Maximum duration of a stop, in seconds."""
     leave_s: float = 2.5
-    """Time in seconds after which a leaving target must receive no new requests."""
+    """Maximum time from a target's leave until no entry sends it requests, in s."""
     repeat_ratio: float = 0.2
     """Maximum retries of all entries together, as a share of requests."""
     repeat_slack: float = 64.0
-    """Retries that all entries together may make beyond `repeat_ratio`."""
+    """Number of retries that all entries together may make beyond that share."""
     max_shift: float = 0.15
     """Maximum share of a region's requests that may move to another region in 2 s."""
     watchers: int = 2
@@ -66,13 +66,13 @@
     quotas: QuotaBounds = QuotaBounds()
     """How far the use of a workspace may exceed its quota."""
     confirm_within_s: float = 0.0
-    """Maximum age in seconds of the store's newest answer to any entry.
+    """Maximum age in s of the newest store answer at which workspace keys are accepted.
 
-    Beyond it, the entry refuses workspace keys because they may have been revoked. The
-    value 0 disables the check.
+    The answer may be to any entry. Beyond this age, keys are refused because they may
+    have been revoked. The value 0 disables the check.
     """
     first_start: bool = False
-    """No entry ran before, so there is no earlier use of quotas to account for."""
+    """Whether no entry of the deployment ran before; then no quota use is unknown."""
     seed: int = 0
     """Seed of the random generator; 0 selects a random seed at each start."""
 
--- a/leverdoor/entry/shutdown.py
+++ b/leverdoor/entry/shutdown.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """Connection draining at a planned stop.
 
-Owns no state; relies on the handler to know the connections with a request in flight.
+Owns no state; relies on the handler to track connections with a request in flight.
 """
 
 import asyncio
@@ -22,8 +22,8 @@
 IDLE_CHECKS = 3
 """Consecutive checks without a request in flight that end draining.
 
-They leave time for the request on a connection that was just accepted. A smaller value
-cuts that request off. A greater value prolongs each stop.
+They let the request on a connection that was just accepted arrive. With a smaller
+value, that request is cut off. A greater value prolongs each stop.
 """
 
 
@@ -55,7 +55,7 @@
     Args:
       handler: knows which connections have a request in flight.
       server: owns the connections.
-      before: the connections that were idle at the previous check.
+      previously_idle: the connections that were idle at the previous check.
     Returns: the open connections that are idle now.
     """
     idle: set[object] = set()
--- a/leverdoor/entry/store_role.py
+++ b/leverdoor/entry/store_role.py
@@ -7,8 +7,8 @@
 store. Three independent rules ensure this:
 
 - In each region, the entries with the widest links among those that the store answers
-  follow it. An entry without an answer reports itself as unserved and is skipped; it
-  tries again later.
+  follow it. An entry whose store calls fail is unserved: it reports this to the others,
+  is skipped in the order, and tries again later.
 - The followers of all regions end their watches at staggered times, so that each entry
   knows a store answer much younger than `MAX_ANSWER_AGE_S`.
 - An entry whose configuration rests on an older answer queries the store itself,
@@ -21,7 +21,7 @@
 | --- | --- |
 | 1.2 | `MAX_ANSWER_AGE_S`: an entry knows an answer older than the change |
 | 0.1 | message delay, by which the entry underestimates the age of the answer |
-| 0.1 | two positions in the query order, by `QUERY_READ_SHARE` |
+| 0.1 | the delay of the third-ranked entry's query, by `QUERY_READ_SHARE` |
 | 0.1 | `storage.following.POLL_S`: interval of the age check |
 | 0.2 | a new connection to a store in another region, and the answer |
 | 0.15 | `peer_link.BUSY_NEWS_S`: announcement to entries the store does not answer |
@@ -61,7 +61,8 @@
 """Interval between two store answers to any of the followers, in seconds.
 
 It results from six followers that wait 2.5 s each. A smaller value costs more calls. A
-greater value requires a greater `MAX_ANSWER_AGE_S`.
+greater value requires a greater `MAX_ANSWER_AGE_S`. Sites with fewer followers have a
+shorter cycle.
 """
 MAX_WATCH_WAIT_S = 2.5
 """Maximum wait of one watch, in seconds.
@@ -80,9 +81,9 @@
 QUERY_READ_SHARE = 0.08
 """Fraction of the store's read rate that the first queries of all entries may use.
 
-While the store answers nobody, all entries together may use a tenth of its reads. This
-is most of the tenth; the rest is for repeated queries, followers and starts. With a
-greater value, an entry late in the order that alone gets an answer queries sooner.
+While the store answers nobody, all entries together may use 0.1 of its reads. The
+rest is for repeated queries, followers and starts. With a greater value, the only
+served entry queries sooner if it ranks last.
 """
 RETRY_READ_SHARE = 0.025
 """Fraction of the store's read rate for entries that repeat a failed query.
@@ -104,7 +105,8 @@
 """Number of candidates for temporary followers per regular follower of a region.
 
 With a smaller factor, the candidates may be unserved as well. Without a limit, each
-change would cost one call per entry. The other entries query again when necessary.
+change would cost one call per entry. Entries beyond the limit query again when their
+newest answer is too old.
 """
 TEMPORARY_FOLLOW_S = 5.0
 """How long an entry follows the store after an answered query, in seconds.
@@ -148,7 +150,7 @@
         self._is_querying = False
         """Whether a query outside the follower role is in progress."""
 
-    def unserved(self, now: float) -> bool:
+    def is_unserved(self, now: float) -> bool:
         """Return whether the store recently failed to answer this entry."""
         return self._served.is_unserved(now)
 
@@ -160,7 +162,7 @@
         if self._served.may_try(now):
             return self._roles.follows_store(followers, now)
         return self._roles.follows_store(
-            followers, now, self._unserved.all_known(now), self.unserved(now)
+            followers, now, self._unserved.all_known(now), self.is_unserved(now)
         )
 
     def must_ask(self, now: float) -> bool:
@@ -173,18 +175,19 @@
         age_s = self._confirmation.age_s(now)
         if age_s <= MAX_ANSWER_AGE_S or now < self._next_query_at:
             return False
-        # Count unserved entries: failures of the first must not speed up the others.
-        place = self._roles.place(now, ())
+        # Unserved entries keep their rank; otherwise their failures would let the
+        # others query sooner.
+        rank = self._roles.place(now, ())
         knows_newer_state = self._confirmation.knows_newer(MAX_ANSWER_AGE_S, now)
         stagger_s = self._query_stagger_s(
             FETCH_FAILED_READ_SHARE if knows_newer_state else QUERY_READ_SHARE, now
         )
         if not knows_newer_state:
             stagger_s = max(stagger_s, MIN_QUERY_STAGGER_S)
-        return age_s > MAX_ANSWER_AGE_S + place * stagger_s
+        return age_s > MAX_ANSWER_AGE_S + rank * stagger_s
 
     def is_stale(self, now: float) -> bool:
-        """Return whether the configuration may lack changes that must be in force."""
+        """Return whether the newest known answer is older than `MAX_ANSWER_AGE_S`."""
         return self._confirmation.age_s(now) > MAX_ANSWER_AGE_S
 
     def _rank_among_served(self, now: float) -> int:
@@ -194,6 +197,8 @@
     def _query_stagger_s(self, share: float, now: float) -> float:
         """Return the minimum delay between two querying entries of the region, in s.
 
+        The read rate covers the failed queries of one entry per region and delay.
+
         Args:
           share: fraction of the store's read rate available to all regions together.
           now: monotonic time in seconds.
@@ -243,10 +248,10 @@
         """
         regions = self._membership.live_regions(now)
         followers = self._settings().watchers
-        place = self._rank_among_served(now)
+        rank = self._rank_among_served(now)
         slots = followers * len(regions)
         slot = regions.index(self._membership.own.region) * followers
-        slot += place % followers
+        slot += rank % followers
         cycle_s = min(MAX_WATCH_WAIT_S, slots * CONFIRM_INTERVAL_S)
         wait_s = (slot * cycle_s / slots - time_of_day) % cycle_s
         return wait_s if wait_s >= MIN_WATCH_WAIT_S else wait_s + cycle_s
--- a/leverdoor/entry/warm_up.py
+++ b/leverdoor/entry/warm_up.py
@@ -15,7 +15,7 @@
     """Return whether this entry may send requests to a target that warms up.
 
     Only entries of the target's region may, unless that region has no entries. A
-    request from another region would cross regions only to wait for a cold run.
+    request from another region would incur the crossing and the slow cold run.
 
     Args:
       membership: the entries known to this entry.
--- a/leverdoor/entry/wire.py
+++ b/leverdoor/entry/wire.py
@@ -35,7 +35,7 @@
     """A registration in the store that does not yield a usable target."""
 
     name: str
-    """Name in the registration's key."""
+    """Target name from the registration's store key."""
     cause: str
     """Cause from a small fixed set, used as a metrics label."""
     detail: str
@@ -80,7 +80,7 @@
 
 
 class TargetReport(msgspec.Struct, frozen=True):
-    """What a complete response reports about its target, except for rate limits."""
+    """Report of a target about itself in a complete response, without its limit."""
 
     not_run: bool = False
     """The target rejected the request without executing it."""
--- a/tests/test_config_in_force.py
+++ b/tests/test_config_in_force.py
@@ -2,13 +2,13 @@
 # SPDX-License-Identifier: Apache-2.0
 """Confirmed changes are in force in time at all entries that exchange messages.
 
-Guards against stale entries: one or two of twelve answered 404, used an older service
-or ran requests outside their home region for seconds after a change was confirmed. No
-entry knew the age of its configuration; the store's followers were elected by liveness,
-not by whether the store answers them; and an entry that could not fetch a newer state
-tried no other source. A store silent to the followers left all others stale until the
-fault ended; silent kept connections, or messages lost in one direction, left single
-entries stale. Entries prevent this by querying the store when their answer is too old.
+Guards against stale entries. A stale entry answers 404, uses an older service, or runs
+requests outside their home region for seconds after a change was confirmed. It occurs
+if no entry knows the age of its configuration, if followers are elected by liveness and
+not by whether the store answers them, and if an entry that cannot fetch a newer state
+tries no other source. A store silent to the followers then leaves all other entries
+stale until the fault ends. Silent kept connections, or messages lost in one direction,
+leave single entries stale. Entries must query the store when their answer is too old.
 
 The product's control plane runs on a virtual clock (`emulated_following`).
 """
@@ -63,7 +63,7 @@
 
 
 def test_unserved_followers_do_not_delay_changes() -> None:
-    """No other entry queried the store, so none received changes during the fault."""
+    """Fails if no other entry queries the store while its followers are unserved."""
     for fault in WayFault:
         if fault is WayFault.NONE:
             continue
@@ -75,7 +75,7 @@
 
         late_count, max_delay_s = change_during_fault(begin)
         assert not late_count, (
-            f"{fault}: {late_count} late, the worst by {max_delay_s:.2f} s"
+            f"{fault}: {late_count} late, maximum delay {max_delay_s:.2f} s"
         )
 
 
@@ -89,7 +89,7 @@
         return []
 
     late_count, max_delay_s = change_during_fault(begin)
-    assert not late_count, f"{late_count} late, the worst by {max_delay_s:.2f} s"
+    assert not late_count, f"{late_count} late, maximum delay {max_delay_s:.2f} s"
 
 
 def test_entry_with_failing_fetches_queries_the_store() -> None:
@@ -101,11 +101,11 @@
         return []
 
     late_count, max_delay_s = change_during_fault(begin)
-    assert not late_count, f"{late_count} late, the worst by {max_delay_s:.2f} s"
+    assert not late_count, f"{late_count} late, maximum delay {max_delay_s:.2f} s"
 
 
 def test_entry_without_incoming_messages_queries_the_store() -> None:
-    """It became a follower only after 1.6 s and then still needed a poll and a call."""
+    """Fails if it waits to become a follower: 1.6 s, then a poll and a call."""
 
     def begin(site: FollowingSite) -> list[str]:
         last = site.ranked("r1")[-1].member.name
@@ -113,7 +113,7 @@
         return []
 
     late_count, max_delay_s = change_during_fault(begin)
-    assert not late_count, f"{late_count} late, the worst by {max_delay_s:.2f} s"
+    assert not late_count, f"{late_count} late, maximum delay {max_delay_s:.2f} s"
 
 
 def test_idle_site_makes_only_the_calls_of_six_watches() -> None:
@@ -133,7 +133,7 @@
 
 
 def test_call_rate_is_bounded_while_store_is_down() -> None:
-    """Calls per second stay within a tenth of its read rate, also on its return."""
+    """Calls stay within a tenth of the store's read rate, also when it returns."""
     entries, reads_per_s = 60, 2_000.0
 
     async def run() -> tuple[int, float]:
@@ -161,7 +161,7 @@
 
 
 def test_revisions_never_decrease() -> None:
-    """Late responses come from a watch, a second fetch, or a list after compaction."""
+    """Late responses of a watch, fetch or list must not lower the revision."""
 
     async def run() -> None:
         site = FollowingSite(ENTRIES, loss=0.05)
@@ -189,7 +189,7 @@
 def test_change_announcements_do_not_read_the_status(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Reading the status counts as reporting it; announcements do not carry it."""
+    """A status read counts as a report, but announcements do not carry the status."""
     status_reads: Counter[bool] = Counter()
     changing = False
     status = FollowingEntry._status
--- a/tests/test_entry_events.py
+++ b/tests/test_entry_events.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The log writer never blocks on its reader, and rate limits bound each kind."""
+"""The log writer never blocks, and a rate limit applies to each kind of event."""
 
 import json
 import os
--- a/tests/test_entry_whole.py
+++ b/tests/test_entry_whole.py
@@ -81,7 +81,7 @@
     while not all(
         any(e.get("change") == "lost" for e in entry.events()) for entry in entries
     ):
-        # The stand-in's outage does not affect calls that were already waiting.
+        # Wait for each entry: the outage does not affect calls already waiting.
         await asyncio.sleep(0.02)
     for name in site.targets:
         site.store.remove(f"servers/{name}")
@@ -112,7 +112,8 @@
         for entry in site.entries.values()
     ):
         await asyncio.sleep(0.02)
-    # n3 is alone in its region and lists the keys; n1 or n2 has the wider link.
+    # Restart n2: n1 is in its region. n3 is alone in its region and lists the keys
+    # itself. Of n1 and n2, one has the wider link.
     entry = site.entries["n2"]
     before = dict(site.store.calls)
     entry.send(signal.SIGKILL)
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -93,7 +93,7 @@
 
 
 def test_follower_role_moves_from_unserved_entry_and_back() -> None:
-    """A live entry kept the role even if the store did not answer it."""
+    """Fails if the role is assigned by liveness alone, without the store's answers."""
     third = Entry("a1-2")
     third.report_unserved("a1-0", True, NOW)
     assert third.role.follows(NOW)
@@ -104,16 +104,16 @@
 def test_unserved_entry_yields_role_and_retries() -> None:
     first = Entry("a1-0")
     first.role.failed(NOW)
-    assert first.role.unserved(NOW)
+    assert first.role.is_unserved(NOW)
     assert not first.role.follows(NOW)
     later = NOW + TRY_AGAIN_S * (1 + LEAST_OF_MEAN)
     first.receive_heartbeats(later)
     assert first.role.follows(later), "an unserved entry retries after the pause"
-    assert first.role.unserved(later), (
+    assert first.role.is_unserved(later), (
         "it stays unserved, so the next entry keeps the role"
     )
     first.role.answered(later)
-    assert not first.role.unserved(later)
+    assert not first.role.is_unserved(later)
 
 
 def test_widest_links_keep_trying_when_all_are_unserved() -> None:
@@ -186,7 +186,7 @@
 
 
 def test_queries_follow_the_order_of_links() -> None:
-    """The answer to the first entries saves the others their calls."""
+    """Once the first entries have an answer, the others need not query."""
     now = NOW + MAX_ANSWER_AGE_S + 0.07
     asking = []
     for i in range(4):
@@ -198,7 +198,7 @@
 
 
 def test_unserved_entries_keep_their_rank_in_the_query_order() -> None:
-    """Otherwise a large region queried at twice the store's permitted read rate."""
+    """Fails if failed queries promote other entries, which doubles the read rate."""
     third = Entry("a1-2")
     third.confirmation.peer_told(ToldAnswer(1, 9, 0), 1, NOW)
     now = NOW + MAX_ANSWER_AGE_S + 0.07
@@ -274,7 +274,7 @@
 
 
 def test_isolated_region_has_shorter_waits() -> None:
-    """Only its own followers can provide it with recent store answers."""
+    """The other regions are not alive, so only its own followers provide answers."""
     isolated = Entry("a1-0")
     later = NOW + 10.0
     for m in isolated.members:
