--- a/leverdoor/entry/shutdown.py
+++ b/leverdoor/entry/shutdown.py
@@ -31,7 +31,7 @@
     """Close idle connections until `IDLE_CHECKS` checks find no request in flight.
 
     Args:
-      handler: knows which connections have a request in flight.
+      handler: tracks the connections with a request in flight.
       server: owns the connections; its listener is already closed.
       until: loop time in seconds at which draining ends even if requests remain.
     """
@@ -53,7 +53,7 @@
     until the process ends. A request sent meanwhile is neither answered nor refused.
 
     Args:
-      handler: knows which connections have a request in flight.
+      handler: tracks the connections with a request in flight.
       server: owns the connections.
       previously_idle: the connections that were idle at the previous check.
     Returns: the open connections that are idle now.
--- a/leverdoor/entry/store_role.py
+++ b/leverdoor/entry/store_role.py
@@ -158,17 +158,20 @@
         """Return whether this entry follows the store now."""
         if now < self._temporary_until:
             return True
-        followers = self._settings().watchers
+        followers_per_region = self._settings().watchers
         if self._served.may_try(now):
-            return self._roles.follows_store(followers, now)
+            return self._roles.follows_store(followers_per_region, now)
         return self._roles.follows_store(
-            followers, now, self._unserved.all_known(now), self.is_unserved(now)
+            followers_per_region,
+            now,
+            self._unserved.all_known(now),
+            self.is_unserved(now),
         )
 
     def must_ask(self, now: float) -> bool:
         """Return whether this entry must query the store without being a follower.
 
-        It must when the newest answer behind its configuration is too old. Entries
+        It must if the newest answer that confirms its configuration is too old. Entries
         query in the order of their rank, so that only a few query first, and repeat a
         failed query no sooner than the read rate allows.
         """
@@ -247,11 +250,11 @@
           time_of_day: seconds since the epoch, roughly equal at all entries.
         """
         regions = self._membership.live_regions(now)
-        followers = self._settings().watchers
+        followers_per_region = self._settings().watchers
         rank = self._rank_among_served(now)
-        slots = followers * len(regions)
-        slot = regions.index(self._membership.own.region) * followers
-        slot += rank % followers
+        slots = followers_per_region * len(regions)
+        slot = regions.index(self._membership.own.region) * followers_per_region
+        slot += rank % followers_per_region
         cycle_s = min(MAX_WATCH_WAIT_S, slots * CONFIRM_INTERVAL_S)
         wait_s = (slot * cycle_s / slots - time_of_day) % cycle_s
         return wait_s if wait_s >= MIN_WATCH_WAIT_S else wait_s + cycle_s
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -37,9 +37,11 @@
     return Member(name, domain[0], domain, "f", "g", "p", 1, link_mbps)
 
 
-def site(size: int = 4) -> list[Member]:
-    """Return entries of three regions; a smaller number means a wider link."""
-    return [member(f"{r}1-{i}", 100 - i) for r in REGIONS for i in range(size)]
+def site(entries_per_region: int = 4) -> list[Member]:
+    """Return entries of three regions; a smaller suffix means a wider link."""
+    return [
+        member(f"{r}1-{i}", 100 - i) for r in REGIONS for i in range(entries_per_region)
+    ]
 
 
 def settings(own: Member, reads_per_s: float) -> EntrySettings:
@@ -56,8 +58,10 @@
 class Entry:
     """One entry's store role with the state it depends on."""
 
-    def __init__(self, name: str, size: int = 4, reads_per_s: float = 2_000.0) -> None:
-        members = site(size)
+    def __init__(
+        self, name: str, entries_per_region: int = 4, reads_per_s: float = 2_000.0
+    ) -> None:
+        members = site(entries_per_region)
         own = next(m for m in members if m.name == name)
         self.membership = Membership(own)
         self.members = [m for m in members if m is not own]
@@ -230,7 +234,7 @@
 
 def test_query_pause_grows_with_number_of_entries() -> None:
     """All entries together stay within a share of the read rate during an outage."""
-    one = Entry("a1-2", size=100)
+    one = Entry("a1-2", entries_per_region=100)
     one.role.asked()
     one.role.failed(NOW)
     mean_s = 300 * 2 / (0.025 * 2_000.0)
@@ -246,7 +250,7 @@
     later = NOW + TEMPORARY_FOLLOW_S
     third.receive_heartbeats(later)
     assert not third.role.follows(later)
-    late_ranked = Entry("a1-9", size=20)
+    late_ranked = Entry("a1-9", entries_per_region=20)
     late_ranked.role.asked()
     late_ranked.role.answered(NOW)
     assert not late_ranked.role.follows(NOW), (
