--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -25,7 +25,7 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import HeartbeatObservation
 from leverdoor.entry.membership.roles import Roles
-from leverdoor.entry.pauses import Pauses
+from leverdoor.entry.pause_detector import PauseDetector
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.placement_request import Placement, PlacementRequest
 from leverdoor.entry.placement.policy import PlacementPolicy
@@ -162,7 +162,7 @@
         membership.update_member(other, 0.0)
         row = DigestRow(member_id(other.name), 1, SERVING)
         membership.record_heartbeat(HeartbeatObservation(row, 1e6), 0.0)
-    pauses = Pauses(-60.0, lambda: 0.0)
+    pauses = PauseDetector(-60.0, lambda: 0.0)
     role = LimiterSelector(membership, lambda: SERVING, pauses)
     limited = [t for t in resources(30_000, 1) if isinstance(t, Target)]
     mine = [t for t in limited if role.own_share(t, 0.0)][:1]
--- a/leverdoor/entry/admin.py
+++ b/leverdoor/entry/admin.py
@@ -1,8 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry answers besides requests: readiness, directory, state, metrics.
+"""HTTP endpoints of an entry besides the proxy: readiness, directory, state, metrics.
 
-Owns the encoded answers to other entries at the state's present revision, a cache.
+Owns a cache of the deltas encoded at the current revision; it is lost with the process.
+Relies on the local copy of the store's state and on the entry's metrics.
 """
 
 import asyncio
@@ -18,26 +19,26 @@
 from leverdoor.storage.fetching import DEFLATE
 from leverdoor.storage.state import State
 
-__all__ = ["PULL_PATH", "AdminServer"]
+__all__ = ["STATE_PATH", "AdminServer"]
 
-PULL_PATH = "/v1/internal/state"
-"""Where other entries fetch what changed since a revision."""
+STATE_PATH = "/v1/internal/state"
+"""Path at which other entries fetch the state's changes since a revision."""
 METRICS_PATH = "/metrics"
-LONG_DELTA = 1_400
-"""Bytes beyond which a delta does not fit one packet and is compressed.
+COMPRESSION_THRESHOLD_BYTES = 1_400
+"""Size in bytes above which a delta exceeds one packet and is compressed.
 
-Smaller, processor time is spent on answers that are one packet anyway; greater, more
-bytes cross narrow links.
+A smaller value spends processor time on deltas that fit one packet anyway. A greater
+value sends more bytes over narrow links.
 """
-FAST_LEVEL = 1
-"""Level of zlib for states.
+ZLIB_LEVEL = 1
+"""zlib compression level for deltas.
 
-Greater levels hold up the loop, on which requests wait, for somewhat fewer bytes.
+Greater levels block the event loop, and so requests, for longer and save few bytes.
 """
 
 
 class AdminServer:
-    """The handler of all that is not a client's request."""
+    """Handles readiness checks, entry look-ups, state fetches and metrics scrapes."""
 
     def __init__(
         self,
@@ -46,60 +47,61 @@
         metrics: EntryMetrics,
         is_ready: Callable[[], bool],
         addresses: Callable[[str, str, float], list[str]],
-        ttl_s: float,
+        lookup_ttl_s: float,
     ) -> None:
-        """Create it.
+        """Create the server.
 
         Args:
-          wire: the paths and formats of the surroundings.
+          wire: the platform's paths and formats.
           state: the copy of the store that other entries may fetch.
           metrics: the entry's metrics.
-          is_ready: whether the entry serves.
-          addresses: entries to name, by a client's region and domain and the time.
-          ttl_s: how long an answer of the directory may be kept, in seconds.
+          is_ready: returns whether the entry serves requests.
+          addresses: returns entry addresses for a client's region and failure domain
+            at a loop time in seconds.
+          lookup_ttl_s: how long clients may cache a look-up, in seconds.
         """
         self._wire = wire
         self._state = state
         self._metrics = metrics
         self._is_ready = is_ready
         self._addresses = addresses
-        self._ttl_s = ttl_s
-        self._packed: dict[int, tuple[bytes, str]] = {}
-        """Data and its coding, by the revision that the asking entry has."""
-        self._packed_at = 0
-        """The state's revision at which they were encoded."""
+        self._lookup_ttl_s = lookup_ttl_s
+        self._encoded: dict[int, tuple[bytes, str]] = {}
+        """Encoded delta and its content coding, by the requesting entry's revision."""
+        self._encoded_revision = 0
+        """Target revision of the cached deltas."""
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer by the path."""
+        """Dispatch a request by its path; unknown paths get status 404."""
         path = request.path
         if path == self._wire.resolve_path:
-            return self._resolve(request)
+            return self._handle_lookup(request)
         if path == self._wire.ready_path:
             return web.Response(status=200 if self._is_ready() else 503)
-        if path == PULL_PATH:
-            return self._delta(request)
+        if path == STATE_PATH:
+            return self._handle_state_fetch(request)
         if path == METRICS_PATH:
             return web.Response(body=self._metrics.text(), content_type="text/plain")
         return web.Response(status=404)
 
-    def _delta(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Send another entry what it lacks, compressed if it is long.
+    def _handle_state_fetch(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Return the changes since the requested revision, compressed if they are long.
 
-        When something has just changed, many entries fetch the same.
+        The encoded delta is cached because many entries fetch it after a change.
         """
         since = bounded_int(request.query, "since", 0)
         revision = self._state.revision
-        if self._packed_at != revision:
-            self._packed_at = revision
-            self._packed.clear()
-        packed = self._packed.get(since)
-        if packed is None:
-            packed = self._packed[since] = _compressed(pack(self._state.delta(since)))
-        data, coding = packed
+        if self._encoded_revision != revision:
+            self._encoded_revision = revision
+            self._encoded.clear()
+        encoded = self._encoded.get(since)
+        if encoded is None:
+            encoded = self._encoded[since] = _compress(pack(self._state.delta(since)))
+        data, coding = encoded
         return web.Response(body=data, headers={"Content-Encoding": coding})
 
-    def _resolve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Name the entries that a client may use; 503 if there are none."""
+    def _handle_lookup(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Return the entries that a client may use; status 503 if there are none."""
         self._metrics.lookups.inc()
         lookup = self._wire.parse_resolve(request.query)
         now = asyncio.get_running_loop().time()
@@ -107,13 +109,13 @@
         if not addresses:
             return web.Response(status=503)
         return web.Response(
-            body=self._wire.serialize_resolve(addresses, self._ttl_s),
+            body=self._wire.serialize_resolve(addresses, self._lookup_ttl_s),
             content_type="application/json",
         )
 
 
-def _compressed(data: bytes) -> tuple[bytes, str]:
-    """Return the bytes to send, and the name of their coding."""
-    if len(data) <= LONG_DELTA:
+def _compress(data: bytes) -> tuple[bytes, str]:
+    """Return the data as it is sent, and its content coding."""
+    if len(data) <= COMPRESSION_THRESHOLD_BYTES:
         return data, "identity"
-    return zlib.compress(data, FAST_LEVEL), DEFLATE
+    return zlib.compress(data, ZLIB_LEVEL), DEFLATE
--- a/leverdoor/entry/configuration/catalog_manager.py
+++ b/leverdoor/entry/configuration/catalog_manager.py
@@ -17,7 +17,7 @@
 from leverdoor.entry.configuration.expired_registrations import ExpiredRegistrations
 from leverdoor.entry.configuration.outage import Outage
 from leverdoor.entry.events import Events
-from leverdoor.entry.wire import Configured, Wire
+from leverdoor.entry.wire import StoreContents, Wire
 from leverdoor.model.resources import Target
 from leverdoor.storage.state import State
 
@@ -29,7 +29,7 @@
 This is enough to find the wrong home regions; more pairs only make the line longer.
 """
 
-CatalogListener: TypeAlias = Callable[[Catalog, Catalog, Configured], None]
+CatalogListener: TypeAlias = Callable[[Catalog, Catalog, StoreContents], None]
 """Receives the previous catalog, the new one and its source configuration."""
 
 
--- a/leverdoor/entry/configuration/confirmation.py
+++ b/leverdoor/entry/configuration/confirmation.py
@@ -30,7 +30,7 @@
 MAX_KNOWN_ANSWERS = 32
 """Maximum number of recorded answers; the oldest are dropped.
 
-More than the number of answers reported within `store_role.STALE_S`.
+More than the number of answers reported within `store_role.MAX_ANSWER_AGE_S`.
 """
 MAX_PENDING_REVISIONS = 16
 """Maximum number of newer revisions with recorded answers; the lowest are dropped.
--- a/leverdoor/entry/configuration/left_out.py
+++ b/leverdoor/entry/configuration/left_out.py
@@ -12,7 +12,7 @@
 
 from leverdoor.entry.events import Events
 from leverdoor.entry.metrics import EntryMetrics
-from leverdoor.entry.wire import LeftOut
+from leverdoor.entry.wire import LeftOutRegistration
 
 __all__ = ["LeftOutReporter"]
 
@@ -40,7 +40,7 @@
         self._suppressed_count = 0
         """Registrations not logged since the last line, because of the maximum."""
 
-    def take(self, left_out: Iterable[LeftOut], now: float) -> None:
+    def take(self, left_out: Iterable[LeftOutRegistration], now: float) -> None:
         """Replace the registrations that are left out, and log the changed ones.
 
         Args:
@@ -59,9 +59,9 @@
         for registration in changed:
             self._log(registration, now)
         causes = Counter(registration.cause for registration in present.values())
-        self._metrics.show_left_out(causes)
+        self._metrics.set_left_out_registrations(causes)
 
-    def _log(self, registration: LeftOut, now: float) -> None:
+    def _log(self, registration: LeftOutRegistration, now: float) -> None:
         if now - self._window_start >= LINE_LIMIT_WINDOW_S:
             self._window_start = now
             self._lines_in_window = 0
--- a/leverdoor/entry/control_plane.py
+++ b/leverdoor/entry/control_plane.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The parts of an entry that follow the store and exchange messages with other entries.
+"""The control plane of an entry: store following, registration and peer messages.
 
-Owns who the other entries are and when they were last seen (membership), what is sent
-to whom (exchange), the entry's registration in the store, and its turn as a follower of
-the store. All of it is lost with the process and found again from the store and from
-heartbeats. Relies on the store, on the UDP and HTTP addresses of the other entries, and
+Owns the ranking of entries (`Roles`), the exchange of messages, the entry's
+registration, and its decision to follow the store (`StoreRole`). All of it is lost
+with the process and restored from the store and from heartbeats. Relies on the entry's
+membership view, on the store, on the UDP and HTTP addresses of the other entries, and
 on the copy of the store's state that `configuration` compiles.
 """
 
@@ -36,15 +36,16 @@
 __all__ = ["ControlPlane", "create_member"]
 
 STORE_BACKOFF_S = 1.0
-"""Longest pause between calls to a store that is away, in seconds.
+"""Maximum pause between calls to an unreachable store, in seconds.
 
-With the spread of half of it, changes are read again within 2 s of its return. Greater,
-they are later; smaller, all followers load a store that is just coming back.
+With a jitter of half of it, entries read changes within 2 s of the store's return. A
+greater value delays them. With a smaller value, all followers load a store that is just
+recovering.
 """
 
 
 def create_member(settings: EntrySettings) -> Member:
-    """Return this process as other entries know it, with a new incarnation."""
+    """Return this process's membership record, with a new incarnation."""
     return Member(
         settings.name,
         settings.region,
@@ -58,7 +59,7 @@
 
 
 class ControlPlane:
-    """What keeps one entry in step with the store and with other entries."""
+    """Synchronizes one entry with the store and with the other entries."""
 
     def __init__(
         self,
@@ -70,23 +71,23 @@
         take_update: PeerUpdateHandler,
         take_room: PermitMessageHandler,
     ) -> None:
-        """Create all parts; nothing is opened yet.
+        """Create all components without opening any socket or connection.
 
         Args:
-          context: the entry's settings and surroundings.
-          state: the copy of the store.
-          keeper: compiles the copy.
-          membership: the entries known.
-          status: returns what heartbeats say of this entry.
-          take_update: called with what other entries reported, and the loop time.
-          take_room: called with questions for room at targets, and their answers.
+          context: the entry's settings and external dependencies.
+          state: the local copy of the store's state.
+          keeper: compiles that copy into the catalogue in force.
+          membership: the known entries.
+          status: returns the status that this entry's heartbeats carry.
+          take_update: called with reports of other entries and the loop time in s.
+          take_room: called with requests for capacity at targets, and their replies.
         """
         self._context = context
         self._state = state
         self._catalog_manager = catalog_manager
         self._membership = membership
         self._settings = context.settings
-        self._peers_read = asyncio.Event()
+        self._peers_discovered = asyncio.Event()
         self._roles = Roles(membership, context.rng)
         self.exchange = Exchange(membership, self._roles)
         self.peers = PeerLink(
@@ -109,10 +110,10 @@
             lambda: self._settings,
             context.rng,
         )
-        self._clocked_role = _ClockedRole(
+        self._follower_role = _FollowerRoleAdapter(
             self._store_role,
             self._joining,
-            self._take_store_answer,
+            self._on_store_answer,
             context.time_of_day,
         )
         self._follower = self._create_follower()
@@ -143,80 +144,83 @@
         return StoreFollower(
             self._context.store,
             self._state,
-            self._clocked_role,
+            self._follower_role,
             self._context.rng,
             prefix="",
             longest_backoff_s=STORE_BACKOFF_S,
-            on_change=self._store_changed,
+            on_change=self._on_reachability_change,
         )
 
     def reload(self, settings: EntrySettings) -> None:
-        """Take settings that changed while the entry runs."""
+        """Apply settings that changed while the entry runs."""
         self._settings = settings
 
     async def join_and_follow(self) -> None:
-        """Find the others, get the state, then follow the store while elected."""
-        if not self._peers_read.is_set():
+        """Discover the other entries, fetch the state, then run the store follower."""
+        if not self._peers_discovered.is_set():
             registered = await self._joining.discover_peers()
             self.registration.adopt(registered.get(self._own_key))
-            self._peers_read.set()
+            self._peers_discovered.set()
             await self._joining.fetch_state(self._settings.watchers)
         await self._follower.run()
 
     async def register(self) -> None:
-        """Keep the entry registered in the store, once the others were read."""
-        await self._peers_read.wait()
+        """Keep the entry registered in the store once discovery has finished."""
+        await self._peers_discovered.wait()
         await self.registration.run()
 
     @property
     def _own_key(self) -> str:
-        """The key under which this entry registers in the store."""
+        """The key of this entry's registration in the store."""
         return self._context.wire.peer_key(self._membership.own.name)
 
     def _registration_pause_s(self) -> float:
-        """Return the pause after a failed registration, in seconds."""
+        """Return the mean pause after a failed registration, in seconds."""
         writes_per_s = self._settings.store_writes_per_s
         return mean_retry_pause_s(self._membership.count, writes_per_s)
 
     def follows_store(self) -> bool:
         """Return whether this entry follows the store now."""
-        return self._clocked_role.follows()
+        return self._follower_role.follows()
 
-    def take_answer(self, told: ReportedAnswer, now: float) -> None:
-        """Take what another entry's revision rests on.
+    def receive_confirmation(self, report: ReportedAnswer, now: float) -> None:
+        """Process another entry's report of its newest store answer.
 
-        Who lacked a recent answer passes it on at once, so that those who lack one as
-        well don't ask the store for it.
+        If this entry lacked a recent answer, it forwards the new one at once, so that
+        other entries that lack one do not query the store.
         """
         was_stale = self._store_role.is_stale(now)
         self._catalog_manager.confirmation.record_peer_answer(
-            told, self._state.revision, now
+            report, self._state.revision, now
         )
         if was_stale and not self._store_role.is_stale(now):
             self.peers.schedule_announcement()
 
-    def _take_store_answer(self) -> None:
-        """Record that the store answered here, as `take_answer` does of others."""
+    def _on_store_answer(self) -> None:
+        """Record a store answer; forward it if this entry lacked a recent one."""
         was_stale = self._store_role.is_stale(asyncio.get_running_loop().time())
         self._catalog_manager.record_store_answer()
         if was_stale:
             self.peers.schedule_announcement()
 
     def is_unserved(self, now: float) -> bool:
-        """Return whether the store does not answer this entry."""
-        return self._store_role.unserved(now)
+        """Return whether the store recently failed to answer this entry."""
+        return self._store_role.is_unserved(now)
 
-    def _store_changed(self, reachable: bool, why: str) -> None:
-        """Record that the store was lost, or answers again."""
+    def _on_reachability_change(self, reachable: bool, reason: str) -> None:
+        """Record and log that the store became unreachable or reachable."""
         self._catalog_manager.outage.record_reachability(
             reachable, asyncio.get_running_loop().time()
         )
         change = "answers" if reachable else "lost"
-        self._context.events.store(change, self._state.revision, why)
+        self._context.events.store(change, self._state.revision, reason)
 
 
-class _ClockedRole(FollowerRole):
-    """An entry's role by its clocks; none before it has joined the others."""
+class _FollowerRoleAdapter(FollowerRole):
+    """Supplies a `StoreRole` with clock readings.
+
+    The entry neither follows nor queries the store until it has joined the others.
+    """
 
     def __init__(
         self,
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -1,11 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The entry daemon: starts the parts of one entry, runs its loops, and ends it.
+"""The entry daemon: creates the components of an entry, runs its loops, and stops it.
 
-Owns the state that other entries and the platform see (starting, serving, leaving) and
-the listening sockets. What serves requests stands in `data_plane`, what follows the
-store and other entries in `control_plane`; between the two the daemon passes newer
-catalogues and what other entries reported. Everything runs on one event loop.
+Owns the lifecycle state that other entries and the platform see (starting, serving,
+leaving) and the listening sockets; both are lost with the process. Relies on
+`data_plane` to serve requests and on `control_plane` to follow the store and exchange
+messages with other entries. The daemon passes new catalogues and peer reports between
+the two. Everything runs on one event loop.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 from aiohttp import web
 
 from leverdoor.entry.admin import AdminServer
-from leverdoor.entry.bounds import SHARE_UPDATE_ROUNDS, WARM_SENT_S
+from leverdoor.entry.bounds import SHARE_UPDATE_ROUNDS, WARM_KEY_REPORT_S
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.configuration.catalog_manager import CatalogManager
 from leverdoor.entry.configuration.confirmation import ANSWER_COUNTER_BITS, Confirmation
@@ -33,8 +34,8 @@
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.quarantine_records import QuarantineRecords
 from leverdoor.entry.settings import EntrySettings, reload_settings
-from leverdoor.entry.shutdown import STOP_POLL_S, finish
-from leverdoor.entry.wire import Configured, Wire
+from leverdoor.entry.shutdown import STOP_POLL_S, drain
+from leverdoor.entry.wire import StoreContents, Wire
 from leverdoor.lifecycle import keep_running
 from leverdoor.settings import Address
 from leverdoor.storage.state import Delta, State
@@ -42,34 +43,37 @@
 
 __all__ = ["Entry"]
 
-SWEEP_HEARTBEATS = 5
-"""Rounds of heartbeats between two clean-ups: 1 s.
+SWEEP_ROUNDS = 5
+"""Heartbeat rounds between two sweeps of expired state: 1 s.
 
-What is cleaned up ages over seconds. Greater, idle connections and metrics are late;
-smaller, an entry spends processor time on them.
+State expires after seconds. With a greater value, idle connections are closed late and
+metrics lag. A smaller value costs processor time.
 """
-LISTEN_ON_S = 2.2
+LEAVE_LISTEN_S = 2.2
 """How long a leaving entry accepts connections, in seconds.
 
-A cached look-up lasts 2 s; 0.2 s, a round of heartbeats, is added. Smaller, clients
-with a cached look-up are refused connections; greater, a stop takes longer.
+Clients cache a look-up for 2 s; one heartbeat round of 0.2 s is added. With a smaller
+value, clients with a cached look-up are refused connections. A greater value prolongs a
+stop.
 """
 STOP_MARGIN_S = 0.4
-"""Seconds before the end of the grace by which an entry ends itself.
+"""Time reserved at the end of the grace period for the shutdown, in seconds.
 
-It closes its sockets and writes its last log lines. Greater, requests in flight get
-less time; smaller, the platform may kill the process in between.
+In it the entry closes its sockets and writes its last log lines. With a greater value,
+requests in flight get less time. With a smaller value, the platform may kill the
+process during the shutdown.
 """
 BACKLOG = 512
-"""Connections that wait to be accepted.
+"""Listen backlog: maximum number of connections that wait to be accepted.
 
-A second of new ones at a burst. Smaller, clients' connections are dropped by the kernel
-while the loop is busy; greater, they wait beyond their deadlines.
+It holds one second of new connections in a burst. With a smaller value, the kernel
+drops clients' connections while the event loop is busy. With a greater value,
+connections wait beyond the deadlines of their requests.
 """
 
 
 class Entry:
-    """One entry process."""
+    """The components and the lifecycle of one entry process."""
 
     def __init__(
         self,
@@ -79,14 +83,14 @@
         events: Events,
         network: PeerNetwork | None = None,
     ) -> None:
-        """Create an entry; nothing is opened yet.
+        """Create an entry without opening any socket or connection.
 
         Args:
-          settings: at its start.
-          store: the platform's service.
-          wire: translates what comes from the platform.
-          events: the log.
-          network: the way to other entries; sockets if left out.
+          settings: the initial settings.
+          store: the platform's key-value store.
+          wire: the platform's names, paths and formats.
+          events: the event log.
+          network: the transport to other entries; sockets by default.
         """
         self._settings = settings
         self._store = store
@@ -98,22 +102,22 @@
         self._servers: list[asyncio.Server] = []
 
     def stop(self) -> None:
-        """Ask the entry to leave: finish all in flight, then end."""
+        """Request a planned stop: finish the requests in flight, then end."""
         self._stop.set()
 
     def reload(self, settings: EntrySettings) -> None:
-        """Take settings that changed; addresses and places stay as they are."""
-        reloaded = reload_settings(self._settings, settings)
-        self._settings = reloaded.settings
-        self._data.reload(reloaded.settings)
-        self._control.reload(reloaded.settings)
+        """Apply changed settings; those that require a restart keep their values."""
+        result = reload_settings(self._settings, settings)
+        self._settings = result.settings
+        self._data.reload(result.settings)
+        self._control.reload(result.settings)
         self._events.process(
-            "reload", changed=reloaded.changed, left_as_they_are=reloaded.left
+            "reload", changed=result.changed, left_as_they_are=result.restart_required
         )
 
     async def run(self) -> None:
-        """Serve until stopped and everything in flight has ended."""
-        self._build()
+        """Serve until a stop is requested and the entry has left."""
+        self._create_components()
         s = self._settings
         self._events.process(
             "start",
@@ -134,7 +138,7 @@
             self._heartbeat,
             self._keep_records,
         )
-        tasks = [asyncio.create_task(keep_running(w.__qualname__, w)) for w in loops]
+        tasks = [asyncio.create_task(keep_running(f.__qualname__, f)) for f in loops]
         try:
             await self._stop.wait()
             await self._leave(front)
@@ -145,29 +149,29 @@
             await self._close()
         self._events.process("end")
 
-    # Parts.
+    # Components.
 
-    def _build(self) -> None:
-        """Create all parts; nothing is opened yet."""
+    def _create_components(self) -> None:
+        """Create all components without opening any socket or connection."""
         s = self._settings
         rng = Random(s.seed or None)
         context = EntryContext(
             s, self._store, self._network, self._wire, self._events, rng
         )
         self._store_copy = State()
-        self._store_copy.changes.subscribe(self._take_delta)
+        self._store_copy.changes.subscribe(self._on_delta)
         self._catalog_manager = CatalogManager(
             self._wire,
             self._store_copy,
             Confirmation(member_id(s.name), rng.getrandbits(ANSWER_COUNTER_BITS)),
             self._events,
             s.leave_s,
-            self._take_catalog,
+            self._on_catalog,
         )
         self._membership = Membership(create_member(s))
         self._entry_selector = EntrySelector(self._membership)
         self._metrics = EntryMetrics()
-        self._left_out = LeftOutReporter(self._events, self._metrics)
+        self._left_out_report = LeftOutReporter(self._events, self._metrics)
         self._data = DataPlane(
             context,
             self._catalog_manager,
@@ -182,7 +186,7 @@
             self._catalog_manager,
             self._membership,
             self._status,
-            self._take_update,
+            self._on_peer_update,
             self._data.limits.take,
         )
         self._records = QuarantineRecords(
@@ -226,7 +230,7 @@
         await self._control.peers.close()
         await self._store.close()
 
-    # The loops; their names are logged.
+    # Loops. Their names appear in the log through `keep_running`.
 
     async def _join_and_follow(self) -> None:
         await self._control.join_and_follow()
@@ -238,24 +242,24 @@
         await self._records.run()
 
     async def _heartbeat(self) -> None:
-        """Send heartbeats and digests, and expire what has grown old."""
+        """Run the heartbeat rounds, share updates and sweeps until cancelled."""
         loop = asyncio.get_running_loop()
-        turn = 0
+        rounds = 0
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
-            turn += 1
+            rounds += 1
             now = loop.time()
-            self._data.count_entries()
-            self._data.judge_requests(now)
+            self._data.update_entry_count()
+            self._data.update_quarantine(now)
             self._control.peers.round(now)
-            if turn % SHARE_UPDATE_ROUNDS == 0:
+            if rounds % SHARE_UPDATE_ROUNDS == 0:
                 shares = self._control.exchange.region_shares()
                 self._data.placement.shares.update([shares], now)
-            if turn % SWEEP_HEARTBEATS == 0:
+            if rounds % SWEEP_ROUNDS == 0:
                 self._sweep(now)
 
     def _sweep(self, now: float) -> None:
-        """Drop what has grown old, and report what changed."""
+        """Drop expired state, update gauges, and log changes of peers and shares."""
         self._data.connections.close_expired(now)
         self._membership.forget(now)
         self._control.exchange.forget(now)
@@ -268,10 +272,10 @@
         for service, shares in self._data.placement.shares.take_shares_to_log().items():
             self._events.shares(service, shares)
 
-    # Between the store, other entries and requests.
+    # Data flow between the store, other entries and the request path.
 
-    def _take_delta(self, _: Delta) -> None:
-        """Compile a newer state, and announce it to other entries."""
+    def _on_delta(self, _: Delta) -> None:
+        """Compile a newer state, announce it, and serve once configured."""
         self._catalog_manager.compile()
         self._metrics.revision.set(self._store_copy.revision)
         self._control.peers.schedule_announcement()
@@ -280,28 +284,31 @@
             self._events.process("ready", version=self._catalog_manager.catalog.version)
             self._control.peers.announce()
 
-    def _take_catalog(
-        self, before: Catalog, catalog: Catalog, configured: Configured
+    def _on_catalog(
+        self, previous: Catalog, catalog: Catalog, contents: StoreContents
     ) -> None:
-        """Put a newer catalogue in force in all parts."""
+        """Put a newer catalogue in force in all components."""
         now = asyncio.get_running_loop().time()
-        self._membership.add_registered(configured.peers, now)
-        self._records.take(configured.held, now)
-        self._left_out.take(configured.left_out, now)
-        self._data.renew(before, catalog, now)
+        self._membership.add_registered(contents.peers, now)
+        self._records.take(contents.held_records, now)
+        self._left_out_report.take(contents.left_out, now)
+        self._data.renew(previous, catalog, now)
         exchange = self._control.exchange
         exchange.target_count_codec.renew(catalog.target_names_by_region)
         workspaces = catalog.workspaces.by_name.values()
         exchange.use.renew(self._data.quotas.admission_limits(workspaces))
 
-    def _take_update(self, update: PeerUpdate, now: float) -> None:
-        """Give the other parts what other entries reported."""
+    def _on_peer_update(self, update: PeerUpdate, now: float) -> None:
+        """Distribute the reports of other entries to the components."""
         self._data.receive(update, now)
         self._catalog_manager.outage.record_peer_report(update.outage_age_ms, now)
-        self._control.take_answer(update.answer, now)
+        self._control.receive_confirmation(update.answer, now)
 
     def _status(self) -> EntryStatus:
-        """Return what heartbeats say of this entry."""
+        """Return the status for the next heartbeat.
+
+        Reading the status counts as reporting it.
+        """
         now = asyncio.get_running_loop().time()
         return EntryStatus(
             self._state,
@@ -309,7 +316,7 @@
             self._data.fleet.in_flight(),
             self._data.placement.shares.shares_to_send(),
             self._catalog_manager.outage.age_ms(now),
-            self._data.placement.warm_keys.queued_within(WARM_SENT_S, now),
+            self._data.placement.warm_keys.queued_within(WARM_KEY_REPORT_S, now),
             self._data.quotas.report(now),
             self._data.quotas.counting_for_s(now),
             self._catalog_manager.confirmation.newest_answer(
@@ -323,18 +330,18 @@
     # Leaving.
 
     async def _leave(self, front: asyncio.Server) -> None:
-        """Leave the directory, serve cached look-ups for a while, finish, end."""
+        """Announce the leave, serve clients with cached look-ups, then drain."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started = loop.time()
         self._state = LEAVING
         handler = self._data.handler
         handler.leaving = True
         self._events.process("leaving", in_flight=handler.active_count)
         self._control.peers.announce_leave()
-        removal = asyncio.create_task(self._control.registration.end())
-        await asyncio.sleep(LISTEN_ON_S)
+        deregistration = asyncio.create_task(self._control.registration.end())
+        await asyncio.sleep(LEAVE_LISTEN_S)
         front.close()
-        last = began + self._settings.grace_s - STOP_MARGIN_S
-        await finish(handler, self._data.server, last)
-        removal.cancel()
+        deadline = started + self._settings.grace_s - STOP_MARGIN_S
+        await drain(handler, self._data.server, deadline)
+        deregistration.cancel()
         self._events.process("drained", in_flight=handler.active_count)
--- a/leverdoor/entry/data_plane.py
+++ b/leverdoor/entry/data_plane.py
@@ -1,12 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The parts of an entry that serve requests, and how they are connected.
+"""The data plane of an entry: the components that serve requests.
 
-Owns the loads and run times of targets (fleet), the regions' shares of keys
-(placement), connections to targets, targets' limits, the use of quotas, the retry
-budget, and which requests are held back. All of it is lost with the process and learned
-again from answers and other entries; what is held back also from the store. Relies on
-the catalogue in force (`configuration`) and on the entries known (`membership`).
+Owns the loads and execution times of targets (fleet), the regions' shares of keys
+(placement), connections to targets, targets' limits, quota usage, the retry budget, and
+the quarantine of requests. All of it is lost with the process and learned again from
+responses and other entries, the quarantine also from the store. Relies on the catalogue
+in force (`configuration`) and on the known entries (`membership`).
 """
 
 import asyncio
@@ -15,12 +15,12 @@
 from aiohttp import web
 
 from leverdoor.entry.bounds import (
-    MOVED_SHARE,
-    RETRIES_FIRST,
-    RETRIES_SAVED,
-    RETRY_SHARE,
+    INITIAL_RETRIES,
+    MAX_SAVED_RETRIES,
+    RETRY_FRACTION,
+    SHIFT_FRACTION,
     SHIFT_WINDOW_S,
-    retries_saved,
+    max_saved_retries,
 )
 from leverdoor.entry.configuration.catalog import Catalog
 from leverdoor.entry.configuration.catalog_manager import CatalogManager
@@ -55,7 +55,7 @@
 
 
 class DataPlane:
-    """What serves the requests of one entry."""
+    """Creates and connects the components that serve requests in one entry."""
 
     def __init__(
         self,
@@ -66,15 +66,15 @@
         state: Callable[[], EntryState],
         ask_room: Callable[[PermitRequest, str], None],
     ) -> None:
-        """Create all parts; nothing is opened yet.
+        """Create all components without opening any socket or connection.
 
         Args:
-          context: the entry's settings and surroundings.
-          keeper: has the configuration in force.
-          membership: the entries known.
-          metrics: what is counted.
-          state: returns the state of this entry.
-          ask_room: sends a question for room to an address.
+          context: the entry's settings and external dependencies.
+          keeper: provides the catalogue in force.
+          membership: the known entries.
+          metrics: the entry's metrics.
+          state: returns the lifecycle state of this entry.
+          ask_room: sends a request for capacity at a target to another entry's address.
         """
         s = context.settings
         self._context = context
@@ -94,8 +94,8 @@
         )
         now = asyncio.get_running_loop().time()
         self.quotas = Quotas(s.quotas, context.rng, now, first_start=s.first_start)
-        ratio = s.repeat_ratio * RETRY_SHARE
-        self._budget = RetryBudget(ratio, RETRIES_SAVED, RETRIES_FIRST)
+        ratio = s.repeat_ratio * RETRY_FRACTION
+        self._budget = RetryBudget(ratio, MAX_SAVED_RETRIES, INITIAL_RETRIES)
         self.quarantine = Quarantine()
         self._metrics = metrics
         self.handler = self._create_handler(metrics)
@@ -103,7 +103,7 @@
 
     def _create_placement(self) -> PlacementPolicy:
         s = self._context.settings
-        move_per_s = s.max_shift * MOVED_SHARE / SHIFT_WINDOW_S
+        move_per_s = s.max_shift * SHIFT_FRACTION / SHIFT_WINDOW_S
         policy = PlacementPolicy(
             s.region, s.domain, self.fleet, self._context.rng, move_per_s
         )
@@ -135,7 +135,7 @@
             self._budget,
             self.quotas,
             self.quarantine,
-            CrashChecker(self.connections.probe, self._take_checked),
+            CrashChecker(self.connections.probe, self._on_target_checked),
             events,
         )
         return EntryHandler(
@@ -144,7 +144,7 @@
             forwarder,
             self.quotas,
             self.quarantine,
-            self._tries,
+            self._runs_trials,
             events,
             metrics,
             self._catalog,
@@ -154,26 +154,26 @@
         return self._catalog_manager.catalog
 
     def _keys_confirmed(self, now: float) -> bool:
-        longest_s = self._context.settings.confirm_within_s
-        return self._catalog_manager.confirmation.holds(longest_s, now)
+        max_age_s = self._context.settings.confirm_within_s
+        return self._catalog_manager.confirmation.holds(max_age_s, now)
 
-    def _tries(self, fingerprint: int) -> bool:
-        """Return whether this entry tries a request that is held back, for all."""
+    def _runs_trials(self, fingerprint: int) -> bool:
+        """Return whether this entry runs a quarantined request's trials for all."""
         own = self._membership.own.name
         return is_trial_owner(own, self._membership.names(), fingerprint)
 
-    def _take_checked(
+    def _on_target_checked(
         self,
         target: Target,
         found: TargetCheckResult,
         runs: list[LostRun],
         took_s: float,
     ) -> None:
-        """Take what was found of a target that lost the answers of some runs.
+        """Process the check of a target that closed connections without a response.
 
-        They are noted if it ended. One that had left service ended as planned, which
-        says nothing of its requests: long ones are cut at each target of a release in
-        turn.
+        If the target ended while in service, its lost runs are reported to the
+        quarantine. Runs lost to a planned stop are not, because a rollout cuts long
+        requests off at one target after another.
         """
         events = self._context.events
         events.target_checked(
@@ -192,14 +192,14 @@
         for run in runs:
             self.quarantine.record_crash(target_id(target.name), run, now)
 
-    def judge_requests(self, now: float) -> None:
-        """Hold back the requests that count as causes of ended targets by now."""
+    def update_quarantine(self, now: float) -> None:
+        """Quarantine requests identified as the cause of ended targets."""
         for change in self.quarantine.judge(now):
             self._context.events.quarantine(change)
         self._metrics.quarantined.set(len(self.quarantine.holds))
 
     def create_connection(self) -> ClientConnection:
-        """Create the protocol of a client's connection, with the limits in force."""
+        """Create the protocol of a client connection, with the limits in force."""
         loop = asyncio.get_running_loop()
         limits = self._catalog_manager.catalog.limits
         return ClientConnection(
@@ -207,45 +207,45 @@
         )
 
     def reload(self, settings: EntrySettings) -> None:
-        """Take settings that changed while the entry runs."""
-        self._budget.ratio = settings.repeat_ratio * RETRY_SHARE
+        """Apply settings that changed while the entry runs."""
+        self._budget.ratio = settings.repeat_ratio * RETRY_FRACTION
 
-    def renew(self, before: Catalog, catalog: Catalog, now: float) -> None:
-        """Serve by a newer catalogue from now on."""
-        self.count_entries()
+    def renew(self, previous: Catalog, catalog: Catalog, now: float) -> None:
+        """Put a newer catalogue in force for the request path."""
+        self.update_entry_count()
         self.fleet.renew(catalog.targets, now, catalog.services.values())
         self.limits.renew(catalog.targets)
         self._reports.renew(catalog.targets)
         self.connections.max_connections = {
             s.name: s.connections for s in catalog.services.values()
         }
-        for name in before.usable_target_names - catalog.usable_target_names:
+        for name in previous.usable_target_names - catalog.usable_target_names:
             self.connections.close_idle(name)
         self.placement.renew(catalog)
 
     def receive(self, update: PeerUpdate, now: float) -> None:
-        """Take what other entries reported of targets, keys, quotas and requests."""
+        """Process reports of other entries on targets, keys, quotas and requests."""
         self.quarantine.receive(update.notices, now)
         self.limits.receive_from_peers(update.limits)
         if update.others_in_flight is not None:
             self.fleet.receive(SUM_OF_PEERS, update.others_in_flight, now)
         self.placement.warm_keys.receive(update.warm_keys, now)
         if update.use is not None:
-            self.count_entries()
+            self.update_entry_count()
             self.quotas.receive(update.use, now)
 
     def forget(self, now: float) -> None:
-        """Drop what has grown old of targets, and show how many take no requests."""
+        """Drop expired state of targets; update the gauges of unavailable targets."""
         self.limits.forget(now)
         self.fleet.forget(now)
         self._metrics.leaving_targets.set(self.fleet.leaving_count())
         self._metrics.resting_targets.set(self.fleet.resting_count(now))
 
-    def count_entries(self) -> None:
-        """Count the entries that share what holds for all of them together."""
+    def update_entry_count(self) -> None:
+        """Apply the number of known entries to quotas, connections and retries."""
         count = self._membership.count
         self.quotas.entries = count
         self.connections.entries = count
-        self._budget.max_balance = retries_saved(
+        self._budget.max_balance = max_saved_retries(
             self._context.settings.repeat_slack, count
         )
--- a/leverdoor/entry/events.py
+++ b/leverdoor/entry/events.py
@@ -1,12 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Every event that an entry logs: named here, bounded, never blocking.
+"""Structured event log of an entry: one method per kind of event.
 
-A line is one JSON object. Each kind has a budget of lines a second; what is left out is
-counted in the next line of the kind (`left_out`).
+Each line is one JSON object. A token bucket limits the lines of each kind; the next
+line of a kind reports the number of suppressed lines in `left_out`.
 
-Owns the budgets of kinds, lost with the process. Relies on `log_writer`: a reader that
-does not read costs lines, never time.
+Owns the rate limiters of the kinds; they are lost with the process. Relies on
+`log_writer`, which drops lines rather than wait for a slow reader.
 """
 
 import time
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from leverdoor.entry.log_writer import LineBudget, LineWriter
+from leverdoor.entry.log_writer import LineRateLimiter, LineWriter
 from leverdoor.errors import Refusal
 from leverdoor.quarantine.fingerprint import fingerprint_text
 
@@ -25,46 +25,46 @@
 __all__ = ["Events"]
 
 
-MOST_LOGGED_TEXT = 80
-"""Characters of a foreign text in a line: enough to find where it is set."""
+MAX_LOGGED_CHARACTERS = 80
+"""Maximum characters logged of an external text, enough to locate its origin."""
 
 
 class Events:
-    """The log of one entry; one method for each kind of event.
-
-    Fields of `attempt` whose names do not say all: `load_age_ms` is the time since the
-    newest report or digest about the target arrived, not the age of what it counts;
-    `rank` is the target's place in its region's order for the key; `seen` says that an
-    entry had an answer for the key from there; `limit_per_s` is what the entry took the
-    target's limit to be, null for none; `version` is the configuration by which
-    the request was routed.
+    """The event log of one entry, with one method for each kind of event.
+
+    Some fields of `attempt` need explanation: `load_age_ms` is the time since the
+    newest report or digest about the target arrived, not the age of the counted load;
+    `rank` is the target's position in its region's order for the key; `seen` means that
+    some entry has received an answer for the key from the target; `limit_per_s` is the
+    target's limit as known to the entry, null for none; `version` is the version of the
+    configuration that routed the request.
     """
 
     def __init__(self, writer: LineWriter, entry: str) -> None:
-        """Create it.
+        """Create the log.
 
         Args:
-          writer: where lines go.
+          writer: writes the lines.
           entry: this entry's name.
         """
         self._writer = writer
         self._entry = entry
-        self._budgets: dict[str, LineBudget] = {}
+        self._limiters: dict[str, LineRateLimiter] = {}
 
     def emit(self, kind: str, **fields: Any) -> None:
-        """Write one line of a kind, within its budget."""
+        """Write one line of a kind unless its rate limit suppresses it."""
         now = time.monotonic()
-        budget = self._budgets.get(kind)
-        if budget is None:
-            budget = self._budgets[kind] = LineBudget(now)
-        if not budget.spend(now):
+        limiter = self._limiters.get(kind)
+        if limiter is None:
+            limiter = self._limiters[kind] = LineRateLimiter(now)
+        if not limiter.try_take(now):
             return
         line: dict[str, Any] = {"t": round(time.time(), 3), "event": kind}
         line["entry"] = self._entry
         line.update(fields)
-        if budget.left_out:
-            line["left_out"] = budget.left_out
-            budget.left_out = 0
+        if limiter.left_out:
+            line["left_out"] = limiter.left_out
+            limiter.left_out = 0
         self._writer.write(msgspec.json.encode(line) + b"\n")
 
     # Requests.
@@ -77,10 +77,10 @@
         outcome: str,
         took_s: float,
     ) -> None:
-        """A request was sent to a target and ended there.
+        """Log the end of an attempt to execute a request at a target.
 
-        Attempts that did not succeed have a budget of their own, so that they are not
-        left out for the many that did.
+        Failed attempts are a separate kind with its own rate limit, so that the many
+        successful ones do not suppress them.
         """
         self.emit(
             "attempt" if outcome.startswith("2") else "attempt_failed",
@@ -117,10 +117,10 @@
         version: str,
         took_s: float,
     ) -> None:
-        """A request was given up on.
+        """Log that the entry refused a request.
 
-        Its service is "" if it was not routed, its workspace if it has none, its
-        fingerprint if its body was not read.
+        The field `service` is "" if the request was not routed, `workspace` is "" if it
+        has none, and `fingerprint` is "" if its body was not read.
         """
         self.emit(
             "refused",
@@ -137,14 +137,14 @@
             took_ms=round(took_s * 1000),
         )
 
-    def left(self, request_id: str, service: str, took_s: float) -> None:
-        """A client left before its answer."""
+    def client_left(self, request_id: str, service: str, took_s: float) -> None:
+        """Log that a client disconnected before its response."""
         took_ms = round(took_s * 1000)
         self.emit(
             "client_left", request_id=request_id, service=service, took_ms=took_ms
         )
 
-    # What the entry knows.
+    # Configuration, targets and peers.
 
     def configuration(
         self,
@@ -155,10 +155,10 @@
         source: str,
         confirmed_ms: int,
     ) -> None:
-        """A newer configuration is in force; `source` is a peer or the store.
+        """Log that a newer configuration is in force; `source` is a peer or the store.
 
-        `confirmed_ms` is the age of the store's newest answer that this entry knew of
-        before it, -1 for none.
+        `confirmed_ms` is the age of the newest known store answer when the change
+        arrived, -1 for none.
         """
         self.emit(
             "configuration",
@@ -178,10 +178,11 @@
         expired: list[str],
         revision: int,
     ) -> None:
-        """Targets came, went (by leaving or by an evacuation), or turned cold.
+        """Log changes of the set of targets.
 
-        Those that expired have had no registration since an outage of the store, and
-        are used for a moment longer.
+        `came` are new targets, `gone` those that left or were evacuated, and `cold`
+        those that became cold. Targets in `expired` have had no registration since an
+        outage of the store; the entry continues to use them for a short time.
         """
         self.emit(
             "targets",
@@ -195,24 +196,24 @@
     def registration_left_out(
         self, name: str, cause: str, detail: str, unlogged: int
     ) -> None:
-        """A registration names no target to use; its name may be anything.
+        """Log a registration without a usable target; its name may be any text.
 
-        `unlogged` counts those for which there was no line in the last minutes.
+        `unlogged` counts the registrations whose log lines were recently suppressed.
         """
         self.emit(
             "registration_left_out",
-            name=name[:MOST_LOGGED_TEXT],
+            name=name[:MAX_LOGGED_CHARACTERS],
             cause=cause,
-            detail=detail[:MOST_LOGGED_TEXT],
+            detail=detail[:MAX_LOGGED_CHARACTERS],
             unlogged=unlogged,
         )
 
     def homeless(self, count: int, pairs: list[tuple[str, str]]) -> None:
-        """A configuration has routes and workspaces without a common home."""
+        """Log that a configuration has routes and workspaces without a common home."""
         self.emit("homeless", count=count, pairs=pairs)
 
     def target_ejected(self, target: str, reason: str, ejected_s: float) -> None:
-        """A target is ejected: it gets nothing for a while."""
+        """Log that a target is ejected and receives no requests for `ejected_s`."""
         self.emit(
             "target_ejected",
             target=target,
@@ -223,29 +224,30 @@
     def target_limit(
         self, target: str, change: str, per_s: float | None, source: str
     ) -> None:
-        """A target named a limit for all entries together, another one, or none.
+        """Log that a target set, changed or removed its limit for all entries together.
 
-        `change` is "named", "changed" or "ended"; `source` says who received that:
-        "answer" for this entry, "peer" for another one.
+        `change` is "named" (set), "changed" or "ended" (removed). `source` is "answer"
+        if this entry
+        received the limit, "peer" if another entry did.
         """
         self.emit(
             "target_limit", target=target, change=change, per_s=per_s, source=source
         )
 
     def limit_unreadable(self, target: str, text: str) -> None:
-        """A target named as its limit what is no number; its last one holds on."""
-        self.emit("limit_unreadable", target=target, text=text[:MOST_LOGGED_TEXT])
+        """Log a malformed limit of a target; its previous limit remains in force."""
+        self.emit("limit_unreadable", target=target, text=text[:MAX_LOGGED_CHARACTERS])
 
     def target_leaving(self, target: str) -> None:
-        """A target said in an answer that it leaves; one line for each."""
+        """Log that a target announced in a response that it leaves; once per target."""
         self.emit("target_leaving", target=target)
 
     def target_rest(self, target: str, rest_s: float) -> None:
-        """A target turned a request away and asked this entry for rest."""
+        """Log that a target rejected a request and asked this entry to pause."""
         self.emit("target_rest", target=target, rest_s=round(rest_s, 3))
 
     def report_unreadable(self, target: str, what: str, text: str) -> None:
-        """A target said of itself what can't be read; nothing is taken from it.
+        """Log a malformed report of a target about itself; the report is ignored.
 
         `what` is "leaving" or "rest".
         """
@@ -253,16 +255,16 @@
             "report_unreadable",
             target=target,
             what=what,
-            text=text[:MOST_LOGGED_TEXT],
+            text=text[:MAX_LOGGED_CHARACTERS],
         )
 
     def target_checked(
         self, target: str, service: str, found: str, lost: int, took_s: float
     ) -> None:
-        """A target closed connections without an answer, and was then looked at.
+        """Log the check of a target that closed connections without a response.
 
-        It is "ended" if connections to it are refused, "serves" if it takes them,
-        "silent" if neither; `lost` is how many answers of this entry went with it.
+        `found` is "ended" if the target refuses connections, "serves" if it accepts
+        them, and "silent" otherwise. `lost` counts the responses that this entry lost.
         """
         self.emit(
             "target_checked",
@@ -274,9 +276,10 @@
         )
 
     def quarantine(self, change: "QuarantineChange") -> None:
-        """A request is held back, or released; `ends` are those known here.
+        """Log that a request is quarantined or released.
 
-        `tries` is how often it is still run, since it may be harmless.
+        `ends` are the known ends of targets attributed to the request. `tries` is the
+        number of remaining trial executions, which show whether it is harmless.
         """
         self.emit(
             "quarantine",
@@ -287,8 +290,8 @@
             tries=change.tries,
         )
 
-    def tried(self, hold: "Hold") -> None:
-        """A request that is held back is run once more, since it may be harmless."""
+    def quarantine_try(self, hold: "Hold") -> None:
+        """Log the trial execution of a quarantined request that may be harmless."""
         self.emit(
             "quarantine_try",
             fingerprint=fingerprint_text(hold.fingerprint),
@@ -296,15 +299,18 @@
         )
 
     def connections_forgotten(self, service: str) -> None:
-        """A service's targets reset idle connections; only young ones are used."""
+        """Log that a service's targets reset idle connections.
+
+        From then on, the entry reuses only connections that were idle briefly.
+        """
         self.emit("connections_forgotten", service=service)
 
     def peer(self, name: str, change: str, silent_s: float) -> None:
-        """Another entry was seen again, or has been silent for too long."""
+        """Log that another entry's heartbeats resumed or have been missing too long."""
         self.emit("peer", peer=name, change=change, silent_s=round(silent_s, 2))
 
     def shares(self, service: str, shares: dict[str, float]) -> None:
-        """The regions' shares of a service's keys moved."""
+        """Log that the regions' shares of a service's keys changed."""
         self.emit(
             "shares",
             service=service,
@@ -316,9 +322,9 @@
     def fetch(
         self, peer: str, newer: bool, since: int, revision: int, took_s: float
     ) -> None:
-        """A fetch of a newer state from another entry was slow, or brought nothing.
+        """Log that a state fetch from another entry was slow or returned nothing newer.
 
-        `since` is the revision held when it began, `revision` the one held now.
+        `since` is the local revision when the fetch began, `revision` the current one.
         """
         self.emit(
             "fetch",
@@ -330,9 +336,9 @@
         )
 
     def store(self, change: str, revision: int, detail: str = "") -> None:
-        """The store was lost or answers again."""
+        """Log that the store became unreachable ("lost") or "answers" again."""
         self.emit("store", change=change, revision=revision, detail=detail)
 
     def process(self, change: str, **fields: Any) -> None:
-        """The process started, is ready, leaves, ends, or read its settings."""
+        """Log an event of the process, such as its start or a failed record write."""
         self.emit("process", change=change, **fields)
--- a/leverdoor/entry/limits/limit_collector.py
+++ b/leverdoor/entry/limits/limit_collector.py
@@ -13,7 +13,7 @@
 from leverdoor.entry.events import Events
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.entry.requests.replies import TargetReply
-from leverdoor.entry.unreadable import UnreadableTexts
+from leverdoor.entry.unreadable_texts import UnreadableTextFilter
 from leverdoor.entry.wire import Wire
 from leverdoor.limits.advertised import (
     RETENTION_S,
@@ -43,7 +43,7 @@
         """Names of targets by `target_id`."""
         self._received_here: dict[int, LimitAdvertisement] = {}
         """By target, the limit in force if this entry received it itself."""
-        self._unreadable = UnreadableTexts()
+        self._unreadable = UnreadableTextFilter()
 
     def renew(self, targets: Collection[str]) -> None:
         """Replace the names of targets by those of a new configuration."""
--- a/leverdoor/entry/limits/limiter.py
+++ b/leverdoor/entry/limits/limiter.py
@@ -16,7 +16,7 @@
 
 from leverdoor.entry.exchange.messages import PermitRequest, PermitResponse
 from leverdoor.entry.limits.limiter_selector import LimiterSelector
-from leverdoor.entry.pauses import Pauses
+from leverdoor.entry.pause_detector import PauseDetector
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.limits.token_bucket import (
     GrantDecision,
@@ -44,7 +44,7 @@
         self,
         fleet: Fleet,
         selection: LimiterSelector,
-        pauses: Pauses,
+        pauses: PauseDetector,
         find_target: Callable[[int], Target | None],
     ) -> None:
         """Create a limiter without buckets.
@@ -135,7 +135,8 @@
             return 0.0
         unchanged_s = self._fleet.limits.unchanged_s(key, now)
         return min(
-            min(unchanged_s, self._pauses.running_s(now)) * per_s, burst_tokens(per_s)
+            min(unchanged_s, self._pauses.uninterrupted_s(now)) * per_s,
+            burst_tokens(per_s),
         )
 
     def forget(self, now: float) -> None:
--- a/leverdoor/entry/limits/limiter_selector.py
+++ b/leverdoor/entry/limits/limiter_selector.py
@@ -11,7 +11,7 @@
 the limit.
 
 Owns only caches of its results. Relies on `Membership` for the known entries and on
-`Pauses` for how long this entry has run without a pause.
+`PauseDetector` for how long this entry has run without a pause.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 from leverdoor.entry.membership.member import LEAVING, SERVING, EntryState, Member
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import PeerRecord
-from leverdoor.entry.pauses import Pauses
+from leverdoor.entry.pause_detector import PauseDetector
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
 
@@ -81,7 +81,7 @@
         self,
         membership: Membership,
         state: Callable[[], EntryState],
-        pauses: Pauses,
+        pauses: PauseDetector,
     ) -> None:
         """Create a selector with empty caches.
 
@@ -114,7 +114,7 @@
         It is 0 if another entry is the limiter.
         """
         share = self._select(target, now).own_share
-        if share and self._pauses.running_s(now) < DISCOVERY_S:
+        if share and self._pauses.uninterrupted_s(now) < DISCOVERY_S:
             return min(share, HANDOVER_SHARE)
         return share
 
--- a/leverdoor/entry/limits/target_limits.py
+++ b/leverdoor/entry/limits/target_limits.py
@@ -24,7 +24,7 @@
 from leverdoor.entry.membership.member import EntryState
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.metrics import EntryMetrics
-from leverdoor.entry.pauses import Pauses
+from leverdoor.entry.pause_detector import PauseDetector
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.limits.advertised import LimitAdvertisement
 from leverdoor.model.resources import Target
@@ -59,7 +59,7 @@
         self.collector = LimitCollector(
             context.wire, fleet.limits, context.events, metrics
         )
-        self._pauses = Pauses(asyncio.get_running_loop().time())
+        self._pauses = PauseDetector(asyncio.get_running_loop().time())
         selection = LimiterSelector(membership, state, self._pauses)
         self._limiter = Limiter(fleet, selection, self._pauses, self._targets.get)
         self.grant_client = LimiterClient(
@@ -75,7 +75,7 @@
     def round(self, now: float) -> list[LimitAdvertisement]:
         """Return the limits to send in this round; call it in each round."""
         # The call records that the process runs.
-        self._pauses.running_s(now)
+        self._pauses.uninterrupted_s(now)
         return self.collector.received_here()
 
     def receive_from_peers(self, limits: Iterable[LimitAdvertisement]) -> None:
--- a/leverdoor/entry/placement/region_shares.py
+++ b/leverdoor/entry/placement/region_shares.py
@@ -61,8 +61,8 @@
 AGREEMENT_MOVE_PART = 0.5
 """Maximum change of a share by convergence, as a fraction of the limit on moves.
 
-Together with entry/bounds.py:MOVED_SHARE, the sum of both changes stays within 0.8 of
-the operator's cap. With a greater value, it comes closer to the cap. With a smaller
+Together with entry/bounds.py:SHIFT_FRACTION, the sum of both changes stays within 0.8
+of the operator's cap. With a greater value, it comes closer to the cap. With a smaller
 one, a difference between entries lasts longer.
 """
 MAX_STEP_S = 1.0
--- a/leverdoor/entry/quarantine_records.py
+++ b/leverdoor/entry/quarantine_records.py
@@ -1,13 +1,15 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Keeps what is held back in the store, so that it outlasts a restart of all entries.
+"""Persists quarantined requests in the store to survive a restart of all entries.
 
-The followers of the store write what is missing there and remove what is over; two that
-do so at once do no harm, since each write has a condition. Entries that start get the
-records with the state. A record that is gone, by whomever, releases its request.
+The followers of the store write missing records and remove expired ones. Concurrent
+writes by two followers are harmless because each write is conditional on a revision. A
+starting entry receives the records with the state. The removal of a record, by an entry
+or by an operator, releases its request.
 
-Owns the records as they were last read; lost with the process. Relies on `Quarantine`
-for what is held back, and on the copy of the store for what is written.
+Owns the records as last read and the time each was first seen; both are lost with the
+process. Relies on `Quarantine` for the requests in quarantine, and on the copy of the
+store for the stored records.
 """
 
 import asyncio
@@ -32,25 +34,26 @@
 
 __all__ = ["QuarantineRecords"]
 
-LOOK_S = 0.5
-"""Mean pause between two looks at what is to be written, in seconds.
+MEAN_CHECK_INTERVAL_S = 0.5
+"""Mean interval between two checks for records to write, in seconds.
 
-With the 0.6 s until a request is held back a record is there within two seconds, half
-of the operator's bound. Greater: a restart of all entries in between forgets more.
-Smaller: two followers write the same record more often.
+A request is quarantined within 0.6 s, so its record exists within two seconds, half of
+the operator's bound. With a greater value, a restart of all entries forgets more
+requests. With a smaller value, two followers write the same record more often.
 """
-MOST_WRITES = 8
-"""Records written or removed in one look: bounds the calls of the store."""
-REMOVED_AFTER_S = 5.0
-"""Time after the end of a hold in which its record is removed, in seconds.
-
-Beyond the moments by which entries differ on when it was held back. Greater: records
-stay for longer. Smaller: the first to remove it releases it at the others.
+MAX_WRITES_PER_CHECK = 8
+"""Maximum records written or removed per check, which bounds the store calls."""
+REMOVAL_DELAY_S = 5.0
+"""Delay between the expiry of a hold and the removal of its record, in seconds.
+
+It exceeds the differences between entries in the start of the hold. With a greater
+value, records stay longer. With a smaller value, the first entry that removes a record
+releases the request at the others before their holds expire.
 """
 
 
 class QuarantineRecords:
-    """The records of what is held back, between the store and one entry."""
+    """Synchronizes the quarantine of one entry with its records in the store."""
 
     def __init__(
         self,
@@ -60,18 +63,18 @@
         entry: str,
         events: Events,
         rng: Random,
-        writes: Callable[[], bool],
+        may_write: Callable[[], bool],
     ) -> None:
-        """Create it.
+        """Create the synchronizer.
 
         Args:
-          quarantine: what is held back here.
-          store: the platform's service.
-          wire: names the records' keys.
+          quarantine: the requests that this entry has quarantined.
+          store: the platform's key-value store.
+          wire: provides the keys of records.
           entry: this entry's name.
-          events: the log.
-          rng: spreads the looks of several followers.
-          writes: returns whether this entry writes records now.
+          events: the event log.
+          rng: adds jitter to the checks of several followers.
+          may_write: returns whether this entry currently writes records.
         """
         self._quarantine = quarantine
         self._store = store
@@ -79,129 +82,137 @@
         self._entry = entry
         self._events = events
         self._rng = rng
-        self._writes = writes
-        self._read: dict[int, KeyValue] = {}
-        """By fingerprint, as the store has them."""
-        self._seen: dict[int, float] = {}
-        """Since when each is known as it is, monotonic time in seconds."""
+        self._may_write = may_write
+        self._stored: dict[int, KeyValue] = {}
+        """The stored records by fingerprint."""
+        self._seen_since: dict[int, float] = {}
+        """When each record's current revision was first seen, monotonic time in s."""
 
     def take(self, records: Mapping[str, KeyValue], now: float) -> None:
-        """Take all records of the store, by the text of their fingerprint.
+        """Apply all stored records; a missing record releases its request.
 
         Args:
-          records: as the copy of the store has them.
+          records: the stored records by the text of their fingerprint.
           now: monotonic time in seconds.
         """
-        found = {}
-        for text, entry in records.items():
-            fingerprint = _fingerprint(text)
-            before = self._read.get(fingerprint)
-            if before is not None and before.revision == entry.revision:
-                found[fingerprint] = before
-            elif self._take(fingerprint, entry, now):
-                found[fingerprint] = entry
-                self._seen[fingerprint] = now
-        gone = self._read.keys() - found.keys()
-        self._read = found
-        for fingerprint in gone:
-            del self._seen[fingerprint]
+        readable = {}
+        for text, item in records.items():
+            fingerprint = _parse_fingerprint(text)
+            previous = self._stored.get(fingerprint)
+            if previous is not None and previous.revision == item.revision:
+                readable[fingerprint] = previous
+            elif self._apply_record(fingerprint, item, now):
+                readable[fingerprint] = item
+                self._seen_since[fingerprint] = now
+        removed = self._stored.keys() - readable.keys()
+        self._stored = readable
+        for fingerprint in removed:
+            del self._seen_since[fingerprint]
             self._quarantine.release_deleted(fingerprint, now)
 
-    def _take(self, fingerprint: int, entry: KeyValue, now: float) -> bool:
-        """Take one record; return whether it can be read."""
+    def _apply_record(self, fingerprint: int, item: KeyValue, now: float) -> bool:
+        """Process one new or changed record; return False if it is malformed."""
         try:
-            record = parse_record(entry.value)
+            record = parse_record(item.value)
         except msgspec.MsgspecError as e:
-            self._events.process("record not readable", key=entry.key, error=str(e))
+            self._events.process("record not readable", key=item.key, error=str(e))
             return False
         if not fingerprint:
-            self._events.process("record not readable", key=entry.key, error="key")
+            self._events.process("record not readable", key=item.key, error="key")
             return False
         hold = hold_from_record(record, fingerprint, now, time.time())
         self._quarantine.add_stored(hold, now)
         return True
 
     async def run(self) -> None:
-        """Write what is missing and remove what is over, until cancelled."""
+        """Write missing records and remove expired ones until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S * (0.5 + self._rng.random()))
-            if not self._writes():
+            await asyncio.sleep(MEAN_CHECK_INTERVAL_S * (0.5 + self._rng.random()))
+            if not self._may_write():
                 continue
             now = asyncio.get_running_loop().time()
-            for write in self.due(now, time.time())[:MOST_WRITES]:
+            for write in self.pending_writes(now, time.time())[:MAX_WRITES_PER_CHECK]:
                 await self._commit(write)
 
-    def due(self, now: float, wall_s: float) -> list[Write]:
-        """Return what is to be written and removed.
+    def pending_writes(self, now: float, time_of_day: float) -> list[Write]:
+        """Return the conditional writes that create, replace and delete records.
 
         Args:
           now: monotonic time in seconds.
-          wall_s: seconds since the epoch.
+          time_of_day: seconds since the epoch.
         """
-        held = self._quarantine.holds
+        quarantined = self._quarantine.holds
         added = [
-            self._written(hold, 0, now, wall_s)
-            for fingerprint, hold in held.items()
-            if fingerprint not in self._read
+            self._write_of(hold, 0, now, time_of_day)
+            for fingerprint, hold in quarantined.items()
+            if fingerprint not in self._stored
         ]
         return added + [
-            self._changed(fingerprint, entry, now, wall_s)
-            for fingerprint, entry in self._read.items()
-            if self._is_over(fingerprint, entry, now, wall_s)
+            self._replace_or_delete(fingerprint, item, now, time_of_day)
+            for fingerprint, item in self._stored.items()
+            if self._is_obsolete(fingerprint, item, now, time_of_day)
         ]
 
-    def _is_over(
-        self, fingerprint: int, entry: KeyValue, now: float, wall_s: float
+    def _is_obsolete(
+        self, fingerprint: int, item: KeyValue, now: float, time_of_day: float
     ) -> bool:
-        """Return whether a record's time is over, or what it says is not true.
+        """Return whether a record has expired or disagrees with the quarantine.
+
+        It disagrees if it lists more remaining tries than the hold, or if its hold
+        has become void.
 
-        Its time goes by how long this process has seen it: a wall clock that is ahead
-        would remove it, and so release the request at all entries.
+        Expiry is measured by how long this process has seen the record. A wall clock
+        that is ahead would remove the record early and release the request at all
+        entries.
         """
-        seen_s = now - self._seen[fingerprint]
-        record = parse_record(entry.value)
+        seen_s = now - self._seen_since[fingerprint]
+        record = parse_record(item.value)
         hold = self._quarantine.holds.get(fingerprint)
         if hold is not None:
             return hold.tries < record.tries or seen_s > HOLD_S
-        if seen_s > HOLD_S + REMOVED_AFTER_S:
+        if seen_s > HOLD_S + REMOVAL_DELAY_S:
             return True
         return self._quarantine.has_no_evidence(
-            hold_from_record(record, fingerprint, now, wall_s)
+            hold_from_record(record, fingerprint, now, time_of_day)
         )
 
-    def _changed(
-        self, fingerprint: int, entry: KeyValue, now: float, wall_s: float
+    def _replace_or_delete(
+        self, fingerprint: int, item: KeyValue, now: float, time_of_day: float
     ) -> Write:
-        """Return the write that replaces a record that is over, or removes it.
+        """Return the write that replaces or deletes an obsolete record.
 
-        A request that is held back once more has a record that is over, one that was
-        tried a record with a try too many.
+        A request that was quarantined again replaces its expired record. A request that
+        was tried replaces a record with too many remaining tries.
         """
         hold = self._quarantine.holds.get(fingerprint)
         if hold is None:
-            return Write(self._key(fingerprint), None, entry.revision)
-        return self._written(hold, entry.revision, now, wall_s)
+            return Write(self._key(fingerprint), None, item.revision)
+        return self._write_of(hold, item.revision, now, time_of_day)
 
-    def _written(self, hold: Hold, expect: int, now: float, wall_s: float) -> Write:
-        record = record_from_hold(hold, self._entry, now, wall_s)
-        return Write(self._key(hold.fingerprint), serialize_record(record), expect)
+    def _write_of(
+        self, hold: Hold, expected_revision: int, now: float, time_of_day: float
+    ) -> Write:
+        record = record_from_hold(hold, self._entry, now, time_of_day)
+        return Write(
+            self._key(hold.fingerprint), serialize_record(record), expected_revision
+        )
 
     def _key(self, fingerprint: int) -> str:
-        return self._wire.held_key(fingerprint_text(fingerprint))
+        return self._wire.quarantine_record_key(fingerprint_text(fingerprint))
 
     async def _commit(self, write: Write) -> None:
-        """Write or remove one record; one that failed is due again."""
+        """Write or remove one record; a later check retries a failed write."""
         try:
             await self._store.commit([write])
         except LeverdoorError as e:
             self._events.process("record not written", key=write.key, error=str(e))
 
 
-def _fingerprint(text: str) -> int:
-    """Return the fingerprint of its text; 0 if it is none, or written otherwise."""
+def _parse_fingerprint(text: str) -> int:
+    """Return the fingerprint for its text; 0 if the text is not in canonical form."""
     try:
         fingerprint = int(text, 16)
     except ValueError:
         return 0
-    fits = 0 < fingerprint < 1 << (8 * FINGERPRINT_BYTES)
-    return fingerprint if fits and fingerprint_text(fingerprint) == text else 0
+    in_range = 0 < fingerprint < 1 << (8 * FINGERPRINT_BYTES)
+    return fingerprint if in_range and fingerprint_text(fingerprint) == text else 0
--- a/leverdoor/entry/requests/handler.py
+++ b/leverdoor/entry/requests/handler.py
@@ -134,7 +134,7 @@
             return self._handle_refusal(progress, e, loop.time() - progress.arrived)
         except (asyncio.CancelledError, ConnectionError, web.RequestPayloadError):
             took_s = loop.time() - progress.arrived
-            self._events.left(request_id, progress.service, took_s)
+            self._events.client_left(request_id, progress.service, took_s)
             raise
         except Exception as e:
             # The request may have run before this internal error.
@@ -184,7 +184,7 @@
         if self._runs_trial(hold.fingerprint) and self._quarantine.start_trial(
             hold, now
         ):
-            self._events.tried(hold)
+            self._events.quarantine_try(hold)
             return
         raise quarantine_refusal(hold, now)
 
@@ -218,7 +218,7 @@
             took_s,
         )
         if error.code is Code.QUOTA_EXCEEDED:
-            self._metrics.quota_refusal(name)
+            self._metrics.count_quota_refusal(name)
         if error.code is Code.QUARANTINED:
             self._metrics.quarantine_refusals.labels(progress.service).inc()
         return refusal_response(error, progress.request_id, self._request_id_header)
--- a/tests/test_entry_events.py
+++ b/tests/test_entry_events.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Logs are bounded and never block, whoever reads them or not."""
+"""The log writer never blocks, and a rate limit applies to each kind of event."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 from leverdoor.entry.log_writer import BURST_LINES, MAX_PENDING_BYTES, LineWriter
 
 
-def test_a_pipe_that_nobody_reads_does_not_block() -> None:
+def test_unread_pipe_does_not_block_the_writer() -> None:
     reader, writer = os.pipe()
     lines = LineWriter(writer)
     for _ in range(20_000):
@@ -30,7 +30,7 @@
     os.close(writer)
 
 
-def test_a_closed_reader_does_no_harm() -> None:
+def test_closed_reader_raises_no_error() -> None:
     reader, writer = os.pipe()
     os.close(reader)
     lines = LineWriter(writer)
@@ -39,20 +39,20 @@
     os.close(writer)
 
 
-def test_each_kind_has_a_budget_and_tells_what_it_left_out() -> None:
+def test_rate_limit_per_kind_reports_suppressed_lines() -> None:
     reader, writer = os.pipe()
     events = Events(LineWriter(writer), "n1")
     for i in range(int(BURST_LINES) + 50):
         events.emit("one", number=i)
     events.emit("two")
-    budget = events._budgets["one"]
-    assert budget.left_out >= 40
-    left_out = budget.left_out
-    budget.saved = 1.0
+    limiter = events._limiters["one"]
+    assert limiter.left_out >= 40
+    left_out_lines = limiter.left_out
+    limiter.tokens = 1.0
     events.emit("one", number=-1)
     read = [json.loads(line) for line in os.read(reader, 1 << 16).splitlines()]
     assert read[-2]["event"] == "two"
-    assert read[-1]["left_out"] == left_out
+    assert read[-1]["left_out"] == left_out_lines
     assert {line["entry"] for line in read} == {"n1"}
     os.close(reader)
     os.close(writer)
--- a/tests/test_entry_whole.py
+++ b/tests/test_entry_whole.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Real entries as a whole: path, configuration, stops, settings, metrics."""
+"""End-to-end tests of entry processes: requests, configuration, stops, settings."""
 
 import asyncio
 import hashlib
@@ -21,26 +21,26 @@
 from leverdoor.storage.state import Delta
 
 
-async def test_the_whole_path(site: EntrySite) -> None:
+async def test_requests_pass_from_client_to_target(site: EntrySite) -> None:
     n1 = site.entries["n1"]
-    named = await site.resolve(n1)
-    assert set(named) <= {e.ports["frontend"] for e in site.entries.values()}
-    assert n1.ports["frontend"] in named
-    look = await site.request(
+    resolved = await site.resolve(n1)
+    assert set(resolved) <= {e.ports["frontend"] for e in site.entries.values()}
+    assert n1.ports["frontend"] in resolved
+    fetched = await site.request(
         n1, "GET", "/look/x?q=%2F&r", headers={"X-Affinity-Key": "17"}
     )
-    check_own(look)
-    assert look.status == 200
+    check_own(fetched)
+    assert fetched.status == 200
     body = b"complaint" * 1000
     filed = await site.request(n1, "POST", "/file/y", body)
     assert json.loads(filed.body)["digest"] == hashlib.sha256(body).hexdigest()
-    ran = {r.request_id: r for t in site.targets.values() for r in t.runs}
-    assert ran[look.request_id].path == "/look/x?q=%2F&r"
-    assert 0 < ran[look.request_id].deadline_ms <= 2000
+    runs_by_id = {r.request_id: r for t in site.targets.values() for r in t.runs}
+    assert runs_by_id[fetched.request_id].path == "/look/x?q=%2F&r"
+    assert 0 < runs_by_id[fetched.request_id].deadline_ms <= 2000
     assert (await site.request(n1, "GET", "/nowhere/")).status == 404
 
 
-async def test_a_configuration_is_in_force_everywhere_and_for_good(
+async def test_configuration_reaches_all_entries_and_is_not_reverted(
     site: EntrySite,
 ) -> None:
     added = {**SAMPLE_ROUTES[0], "name": "new", "path-prefix": "/new/"}
@@ -56,7 +56,7 @@
         assert versions == sorted(versions)
 
 
-async def test_a_store_that_was_silent_is_followed_again(site: EntrySite) -> None:
+async def test_store_is_followed_again_after_silence(site: EntrySite) -> None:
     site.store.faults = MetadataFaults(silent=True)
     assert (await site.request(site.entries["n1"], "GET", "/look/x")).status == 200
     site.store.faults = MetadataFaults()
@@ -64,13 +64,13 @@
     await until_in_force(site, "/look/x", 404)
 
 
-async def test_targets_that_lapse_in_an_outage_are_held_and_then_gone(
+async def test_targets_unregistered_in_outage_expire_before_removal(
     site: EntrySite,
 ) -> None:
     entries = list(site.entries.values())
 
-    async def until_told(field: str) -> None:
-        """Wait until every entry has told of every target in a field."""
+    async def until_logged(field: str) -> None:
+        """Wait until every entry has logged every target in a field."""
         while not all(
             {n for e in entry.events() for n in e.get(field, [])} >= set(site.targets)  # type: ignore[attr-defined]
             for entry in entries
@@ -81,13 +81,13 @@
     while not all(
         any(e.get("change") == "lost" for e in entry.events()) for entry in entries
     ):
-        # A call that waited before the outage is not struck by it here.
+        # Wait for each entry: the outage does not affect calls already waiting.
         await asyncio.sleep(0.02)
     for name in site.targets:
         site.store.remove(f"servers/{name}")
     site.store.faults = MetadataFaults()
-    await until_told("expired")
-    await until_told("gone")
+    await until_logged("expired")
+    await until_logged("gone")
     for entry in entries:
         fields = [
             f
@@ -99,20 +99,21 @@
         assert fields[0] == "expired"
 
 
-async def test_a_start_beside_others_costs_the_store_next_to_nothing(
+async def test_start_with_running_peers_makes_few_store_calls(
     site: EntrySite,
 ) -> None:
-    """The state comes from a peer, the former life's lease is kept.
+    """The state comes from a peer, and the previous process's lease is adopted.
 
-    Before, each start listed everything, wrote a lease and a key, and watched: five
-    calls or more, the greatest part of the calls at 195 entries.
+    Otherwise each start makes five calls or more: it lists all keys, writes a lease and
+    a key, and watches. At 195 entries these were most of the store's calls.
     """
     while not all(
         any(e.get("change") == "registered" for e in entry.events())
         for entry in site.entries.values()
     ):
         await asyncio.sleep(0.02)
-    # n3 is alone in its region and lists for it; of n1 and n2 one has a wide link.
+    # Restart n2: n1 is in its region. n3 is alone in its region and lists the keys
+    # itself. Of n1 and n2, one has the wider link.
     entry = site.entries["n2"]
     before = dict(site.store.calls)
     entry.send(signal.SIGKILL)
@@ -125,17 +126,17 @@
     assert site.store.calls["kv-range stale"] == before["kv-range stale"] + 1
 
 
-async def test_a_planned_stop_loses_nothing(site: EntrySite) -> None:
+async def test_planned_stop_loses_no_requests(site: EntrySite) -> None:
     n1, n2 = site.entries["n1"], site.entries["n2"]
     answers: list[Answer] = []
-    unsafe: set[str] = set()
+    post_ids: set[str] = set()
     stopping = asyncio.Event()
 
     async def client(number: int) -> None:
         for i in range(40):
             request_id = f"{number:08x}{i:08x}"
             entry = n2 if stopping.is_set() else n1
-            unsafe.add(request_id)
+            post_ids.add(request_id)
             answers.append(
                 await site.request(entry, "POST", "/file/x", b"x", None, request_id)
             )
@@ -150,11 +151,13 @@
     await asyncio.gather(*clients)
     assert await n1.ended() == 0
     assert 0 not in {a.status for a in answers}
-    check_promises(site, answers, unsafe)
+    check_promises(site, answers, post_ids)
     assert n1.ports["frontend"] not in await site.resolve(n2)
 
 
-async def test_a_draining_target_gets_nothing_once_all_know(site: EntrySite) -> None:
+async def test_draining_target_receives_nothing_once_in_force(
+    site: EntrySite,
+) -> None:
     site.drain_target("i-look-a1-0")
     revision = site.store.revision
     added = {**SAMPLE_ROUTES[0], "name": "new", "path-prefix": "/new/"}
@@ -181,7 +184,7 @@
     )
 
 
-async def test_reading_the_settings_again_ends_nothing(site: EntrySite) -> None:
+async def test_settings_reload_keeps_the_entry_running(site: EntrySite) -> None:
     n1 = site.entries["n1"]
     settings = json.loads(n1.settings.read_bytes())
     settings["bounds"] = {"retry-budget-ratio": 0.1, "of-tomorrow": 1}
@@ -199,7 +202,7 @@
     assert n1.running
 
 
-async def test_a_setting_that_is_wrong_ends_the_start_with_its_name(
+async def test_missing_setting_ends_start_with_its_name_logged(
     site: EntrySite,
 ) -> None:
     n1 = site.entries["n1"]
@@ -213,7 +216,7 @@
     assert b"`ready`" in n1.log.read_bytes().splitlines()[-1]
 
 
-async def test_a_long_delta_is_sent_compressed(site: EntrySite) -> None:
+async def test_long_delta_is_compressed(site: EntrySite) -> None:
     many = [
         {**SAMPLE_ROUTES[0], "name": f"r{i}", "path-prefix": f"/r{i}/"}
         for i in range(300)
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -31,7 +31,7 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.peer_record import HeartbeatObservation
 from leverdoor.entry.metrics import EntryMetrics
-from leverdoor.entry.pauses import PAUSE_S, Pauses
+from leverdoor.entry.pause_detector import MIN_PAUSE_S, PauseDetector
 from leverdoor.entry.placement.fleet import Fleet
 from leverdoor.entry.placement.placement_request import PlacementRequest
 from leverdoor.limits.advertised import LimitAdvertisement
@@ -62,7 +62,7 @@
     def __init__(self, own: str, others: list[str], state: EntryState = SERVING):
         self.membership = Membership(member(own))
         self.elapsed_s = 0.0
-        self.pauses = Pauses(0.0, lambda: self.elapsed_s)
+        self.pauses = PauseDetector(0.0, lambda: self.elapsed_s)
         self.selection = LimiterSelector(self.membership, lambda: state, self.pauses)
         for name in others:
             self.receive_heartbeat(name, STEADY_S)
@@ -81,8 +81,8 @@
     def run_until(self, now: float) -> None:
         """Advance the clock of the entry without a pause."""
         while self.elapsed_s < now:
-            self.elapsed_s = min(self.elapsed_s + PAUSE_S / 2, now)
-            self.pauses.running_s(self.elapsed_s)
+            self.elapsed_s = min(self.elapsed_s + MIN_PAUSE_S / 2, now)
+            self.pauses.uninterrupted_s(self.elapsed_s)
 
 
 ENTRY_NAMES = ["a1-0", "a1-1", "a2-0", "b1-0", "b1-1"]
@@ -157,7 +157,7 @@
     previous = limiter_of(EntryView("b1-0", [n for n in ENTRY_NAMES if n != "b1-0"]))
     view = EntryView(previous, [n for n in ENTRY_NAMES if n != previous])
     run_until_steady(view)
-    view.elapsed_s = STEADY_S + 2 * PAUSE_S
+    view.elapsed_s = STEADY_S + 2 * MIN_PAUSE_S
     assert view.own_share(STEADY_S) == HANDOVER_SHARE
     view = EntryView(previous, [], SERVING)
     assert view.own_share(DISCOVERY_S - 0.1) == HANDOVER_SHARE
@@ -198,7 +198,7 @@
     view = EntryView("a1-0", [])
     run_until_steady(view)
     # This clock stands still, so the entry counts as running since time 0.
-    view.pauses = Pauses(0.0, lambda: 0.0)
+    view.pauses = PauseDetector(0.0, lambda: 0.0)
     selection = LimiterSelector(view.membership, lambda: SERVING, view.pauses)
     return Limiter(fleet, selection, view.pauses, {target_id(only.name): only}.get)
 
@@ -218,14 +218,16 @@
         other = "a1-1" if own == "a1-0" else "a1-0"
         self.limiter_peer = self._create_limiter(other, now)
 
-    def _create_selection(self, own: str, now: float) -> tuple[LimiterSelector, Pauses]:
+    def _create_selection(
+        self, own: str, now: float
+    ) -> tuple[LimiterSelector, PauseDetector]:
         membership = Membership(member(own))
         for name in ("a1-0", "a1-1"):
             if name != own:
                 membership.update_member(member(name), now)
                 row = DigestRow(member_id(name), 1, SERVING)
                 membership.record_heartbeat(HeartbeatObservation(row, now), now)
-        pauses = Pauses(now - 60.0, lambda: 0.0)
+        pauses = PauseDetector(now - 60.0, lambda: 0.0)
         return LimiterSelector(membership, lambda: SERVING, pauses), pauses
 
     def _create_limiter(self, own: str, now: float) -> Limiter:
--- a/tests/test_quarantine_records.py
+++ b/tests/test_quarantine_records.py
@@ -12,7 +12,7 @@
 
 from leverdoor.entry.events import Events
 from leverdoor.entry.log_writer import LineWriter
-from leverdoor.entry.quarantine_records import REMOVED_AFTER_S, QuarantineRecords
+from leverdoor.entry.quarantine_records import REMOVAL_DELAY_S, QuarantineRecords
 from leverdoor.errors import Code
 from leverdoor.platform.names import wire
 from leverdoor.quarantine.crashes import LostRun
@@ -37,7 +37,7 @@
 from leverdoor.storage.store import KeyValue, LeasingStore, Write
 
 FATAL_REQUEST = 0xCA05E
-KEY = wire({}).held_key(fingerprint_text(FATAL_REQUEST))
+KEY = wire({}).quarantine_record_key(fingerprint_text(FATAL_REQUEST))
 WALL_S = 1.7e9
 HOUR_S = 3_600.0
 
@@ -61,7 +61,7 @@
 
     def write(self, wall_s: float) -> list[Write]:
         """Apply the due writes to the store, and let the entry read the store again."""
-        writes = self.records.due(self.now, wall_s)
+        writes = self.records.pending_writes(self.now, wall_s)
         for w in writes:
             stored = self.store.get(w.key)
             assert w.expect == (stored.revision if stored else 0)
@@ -131,7 +131,7 @@
     entry = Entry({})
     entry.quarantine_by_crashes()
     entry.write(WALL_S)
-    entry.now += HOLD_S + REMOVED_AFTER_S
+    entry.now += HOLD_S + REMOVAL_DELAY_S
     assert not entry.held()
     assert entry.write(WALL_S) == []
     entry.now += 1.0
@@ -213,7 +213,7 @@
     """Let an entry read a record of another program and send its notices."""
     entry = Entry({})
     entry.records.take({text: KeyValue(KEY, value, 1)}, entry.now)
-    entry.records.due(entry.now, WALL_S)
+    entry.records.pending_writes(entry.now, WALL_S)
     entry.quarantine.judge(entry.now)
     serialize_notices(entry.quarantine.notices(entry.now))
     return entry
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from leverdoor.entry.bounds import retries_saved
+from leverdoor.entry.bounds import max_saved_retries
 from leverdoor.retry_budget import RetryBudget
 
 
@@ -29,7 +29,7 @@
 )
 def test_balances_of_all_entries_stay_within_slack(entries: int, slack: float) -> None:
     """195 entries with a balance of four have 780 retries, for a slack of 430."""
-    limit = retries_saved(slack, entries)
+    limit = max_saved_retries(slack, entries)
     budgets = [RetryBudget(0.1, limit, 2.0) for _ in range(entries)]
     total_balance = 0
     for budget in budgets:
