--- a/leverdoor/storage/store.py
+++ b/leverdoor/storage/store.py
@@ -73,7 +73,10 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """One change of a transaction; `expect` is the key's revision, 0 for absent."""
+    """One change in a transaction; deletes the key if `value` is None.
+
+    `expect` is the revision that the key must have; 0 requires an absent key.
+    """
 
     key: str
     value: bytes | None
