--- a/benchmarks/emulated_following.py
+++ b/benchmarks/emulated_following.py
@@ -43,7 +43,7 @@
 from leverdoor.entry.wire import Configured
 from leverdoor.platform.names import wire
 from leverdoor.settings import Address
-from leverdoor.storage.fetching import SILENCE_S
+from leverdoor.storage.fetching import READ_TIMEOUT_S
 from leverdoor.storage.state import Delta, State
 from leverdoor.storage.store import KeyValue
 
@@ -115,7 +115,7 @@
 
 async def _silence() -> None:
     """Wait as the product's fetches do where nothing comes."""
-    await asyncio.sleep(SILENCE_S)
+    await asyncio.sleep(READ_TIMEOUT_S)
     raise TimeoutError
 
 
--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -22,7 +22,7 @@
 from leverdoor.agent.planning import Planner
 from leverdoor.agent.probing import Prober
 from leverdoor.agent.reports import Reporter
-from leverdoor.agent.vm_watch import VmWatch
+from leverdoor.agent.vm_list import VmListMonitor
 from leverdoor.errors import LeverdoorError
 from leverdoor.lifecycle import keep_running
 from leverdoor.membership.gossip import GossipSocket
@@ -31,8 +31,8 @@
 from leverdoor.settings import AgentSettings
 from leverdoor.storage.configuration import Configuration
 from leverdoor.storage.etcd import EtcdStore
-from leverdoor.storage.fetching import PeerFollower
-from leverdoor.storage.following import ElectedRole, StoreFollower, elected
+from leverdoor.storage.fetching import PeerFetcher
+from leverdoor.storage.following import ElectedRole, StoreFollower, watcher_rank
 from leverdoor.storage.state import Delta, State
 from leverdoor.storage.view import ViewCache
 
@@ -101,9 +101,9 @@
         self._cache = ViewCache(self._state, with_blocks=False)
         self._peers = Peers(s.vm, s.region)
         self._store = EtcdStore(s.store)
-        self._vm_watch = VmWatch(s)
+        self._vm_watch = VmListMonitor(s)
         self._prober = Prober()
-        self._pull = PeerFollower(self._state)
+        self._pull = PeerFetcher(self._state)
         self._role = ElectedRole(self._is_elected, self._now, self._rng)
         self._follower = StoreFollower(
             self._store,
@@ -148,7 +148,7 @@
         return self._place(self._role.unserved)
 
     def _place(self, unserved: bool) -> int:
-        return elected(self._peers, self._settings.vm, self._now(), unserved)
+        return watcher_rank(self._peers, self._settings.vm, self._now(), unserved)
 
     def _is_elected(self, unserved: bool) -> bool:
         return self._place(unserved) >= 0
--- a/leverdoor/agent/planning.py
+++ b/leverdoor/agent/planning.py
@@ -153,12 +153,12 @@
         write = Write(key, serialize_table(table), entry.revision if entry else 0)
         done = await self._store.commit([write])
         logger.info(
-            "table written" if done.taken else "table refused",
+            "table written" if done.committed else "table refused",
             version=table.version,
             revision=done.revision,
         )
         await asyncio.sleep(WRITE_PAUSE_S)
-        if done.taken:
+        if done.committed:
             await self._wait_for(done.revision)
 
     async def _wait_for(self, revision: int) -> None:
--- a/leverdoor/agent/reports.py
+++ b/leverdoor/agent/reports.py
@@ -142,7 +142,9 @@
 
     def _headroom(self) -> list[HeadroomLine]:
         lines = []
-        for (service, region), targets in sorted(self._cache.view.by_place.items()):
+        for (service, region), targets in sorted(
+            self._cache.view.targets_by_location.items()
+        ):
             loads = [
                 p.heartbeat.loads[service]
                 for p in self._live()
--- a/leverdoor/agent/vm_watch.py
+++ b/leverdoor/agent/vm_list.py
@@ -14,9 +14,9 @@
 from leverdoor.membership.ownership import Table
 from leverdoor.membership.peers import Peers
 from leverdoor.settings import AgentSettings
-from leverdoor.storage.vmlist import Departures, HttpVmList, VmState
+from leverdoor.storage.vmlist import DepartureTracker, HttpVmList, VmState
 
-__all__ = ["VmWatch"]
+__all__ = ["VmListMonitor"]
 
 DEPARTED_KEPT_S = 120.0
 """How long a process that is gone is named in heartbeats, in seconds.
@@ -26,7 +26,7 @@
 """
 
 
-class VmWatch:
+class VmListMonitor:
     """Reads the VM list for one agent."""
 
     def __init__(self, settings: AgentSettings) -> None:
@@ -35,7 +35,7 @@
         self._departed: dict[str, float] = {}
         self._list = HttpVmList(settings.vm_list)
         self._lag_s = settings.vm_list_lag_ms / 1000
-        self._departures = Departures(self._lag_s)
+        self._departures = DepartureTracker(self._lag_s)
         self._read_at = -math.inf
         """When the list was last read, in seconds of the loop's clock."""
 
--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -4,7 +4,7 @@
 
 Owns when news of a newer state were sent last; lost with the process. Relies on
 `Exchange` for what to send, on a `PeerNetwork` for the way to other entries, on
-`PeerFollower` for fetches, and on the loop's clock. A datagram that is lost is not sent
+`PeerFetcher` for fetches, and on the loop's clock. A datagram that is lost is not sent
 again: the next round's replaces it.
 """
 
@@ -24,7 +24,7 @@
 )
 from leverdoor.entry.exchange.peer_network import PeerNetwork
 from leverdoor.settings import Address
-from leverdoor.storage.fetching import PeerFollower
+from leverdoor.storage.fetching import PeerFetcher
 from leverdoor.storage.state import State
 
 __all__ = ["PeerLink", "TakeRoomMessage", "TakeUpdate"]
@@ -89,7 +89,7 @@
         self._status = status
         self._take = take
         self._take_room = take_room
-        self.puller = PeerFollower(state, network)
+        self.puller = PeerFetcher(state, network)
         self._news_due = False
         self._news_at = 0.0
 
--- a/leverdoor/entry/membership/joining.py
+++ b/leverdoor/entry/membership/joining.py
@@ -8,7 +8,7 @@
 and by entries that find no peer with the state.
 
 Owns from when this entry may follow the store (`settled_at`), for one process. Relies
-on `Roles` for the place of this entry, on `PeerFollower` for fetches and on the store
+on `Roles` for the place of this entry, on `PeerFetcher` for fetches and on the store
 for the listing; an unavailable store is logged and taken for an empty list.
 """
 
@@ -20,7 +20,7 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.errors import LeverdoorError
-from leverdoor.storage.fetching import PeerFollower
+from leverdoor.storage.fetching import PeerFetcher
 from leverdoor.storage.state import State
 from leverdoor.storage.store import KeyValue, LeasingStore
 
@@ -71,7 +71,7 @@
         membership: Membership,
         roles: Roles,
         state: State,
-        puller: PeerFollower,
+        puller: PeerFetcher,
         events: Events,
         rng: Random,
     ) -> None:
--- a/leverdoor/entry/membership/registration.py
+++ b/leverdoor/entry/membership/registration.py
@@ -43,7 +43,7 @@
 The rest is for operators and targets. Greater, their writes wait after an outage;
 smaller, entries are found later.
 """
-LEAST_OF_MEAN = 0.5
+MIN_FRACTION_OF_MEAN = 0.5
 """Shortest pause as a part of the mean; the longest is as much above it.
 
 Pauses spread over the length of the mean, so that entries that lost the store together
@@ -120,14 +120,14 @@
             try:
                 if self._lease == 0:
                     await self._register()
-                elif not await self._store.keep(self._lease):
+                elif not await self._store.renew_lease(self._lease):
                     self._lease = 0
                     self._events.process("registration lost")
                     continue
             except LeverdoorError as e:
                 self._events.process("registration failed", error=str(e))
                 await asyncio.sleep(
-                    self._pause_s() * (LEAST_OF_MEAN + self._rng.random())
+                    self._pause_s() * (MIN_FRACTION_OF_MEAN + self._rng.random())
                 )
                 continue
             await asyncio.sleep(KEEP_S)
@@ -138,7 +138,7 @@
         Raises:
           LeverdoorError: the store did not take it, or it may have been written.
         """
-        self._lease = await self._store.hold(self._key, self._value, TTL_S)
+        self._lease = await self._store.put_with_lease(self._key, self._value, TTL_S)
         self._events.process("registered", lease=self._lease)
         if self._ended:
             await self.end()
@@ -148,4 +148,4 @@
         self._ended = True
         lease, self._lease = self._lease, 0
         if lease:
-            await self._store.let_go(lease)
+            await self._store.revoke_lease(lease)
--- a/leverdoor/entry/store_role.py
+++ b/leverdoor/entry/store_role.py
@@ -44,7 +44,7 @@
 from leverdoor.entry.membership.peer_record import NEVER
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.settings import EntrySettings
-from leverdoor.storage.served import LEAST_OF_MEAN, Served
+from leverdoor.storage.store_availability import MIN_FRACTION_OF_MEAN, StoreAvailability
 
 __all__ = ["STALE_S", "StoreRole"]
 
@@ -135,7 +135,7 @@
         self._settings = settings
         self._rng = rng
         self._out_of_turn_until = NEVER
-        self._served = Served(rng)
+        self._served = StoreAvailability(rng)
         self._ask_at = NEVER
         self._asks = False
         """Whether it asks out of turn now."""
@@ -206,7 +206,7 @@
         if self._asks:
             reads_per_s = ASK_AGAIN_SHARE * self._settings().store_reads_per_s
             mean_s = self._membership.count * ASK_CALLS / reads_per_s
-            spread = LEAST_OF_MEAN + self._rng.random()
+            spread = MIN_FRACTION_OF_MEAN + self._rng.random()
             self._ask_at = now + max(ASK_AGAIN_S, mean_s) * spread
         self._asks = False
         self._served.failed(now)
--- a/leverdoor/gate/pool.py
+++ b/leverdoor/gate/pool.py
@@ -54,7 +54,7 @@
         found = self._held_targets.get(service)
         if found is None:
             rows = self._holdings.rows
-            region = self.view.by_place.get((service, self._region), [])
+            region = self.view.targets_by_location.get((service, self._region), [])
             found = [t for t in region if slot_row(t.address) in rows]
             self._held_targets[service] = found
         return found
@@ -130,7 +130,7 @@
         return any(
             self.in_service(t)
             for region in {*self.view.regions, self._region}
-            for t in self.view.by_place.get((service, region), [])
+            for t in self.view.targets_by_location.get((service, region), [])
         )
 
     def draining(self, now: float) -> dict[str, int]:
--- a/leverdoor/gate/shifts.py
+++ b/leverdoor/gate/shifts.py
@@ -80,7 +80,7 @@
     """Return how many requests a second the caps let out of a region."""
     total = 0.0
     for region in view.regions:
-        if region == home or (service, region) not in view.by_place:
+        if region == home or (service, region) not in view.targets_by_location:
             continue
         cap = view.caps.get((service, region))
         if cap is None:
--- a/leverdoor/membership/ownership.py
+++ b/leverdoor/membership/ownership.py
@@ -14,7 +14,7 @@
 table is kept in the store and written by compare-and-swap (`agent/planning.py`).
 
 The units of a VM that died can be used again after: two readings of the VM list without
-it, further apart than the list's lag (`vm_list_lag_ms`, `agent/vm_watch.py`); the next
+it, further apart than the list's lag (`vm_list_lag_ms`, `agent/vm_list.py`); the next
 round of a planner (PLAN_INTERVAL_S, `agent/planning.py`); and their ripening for the
 service's `linger_ms` or the cap's window (`gate/holdings.py`).
 """
--- a/leverdoor/platform/store.py
+++ b/leverdoor/platform/store.py
@@ -23,7 +23,7 @@
     Listing,
     Wait,
     Write,
-    own_wait,
+    client_default_wait,
 )
 
 __all__ = ["IDLE_S", "NoAnswer", "PlatformStore"]
@@ -173,7 +173,7 @@
             after = page.items[-1].key
 
     async def watch(
-        self, prefix: str, after: int, wait_s: Wait = own_wait
+        self, prefix: str, after: int, wait_s: Wait = client_default_wait
     ) -> AsyncIterator[list[Event]]:
         """Yield the changes after a revision; an empty list when there are none."""
         wait_ms = FIRST_WAIT_MS
@@ -195,24 +195,24 @@
             wait_ms = WATCH_WAIT_MS if next_s is None else round(next_s * 1000)
 
     async def commit(self, writes: Sequence[Write]) -> Commit:
-        """Write all changes or none, if every `expect` holds."""
+        """Write all changes or none, if every `expected_revision` holds."""
         return await self._transact(writes, 0)
 
-    async def hold(self, key: str, value: bytes, ttl_s: float) -> int:
+    async def put_with_lease(self, key: str, value: bytes, ttl_s: float) -> int:
         """Write a key that is removed when its lease is not kept."""
         body = {"ttl_ms": round(ttl_s * 1000)}
         lease = _parse(await self._write("POST", "kv-lease", body), _Lease).lease
         await self._transact([Write(key, value)], lease)
         return lease
 
-    async def keep(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """Renew a lease."""
         status, _ = await self._call("POST", f"kv-keep/{lease}", {}, None)
         if status not in (200, 404):
             raise StoreUnavailable(f"kv-keep: HTTP {status}")
         return status == 200
 
-    async def let_go(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """End a lease."""
         try:
             await self._write("DELETE", f"kv-lease-end/{lease}", None)
@@ -222,9 +222,9 @@
     async def _transact(self, writes: Sequence[Write], lease: int) -> Commit:
         body = {
             "expected-revision": [
-                {"private-key": w.key, "revision": w.expect}
+                {"private-key": w.key, "revision": w.expected_revision}
                 for w in writes
-                if w.expect is not None
+                if w.expected_revision is not None
             ],
             "put": [
                 {
--- a/leverdoor/standins/kv.py
+++ b/leverdoor/standins/kv.py
@@ -114,7 +114,9 @@
             if request.transport is not None:
                 request.transport.abort()
             return web.Response(status=500)
-        return json_answer({"header": _header(done.revision), "succeeded": done.taken})
+        return json_answer(
+            {"header": _header(done.revision), "succeeded": done.committed}
+        )
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
         data = await request.read()
@@ -146,7 +148,7 @@
         self.store.hang = faults.hang
         self.store.delay_s = faults.delay_s
         self.store.lose_answers = faults.lose_answers
-        self.store.wake()
+        self.store.wake_watches()
         return json_answer({})
 
     async def _counts(self, request: web.Request) -> web.StreamResponse:
--- a/leverdoor/storage/configuration.py
+++ b/leverdoor/storage/configuration.py
@@ -211,7 +211,7 @@
         except StoreUnknown as e:
             logger.warning("answer of a write lost", write=write_id, error=str(e))
             return await self._resolve(write_id, snapshot)
-        return done.revision if done.taken else 0
+        return done.revision if done.committed else 0
 
     async def _resolve(self, write_id: str, snapshot: _Snapshot) -> int:
         """Find out whether a write took effect, and see that it won't later.
@@ -230,7 +230,7 @@
                 return 0
             fence = Write(GUARD, msgspec.json.encode(guard), at)
             done = await self._store.commit([fence])
-            return 0 if done.taken else await self._resolve(write_id, snapshot)
+            return 0 if done.committed else await self._resolve(write_id, snapshot)
         except StoreUnavailable as e:
             raise StoreUnknown(e.detail) from None
 
--- a/leverdoor/storage/etcd.py
+++ b/leverdoor/storage/etcd.py
@@ -25,7 +25,7 @@
     Store,
     Wait,
     Write,
-    own_wait,
+    client_default_wait,
 )
 
 __all__ = ["EtcdStore", "from_base64", "key_text", "to_base64"]
@@ -75,16 +75,16 @@
         return Listing(answer.header.revision, [kv.entry() for kv in answer.kvs])
 
     async def commit(self, writes: Sequence[Write]) -> Commit:
-        """Write all changes or none, if every `expect` holds."""
+        """Write all changes or none, if every `expected_revision` holds."""
         body = {
-            "compare": [_compare(w) for w in writes if w.expect is not None],
+            "compare": [_compare(w) for w in writes if w.expected_revision is not None],
             "success": [_operation(w) for w in writes],
         }
         answer = await self._call("/v3/kv/txn", body, _TxnAnswer)
         return Commit(answer.succeeded, answer.header.revision)
 
     async def watch(
-        self, prefix: str, after: int, wait_s: Wait = own_wait
+        self, prefix: str, after: int, wait_s: Wait = client_default_wait
     ) -> AsyncIterator[list[Event]]:
         """Yield the changes after a revision."""
         create = {
@@ -207,7 +207,7 @@
         "key": to_base64(w.key.encode()),
         "target": "MOD",
         "result": "EQUAL",
-        "mod_revision": str(w.expect),
+        "mod_revision": str(w.expected_revision),
     }
 
 
--- a/leverdoor/storage/fetching.py
+++ b/leverdoor/storage/fetching.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """Fetches of what a peer has of the store and this process lacks.
 
-`DeltaSource` is the way to a peer, over HTTP in `HttpDeltaSource`; `PeerFollower`
+`DeltaSource` is the way to a peer, over HTTP in `HttpDeltaSource`; `PeerFetcher`
 decides which fetches run beside each other. Owns the connections, which fetches are
 under way, and from whom they failed lately; all of it is lost with the process. The
 copy belongs to `State`, which takes nothing that is older than what it has.
@@ -23,31 +23,31 @@
 
 __all__ = [
     "DEFLATE",
-    "FETCH_FAULTS",
-    "SILENCE_S",
+    "FETCH_ERRORS",
+    "READ_TIMEOUT_S",
     "DeltaSource",
     "HttpDeltaSource",
-    "PeerFollower",
+    "PeerFetcher",
 ]
 
 PULL_TIMEOUT_S = 2.0
 """Longest time to fetch what a peer has, in seconds, for a large state over a narrow
 link."""
-SILENCE_S = 0.4
+READ_TIMEOUT_S = 0.4
 """Longest time without a byte from a peer, in seconds; then it is asked once more.
 
 The second time over a connection of its own. Shorter, a busy peer's answer is given up;
 longer, a change is later where a connection went silent, of which nothing else tells.
 """
-HEDGE_S = 0.25
+HEDGE_DELAY_S = 0.25
 """Time after which another peer is asked beside one that has not answered, in seconds.
 
 Two round trips between regions. Shorter, slow answers are fetched twice; longer, a
 change is later where a peer or the connection to it is silent.
 """
-MOST_FETCHES = 2
+MAX_CONCURRENT_FETCHES = 2
 """Fetches under way at once: bounds the bytes that a slow link carries twice."""
-PASSED_OVER_S = 1.0
+FAILED_PEER_BACKOFF_S = 1.0
 """How long a peer is not asked again after a fetch from it failed, in seconds.
 
 Others, or the store, have the state as well. Shorter, a peer that can't be reached is
@@ -59,9 +59,9 @@
 It may have gone silent without a reset, which only a time-out shows. Shorter, fetches
 wait for new connections more often; longer, for time-outs.
 """
-SILENCE = aiohttp.ClientTimeout(sock_connect=SILENCE_S, sock_read=SILENCE_S)
-"""`SILENCE_S` as the HTTP client takes it."""
-FETCH_FAULTS = (
+SILENCE = aiohttp.ClientTimeout(sock_connect=READ_TIMEOUT_S, sock_read=READ_TIMEOUT_S)
+"""`READ_TIMEOUT_S` as the HTTP client takes it."""
+FETCH_ERRORS = (
     aiohttp.ClientError,
     OSError,
     TimeoutError,
@@ -83,7 +83,7 @@
         Args:
           address: the peer's API address, as `ip:port`.
           since: the revision held here.
-        Raises: one of `FETCH_FAULTS`. It may take for ever.
+        Raises: one of `FETCH_ERRORS`. It may take for ever.
         """
 
     async def close(self) -> None:  # noqa: B027
@@ -116,7 +116,7 @@
             return unpack(data, Delta)
 
 
-class PeerFollower:
+class PeerFetcher:
     """Keeps the copy in step with peers that are ahead."""
 
     def __init__(self, state: State, source: DeltaSource | None = None) -> None:
@@ -146,12 +146,12 @@
           api: the peer's API address.
           now: loop time in seconds.
         """
-        if api in self._under_way or len(self._under_way) >= MOST_FETCHES:
+        if api in self._under_way or len(self._under_way) >= MAX_CONCURRENT_FETCHES:
             return False
         failed_at = self._failed.get(api)
-        if failed_at is not None and now - failed_at < PASSED_OVER_S:
+        if failed_at is not None and now - failed_at < FAILED_PEER_BACKOFF_S:
             return False
-        return all(now - began >= HEDGE_S for began in self._under_way.values())
+        return all(now - began >= HEDGE_DELAY_S for began in self._under_way.values())
 
     async def pull_any(self, apis: list[str], patience_s: float) -> bool:
         """Fetch from several peers at once; the first that has a state is enough.
@@ -178,7 +178,7 @@
     async def _took(self, fetched: Awaitable[Delta]) -> bool:
         try:
             return self._state.apply(await fetched)
-        except FETCH_FAULTS as e:
+        except FETCH_ERRORS as e:
             logger.info("pull failed", error=repr(e))
             return False
 
@@ -201,7 +201,7 @@
         self._under_way[api] = now
         try:
             return await self._fetch(api)
-        except FETCH_FAULTS as e:
+        except FETCH_ERRORS as e:
             logger.info("pull failed", peer=api, error=repr(e))
             self._note_failure(api)
             return None
@@ -210,7 +210,9 @@
 
     def _note_failure(self, api: str) -> None:
         now = asyncio.get_running_loop().time()
-        recent = {p: t for p, t in self._failed.items() if now - t < PASSED_OVER_S}
+        recent = {
+            p: t for p, t in self._failed.items() if now - t < FAILED_PEER_BACKOFF_S
+        }
         self._failed = recent | {api: now}
 
     async def _fetch(self, api: str) -> Delta:
--- a/leverdoor/storage/following.py
+++ b/leverdoor/storage/following.py
@@ -17,13 +17,13 @@
 
 from leverdoor.errors import Code, LeverdoorError, StoreUnavailable
 from leverdoor.membership.peers import Peers
-from leverdoor.storage.served import Served
 from leverdoor.storage.state import PREFIX, State
 from leverdoor.storage.store import Event, Store
+from leverdoor.storage.store_availability import StoreAvailability
 
-__all__ = ["ElectedRole", "FollowerRole", "POLL_S", "StoreFollower", "elected"]
+__all__ = ["ElectedRole", "FollowerRole", "POLL_S", "StoreFollower", "watcher_rank"]
 
-WATCHERS = 2
+WATCHERS_PER_REGION = 2
 """Agents of a region that watch the store; one may be gone. More would cost the store
 a waiting call each. Entries have a rule of their own (`entry.store_role`) and a
 setting for the number."""
@@ -36,7 +36,7 @@
 POLL_S = 0.1
 """Seconds between two looks at whether to follow or to ask: part of the time until a
 change is in force that nobody passed on, at no cost to the store."""
-OVERDUE_S = 1.4
+WATCH_OVERDUE_S = 1.4
 """Time after which a watch may be given up, in seconds.
 
 Longer than a call and its second try take. Greater, a kept connection that went silent
@@ -89,7 +89,7 @@
         """
         self._is_elected = is_elected
         self._now = now
-        self._served = Served(rng)
+        self._served = StoreAvailability(rng)
 
     @property
     def unserved(self) -> bool:
@@ -114,7 +114,7 @@
     """A watch is silent while what is held is older than it should be."""
 
 
-def elected(peers: Peers, vm: str, now: float, unserved: bool = False) -> int:
+def watcher_rank(peers: Peers, vm: str, now: float, unserved: bool = False) -> int:
     """Return this agent's place among its region's followers of the store, or -1.
 
     Every agent orders the live VMs of its region by the same hash, those aside that the
@@ -135,7 +135,7 @@
     names = {vm} | ({b.vm for b in live} if unserved else served)
     ranked = sorted(names, key=lambda n: xxhash.xxh3_64_intdigest(n.encode()))
     place = ranked.index(vm)
-    return place if place < WATCHERS else -1
+    return place if place < WATCHERS_PER_REGION else -1
 
 
 class StoreFollower:
@@ -236,7 +236,7 @@
             while not answer.done():
                 await asyncio.wait([answer], timeout=POLL_S)
                 waited_s += POLL_S
-                if waited_s > OVERDUE_S and self._role.is_stale():
+                if waited_s > WATCH_OVERDUE_S and self._role.is_stale():
                     break
             if answer.done():
                 return answer.result()
--- a/leverdoor/storage/store.py
+++ b/leverdoor/storage/store.py
@@ -27,13 +27,13 @@
     "Store",
     "Wait",
     "Write",
-    "own_wait",
+    "client_default_wait",
 ]
 
 WATCH_SILENCE_S = 6.0
 """Silence of a watch after which the store counts as lost, in seconds: several missed
 signs that the service is there, and a fault that operators notice at once."""
-EVENT_LOG = 20_000
+MAX_LOG_EVENTS = 20_000
 """Events that the store in memory keeps before it compacts. A watch from further back
 gets COMPACTED, as from the real service."""
 
@@ -43,7 +43,7 @@
 own time."""
 
 
-def own_wait() -> None:
+def client_default_wait() -> None:
     """Leave the wait of a watch to the client."""
 
 
@@ -75,18 +75,18 @@
 class Write(msgspec.Struct, frozen=True):
     """One change in a transaction; deletes the key if `value` is None.
 
-    `expect` is the revision that the key must have; 0 requires an absent key.
+    `expected_revision` is the revision that the key must have; 0 requires an absent key.
     """
 
     key: str
     value: bytes | None
-    expect: int | None = None
+    expected_revision: int | None = None
 
 
 class Commit(msgspec.Struct, frozen=True):
     """What became of a transaction: taken or refused as a whole."""
 
-    taken: bool
+    committed: bool
     revision: int
 
 
@@ -113,7 +113,7 @@
 
     @abstractmethod
     async def commit(self, writes: Sequence[Write]) -> Commit:
-        """Write all changes or none, if every `expect` holds.
+        """Write all changes or none, if every `expected_revision` holds.
 
         Raises:
           StoreUnavailable: nothing was sent, or the service refused the call.
@@ -122,7 +122,7 @@
 
     @abstractmethod
     def watch(
-        self, prefix: str, after: int, wait_s: Wait = own_wait
+        self, prefix: str, after: int, wait_s: Wait = client_default_wait
     ) -> AsyncIterator[list[Event]]:
         """Yield the changes after a revision, whole transactions at a time.
 
@@ -146,7 +146,7 @@
     """A store whose keys can expire with the lease of their writer."""
 
     @abstractmethod
-    async def hold(self, key: str, value: bytes, ttl_s: float) -> int:
+    async def put_with_lease(self, key: str, value: bytes, ttl_s: float) -> int:
         """Write a key that expires when its lease is not renewed.
 
         Returns: the lease.
@@ -156,7 +156,7 @@
         """
 
     @abstractmethod
-    async def keep(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """Renew a lease; False when it has expired and its keys are deleted.
 
         Raises:
@@ -164,7 +164,7 @@
         """
 
     @abstractmethod
-    async def let_go(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """End a lease, which deletes its keys.
 
         Faults are ignored: a lease that nobody renews expires by itself.
@@ -185,7 +185,7 @@
         self.writes = 0
         self.waiting = 0
         self._entries: dict[str, KeyValue] = {}
-        self._log: deque[Event] = deque(maxlen=EVENT_LOG)
+        self._log: deque[Event] = deque(maxlen=MAX_LOG_EVENTS)
         self._compacted = 0
         self._changed = asyncio.Event()
 
@@ -198,7 +198,7 @@
         return Listing(self.revision, found)
 
     async def commit(self, writes: Sequence[Write]) -> Commit:
-        """Write all changes or none, if every `expect` holds."""
+        """Write all changes or none, if every `expected_revision` holds."""
         self.writes += 1
         await self._fault()
         done = self._commit(writes)
@@ -211,7 +211,7 @@
         for w in writes:
             entry = self._entries.get(w.key)
             have = entry.revision if entry else 0
-            if w.expect is not None and w.expect != have:
+            if w.expected_revision is not None and w.expected_revision != have:
                 return Commit(False, self.revision)
         self.revision += 1
         for w in writes:
@@ -219,19 +219,19 @@
                 self._entries.pop(w.key, None)
             else:
                 self._entries[w.key] = KeyValue(w.key, w.value, self.revision)
-            if len(self._log) == EVENT_LOG:
+            if len(self._log) == MAX_LOG_EVENTS:
                 self._compacted = self._log[0].revision
             self._log.append(Event(self.revision, w.key, w.value))
-        self.wake()
+        self.wake_watches()
         return Commit(True, self.revision)
 
-    def wake(self) -> None:
+    def wake_watches(self) -> None:
         """Let waiting watches look again."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def watch(
-        self, prefix: str, after: int, wait_s: Wait = own_wait
+        self, prefix: str, after: int, wait_s: Wait = client_default_wait
     ) -> AsyncIterator[list[Event]]:
         """Yield the changes after a revision."""
         self.waiting += 1
--- a/leverdoor/storage/served.py
+++ b/leverdoor/storage/store_availability.py
@@ -9,9 +9,9 @@
 
 from random import Random
 
-__all__ = ["LEAST_OF_MEAN", "TRY_AGAIN_S", "Served"]
+__all__ = ["MIN_FRACTION_OF_MEAN", "RETRY_MEAN_S", "StoreAvailability"]
 
-TRY_AGAIN_S = 5.0
+RETRY_MEAN_S = 5.0
 """Mean pause after which a process that is not served tries again, in seconds.
 
 Longer, a preferred follower stays replaced by another; shorter, more calls to a store
@@ -22,11 +22,11 @@
 
 Beyond the longest pause until its next try, if it is to try at all.
 """
-LEAST_OF_MEAN = 0.5
+MIN_FRACTION_OF_MEAN = 0.5
 """Shortest pause as a part of the mean; the longest is as much above it."""
 
 
-class Served:
+class StoreAvailability:
     """Whether the store answers this process."""
 
     def __init__(self, rng: Random) -> None:
@@ -54,4 +54,4 @@
     def failed(self, now: float) -> None:
         """Record that the store did not answer."""
         self._failed_until = now + UNSERVED_S
-        self._try_at = now + TRY_AGAIN_S * (LEAST_OF_MEAN + self._rng.random())
+        self._try_at = now + RETRY_MEAN_S * (MIN_FRACTION_OF_MEAN + self._rng.random())
--- a/leverdoor/storage/view.py
+++ b/leverdoor/storage/view.py
@@ -70,9 +70,9 @@
         self._tier_of = {c: t for t in self.tiers.values() for c in t.callers}
         defaults = [t for t in self.tiers.values() if t.default]
         self.default_tier = defaults[0] if defaults else DEFAULT_TIER
-        self.by_place: dict[tuple[str, str], list[Target]] = {}
+        self.targets_by_location: dict[tuple[str, str], list[Target]] = {}
         for t in sorted(self.targets.values(), key=lambda t: t.name):
-            self.by_place.setdefault((t.service, t.region), []).append(t)
+            self.targets_by_location.setdefault((t.service, t.region), []).append(t)
         self._drained_vms = {d.vm for d in self.drains.values() if d.vm}
         self._drained = {
             t.name
--- a/leverdoor/storage/vmlist.py
+++ b/leverdoor/storage/vmlist.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """The platform's list of VMs: its HTTP client, and which absent VMs are gone.
 
-State: `Departures` keeps in memory since when each VM is absent; a restart of the
+State: `DepartureTracker` keeps in memory since when each VM is absent; a restart of the
 agent forgets it, and each wait begins again. Relies on the list being at most
 `lag_s` old, as the agent's settings say.
 """
@@ -15,7 +15,7 @@
 from leverdoor.errors import Code, ConfigError, LeverdoorError
 from leverdoor.sessions import new_session
 
-__all__ = ["Departures", "HttpVmList", "Vm", "VmState", "parse_vms"]
+__all__ = ["DepartureTracker", "HttpVmList", "Vm", "VmState", "parse_vms"]
 
 FETCH_TIMEOUT_S = 2.0
 """Longest time to fetch the list, in seconds.
@@ -89,7 +89,7 @@
     """Identities of its processes known then."""
 
 
-class Departures:
+class DepartureTracker:
     """Decides which processes of absent VMs are proved to be gone.
 
     The list shows a moment at most `lag_s` old. A VM that a reading taken at
--- a/tests/test_entry_joining.py
+++ b/tests/test_entry_joining.py
@@ -14,7 +14,7 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.errors import StoreUnavailable
-from leverdoor.storage.fetching import PeerFollower
+from leverdoor.storage.fetching import PeerFetcher
 from leverdoor.storage.state import Delta, State
 from leverdoor.storage.store import Commit, Event, KeyValue, LeasingStore, Listing
 
@@ -45,17 +45,17 @@
     def watch(self, prefix: str, after: int) -> object:  # type: ignore[override]
         raise AssertionError("watched")
 
-    async def hold(self, key: str, value: bytes, ttl_s: float) -> int:
+    async def put_with_lease(self, key: str, value: bytes, ttl_s: float) -> int:
         raise AssertionError("registered")
 
-    async def keep(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         return True
 
-    async def let_go(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         raise AssertionError("let go")
 
 
-class Puller(PeerFollower):
+class Puller(PeerFetcher):
     """Peers of which some have the state."""
 
     def __init__(self, state: State, having: set[str]) -> None:
--- a/tests/test_entry_registration.py
+++ b/tests/test_entry_registration.py
@@ -55,15 +55,15 @@
     def watch(self, prefix: str, after: int) -> object:  # type: ignore[override]
         raise AssertionError(prefix)
 
-    async def hold(self, key: str, value: bytes, ttl_s: float) -> int:
+    async def put_with_lease(self, key: str, value: bytes, ttl_s: float) -> int:
         self.held.append(key)
         return 99
 
-    async def keep(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         self.kept.append(lease)
         return lease not in self.over
 
-    async def let_go(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         raise AssertionError(lease)
 
 
--- a/tests/test_entry_registration_end.py
+++ b/tests/test_entry_registration_end.py
@@ -35,14 +35,14 @@
     def watch(self, prefix: str, after: int) -> object:  # type: ignore[override]
         raise AssertionError(prefix)
 
-    async def hold(self, key: str, value: bytes, ttl_s: float) -> int:
+    async def put_with_lease(self, key: str, value: bytes, ttl_s: float) -> int:
         self.held += 1
         return self.held
 
-    async def keep(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         return True
 
-    async def let_go(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         self.ended += 1
 
 
@@ -71,9 +71,9 @@
     written = asyncio.Event()
 
     class SlowStore(CountingStore):
-        async def hold(self, key: str, value: bytes, ttl_s: float) -> int:
+        async def put_with_lease(self, key: str, value: bytes, ttl_s: float) -> int:
             await written.wait()
-            return await super().hold(key, value, ttl_s)
+            return await super().put_with_lease(key, value, ttl_s)
 
     events = Events(LineWriter(os.open(os.devnull, os.O_WRONLY)), "n1")
     store = SlowStore()
--- a/tests/test_fetching.py
+++ b/tests/test_fetching.py
@@ -5,11 +5,11 @@
 import asyncio
 
 from leverdoor.storage.fetching import (
-    HEDGE_S,
-    MOST_FETCHES,
-    PASSED_OVER_S,
+    FAILED_PEER_BACKOFF_S,
+    HEDGE_DELAY_S,
+    MAX_CONCURRENT_FETCHES,
     DeltaSource,
-    PeerFollower,
+    PeerFetcher,
 )
 from leverdoor.storage.state import Delta, State
 from leverdoor.storage.store import Event
@@ -32,7 +32,7 @@
         return CHANGE
 
 
-async def begin(puller: PeerFollower, *peers: str) -> list[asyncio.Task[bool]]:
+async def begin(puller: PeerFetcher, *peers: str) -> list[asyncio.Task[bool]]:
     """Begin fetches one after the other, without waiting for their ends."""
     tasks = [asyncio.ensure_future(puller.pull(peer)) for peer in peers]
     await asyncio.sleep(0)
@@ -43,10 +43,10 @@
     async def run() -> None:
         state = State()
         source = Peers({"a"})
-        puller = PeerFollower(state, source)
+        puller = PeerFetcher(state, source)
         await begin(puller, "a", "b")
         assert source.asked == ["a"]
-        await asyncio.sleep(HEDGE_S + 0.01)
+        await asyncio.sleep(HEDGE_DELAY_S + 0.01)
         (second,) = await begin(puller, "b")
         assert await second
         assert state.revision == CHANGE.revision
@@ -56,13 +56,13 @@
 
 def test_no_more_than_a_few_fetches_are_under_way() -> None:
     async def run() -> None:
-        names = [f"p{i}" for i in range(MOST_FETCHES + 2)]
+        names = [f"p{i}" for i in range(MAX_CONCURRENT_FETCHES + 2)]
         source = Peers(set(names))
-        puller = PeerFollower(State(), source)
+        puller = PeerFetcher(State(), source)
         for name in names:
             await begin(puller, name)
-            await asyncio.sleep(HEDGE_S + 0.01)
-        assert source.asked == names[:MOST_FETCHES]
+            await asyncio.sleep(HEDGE_DELAY_S + 0.01)
+        assert source.asked == names[:MAX_CONCURRENT_FETCHES]
 
     run_virtual(run())
 
@@ -70,11 +70,11 @@
 def test_a_peer_that_failed_is_passed_over_for_a_while() -> None:
     async def run() -> None:
         source = Peers({"a"})
-        puller = PeerFollower(State(), source)
+        puller = PeerFetcher(State(), source)
         assert not await puller.pull("a")
         source.silent.clear()
         assert not await puller.pull("a")
-        await asyncio.sleep(PASSED_OVER_S + 0.01)
+        await asyncio.sleep(FAILED_PEER_BACKOFF_S + 0.01)
         assert await puller.pull("a")
 
     run_virtual(run())
@@ -85,7 +85,7 @@
 
     async def run() -> None:
         state = State()
-        puller = PeerFollower(state, Peers(set()))
+        puller = PeerFetcher(state, Peers(set()))
         state.apply(Delta(0, 9, True, [Event(9, "k", b"newer")]))
         assert not await puller.pull("a")
         assert state.revision == 9
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -15,17 +15,17 @@
 from leverdoor.errors import StoreUnavailable
 from leverdoor.membership.peers import AgentHeartbeat, Peers
 from leverdoor.storage.following import (
-    OVERDUE_S,
     POLL_S,
-    WATCHERS,
+    WATCH_OVERDUE_S,
+    WATCHERS_PER_REGION,
     ElectedRole,
     FollowerRole,
     StoreFollower,
-    elected,
+    watcher_rank,
 )
-from leverdoor.storage.served import LEAST_OF_MEAN, TRY_AGAIN_S
 from leverdoor.storage.state import State
-from leverdoor.storage.store import Event, MemoryStore, Wait, Write, own_wait
+from leverdoor.storage.store import Event, MemoryStore, Wait, Write, client_default_wait
+from leverdoor.storage.store_availability import MIN_FRACTION_OF_MEAN, RETRY_MEAN_S
 from virtual_clock import run_virtual
 
 VMS = [f"vm{i}" for i in range(5)]
@@ -44,14 +44,16 @@
 def followers(unserved: set[str]) -> list[str]:
     """Return who takes itself for a follower."""
     return [
-        vm for vm in VMS if elected(peers(vm, unserved), vm, NOW, vm in unserved) >= 0
+        vm
+        for vm in VMS
+        if watcher_rank(peers(vm, unserved), vm, NOW, vm in unserved) >= 0
     ]
 
 
 def test_agents_that_the_store_does_not_answer_hand_the_role_on() -> None:
     first = followers(set())
-    assert len(first) == WATCHERS
-    assert len(followers({first[0]})) == WATCHERS
+    assert len(first) == WATCHERS_PER_REGION
+    assert len(followers({first[0]})) == WATCHERS_PER_REGION
     assert first[0] not in followers({first[0]})
     assert not set(first) & set(followers(set(first)))
 
@@ -78,7 +80,7 @@
     role.failed()
     assert role.unserved
     assert not role.follows()
-    now[0] += TRY_AGAIN_S * (1 + LEAST_OF_MEAN)
+    now[0] += RETRY_MEAN_S * (1 + MIN_FRACTION_OF_MEAN)
     assert role.follows()
     assert role.unserved, "others keep the role until the try has come off"
     role.answered()
@@ -111,7 +113,7 @@
         self.watches = 0
 
     async def watch(
-        self, prefix: str, after: int, wait_s: Wait = own_wait
+        self, prefix: str, after: int, wait_s: Wait = client_default_wait
     ) -> AsyncIterator[list[Event]]:
         self.watches += 1
         if self.watches == 1:
@@ -127,7 +129,7 @@
         store, state, role = StuckStore(), State(), StaleRole()
         follower = StoreFollower(store, state, role, Random(1), prefix="")
         task = asyncio.ensure_future(follower.run())
-        await asyncio.sleep(10 * OVERDUE_S)
+        await asyncio.sleep(10 * WATCH_OVERDUE_S)
         assert store.watches == 1
         role.stale = True
         await asyncio.sleep(3 * POLL_S)
@@ -146,7 +148,7 @@
     """A store that refuses all reads and watches."""
 
     async def watch(
-        self, prefix: str, after: int, wait_s: Wait = own_wait
+        self, prefix: str, after: int, wait_s: Wait = client_default_wait
     ) -> AsyncIterator[list[Event]]:
         raise StoreUnavailable("down")
         yield []
--- a/tests/test_http_bytes.py
+++ b/tests/test_http_bytes.py
@@ -206,7 +206,7 @@
     ),
     StoreCall(
         "keep",
-        lambda store: store.keep(5),
+        lambda store: store.renew_lease(5),
         "POST /api/kv-keep/5 HTTP/1.1",
         b"",
         b"{}",
@@ -214,7 +214,7 @@
     ),
     StoreCall(
         "let go",
-        lambda store: store.let_go(5),
+        lambda store: store.revoke_lease(5),
         "DELETE /api/kv-lease-end/5 HTTP/1.1",
         b"",
         b"{}",
@@ -238,7 +238,7 @@
     server = RawServer(json_reply(b'{"lease":5}'), json_reply(b'{"revision":9}'))
     async with server as address:
         store = PlatformStore(address)
-        assert await store.hold("leverdoor/entries/n1", b"1", 15.0) == 5
+        assert await store.put_with_lease("leverdoor/entries/n1", b"1", 15.0) == 5
         await store.close()
     lease, put = (request.partition(b"\r\n\r\n") for request in server.requests)
     assert lease[0].startswith(b"POST /api/kv-lease HTTP/1.1\r\n")
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -11,7 +11,7 @@
 
 from bench import Bench, calling, until
 from leverdoor import headers as h
-from leverdoor.agent.vm_watch import VmWatch
+from leverdoor.agent.vm_list import VmListMonitor
 from leverdoor.client.caller import Reply
 from leverdoor.client.operator import Operator
 from leverdoor.errors import Code, Refusal
@@ -49,7 +49,7 @@
     bench: Bench, store_down: bool
 ) -> None:
     bench.kv.store.down = store_down
-    bench.kv.store.wake()
+    bench.kv.store.wake_watches()
     bench.targets["look-00"].faults.leaving = True
     address = str(bench.targets["look-00"].address)
     await until(
@@ -81,7 +81,7 @@
     await operator.wait(done.revision, 2, 5)
     await operator.close()
     bench.kv.store.down = store_down
-    bench.kv.store.wake()
+    bench.kv.store.wake_watches()
     bench.vms._shown = [Vm("vm00"), Vm("vm01"), Vm("host", VmState.LEAVING)]
     await until(
         lambda: all(
@@ -105,7 +105,7 @@
     """One that the store does not answer hands it on; the next has not read yet."""
     here = Address("127.0.0.1", 1)
     settings = AgentSettings("vm00", "r0", "r0-0", here, here, here, (), "http://h")
-    watch = VmWatch(settings)
+    watch = VmListMonitor(settings)
     await watch.close()
     watch._list = _Listed()  # type: ignore[assignment]
     await watch.read(Table("r0"), Peers("vm00", "r0"))
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -51,7 +51,7 @@
 
 async def test_a_stale_read_says_so_and_tells_leases(pair: Pair) -> None:
     """It costs a tenth of another read."""
-    lease = await pair.store.hold("entries/n1", b"1", 5.0)
+    lease = await pair.store.put_with_lease("entries/n1", b"1", 5.0)
     listing = await pair.store.read_stale("entries/")
     assert [(e.key, e.value, e.lease) for e in listing.entries] == [
         ("entries/n1", b"1", lease)
@@ -166,26 +166,26 @@
 ) -> None:
     pair.standin.faults = faults
     with pytest.raises(error):
-        await pair.store.commit([Write("leverdoor/x", b"1", expect=0)])
+        await pair.store.commit([Write("leverdoor/x", b"1", expected_revision=0)])
     assert ("leverdoor/x" in pair.standin.items) == written
 
 
 async def test_conditions_hold(pair: Pair) -> None:
-    first = await pair.store.commit([Write("leverdoor/x", b"1", expect=0)])
-    again = await pair.store.commit([Write("leverdoor/x", b"2", expect=0)])
-    assert (first.taken, again.taken) == (True, False)
+    first = await pair.store.commit([Write("leverdoor/x", b"1", expected_revision=0)])
+    again = await pair.store.commit([Write("leverdoor/x", b"2", expected_revision=0)])
+    assert (first.committed, again.committed) == (True, False)
     removed = await pair.store.commit([Write("leverdoor/x", None, first.revision)])
-    assert removed.taken
+    assert removed.committed
     assert "leverdoor/x" not in pair.standin.items
 
 
 async def test_leases_are_kept_and_let_go(pair: Pair) -> None:
-    lease = await pair.store.hold("leverdoor/e", b"me", 10.0)
+    lease = await pair.store.put_with_lease("leverdoor/e", b"me", 10.0)
     assert pair.standin.items["leverdoor/e"].lease == lease
-    assert await pair.store.keep(lease)
-    await pair.store.let_go(lease)
+    assert await pair.store.renew_lease(lease)
+    await pair.store.revoke_lease(lease)
     assert "leverdoor/e" not in pair.standin.items
-    assert not await pair.store.keep(lease)
+    assert not await pair.store.renew_lease(lease)
 
 
 async def test_a_lease_that_runs_out_takes_its_keys() -> None:
@@ -194,13 +194,13 @@
     server = TestServer(standin.app())
     await server.start_server()
     store = PlatformStore(f"{server.host}:{server.port}")
-    lease = await store.hold("leverdoor/e", b"me", 10.0)
+    lease = await store.put_with_lease("leverdoor/e", b"me", 10.0)
     now[0] = 9.0
-    assert await store.keep(lease)
+    assert await store.renew_lease(lease)
     now[0] = 18.0
-    assert await store.keep(lease)
+    assert await store.renew_lease(lease)
     now[0] = 29.0
-    assert not await store.keep(lease)
+    assert not await store.renew_lease(lease)
     assert "leverdoor/e" not in standin.items
     await store.close()
     await server.close()
--- a/tests/test_quarantine_records.py
+++ b/tests/test_quarantine_records.py
@@ -64,7 +64,7 @@
         writes = self.records.due(self.now, wall_s)
         for w in writes:
             held = self.store.get(w.key)
-            assert w.expect == (held.revision if held else 0)
+            assert w.expected_revision == (held.revision if held else 0)
             if w.value is None:
                 del self.store[w.key]
             else:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,7 +11,7 @@
 from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
 from leverdoor.standins.kv import KvStandin
 from leverdoor.storage.etcd import EtcdStore
-from leverdoor.storage.store import EVENT_LOG, Event, MemoryStore, Store, Write
+from leverdoor.storage.store import MAX_LOG_EVENTS, Event, MemoryStore, Store, Write
 
 
 class Pair:
@@ -40,7 +40,7 @@
 async def test_write_then_read(pair: Pair) -> None:
     done = await pair.store.commit([Write("/a/1", b"x"), Write("/a/2", b"\xff")])
     listing = await pair.store.read("/a/")
-    assert done.taken
+    assert done.committed
     assert [(e.key, e.value) for e in listing.entries] == [
         ("/a/1", b"x"),
         ("/a/2", b"\xff"),
@@ -60,7 +60,7 @@
 async def test_compare_and_swap(pair: Pair, expect: int | None, taken: bool) -> None:
     await pair.store.commit([Write("/k", b"old")])
     done = await pair.store.commit([Write("/other", b"n"), Write("/k", b"new", expect)])
-    assert done.taken is taken
+    assert done.committed is taken
     values = {e.key: e.value for e in (await pair.store.read("/")).entries}
     assert values["/k"] == (b"new" if taken else b"old")
     assert ("/other" in values) is taken
@@ -83,7 +83,7 @@
 
 
 async def test_watch_of_a_forgotten_revision_says_so(pair: Pair) -> None:
-    for i in range(EVENT_LOG + 2):
+    for i in range(MAX_LOG_EVENTS + 2):
         pair.memory._commit([Write("/a", str(i).encode())])
     with pytest.raises(LeverdoorError) as e:
         async for _ in pair.store.watch("/", 1):
@@ -109,7 +109,7 @@
     task = asyncio.create_task(follow())
     await asyncio.sleep(0.05)
     pair.memory.down = True
-    pair.memory.wake()
+    pair.memory.wake_watches()
     with pytest.raises(StoreUnavailable):
         await asyncio.wait_for(task, 5)
 
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -24,7 +24,7 @@
     StoreRole,
 )
 from leverdoor.settings import Address
-from leverdoor.storage.served import LEAST_OF_MEAN, TRY_AGAIN_S
+from leverdoor.storage.store_availability import MIN_FRACTION_OF_MEAN, RETRY_MEAN_S
 
 REGIONS = ("a", "b", "c")
 HERE = Address("127.0.0.1", 1)
@@ -106,7 +106,7 @@
     first.role.failed(AT)
     assert first.role.unserved(AT)
     assert not first.role.follows(AT)
-    later = AT + TRY_AGAIN_S * (1 + LEAST_OF_MEAN)
+    later = AT + RETRY_MEAN_S * (1 + MIN_FRACTION_OF_MEAN)
     first.hear(later)
     assert first.role.follows(later), "it tries"
     assert first.role.unserved(later), "and the next one keeps the role meanwhile"
@@ -200,8 +200,8 @@
     third = Entry("a1-2")
     third.role.asked()
     third.role.failed(AT)
-    assert not third.role.must_ask(AT + ASK_AGAIN_S * LEAST_OF_MEAN - 0.01)
-    later = AT + ASK_AGAIN_S * (1 + LEAST_OF_MEAN)
+    assert not third.role.must_ask(AT + ASK_AGAIN_S * MIN_FRACTION_OF_MEAN - 0.01)
+    later = AT + ASK_AGAIN_S * (1 + MIN_FRACTION_OF_MEAN)
     third.hear(later)
     assert third.role.must_ask(later)
 
@@ -212,8 +212,8 @@
     one.role.asked()
     one.role.failed(AT)
     mean_s = 300 * 2 / (0.025 * 2_000.0)
-    one.hear(AT + mean_s * LEAST_OF_MEAN - 0.01)
-    assert not one.role.must_ask(AT + mean_s * LEAST_OF_MEAN - 0.01)
+    one.hear(AT + mean_s * MIN_FRACTION_OF_MEAN - 0.01)
+    assert not one.role.must_ask(AT + mean_s * MIN_FRACTION_OF_MEAN - 0.01)
 
 
 def test_the_next_few_that_were_answered_follow_for_a_while() -> None:
--- a/tests/test_vmlist.py
+++ b/tests/test_vmlist.py
@@ -11,7 +11,7 @@
 from leverdoor.errors import LeverdoorError
 from leverdoor.standins.vms import VmListStandin
 from leverdoor.storage.vmlist import (
-    Departures,
+    DepartureTracker,
     HttpVmList,
     Vm,
     VmState,
@@ -56,14 +56,14 @@
 
 
 def test_a_vm_absent_for_longer_than_the_lag_is_gone() -> None:
-    d = Departures(10.0)
+    d = DepartureTracker(10.0)
     assert d.observe(set(), KNOWN, 0.0) == set()
     assert d.observe(set(), KNOWN, 10.0) == set()
     assert d.observe(set(), KNOWN, 10.1) == {"a|g|1"}
 
 
 def test_one_sight_of_a_vm_starts_the_wait_again() -> None:
-    d = Departures(10.0)
+    d = DepartureTracker(10.0)
     d.observe(set(), KNOWN, 0.0)
     d.observe({"a"}, KNOWN, 9.0)
     assert d.observe(set(), KNOWN, 11.0) == set()
@@ -72,7 +72,7 @@
 
 def test_a_process_that_came_back_is_not_covered() -> None:
     """The VM died, came back, and the list still lacks it."""
-    d = Departures(10.0)
+    d = DepartureTracker(10.0)
     d.observe(set(), KNOWN, 0.0)
     back = {"a": {"a|g|1", "a|g|2"}}
     assert d.observe(set(), back, 10.1) == {"a|g|1"}
