--- a/leverdoor/agent/api.py
+++ b/leverdoor/agent/api.py
@@ -143,7 +143,7 @@
             _known_kind(kind)
         self._need_configuration()
         prefix = RESOURCES + (f"{kind}/" if kind else "")
-        items = [self._item(e) for e in self._state.under(prefix)]
+        items = [self._item(e) for e in self._state.list_prefix(prefix)]
         return json_answer(ItemList(self._state.revision, items))
 
     async def _get(self, request: web.Request) -> web.StreamResponse:
@@ -192,7 +192,7 @@
         if kind:
             _known_kind(kind)
         since = _number(request, "since", self._state.revision)
-        if not self._state.can_follow(since):
+        if not self._state.has_changes_since(since):
             raise LeverdoorError(Code.COMPACTED, revision=self._state.revision)
         prefix = RESOURCES + (f"{kind}/" if kind else "")
         return await _stream_lines(request, self._changes(prefix, since))
--- a/leverdoor/storage/state.py
+++ b/leverdoor/storage/state.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A process's copy of what the store holds, which never goes back.
+"""A process's replica of the store; its revision never decreases.
 
-Owns the entries at one revision and the log of recent changes for peers; both are
-lost with the process and fetched anew from a peer or the store. A delta is taken only
-if it is newer and follows on, so late and repeated messages do no harm.
+Owns the entries at one revision and a log of recent changes for peers; both are lost
+with the process and fetched again from a peer or the store. A delta is applied only if
+it is newer than the replica and leaves no gap, so late and duplicate messages are
+harmless.
 """
 
 from collections import deque
@@ -21,13 +22,16 @@
 RESOURCES = PREFIX + "resources/"
 TABLES = PREFIX + "tables/"
 GUARD = PREFIX + "guard"
-LOG_EVENTS = 5_000
-"""Changes kept for peers that fetch what is new: a day's 4,600 at the size aimed at.
-A peer that is further behind gets everything."""
+MAX_LOG_EVENTS = 5_000
+"""Number of changes kept for incremental fetches by peers.
+
+Holds the 4,600 changes of one day at the target size. A peer that is further behind
+fetches all entries.
+"""
 
 
 class Delta(msgspec.Struct, frozen=True, tag=True):
-    """What changed between two revisions, or everything if `full`."""
+    """The changes between two revisions, or all entries if `full`."""
 
     since: int
     revision: int
@@ -38,21 +42,21 @@
 class State:
     """All entries under the prefix at one revision of the store.
 
-    `changes` emits each Delta as it is applied.
+    `changes` emits each Delta after it was applied.
     """
 
     def __init__(self) -> None:
-        """Create an empty copy at revision 0."""
+        """Create an empty replica at revision 0."""
         self.revision = 0
         self.entries: dict[str, KeyValue] = {}
         self.changes: Subject[Delta] = Subject()
         self._log: deque[Event] = deque()
-        self._log_after = 0
+        self._log_start_revision = 0
 
     def reset(self, listing: Listing) -> bool:
-        """Take a whole listing if it is newer.
+        """Replace all entries by a listing if it is newer.
 
-        Returns: whether it was taken.
+        Returns: whether the listing was applied.
         """
         if listing.revision <= self.revision:
             return False
@@ -60,74 +64,74 @@
         return self.apply(Delta(0, listing.revision, True, events))
 
     def extend(self, events: Iterable[Event]) -> bool:
-        """Take the next changes of a watch that follows this copy."""
-        found = [e for e in events if e.revision > self.revision]
-        if not found:
+        """Apply the next events of a watch; return whether any of them was new."""
+        new = [e for e in events if e.revision > self.revision]
+        if not new:
             return False
-        return self.apply(Delta(self.revision, found[-1].revision, False, found))
+        return self.apply(Delta(self.revision, new[-1].revision, False, new))
 
     def apply(self, delta: Delta) -> bool:
-        """Take a delta if it is newer and follows on.
+        """Apply a delta if it is newer and leaves no gap.
 
-        Returns: whether it was taken.
+        Returns: whether the delta was applied.
         """
         if delta.revision <= self.revision:
             return False
         if not delta.full and delta.since > self.revision:
             return False
         if delta.full:
-            self._replace(delta)
+            self._replace_entries(delta)
         else:
-            self._advance(delta)
+            self._apply_changes(delta)
         self.revision = delta.revision
         self.changes.on_next(delta)
         return True
 
-    def _replace(self, delta: Delta) -> None:
+    def _replace_entries(self, delta: Delta) -> None:
         self.entries = {
             e.key: KeyValue(e.key, e.value, e.revision)
             for e in delta.events
             if e.value is not None
         }
         self._log.clear()
-        self._log_after = delta.revision
+        self._log_start_revision = delta.revision
 
-    def _advance(self, delta: Delta) -> None:
+    def _apply_changes(self, delta: Delta) -> None:
         for e in delta.events:
             if e.revision <= self.revision:
                 continue
-            held = self.entries.get(e.key)
-            if held is not None and held.revision > e.revision:
-                # A listing in pages already showed a later value.
+            current = self.entries.get(e.key)
+            if current is not None and current.revision > e.revision:
+                # A paginated listing may already contain a later value of this key.
                 continue
             if e.value is None:
                 self.entries.pop(e.key, None)
             else:
                 self.entries[e.key] = KeyValue(e.key, e.value, e.revision)
             self._log.append(e)
-        while len(self._log) > LOG_EVENTS:
-            self._drop_oldest()
+        while len(self._log) > MAX_LOG_EVENTS:
+            self._drop_oldest_revision()
 
-    def _drop_oldest(self) -> None:
-        """Drop the oldest revision whole, so that no delta splits one."""
+    def _drop_oldest_revision(self) -> None:
+        """Drop all events of the oldest revision; no delta may split a revision."""
         oldest = self._log[0].revision
         while self._log and self._log[0].revision == oldest:
             self._log.popleft()
-        self._log_after = oldest
+        self._log_start_revision = oldest
 
-    def can_follow(self, since: int) -> bool:
-        """Return whether every change after a revision is still held."""
-        return self._log_after <= since <= self.revision
+    def has_changes_since(self, since: int) -> bool:
+        """Return whether the log still holds every change after a revision."""
+        return self._log_start_revision <= since <= self.revision
 
     def delta(self, since: int) -> Delta:
-        """Return what a copy at `since` lacks."""
-        if self.can_follow(since):
+        """Return the changes that a replica at revision `since` lacks."""
+        if self.has_changes_since(since):
             events = [e for e in self._log if e.revision > since]
             return Delta(since, self.revision, False, events)
         events = [Event(e.revision, e.key, e.value) for e in self.entries.values()]
         return Delta(0, self.revision, True, events)
 
-    def under(self, prefix: str) -> list[KeyValue]:
-        """Return the entries under a prefix, by key."""
-        found = [e for k, e in self.entries.items() if k.startswith(prefix)]
-        return sorted(found, key=lambda e: e.key)
+    def list_prefix(self, prefix: str) -> list[KeyValue]:
+        """Return the entries under a prefix, sorted by key."""
+        matching = [e for k, e in self.entries.items() if k.startswith(prefix)]
+        return sorted(matching, key=lambda e: e.key)
--- a/leverdoor/storage/store.py
+++ b/leverdoor/storage/store.py
@@ -1,10 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's key-value service: interface, and a store in memory.
+"""Interface of the platform's key-value service, and an in-memory implementation.
 
-The contract is atomic compare-and-swap of several keys, revisions that only rise, and
-watches from a revision. The real clients are storage/etcd.py (plain sites) and
-platform/store.py; tests hold all to the same contract. `MemoryStore` owns its entries.
+The contract is an atomic compare-and-swap over several keys, monotonically increasing
+revisions, and watches that start at a revision. The production clients are
+storage/etcd.py (plain sites) and platform/store.py; the tests run the same contract
+against every implementation. `MemoryStore` owns its entries, which are lost with the
+process.
 """
 
 import asyncio
@@ -31,34 +33,39 @@
 ]
 
 WATCH_SILENCE_S = 6.0
-"""Silence of a watch after which the store counts as lost, in seconds: several missed
-signs that the service is there, and a fault that operators notice at once."""
+"""Silence of a watch after which the store counts as unreachable, in seconds.
+
+Covers several missed keep-alive messages; an outage that long is noticed by operators
+at once.
+"""
 MAX_LOG_EVENTS = 20_000
-"""Events that the store in memory keeps before it compacts. A watch from further back
-gets COMPACTED, as from the real service."""
+"""Number of events that `MemoryStore` keeps before it compacts its log.
+
+A watch that starts at an older revision fails with COMPACTED, as with the real service.
+"""
 
 
 Wait: TypeAlias = Callable[[], float | None]
-"""Returns how long a watch may wait at the service, in seconds; None for the client's
-own time."""
+"""Returns how long the service may hold a watch request open, in seconds; None selects
+the client's default."""
 
 
 def client_default_wait() -> None:
-    """Leave the wait of a watch to the client."""
+    """Select the client's default wait for a watch."""
 
 
 class KeyValue(msgspec.Struct, frozen=True, array_like=True):
-    """One key as it stands."""
+    """The current value of one key."""
 
     key: str
     value: bytes
     revision: int
     lease: int = 0
-    """The lease that it expires with, where a listing says so; 0 for none."""
+    """Id of the lease of the key, if the listing reports it; 0 otherwise."""
 
 
 class Event(msgspec.Struct, frozen=True, array_like=True):
-    """One change of one key; no value means that it was deleted."""
+    """A change of one key; `value` is None if the key was deleted."""
 
     revision: int
     key: str
@@ -75,7 +82,7 @@
 class Write(msgspec.Struct, frozen=True):
     """One change in a transaction; deletes the key if `value` is None.
 
-    `expected_revision` is the revision that the key must have; 0 requires an absent key.
+    `expected_revision` is the revision the key must have; 0 requires an absent key.
     """
 
     key: str
@@ -84,14 +91,14 @@
 
 
 class Commit(msgspec.Struct, frozen=True):
-    """What became of a transaction: taken or refused as a whole."""
+    """Outcome of a transaction, which is applied as a whole or not at all."""
 
     committed: bool
     revision: int
 
 
 class Store(ABC):
-    """What leverdoor needs of the platform's key-value service."""
+    """Interface of the platform's key-value service."""
 
     calls = 0
 
@@ -104,7 +111,7 @@
         """
 
     async def read_stale(self, prefix: str) -> Listing:
-        """Read all entries under a prefix as they were some seconds ago, cheaply.
+        """Read all entries under a prefix, at lower cost and some seconds out of date.
 
         Raises:
           StoreUnavailable: the service did not answer.
@@ -113,43 +120,44 @@
 
     @abstractmethod
     async def commit(self, writes: Sequence[Write]) -> Commit:
-        """Write all changes or none, if every `expected_revision` holds.
+        """Apply all writes atomically if every `expected_revision` matches.
 
         Raises:
-          StoreUnavailable: nothing was sent, or the service refused the call.
-          StoreUnknown: the writes were sent and no answer came.
+          StoreUnavailable: nothing was sent, or the service rejected the request.
+          StoreUnknown: the request was sent, but no response arrived.
         """
 
     @abstractmethod
     def watch(
         self, prefix: str, after: int, wait_s: Wait = client_default_wait
     ) -> AsyncIterator[list[Event]]:
-        """Yield the changes after a revision, whole transactions at a time.
+        """Yield the changes after a revision; a transaction is never split.
 
-        An empty list says that the service is still there.
+        An empty list is a keep-alive.
 
         Args:
-          prefix: of the keys.
-          after: the revision.
-          wait_s: asked before each call how long the service may wait before it says
-            that there is nothing; not by clients whose watch is one long call.
+          prefix: prefix of the watched keys.
+          after: the revision after which changes are reported.
+          wait_s: called before each request; returns how long the service may wait
+            before it reports that nothing changed. Clients that watch with one
+            long-lived request do not call it.
         Raises:
           StoreUnavailable: the watch ended.
-          LeverdoorError: COMPACTED, list again.
+          LeverdoorError: COMPACTED, the caller has to read the prefix again.
         """
 
     async def close(self) -> None:  # noqa: B027
-        """Give back connections; there may be none."""
+        """Close the connections, if the store has any."""
 
 
 class LeasingStore(Store):
-    """A store whose keys can expire with the lease of their writer."""
+    """A store whose keys can be attached to a lease and expire with it."""
 
     @abstractmethod
     async def put_with_lease(self, key: str, value: bytes, ttl_s: float) -> int:
-        """Write a key that expires when its lease is not renewed.
+        """Write a key under a new lease; the key expires with the lease.
 
-        Returns: the lease.
+        Returns: the id of the lease.
         Raises:
           StoreUnavailable: nothing was written.
           StoreUnknown: the key may have been written.
@@ -157,7 +165,7 @@
 
     @abstractmethod
     async def renew_lease(self, lease: int) -> bool:
-        """Renew a lease; False when it has expired and its keys are deleted.
+        """Renew a lease; return False if it has expired and its keys are deleted.
 
         Raises:
           StoreUnavailable: the service did not answer.
@@ -165,14 +173,14 @@
 
     @abstractmethod
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease, which deletes its keys.
+        """Revoke a lease, which deletes its keys.
 
-        Faults are ignored: a lease that nobody renews expires by itself.
+        Errors are ignored: a lease that is not renewed expires by itself.
         """
 
 
 class MemoryStore(Store):
-    """The key-value service in memory, with faults to order."""
+    """The key-value service in memory, with fault injection."""
 
     def __init__(self) -> None:
         """Create an empty store at revision 1."""
@@ -186,32 +194,32 @@
         self.waiting = 0
         self._entries: dict[str, KeyValue] = {}
         self._log: deque[Event] = deque(maxlen=MAX_LOG_EVENTS)
-        self._compacted = 0
-        self._changed = asyncio.Event()
+        self._compacted_revision = 0
+        self._change_event = asyncio.Event()
 
     async def read(self, prefix: str) -> Listing:
         """Read all entries under a prefix."""
         self.reads += 1
-        await self._fault()
-        found = [e for k, e in self._entries.items() if k.startswith(prefix)]
-        found.sort(key=lambda e: e.key)
-        return Listing(self.revision, found)
+        await self._inject_faults()
+        matching = [e for k, e in self._entries.items() if k.startswith(prefix)]
+        matching.sort(key=lambda e: e.key)
+        return Listing(self.revision, matching)
 
     async def commit(self, writes: Sequence[Write]) -> Commit:
-        """Write all changes or none, if every `expected_revision` holds."""
+        """Apply all writes atomically if every `expected_revision` matches."""
         self.writes += 1
-        await self._fault()
-        done = self._commit(writes)
+        await self._inject_faults()
+        result = self._commit(writes)
         if self.lose_answers > 0:
             self.lose_answers -= 1
-            raise StoreUnknown("the answer was lost")
-        return done
+            raise StoreUnknown("the response was lost")
+        return result
 
     def _commit(self, writes: Sequence[Write]) -> Commit:
         for w in writes:
             entry = self._entries.get(w.key)
-            have = entry.revision if entry else 0
-            if w.expected_revision is not None and w.expected_revision != have:
+            revision = entry.revision if entry else 0
+            if w.expected_revision is not None and w.expected_revision != revision:
                 return Commit(False, self.revision)
         self.revision += 1
         for w in writes:
@@ -220,15 +228,15 @@
             else:
                 self._entries[w.key] = KeyValue(w.key, w.value, self.revision)
             if len(self._log) == MAX_LOG_EVENTS:
-                self._compacted = self._log[0].revision
+                self._compacted_revision = self._log[0].revision
             self._log.append(Event(self.revision, w.key, w.value))
         self.wake_watches()
         return Commit(True, self.revision)
 
     def wake_watches(self) -> None:
-        """Let waiting watches look again."""
-        self._changed.set()
-        self._changed = asyncio.Event()
+        """Wake the waiting watches so that they check for changes and faults."""
+        self._change_event.set()
+        self._change_event = asyncio.Event()
 
     async def watch(
         self, prefix: str, after: int, wait_s: Wait = client_default_wait
@@ -237,28 +245,28 @@
         self.waiting += 1
         try:
             while True:
-                await self._fault()
-                if after < self._compacted:
+                await self._inject_faults()
+                if after < self._compacted_revision:
                     raise LeverdoorError(Code.COMPACTED, revision=self.revision)
-                changed = self._changed
-                found = [
+                change_event = self._change_event
+                matching = [
                     e
                     for e in self._log
                     if e.revision > after and e.key.startswith(prefix)
                 ]
-                if found:
-                    after = found[-1].revision
-                    yield found
+                if matching:
+                    after = matching[-1].revision
+                    yield matching
                     continue
                 try:
                     async with asyncio.timeout(WATCH_SILENCE_S / 3):
-                        await changed.wait()
+                        await change_event.wait()
                 except TimeoutError:
                     yield []
         finally:
             self.waiting -= 1
 
-    async def _fault(self) -> None:
+    async def _inject_faults(self) -> None:
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
         while self.hang:
