--- a/leverdoor/storage/fetching.py
+++ b/leverdoor/storage/fetching.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Fetches of what a peer has of the store and this process lacks.
+"""Fetches changes of the store that this process lacks from its peers.
 
-`DeltaSource` is the way to a peer, over HTTP in `HttpDeltaSource`; `PeerFetcher`
-decides which fetches run beside each other. Owns the connections, which fetches are
-under way, and from whom they failed lately; all of it is lost with the process. The
-copy belongs to `State`, which takes nothing that is older than what it has.
+`DeltaSource` is the transport to a peer, implemented over HTTP by `HttpDeltaSource`;
+`PeerFetcher` limits concurrent fetches. Owns the connections, the fetches in progress
+and the times of recent failures; all of it is lost with the process. Relies on `State`,
+which owns the replica and ignores a delta that is not newer.
 """
 
 import asyncio
@@ -30,37 +30,38 @@
     "PeerFetcher",
 ]
 
-PULL_TIMEOUT_S = 2.0
-"""Longest time to fetch what a peer has, in seconds, for a large state over a narrow
-link."""
+FETCH_TIMEOUT_S = 2.0
+"""Timeout of a fetch, in seconds; allows for a large state on a slow link."""
 READ_TIMEOUT_S = 0.4
-"""Longest time without a byte from a peer, in seconds; then it is asked once more.
+"""Longest time without a byte from a peer, in seconds, before the fetch is retried.
 
-The second time over a connection of its own. Shorter, a busy peer's answer is given up;
-longer, a change is later where a connection went silent, of which nothing else tells.
+The single retry opens a new connection. A shorter timeout aborts the response of a busy
+peer; a longer one delays changes when a connection is dead, which nothing else detects.
 """
 HEDGE_DELAY_S = 0.25
-"""Time after which another peer is asked beside one that has not answered, in seconds.
+"""Time without a response after which a second peer is queried as well, in seconds.
 
-Two round trips between regions. Shorter, slow answers are fetched twice; longer, a
-change is later where a peer or the connection to it is silent.
+Two round trips between regions. A shorter delay fetches slow responses twice; a longer
+one delays changes when a peer or its connection is silent.
 """
 MAX_CONCURRENT_FETCHES = 2
-"""Fetches under way at once: bounds the bytes that a slow link carries twice."""
+"""Most concurrent fetches; bounds the bytes that a slow link transfers twice."""
 FAILED_PEER_BACKOFF_S = 1.0
-"""How long a peer is not asked again after a fetch from it failed, in seconds.
+"""How long a peer is skipped after a fetch from it failed, in seconds.
 
-Others, or the store, have the state as well. Shorter, a peer that can't be reached is
-asked in place of them; longer, one that recovered is left alone.
+Other peers and the store have the same state. A shorter pause queries an unreachable
+peer in place of them; a longer one skips a peer that has recovered.
 """
-IDLE_S = 2.0
-"""How long an idle connection to a peer is used again, in seconds.
+IDLE_CONNECTION_S = 2.0
+"""Idle time after which a connection to a peer is not reused, in seconds.
 
-It may have gone silent without a reset, which only a time-out shows. Shorter, fetches
-wait for new connections more often; longer, for time-outs.
+An idle connection may be dead without a reset, which only a timeout reveals. A shorter
+limit makes fetches wait for new connections more often; a longer one, for timeouts.
 """
-SILENCE = aiohttp.ClientTimeout(sock_connect=READ_TIMEOUT_S, sock_read=READ_TIMEOUT_S)
-"""`READ_TIMEOUT_S` as the HTTP client takes it."""
+READ_TIMEOUT = aiohttp.ClientTimeout(
+    sock_connect=READ_TIMEOUT_S, sock_read=READ_TIMEOUT_S
+)
+"""`READ_TIMEOUT_S` in the form of the HTTP client."""
 FETCH_ERRORS = (
     aiohttp.ClientError,
     OSError,
@@ -68,33 +69,33 @@
     msgspec.MsgspecError,
     zlib.error,
 )
-"""What a fetch from a peer may fail with."""
+"""Exceptions that a fetch from a peer may raise."""
 DEFLATE = "deflate"
-"""Name in HTTP of the coding of zlib."""
+"""HTTP name of the content coding that zlib implements."""
 
 
 class DeltaSource(ABC):
-    """Where a peer's newer state is fetched."""
+    """Transport for fetching the newer state of a peer."""
 
     @abstractmethod
     async def fetch(self, address: str, since: int) -> Delta:
-        """Fetch what a peer has beyond a revision.
+        """Fetch the changes that a peer has after a revision.
 
         Args:
           address: the peer's API address, as `ip:port`.
-          since: the revision held here.
-        Raises: one of `FETCH_ERRORS`. It may take for ever.
+          since: the revision of the local replica.
+        Raises: one of `FETCH_ERRORS`. The call has no overall timeout.
         """
 
     async def close(self) -> None:  # noqa: B027
-        """Give back connections; there may be none."""
+        """Close the connections, if the source has any."""
 
 
 class HttpDeltaSource(DeltaSource):
-    """Fetches over HTTP."""
+    """Fetches deltas from the HTTP API of peers."""
 
     def __init__(self) -> None:
-        """Create it; nothing is opened yet."""
+        """Create a source; the first fetch opens the session."""
         self._session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
@@ -103,12 +104,14 @@
             await self._session.close()
 
     async def fetch(self, address: str, since: int) -> Delta:
-        """Fetch what a peer has beyond a revision."""
+        """Fetch the changes that a peer has after a revision."""
         if self._session is None:
-            self._session = new_session(idle_s=IDLE_S)
+            self._session = new_session(idle_s=IDLE_CONNECTION_S)
         url = f"http://{address}/v1/internal/state?since={since}"
         headers = {"Accept-Encoding": DEFLATE}
-        async with self._session.get(url, headers=headers, timeout=SILENCE) as answer:
+        async with self._session.get(
+            url, headers=headers, timeout=READ_TIMEOUT
+        ) as answer:
             answer.raise_for_status()
             data = await answer.read()
             if answer.headers.get("Content-Encoding") == DEFLATE:
@@ -117,55 +120,56 @@
 
 
 class PeerFetcher:
-    """Keeps the copy in step with peers that are ahead."""
+    """Updates the replica from peers with a newer revision."""
 
     def __init__(self, state: State, source: DeltaSource | None = None) -> None:
-        """Create it.
+        """Create a fetcher.
 
         Args:
-          state: the copy to keep in step.
-          source: fetches from peers; over HTTP if left out.
+          state: the replica to update.
+          source: transport to the peers; HTTP by default.
         """
         self._state = state
         self._source = source or HttpDeltaSource()
-        self._under_way: dict[str, float] = {}
-        """By peer, when the fetch from it began."""
-        self._failed: dict[str, float] = {}
-        """By peer, when a fetch from it failed last."""
+        self._started_at: dict[str, float] = {}
+        """Start time of the fetch in progress, by peer address."""
+        self._failed_at: dict[str, float] = {}
+        """Time of the last failed fetch, by peer address."""
 
     async def close(self) -> None:
         """Close the connections."""
         await self._source.close()
 
     def may_pull(self, api: str, now: float) -> bool:
-        """Return whether a fetch from a peer may begin now.
+        """Return whether a fetch from a peer may start now.
 
-        One that gets no answer must not hold off all others for its whole time.
+        A fetch without a response blocks other fetches only for `HEDGE_DELAY_S`, not
+        for its whole timeout.
 
         Args:
           api: the peer's API address.
           now: loop time in seconds.
         """
-        if api in self._under_way or len(self._under_way) >= MAX_CONCURRENT_FETCHES:
+        if api in self._started_at or len(self._started_at) >= MAX_CONCURRENT_FETCHES:
             return False
-        failed_at = self._failed.get(api)
+        failed_at = self._failed_at.get(api)
         if failed_at is not None and now - failed_at < FAILED_PEER_BACKOFF_S:
             return False
-        return all(now - began >= HEDGE_DELAY_S for began in self._under_way.values())
+        return all(now - began >= HEDGE_DELAY_S for began in self._started_at.values())
 
     async def pull_any(self, apis: list[str], patience_s: float) -> bool:
-        """Fetch from several peers at once; the first that has a state is enough.
+        """Fetch from several peers concurrently and apply the first newer state.
 
         Args:
-          apis: their API addresses.
-          patience_s: longest time for it, in seconds.
-        Returns: whether anything newer came.
+          apis: the API addresses of the peers.
+          patience_s: timeout of the whole call, in seconds.
+        Returns: whether a newer state was applied.
         """
-        fetches = [asyncio.create_task(self._fetch(api)) for api in apis]
+        fetches = [asyncio.create_task(self._fetch_with_retry(api)) for api in apis]
         try:
             async with asyncio.timeout(patience_s):
                 for fetched in asyncio.as_completed(fetches):
-                    if await self._took(fetched):
+                    if await self._apply_fetched(fetched):
                         return True
         except TimeoutError:
             logger.info("no peer answered in time", peers=apis)
@@ -175,7 +179,7 @@
             await asyncio.gather(*fetches, return_exceptions=True)
         return False
 
-    async def _took(self, fetched: Awaitable[Delta]) -> bool:
+    async def _apply_fetched(self, fetched: Awaitable[Delta]) -> bool:
         try:
             return self._state.apply(await fetched)
         except FETCH_ERRORS as e:
@@ -183,41 +187,42 @@
             return False
 
     async def pull(self, api: str) -> bool:
-        """Fetch from one peer's API address, if that may begin now.
+        """Fetch from one peer, if that may start now, and apply the result.
 
-        Returns: whether anything newer came.
+        Returns: whether a newer state was applied.
         """
         delta = await self.fetch(api)
         return delta is not None and self._state.apply(delta)
 
     async def fetch(self, api: str) -> Delta | None:
-        """Fetch from one peer, if that may begin now, and leave the copy as it is.
+        """Fetch from one peer, if that may start now, without applying the result.
 
-        Returns: what the peer has beyond it; None if nothing came.
+        Returns: the changes after the replica's revision; None if the fetch did not
+          start or failed.
         """
         now = asyncio.get_running_loop().time()
         if not self.may_pull(api, now):
             return None
-        self._under_way[api] = now
+        self._started_at[api] = now
         try:
-            return await self._fetch(api)
+            return await self._fetch_with_retry(api)
         except FETCH_ERRORS as e:
             logger.info("pull failed", peer=api, error=repr(e))
-            self._note_failure(api)
+            self._record_failure(api)
             return None
         finally:
-            del self._under_way[api]
+            del self._started_at[api]
 
-    def _note_failure(self, api: str) -> None:
+    def _record_failure(self, api: str) -> None:
         now = asyncio.get_running_loop().time()
         recent = {
-            p: t for p, t in self._failed.items() if now - t < FAILED_PEER_BACKOFF_S
+            p: t for p, t in self._failed_at.items() if now - t < FAILED_PEER_BACKOFF_S
         }
-        self._failed = recent | {api: now}
+        self._failed_at = recent | {api: now}
 
-    async def _fetch(self, api: str) -> Delta:
-        """Fetch from a peer, a second time if the first connection was silent."""
-        async with asyncio.timeout(PULL_TIMEOUT_S):
+    async def _fetch_with_retry(self, api: str) -> Delta:
+        """Fetch from a peer; retry once if the first connection times out."""
+        async with asyncio.timeout(FETCH_TIMEOUT_S):
             try:
                 return await self._source.fetch(api, self._state.revision)
             except TimeoutError:
--- a/leverdoor/storage/following.py
+++ b/leverdoor/storage/following.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Keeps a process's State in step with the store.
+"""Updates a process's State from the store.
 
-A few processes of each region are elected to watch the store; all others fetch what
-they lack from one that is ahead (`storage.fetching`). Used by agents and entries. Owns
-the watch; the copy belongs to `State`.
+A few processes of each region are elected to watch the store; all others fetch missing
+changes from a peer with a newer revision (`storage.fetching`). Agents and entries use
+this module. It owns the watch, which is lost with the process; `State` owns the
+replica.
 """
 
 import asyncio
@@ -24,122 +25,133 @@
 __all__ = ["ElectedRole", "FollowerRole", "POLL_S", "StoreFollower", "watcher_rank"]
 
 WATCHERS_PER_REGION = 2
-"""Agents of a region that watch the store; one may be gone. More would cost the store
-a waiting call each. Entries have a rule of their own (`entry.store_role`) and a
-setting for the number."""
-FIRST_BACKOFF_S = 0.2
-"""First pause after a failed call, in seconds; it doubles. Shorter would add calls to a
-store that is already overloaded."""
-LONGEST_BACKOFF_S = 5.0
-"""Longest such pause, in seconds: the time for which a store that is back may go
-unnoticed, beside 0.2 calls a second of each follower while it is down."""
+"""Number of agents of a region that watch the store; one of them may fail.
+
+Each further watcher costs the store an open request. Entries use a separate rule
+(`entry.store_role`) and a setting for the number.
+"""
+INITIAL_BACKOFF_S = 0.2
+"""First pause after a failed request, in seconds; it doubles with each failure.
+
+A shorter pause would add requests to a store that is already overloaded.
+"""
+MAX_BACKOFF_S = 5.0
+"""Longest pause between failed requests, in seconds.
+
+The recovery of the store may go unnoticed for as long. During an outage each follower
+sends 0.2 requests per second.
+"""
 POLL_S = 0.1
-"""Seconds between two looks at whether to follow or to ask: part of the time until a
-change is in force that nobody passed on, at no cost to the store."""
+"""Interval at which the role and the age of the replica are checked, in seconds.
+
+Adds to the time until a change that no peer forwarded is in force. The check costs the
+store nothing.
+"""
 WATCH_OVERDUE_S = 1.4
-"""Time after which a watch may be given up, in seconds.
+"""Silence after which a watch may be abandoned, in seconds.
 
-Longer than a call and its second try take. Greater, a kept connection that went silent
-is waited for as long; smaller, a store that is down shows by lost watches.
+Exceeds the duration of a request and its retry. A greater value waits longer for a dead
+keep-alive connection; with a smaller one, an outage of the store shows as lost watches.
 """
 
 
 class FollowerRole(ABC):
-    """Whether this process follows the store now."""
+    """Decides whether this process watches the store."""
 
     @abstractmethod
     def follows(self) -> bool:
-        """Return whether it is to watch the store now."""
+        """Return whether this process should watch the store now."""
 
     def must_ask(self) -> bool:
-        """Return whether it is to ask the store now, although it does not follow."""
+        """Return whether to query the store now without following it."""
         return False
 
     def is_stale(self) -> bool:
-        """Return whether what is held may lack changes that are due."""
+        """Return whether the replica is older than it should be."""
         return False
 
     def asked(self) -> None:  # noqa: B027
-        """Take note that it asks the store since it must."""
+        """Record that this process queries the store because `must_ask` requires it."""
 
     def answered(self) -> None:  # noqa: B027
-        """Take note that the store answered, and that all of it is held."""
+        """Record that the store responded and that the replica is up to date."""
 
     def failed(self) -> None:  # noqa: B027
-        """Take note that the store did not answer."""
+        """Record that a request to the store failed."""
 
     def wait_s(self) -> float | None:
-        """Return how long a watch may wait, in seconds; None for the client's own."""
+        """Return the longest wait of a watch in seconds; None for the default."""
         return None
 
 
 class ElectedRole(FollowerRole):
-    """Follows while it is elected to, and the store answers it."""
+    """Follows the store while this process is elected and served by the store."""
 
     def __init__(
         self, is_elected: Callable[[bool], bool], now: Callable[[], float], rng: Random
     ) -> None:
-        """Create it.
+        """Create a role.
 
         Args:
-          is_elected: whether this process should watch now, given whether the store
-            does not answer it.
+          is_elected: returns whether this process should watch now; the argument is
+            true if the store does not respond to this process.
           now: returns monotonic time in seconds.
-          rng: spreads the tries of a process that is not served.
+          rng: spreads the retries of a process to which the store does not respond.
         """
         self._is_elected = is_elected
         self._now = now
-        self._served = StoreAvailability(rng)
+        self._availability = StoreAvailability(rng)
 
     @property
     def unserved(self) -> bool:
-        """Return whether the store did not answer this process lately."""
-        return self._served.is_unserved(self._now())
+        """Return whether a recent request of this process to the store failed."""
+        return self._availability.is_unserved(self._now())
 
     def follows(self) -> bool:
-        """Return whether it is to watch the store now, or to try whether it can."""
-        tries = self._served.may_try(self._now())
-        return self._is_elected(self.unserved and not tries)
+        """Return whether to watch the store now, or to retry after a failure."""
+        may_retry = self._availability.may_try(self._now())
+        return self._is_elected(self.unserved and not may_retry)
 
     def answered(self) -> None:
-        """Take note that the store answered."""
-        self._served.answered()
+        """Record that the store responded."""
+        self._availability.answered()
 
     def failed(self) -> None:
-        """Take note that the store did not answer."""
-        self._served.failed(self._now())
+        """Record that a request to the store failed."""
+        self._availability.failed(self._now())
 
 
 class _WatchOverdueError(Exception):
-    """A watch is silent while what is held is older than it should be."""
+    """A watch is silent although the replica is older than it should be."""
 
 
 def watcher_rank(peers: Peers, vm: str, now: float, unserved: bool = False) -> int:
-    """Return this agent's place among its region's followers of the store, or -1.
+    """Return this agent's rank among its region's watchers of the store, or -1.
 
-    Every agent orders the live VMs of its region by the same hash, those aside that the
-    store does not answer, so that a few watch the store and pass changes on to the
-    rest. Two agents that see different peers may both elect themselves; that costs a
-    waiting call, no more. While the store answers none of them, all count.
+    Every agent orders the live VMs of its region by the same hash, without the VMs to
+    which the store does not respond. The first `WATCHERS_PER_REGION` of them watch the
+    store and forward changes to the others. Agents that see different peers may elect
+    themselves at the same time, which only costs an open request. If the store responds
+    to none of the VMs, all of them are ranked.
 
     Args:
-      peers: what this agent knows of the others.
-      vm: this agent's.
+      peers: the known peers and their heartbeats.
+      vm: the VM of this agent.
       now: monotonic time in seconds.
-      unserved: whether the store does not answer this agent.
+      unserved: whether the store does not respond to this agent.
     """
     live = [b for b in peers.live_near(now) if b.vm != vm]
-    served = {b.vm for b in live if not b.unserved}
-    if unserved and served:
+    served_vms = {b.vm for b in live if not b.unserved}
+    if unserved and served_vms:
         return -1
-    names = {vm} | ({b.vm for b in live} if unserved else served)
-    ranked = sorted(names, key=lambda n: xxhash.xxh3_64_intdigest(n.encode()))
-    place = ranked.index(vm)
-    return place if place < WATCHERS_PER_REGION else -1
+    candidates = {vm} | ({b.vm for b in live} if unserved else served_vms)
+    ranked = sorted(candidates, key=lambda n: xxhash.xxh3_64_intdigest(n.encode()))
+    rank = ranked.index(vm)
+    return rank if rank < WATCHERS_PER_REGION else -1
 
 
 class StoreFollower:
-    """Watches the store while this process is to."""
+    """Watches the store while the role of this process requires it."""
 
     def __init__(
         self,
@@ -148,21 +160,22 @@
         role: FollowerRole,
         rng: Random,
         prefix: str = PREFIX,
-        longest_backoff_s: float = LONGEST_BACKOFF_S,
+        longest_backoff_s: float = MAX_BACKOFF_S,
         on_change: Callable[[bool, str], None] | None = None,
     ) -> None:
-        """Create it.
+        """Create a follower.
 
         Args:
-          store: the platform's service.
-          state: the copy to keep in step.
-          role: when this process watches, and is told what came of it.
-          rng: spreads the calls after an outage.
-          prefix: what to follow of the store.
-          longest_backoff_s: longest pause between calls that fail, in seconds.
-          on_change: called with whether the store answers, and why, when that changes.
+          store: the platform's key-value service.
+          state: the replica to update.
+          role: decides when this process watches and records the outcome of requests.
+          rng: spreads the requests after an outage.
+          prefix: prefix of the keys to follow.
+          longest_backoff_s: longest pause between failed requests, in seconds.
+          on_change: called when the reachability of the store changes, with the new
+            state and the error.
         """
-        self._on_change = on_change or _log
+        self._on_change = on_change or _log_reachability
         self._prefix = prefix
         self._longest_backoff_s = longest_backoff_s
         self._store = store
@@ -170,31 +183,31 @@
         self._role = role
         self._rng = rng
         self.reachable: bool | None = None
-        """Whether the last call was answered; None before the first."""
+        """Whether the last request succeeded; None before the first one."""
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
-        backoff = FIRST_BACKOFF_S
+        backoff = INITIAL_BACKOFF_S
         while True:
-            if not self._is_due():
+            if not self._should_follow():
                 await asyncio.sleep(POLL_S)
                 continue
             try:
                 await self._follow()
-                backoff = FIRST_BACKOFF_S
+                backoff = INITIAL_BACKOFF_S
             except _WatchOverdueError:
-                # The next watch opens a connection of its own.
+                # The next watch opens a new connection.
                 logger.info("watch silent while its answer is due")
             except LeverdoorError as e:
                 if self.reachable:
-                    backoff = FIRST_BACKOFF_S
+                    backoff = INITIAL_BACKOFF_S
                 self._role.failed()
                 self._set_reachable(False, str(e))
                 await asyncio.sleep(backoff * (0.5 + self._rng.random()))
                 backoff = min(backoff * 2, self._longest_backoff_s)
 
-    def _is_due(self) -> bool:
-        """Return whether to follow the store now, in turn or since it must be asked."""
+    def _should_follow(self) -> bool:
+        """Return whether to follow the store now, by role or because of `must_ask`."""
         if self._role.follows():
             return True
         if not self._role.must_ask():
@@ -203,49 +216,50 @@
         return True
 
     async def _follow(self) -> None:
-        """Watch from where the copy stands; list only when that is not possible."""
+        """Watch from the revision of the replica; list only if that is impossible."""
         if self._state.revision == 0:
-            await self._list()
+            await self._read_all()
         watch = self._store.watch(self._prefix, self._state.revision, self._role.wait_s)
         try:
             while True:
-                events = await self._next(watch)
+                events = await self._next_events(watch)
                 self._state.extend(events)
-                self._note_answer()
+                self._record_response()
                 if not self._role.follows():
                     return
         except LeverdoorError as e:
             if e.code is not Code.COMPACTED:
                 raise
-            await self._list()
+            await self._read_all()
         finally:
             await watch.aclose()  # type: ignore[attr-defined]
 
-    async def _next(self, watch: AsyncIterator[list[Event]]) -> list[Event]:
-        """Return what a watch says next.
+    async def _next_events(self, watch: AsyncIterator[list[Event]]) -> list[Event]:
+        """Return the next events of a watch.
 
-        A connection may have gone silent, which the store's wait hides: a watch that
-        says nothing while what is held grows too old is given up.
+        While the store has no changes to report, a dead connection looks like an idle
+        one. A watch that stays silent while the replica becomes stale is abandoned.
 
         Raises:
-          LeverdoorError: as the watch does.
+          LeverdoorError: raised by the watch.
+          _WatchOverdueError: the watch is silent and the replica is stale.
         """
-        answer = asyncio.ensure_future(anext(watch))
+        next_events = asyncio.ensure_future(anext(watch))
         waited_s = 0.0
         try:
-            while not answer.done():
-                await asyncio.wait([answer], timeout=POLL_S)
+            while not next_events.done():
+                await asyncio.wait([next_events], timeout=POLL_S)
                 waited_s += POLL_S
                 if waited_s > WATCH_OVERDUE_S and self._role.is_stale():
                     break
-            if answer.done():
-                return answer.result()
+            if next_events.done():
+                return next_events.result()
         finally:
-            answer.cancel()
-            await asyncio.gather(answer, return_exceptions=True)
+            next_events.cancel()
+            await asyncio.gather(next_events, return_exceptions=True)
         raise _WatchOverdueError
 
-    def _note_answer(self) -> None:
+    def _record_response(self) -> None:
         self._role.answered()
         self._set_reachable(True, "")
 
@@ -254,7 +268,7 @@
             self.reachable = reachable
             self._on_change(reachable, why)
 
-    async def _list(self) -> None:
+    async def _read_all(self) -> None:
         listing = await self._store.read(self._prefix)
         if not self._state.reset(listing) and listing.revision < self._state.revision:
             logger.error(
@@ -262,11 +276,11 @@
                 store=listing.revision,
                 held=self._state.revision,
             )
-            raise StoreUnavailable("the store went back")
-        self._note_answer()
+            raise StoreUnavailable("the revision of the store decreased")
+        self._record_response()
 
 
-def _log(reachable: bool, why: str) -> None:
+def _log_reachability(reachable: bool, why: str) -> None:
     if reachable:
         logger.info("store answers")
     else:
--- a/leverdoor/storage/store_availability.py
+++ b/leverdoor/storage/store_availability.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Whether the store answers this process.
+"""Records whether the store responds to this process.
 
-One that it does not answer gives up the role of following it, and tries again after a
-while. Owns until when that counts; lost with the process. Pure but for the chance
-passed in.
+A process without a response gives up the role of following the store and retries after
+a randomized pause. Owns the times at which that state and the pause end; they are lost
+with the process. Has no side effects except for the random generator passed in.
 """
 
 from random import Random
@@ -12,46 +12,48 @@
 __all__ = ["MIN_FRACTION_OF_MEAN", "RETRY_MEAN_S", "StoreAvailability"]
 
 RETRY_MEAN_S = 5.0
-"""Mean pause after which a process that is not served tries again, in seconds.
+"""Mean pause before a process that got no response retries, in seconds.
 
-Longer, a preferred follower stays replaced by another; shorter, more calls to a store
-that does not answer it.
+A longer pause keeps a preferred follower replaced by another for longer. A shorter one
+sends more requests to a store that does not respond.
 """
 UNSERVED_S = 10.0
-"""How long a process counts as not served after a call that failed, in seconds.
+"""How long a process counts as unserved after a failed request, in seconds.
 
-Beyond the longest pause until its next try, if it is to try at all.
+Exceeds the longest pause before the next retry; otherwise `may_try` would never hold.
 """
 MIN_FRACTION_OF_MEAN = 0.5
-"""Shortest pause as a part of the mean; the longest is as much above it."""
+"""Shortest pause as a fraction of the mean; the longest exceeds the mean as much."""
 
 
 class StoreAvailability:
-    """Whether the store answers this process."""
+    """Tracks whether the store responds to this process."""
 
     def __init__(self, rng: Random) -> None:
-        """Create it for a process that has not called yet.
+        """Create the record of a process that has not sent a request yet.
 
         Args:
-          rng: spreads the tries of processes that were struck together.
+          rng: spreads the retries of processes that failed at the same time.
         """
         self._rng = rng
-        self._failed_until = 0.0
-        self._try_at = 0.0
+        self._unserved_until = 0.0
+        self._retry_at = 0.0
 
     def is_unserved(self, now: float) -> bool:
-        """Return whether the store did not answer lately; `now` is monotonic, in s."""
-        return now < self._failed_until
+        """Return whether a recent request failed; `now` is monotonic, in seconds."""
+        return now < self._unserved_until
 
     def may_try(self, now: float) -> bool:
-        """Return whether one that is not served may try again now."""
-        return self.is_unserved(now) and now >= self._try_at
+        """Return whether an unserved process may retry now."""
+        return self.is_unserved(now) and now >= self._retry_at
 
     def answered(self) -> None:
-        """Record that the store answered."""
-        self._failed_until = 0.0
+        """Record that the store responded."""
+        self._unserved_until = 0.0
 
     def failed(self, now: float) -> None:
-        """Record that the store did not answer."""
-        self._failed_until = now + UNSERVED_S
-        self._try_at = now + RETRY_MEAN_S * (MIN_FRACTION_OF_MEAN + self._rng.random())
+        """Record that a request to the store failed."""
+        self._unserved_until = now + UNSERVED_S
+        self._retry_at = now + RETRY_MEAN_S * (
+            MIN_FRACTION_OF_MEAN + self._rng.random()
+        )
