--- a/leverdoor/storage/configuration.py
+++ b/leverdoor/storage/configuration.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Writes resources to the store: all checks first, then one transaction.
+"""Validates resources and writes them to the store in one transaction.
 
-Every write replaces the guard key under a condition, so that writes take effect one
-after another (docs/DESIGN.md, Configuration). A write whose answer is lost is looked
-up by its id in the guard. Owns no state but the store's; relies on its
-compare-and-swap.
+Every write replaces the guard key on condition of its revision, which serializes all
+writes (docs/DESIGN.md, Configuration). If the response to a write is lost, the guard
+shows by the id of the write whether it took effect. Keeps no state outside the store;
+relies on the store's compare-and-swap.
 """
 
 import uuid
@@ -31,43 +31,46 @@
 
 __all__ = ["Applied", "Configuration", "Guard"]
 
-GUARD_WRITES = 64
-"""Resources written in one transaction: half of etcd's usual limit of 128."""
-ATTEMPTS = 6
-"""Attempts of a transaction that other operators overtook.
+MAX_GUARD_WRITES = 64
+"""Number of write ids kept in the guard: half of etcd's default limit of 128
+operations in a transaction."""
+MAX_ATTEMPTS = 6
+"""Attempts of a transaction that conflicts with concurrent writes.
 
-An operator that is overtaken that often gets CONFLICT and can look at what the others
-wrote; each attempt costs the store a read and a write.
+After that many conflicts the operator gets CONFLICT and can inspect what the others
+wrote. Each attempt costs the store a read and a write.
 """
 CONFLICT_RETRY_MS = 500
-"""When an operator whom others overtook may write again, in ms.
+"""Retry-After of a CONFLICT, in ms.
 
-The others' writes are done by then, and a person does not notice it.
+Concurrent writes have finished by then, and a person does not notice the delay.
 """
 MAX_RESOURCES = 100
-"""Resources of one document at most: with the guard it stays below etcd's usual 128
-operations of a transaction."""
+"""Most resources in one document.
+
+With the guard, the transaction stays below etcd's default limit of 128 operations.
+"""
 
 
 class Guard(msgspec.Struct):
-    """The last configuration writes that took effect, newest last.
+    """Ids of the last configuration writes that took effect, newest last.
 
-    Every configuration write replaces it under a condition, so writes take
-    effect one after another and each is checked against all before it.
+    Every configuration write replaces the guard on condition of its revision. Writes
+    are therefore serialized, and each is validated against all earlier ones.
     """
 
     writes: list[str] = []
 
 
 class Applied(msgspec.Struct, frozen=True):
-    """An accepted write; dry runs have revision 0."""
+    """An accepted write; `revision` is 0 for a dry run."""
 
     revision: int
     keys: list[str]
 
 
 class _Snapshot(msgspec.Struct):
-    """What a write is checked against, and the revisions that it rests on."""
+    """Resources and guard against which a write is validated, with their revisions."""
 
     resources: dict[str, Resource]
     revisions: dict[str, int]
@@ -75,21 +78,21 @@
     guard_revision: int
 
 
-_Writes: TypeAlias = Callable[[_Snapshot], Result[list[Write], ConfigError]]
+_BuildWrites: TypeAlias = Callable[[_Snapshot], Result[list[Write], ConfigError]]
 
 
 class Configuration:
-    """Commands on resources."""
+    """Executes the commands that change resources."""
 
     def __init__(
         self, store: Store, state: State, cache: ViewCache | None = None
     ) -> None:
-        """Create it.
+        """Create the commands of an agent.
 
         Args:
-          store: the platform's service.
-          state: a copy that may lag; conflicts are then read afresh.
-          cache: what is compiled of the copy, so that it is parsed only once.
+          store: the platform's key-value service.
+          state: a replica, which may lag; after a conflict the store is read instead.
+          cache: the compiled replica, which saves parsing it again.
         """
         self._cache = cache
         self._store = store
@@ -101,13 +104,13 @@
         conditions: Mapping[str, int] | None = None,
         dry_run: bool = False,
     ) -> Result[Applied, LeverdoorError]:
-        """Create or replace resources, all or none.
+        """Create or replace resources atomically.
 
         Args:
-          resources: what to write; at most MAX_RESOURCES.
-          conditions: by key, the revision it must stand at; 0 for absent.
-          dry_run: check only.
-        Returns: what was accepted, or why nothing was written.
+          resources: the resources to write; at most MAX_RESOURCES.
+          conditions: the required revision by key; 0 requires an absent key.
+          dry_run: validate only.
+        Returns: the accepted write, or the error if nothing was written.
         """
         if len(resources) > MAX_RESOURCES:
             return Failure(
@@ -116,7 +119,7 @@
                 )
             )
 
-        def writes(snapshot: _Snapshot) -> Result[list[Write], ConfigError]:
+        def build_writes(snapshot: _Snapshot) -> Result[list[Write], ConfigError]:
             checked = validate(resources, snapshot.resources)
             return checked.map(
                 lambda _: [
@@ -126,44 +129,51 @@
             )
 
         keys = [resource_key(r) for r in resources]
-        return await self._commit(keys, conditions or {}, writes, dry_run)
+        return await self._commit(keys, conditions or {}, build_writes, dry_run)
 
     async def delete(
         self, key: str, condition: int | None = None, dry_run: bool = False
     ) -> Result[Applied, LeverdoorError]:
-        """Delete a resource that nothing refers to."""
+        """Delete a resource that no other resource refers to.
 
-        def writes(snapshot: _Snapshot) -> Result[list[Write], ConfigError]:
+        Args:
+          key: the resource as `kind/name`.
+          condition: the required revision; None for any.
+          dry_run: validate only.
+        Returns: the accepted write, or the error if nothing was written.
+        """
+
+        def build_writes(snapshot: _Snapshot) -> Result[list[Write], ConfigError]:
             if key not in snapshot.resources:
                 return Failure(ConfigError(Code.NOT_FOUND, f"there is no {key}"))
             checked = check_removal(key, snapshot.resources)
             return checked.map(lambda _: [Write(RESOURCES + key, None)])
 
         conditions = {} if condition is None else {key: condition}
-        return await self._commit([key], conditions, writes, dry_run)
+        return await self._commit([key], conditions, build_writes, dry_run)
 
     async def _commit(
         self,
         keys: list[str],
         conditions: Mapping[str, int],
-        writes: _Writes,
+        build_writes: _BuildWrites,
         dry_run: bool,
     ) -> Result[Applied, LeverdoorError]:
-        """Check and write, again while other operators get in between."""
+        """Validate and write; repeat after a conflict with a concurrent write."""
         try:
-            for attempt in range(ATTEMPTS):
+            for attempt in range(MAX_ATTEMPTS):
                 snapshot = await self._snapshot(fresh=attempt > 0)
-                found = _check_conditions(conditions, snapshot).bind(
-                    lambda s: writes(s)
+                checked = _check_conditions(conditions, snapshot).bind(
+                    lambda s: build_writes(s)
                 )
-                if isinstance(found, Failure):
-                    error = found.failure()
+                if isinstance(checked, Failure):
+                    error = checked.failure()
                     if attempt == 0 and not dry_run:
                         continue
                     return Failure(error)
                 if dry_run:
                     return Success(Applied(0, keys))
-                revision = await self._write(found.unwrap(), snapshot)
+                revision = await self._write(checked.unwrap(), snapshot)
                 if revision:
                     return Success(Applied(revision, keys))
         except LeverdoorError as e:
@@ -171,13 +181,14 @@
         return Failure(
             ConfigError(
                 Code.CONFLICT,
-                "other operators kept writing in between; nothing was written",
+                "concurrent writes by other operators caused repeated conflicts; "
+                "nothing was written",
                 retry_after_ms=CONFLICT_RETRY_MS,
             )
         )
 
     async def _snapshot(self, fresh: bool) -> _Snapshot:
-        """Take the state to check against; the copy will do for a first try."""
+        """Return the state to validate against; the replica unless `fresh` is set."""
         if fresh or self._state.revision == 0:
             listing = await self._store.read(PREFIX)
             entries = {e.key: e for e in listing.entries}
@@ -195,29 +206,33 @@
         )
 
     async def _write(self, writes: list[Write], snapshot: _Snapshot) -> int:
-        """Write under the guard.
+        """Write on condition that the guard is unchanged.
 
-        Returns: the revision, or 0 if somebody else wrote in between.
+        Returns: the revision, or 0 after a concurrent write.
         Raises:
           StoreUnavailable: nothing was written.
-          StoreUnknown: it cannot be found out now whether it was.
+          StoreUnknown: the outcome of the write cannot be determined now.
         """
         write_id = uuid.uuid4().hex
-        names = [*snapshot.guard.writes, write_id][-GUARD_WRITES:]
-        guard = msgspec.json.encode(Guard(names))
+        write_ids = [*snapshot.guard.writes, write_id][-MAX_GUARD_WRITES:]
+        guard = msgspec.json.encode(Guard(write_ids))
         batch = [*writes, Write(GUARD, guard, snapshot.guard_revision)]
         try:
-            done = await self._store.commit(batch)
+            result = await self._store.commit(batch)
         except StoreUnknown as e:
             logger.warning("answer of a write lost", write=write_id, error=str(e))
             return await self._resolve(write_id, snapshot)
-        return done.revision if done.committed else 0
+        return result.revision if result.committed else 0
 
     async def _resolve(self, write_id: str, snapshot: _Snapshot) -> int:
-        """Find out whether a write took effect, and see that it won't later.
+        """Determine whether a write took effect, and prevent a later effect.
+
+        While the guard still has the revision that the write expects, a delayed write
+        may take effect. Replacing the guard makes its condition fail.
 
-        If the guard still stands where the write expected it, the write may
-        yet arrive; replacing the guard makes that impossible.
+        Returns: the revision of the write, or 0 if it has no effect.
+        Raises:
+          StoreUnknown: the store did not respond.
         """
         try:
             listing = await self._store.read(GUARD)
@@ -225,12 +240,12 @@
             guard = _parse_guard(entry)
             if write_id in guard.writes and entry is not None:
                 return entry.revision
-            at = entry.revision if entry else 0
-            if at != snapshot.guard_revision:
+            revision = entry.revision if entry else 0
+            if revision != snapshot.guard_revision:
                 return 0
-            fence = Write(GUARD, msgspec.json.encode(guard), at)
-            done = await self._store.commit([fence])
-            return 0 if done.committed else await self._resolve(write_id, snapshot)
+            fence = Write(GUARD, msgspec.json.encode(guard), revision)
+            result = await self._store.commit([fence])
+            return 0 if result.committed else await self._resolve(write_id, snapshot)
         except StoreUnavailable as e:
             raise StoreUnknown(e.detail) from None
 
@@ -242,14 +257,14 @@
 def _check_conditions(
     conditions: Mapping[str, int], snapshot: _Snapshot
 ) -> Result[_Snapshot, ConfigError]:
-    for key, wanted in conditions.items():
-        have = snapshot.revisions.get(key, 0)
-        if have != wanted:
+    for key, required in conditions.items():
+        actual = snapshot.revisions.get(key, 0)
+        if actual != required:
             return Failure(
                 ConfigError(
                     Code.CONFLICT,
-                    f"{key} is at revision {have}, not {wanted}",
-                    revision=have,
+                    f"{key} is at revision {actual}, not {required}",
+                    revision=actual,
                 )
             )
     return Success(snapshot)
