--- a/leverdoor/storage/etcd.py
+++ b/leverdoor/storage/etcd.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The key-value service's real client: the JSON form of the etcd v3 API.
+"""Client of the key-value service for the JSON gateway of the etcd v3 API.
 
-Owns one session and the index of the member in use; a failed call moves to the next
-member. Tells calls that were never taken (`StoreUnavailable`) from calls whose answer
-was lost (`StoreUnknown`).
+Owns one session and the index of the member in use, both lost with the process; after
+a failed request the client switches to the next member. Distinguishes requests that
+were not executed (`StoreUnavailable`) from requests whose response was lost
+(`StoreUnknown`).
 """
 
 import base64
@@ -33,28 +34,31 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S = 2.0
-"""Longest time of a call, in seconds: the service answers in milliseconds, and a
-follower must try another member well before its watch counts as lost (6 s)."""
+"""Timeout of a request, in seconds.
+
+The service responds within milliseconds, and a follower must try another member well
+before its watch counts as lost (6 s).
+"""
 READ_BUFFER = 4_000_000
-"""Longest line of a watch, in bytes; above the largest batch of events."""
+"""Read buffer of a watch, in bytes; larger than the largest batch of events."""
 
 
 class EtcdStore(Store):
-    """Client for the JSON form of the etcd v3 API."""
+    """Client for the JSON gateway of the etcd v3 API."""
 
     def __init__(self, urls: Sequence[str], timeout_s: float = CALL_TIMEOUT_S) -> None:
         """Create a client.
 
         Args:
-          urls: base URLs of the service's members, tried in turn.
-          timeout_s: longest time for one call, in seconds.
+          urls: base URLs of the service's members, used in rotation.
+          timeout_s: timeout of one request, in seconds.
         """
         self._urls = [u.rstrip("/") for u in urls]
-        self._at = 0
+        self._member = 0
         self._timeout_s = timeout_s
         self._session: aiohttp.ClientSession | None = None
 
-    def _client(self) -> aiohttp.ClientSession:
+    def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = new_session()
         return self._session
@@ -69,19 +73,19 @@
         """Read all entries under a prefix."""
         body = {"key": to_base64(prefix.encode()), "range_end": _range_end(prefix)}
         try:
-            answer = await self._call("/v3/kv/range", body, _RangeAnswer)
+            response = await self._call("/v3/kv/range", body, _RangeResponse)
         except StoreUnknown as e:
             raise StoreUnavailable(e.detail) from None
-        return Listing(answer.header.revision, [kv.entry() for kv in answer.kvs])
+        return Listing(response.header.revision, [kv.entry() for kv in response.kvs])
 
     async def commit(self, writes: Sequence[Write]) -> Commit:
-        """Write all changes or none, if every `expected_revision` holds."""
+        """Apply all writes atomically if every `expected_revision` matches."""
         body = {
             "compare": [_compare(w) for w in writes if w.expected_revision is not None],
             "success": [_operation(w) for w in writes],
         }
-        answer = await self._call("/v3/kv/txn", body, _TxnAnswer)
-        return Commit(answer.succeeded, answer.header.revision)
+        response = await self._call("/v3/kv/txn", body, _TxnResponse)
+        return Commit(response.succeeded, response.header.revision)
 
     async def watch(
         self, prefix: str, after: int, wait_s: Wait = client_default_wait
@@ -98,47 +102,52 @@
         )
         self.calls += 1
         try:
-            async with self._client().post(
-                self._urls[self._at] + "/v3/watch",
+            async with self._open_session().post(
+                self._urls[self._member] + "/v3/watch",
                 json={"create_request": create},
                 timeout=timeout,
                 read_bufsize=READ_BUFFER,
-            ) as answer:
-                if answer.status != 200:
-                    raise StoreUnavailable(f"watch: HTTP {answer.status}")
-                async for message in _lines(answer.content):
+            ) as response:
+                if response.status != 200:
+                    raise StoreUnavailable(f"watch: HTTP {response.status}")
+                async for message in _lines(response.content):
                     yield _events(message)
         except (aiohttp.ClientError, OSError, TimeoutError) as e:
-            self._next()
+            self._switch_member()
             raise StoreUnavailable(f"watch: {e!r}") from None
-        raise StoreUnavailable("watch: ended")
+        raise StoreUnavailable("watch: the service closed the stream")
 
-    async def _call(self, path: str, body: object, kind: type[T]) -> T:
-        """Make one call, telling lost answers from calls never taken."""
+    async def _call(self, path: str, body: object, response_type: type[T]) -> T:
+        """Send one request and decode the response.
+
+        Raises:
+          StoreUnavailable: the request was not executed.
+          StoreUnknown: the request may have been executed.
+        """
         self.calls += 1
         timeout = aiohttp.ClientTimeout(total=self._timeout_s)
         try:
-            async with self._client().post(
-                self._urls[self._at] + path,
+            async with self._open_session().post(
+                self._urls[self._member] + path,
                 data=msgspec.json.encode(body),
                 headers={"Content-Type": "application/json"},
                 timeout=timeout,
-            ) as answer:
-                data = await answer.read()
+            ) as response:
+                data = await response.read()
         except aiohttp.ClientConnectorError as e:
-            self._next()
+            self._switch_member()
             raise StoreUnavailable(f"{path}: {e}") from None
         except (aiohttp.ClientError, OSError, TimeoutError) as e:
-            self._next()
+            self._switch_member()
             raise StoreUnknown(f"{path}: {e!r}") from None
-        if answer.status == 503:
+        if response.status == 503:
             raise StoreUnavailable(f"{path}: HTTP 503")
-        if answer.status != 200:
-            raise StoreUnknown(f"{path}: HTTP {answer.status}")
-        return msgspec.json.decode(data, type=kind, strict=False)
+        if response.status != 200:
+            raise StoreUnknown(f"{path}: HTTP {response.status}")
+        return msgspec.json.decode(data, type=response_type, strict=False)
 
-    def _next(self) -> None:
-        self._at = (self._at + 1) % len(self._urls)
+    def _switch_member(self) -> None:
+        self._member = (self._member + 1) % len(self._urls)
 
 
 class _Header(msgspec.Struct):
@@ -154,12 +163,12 @@
         return KeyValue(key_text(self.key), from_base64(self.value), self.mod_revision)
 
 
-class _RangeAnswer(msgspec.Struct):
+class _RangeResponse(msgspec.Struct):
     header: _Header
     kvs: list[_Kv] = []
 
 
-class _TxnAnswer(msgspec.Struct):
+class _TxnResponse(msgspec.Struct):
     header: _Header
     succeeded: bool = False
 
@@ -181,11 +190,11 @@
 
 
 async def _lines(content: aiohttp.StreamReader) -> AsyncIterator[bytes]:
-    """Yield whole lines of any length."""
-    rest = b""
+    """Yield complete lines of any length."""
+    partial = b""
     async for chunk in content.iter_any():
-        *whole, rest = (rest + chunk).split(b"\n")
-        for line in whole:
+        *complete, partial = (partial + chunk).split(b"\n")
+        for line in complete:
             if line:
                 yield line
 
@@ -194,12 +203,12 @@
     result = msgspec.json.decode(line, type=_WatchMessage, strict=False).result
     if result.canceled:
         raise LeverdoorError(Code.COMPACTED, revision=result.compact_revision)
-    found = []
+    events = []
     for e in result.events:
         entry = e.kv.entry()
         value = None if e.type == "DELETE" else entry.value
-        found.append(Event(entry.revision, entry.key, value))
-    return found
+        events.append(Event(entry.revision, entry.key, value))
+    return events
 
 
 def _compare(w: Write) -> dict[str, str]:
--- a/leverdoor/storage/view.py
+++ b/leverdoor/storage/view.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The configuration compiled for look-ups on the request path of a plain site.
+"""Indexes the configuration for look-ups on the request path of a plain site.
 
-`ViewCache` follows a `State` and owns the compiled view, the ownership tables and the
-client blocks; all are rebuilt from the state and lost with the process.
+`ViewCache` subscribes to a `State` and owns the compiled view, the ownership tables and
+the client blocks. They are lost with the process and rebuilt from the state.
 """
 
 from collections.abc import Iterable
@@ -41,11 +41,11 @@
 
 DEFAULT_TIER = Tier(name="default", default=True)
 CAP_SPREAD_ALL = 0
-"""Holders of a cap's units: 0 spreads them over all gates of a region."""
+"""Spread of a shift cap's row: 0 divides its units among all gates of a region."""
 
 
 class View:
-    """All resources at one revision, indexed."""
+    """All resources at one revision, with indexes."""
 
     def __init__(
         self, revision: int, resources: dict[str, Resource], blocks: BlockMap
@@ -53,34 +53,36 @@
         """Index resources.
 
         Args:
-          revision: the store revision they stand at.
-          resources: all of them, by `kind/name`.
-          blocks: the compiled client blocks among them.
+          revision: the store revision of the resources.
+          resources: all resources by `kind/name`.
+          blocks: the compiled client blocks of these resources.
         """
         self.revision = revision
         self.resources = resources
         self.blocks = blocks
-        self.regions = self._named(Region)
-        self.services = self._named(Service)
-        self.targets = self._named(Target)
-        self.tiers = self._named(Tier)
-        self.levels = self._named(ServiceLevel)
-        self.drains = self._named(Drain)
-        self.caps = {(c.service, c.region): c for c in self._named(ShiftCap).values()}
-        self._tier_of = {c: t for t in self.tiers.values() for c in t.callers}
+        self.regions = self._resources_of_kind(Region)
+        self.services = self._resources_of_kind(Service)
+        self.targets = self._resources_of_kind(Target)
+        self.tiers = self._resources_of_kind(Tier)
+        self.levels = self._resources_of_kind(ServiceLevel)
+        self.drains = self._resources_of_kind(Drain)
+        self.caps = {
+            (c.service, c.region): c for c in self._resources_of_kind(ShiftCap).values()
+        }
+        self._tier_by_caller = {c: t for t in self.tiers.values() for c in t.callers}
         defaults = [t for t in self.tiers.values() if t.default]
         self.default_tier = defaults[0] if defaults else DEFAULT_TIER
         self.targets_by_location: dict[tuple[str, str], list[Target]] = {}
         for t in sorted(self.targets.values(), key=lambda t: t.name):
             self.targets_by_location.setdefault((t.service, t.region), []).append(t)
         self._drained_vms = {d.vm for d in self.drains.values() if d.vm}
-        self._drained = {
+        self._drained_targets = {
             t.name
             for t in self.targets.values()
             if any(d.covers(t) for d in self.drains.values())
         }
 
-    def _named(self, kind: type[T]) -> dict[str, T]:
+    def _resources_of_kind(self, kind: type[T]) -> dict[str, T]:
         return {
             key.split("/", 1)[1]: r
             for key, r in self.resources.items()
@@ -88,20 +90,20 @@
         }
 
     def tier(self, caller: str) -> Tier:
-        """Return the tier that a caller pays for."""
-        return self._tier_of.get(caller, self.default_tier)
+        """Return the tier of a caller, or the default tier."""
+        return self._tier_by_caller.get(caller, self.default_tier)
 
     def drained(self, target: Target) -> bool:
         """Return whether a drain covers a target."""
-        return target.name in self._drained
+        return target.name in self._drained_targets
 
     def vm_drained(self, vm: str) -> bool:
         """Return whether a drain covers a VM."""
         return vm in self._drained_vms
 
     def specs(self, region: str) -> dict[str, RowSpec]:
-        """Return the rows that a region's ownership table should have."""
-        found = {
+        """Return the rows that the ownership table of a region should have."""
+        specs = {
             slot_row(t.address): RowSpec(t.slots)
             for t in self.targets.values()
             if t.region == region
@@ -109,66 +111,68 @@
         for c in self.caps.values():
             if c.region == region:
                 row = cap_row(c.service, c.region)
-                found[row] = RowSpec(c.units, CAP_SPREAD_ALL)
-        return found
+                specs[row] = RowSpec(c.units, CAP_SPREAD_ALL)
+        return specs
 
     def settle_s(self, region: str) -> dict[str, float]:
-        """Return for each row how long gained units stay unusable."""
-        found = {
+        """Return by row how long newly assigned units stay unusable, in seconds."""
+        delays = {
             slot_row(t.address): self.services[t.service].linger_ms / 1000
             for t in self.targets.values()
             if t.region == region and t.service in self.services
         }
         for c in self.caps.values():
             if c.region == region:
-                found[cap_row(c.service, c.region)] = c.window_ms / 1000
-        return found
+                delays[cap_row(c.service, c.region)] = c.window_ms / 1000
+        return delays
 
     def distance_ms(self, a: str, b: str) -> float:
-        """One-way latency between two regions; 0 within one."""
+        """Return the one-way latency between two regions in ms; 0 within a region."""
         if a == b:
             return 0.0
-        for one, other in ((a, b), (b, a)):
-            region = self.regions.get(one)
-            if region is not None and other in region.latency_ms:
-                return float(region.latency_ms[other])
+        for start, end in ((a, b), (b, a)):
+            region = self.regions.get(start)
+            if region is not None and end in region.latency_ms:
+                return float(region.latency_ms[end])
         return 1_000.0
 
 
 class ViewCache:
-    """Keeps the compiled view and the ownership tables in step with a State.
+    """Updates the compiled view and the ownership tables from a State.
 
-    Client blocks are kept compiled only; the resource kept for them is an outline
-    that names the regions they refer to.
+    Client blocks are stored in compiled form only. Their resource in the view is an
+    outline that names the regions they refer to.
     """
 
     def __init__(self, state: State, with_blocks: bool = True) -> None:
-        """Follow a state from now on.
+        """Compile a state and subscribe to its changes.
 
         Args:
-          state: the copy of the store.
-          with_blocks: whether to compile client blocks; agents look none up.
+          state: the replica of the store.
+          with_blocks: whether to compile client blocks; agents do not look them up.
         """
         self._with_blocks = with_blocks
         self._chunks: dict[str, Chunk] = {}
         self._blocks = BlockMap({})
         self.view = View(0, {}, self._blocks)
         self.tables: dict[str, Table] = {}
-        self.take(state.delta(0))
-        state.changes.subscribe(self.take)
+        self._apply_delta(state.delta(0))
+        state.changes.subscribe(self._apply_delta)
 
-    def take(self, delta: Delta) -> None:
-        """Compile what a delta changed."""
+    def _apply_delta(self, delta: Delta) -> None:
+        """Recompile what a delta changed."""
         resources = {} if delta.full else dict(self.view.resources)
         chunks = {} if delta.full else dict(self._chunks)
         changed = delta.full
         for e in delta.events:
             if e.key.startswith(TABLES):
-                self._take_table(e.key, e.value)
+                self._update_table(e.key, e.value)
             elif e.key.startswith(RESOURCES):
                 changed = True
                 key = e.key.removeprefix(RESOURCES)
-                _put(resources, chunks if self._with_blocks else None, key, e.value)
+                _update_resource(
+                    resources, chunks if self._with_blocks else None, key, e.value
+                )
         if not changed:
             self.view.revision = delta.revision
             return
@@ -177,7 +181,7 @@
             self._blocks = BlockMap(chunks, self._blocks)
         self.view = View(delta.revision, resources, self._blocks)
 
-    def _take_table(self, key: str, value: bytes | None) -> None:
+    def _update_table(self, key: str, value: bytes | None) -> None:
         region = key.removeprefix(TABLES)
         if value is None:
             self.tables.pop(region, None)
@@ -185,17 +189,17 @@
             self.tables[region] = parse_table(value)
 
     def table(self, region: str) -> Table:
-        """Return a region's ownership table, empty if there is none."""
+        """Return a region's ownership table, or an empty one if it has none."""
         return self.tables.get(region) or Table(region)
 
 
-def _put(
+def _update_resource(
     resources: dict[str, Resource],
     chunks: dict[str, Chunk] | None,
     key: str,
     value: bytes | None,
 ) -> None:
-    """Take one stored resource in, or out; an unreadable one is left out."""
+    """Insert, replace or remove a stored resource; omit one that cannot be parsed."""
     resources.pop(key, None)
     if chunks is not None:
         chunks.pop(key, None)
@@ -219,17 +223,18 @@
     """Parse stored resources by `kind/name`.
 
     Args:
-      entries: as the store has them.
-      known: the view of `state`, from which what has not changed is taken.
-      state: the copy of the store that the view was compiled from.
+      entries: the entries of the store.
+      known: the view of `state`; supplies the resources that have not changed.
+      state: the replica of the store from which the view was compiled.
+    Returns: the resources; an entry that cannot be parsed is omitted.
     """
-    found: dict[str, Resource] = {}
+    resources: dict[str, Resource] = {}
     for e in entries:
         key = e.key.removeprefix(RESOURCES)
-        have = state.entries.get(e.key)
-        if known is not None and have is not None and have.revision == e.revision:
+        current = state.entries.get(e.key)
+        if known is not None and current is not None and current.revision == e.revision:
             if key in known.resources:
-                found[key] = known.resources[key]
+                resources[key] = known.resources[key]
         else:
-            _put(found, None, key, e.value)
-    return found
+            _update_resource(resources, None, key, e.value)
+    return resources
--- a/leverdoor/storage/vmlist.py
+++ b/leverdoor/storage/vmlist.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's list of VMs: its HTTP client, and which absent VMs are gone.
+"""HTTP client of the platform's VM list, and detection of terminated VMs.
 
-State: `DepartureTracker` keeps in memory since when each VM is absent; a restart of the
-agent forgets it, and each wait begins again. Relies on the list being at most
-`lag_s` old, as the agent's settings say.
+`DepartureTracker` keeps the start of each VM's absence in memory. A restart of the
+agent loses it, and each wait starts again. Relies on the list being at most `lag_s`
+old, which is a setting of the agent.
 """
 
 from enum import StrEnum
@@ -18,15 +18,15 @@
 __all__ = ["DepartureTracker", "HttpVmList", "Vm", "VmState", "parse_vms"]
 
 FETCH_TIMEOUT_S = 2.0
-"""Longest time to fetch the list, in seconds.
+"""Timeout of a request for the list, in seconds.
 
-Longer, and a list that does not answer would hold up the next reading; shorter, and a
-slow list would read as one that is down.
+With a longer one, a list that does not respond delays the next reading; with a shorter
+one, a slow list counts as unavailable.
 """
 
 
 class VmState(StrEnum):
-    """State of a VM by the platform's list."""
+    """State of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -40,7 +40,7 @@
 
 
 class HttpVmList:
-    """The list over HTTP: `GET url` answers a JSON array of VMs."""
+    """Reads the list over HTTP: `GET url` returns a JSON array of VMs."""
 
     def __init__(self, url: str) -> None:
         """Create a client for one URL."""
@@ -48,7 +48,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def fetch(self) -> list[Vm]:
-        """Read the list as the platform has it now, which may lag.
+        """Read the current list, which may lag behind the platform.
 
         Raises:
           LeverdoorError: STORE_UNAVAILABLE, the list cannot be read.
@@ -56,9 +56,9 @@
         if self._session is None:
             self._session = new_session(FETCH_TIMEOUT_S)
         try:
-            async with self._session.get(self._url) as answer:
-                answer.raise_for_status()
-                return parse_vms(await answer.read())
+            async with self._session.get(self._url) as response:
+                response.raise_for_status()
+                return parse_vms(await response.read())
         except (aiohttp.ClientError, OSError, TimeoutError, ConfigError) as e:
             raise LeverdoorError(Code.STORE_UNAVAILABLE, f"VM list: {e!r}") from None
 
@@ -72,7 +72,7 @@
     """Parse the list from JSON.
 
     Raises:
-      ConfigError: MALFORMED.
+      ConfigError: MALFORMED, the data is not a JSON array of VMs.
     """
     try:
         return msgspec.json.decode(data, type=list[Vm])
@@ -81,25 +81,25 @@
 
 
 class _Absence(msgspec.Struct, frozen=True):
-    """A VM that the list lacks."""
+    """The absence of a VM from the list."""
 
     since: float
-    """Monotonic time before the reading that first lacked it, in seconds."""
+    """Monotonic time just before the first reading without the VM, in seconds."""
     processes: frozenset[str]
-    """Identities of its processes known then."""
+    """Identities of the processes known on the VM at that time."""
 
 
 class DepartureTracker:
-    """Decides which processes of absent VMs are proved to be gone.
+    """Determines which processes of absent VMs have terminated.
 
-    The list shows a moment at most `lag_s` old. A VM that a reading taken at
-    least `lag_s` after the first absence still lacks was absent at a moment
-    after that first reading, so every process seen on it before is dead. A
-    process that started later is not covered, whatever the list says.
+    A reading shows the list as it was at most `lag_s` ago. If a reading taken more
+    than `lag_s` after the first absence still lacks the VM, the VM was absent at some
+    time after that first reading, so every process seen on it before has terminated.
+    A process that started later is not covered, whatever the list says.
     """
 
     def __init__(self, lag_s: float) -> None:
-        """Create it.
+        """Create a tracker without absences.
 
         Args:
           lag_s: upper bound of the list's lag, in seconds.
@@ -110,13 +110,13 @@
     def observe(
         self, listed: set[str], known: dict[str, set[str]], read_at: float
     ) -> set[str]:
-        """Take one reading of the list.
+        """Record one reading of the list.
 
         Args:
-          listed: VMs on the list.
+          listed: the VMs in the list.
           known: identities of the processes known on each VM before the reading.
           read_at: monotonic time just before the list was requested, in seconds.
-        Returns: identities of processes proved to be gone.
+        Returns: identities of the processes that have terminated.
         """
         gone: set[str] = set()
         for vm in list(self._absent):
@@ -126,8 +126,8 @@
             if vm in listed:
                 continue
             absence = _Absence(read_at, frozenset(processes))
-            first = self._absent.setdefault(vm, absence)
-            if read_at - first.since > self._lag_s:
-                gone |= first.processes
+            recorded = self._absent.setdefault(vm, absence)
+            if read_at - recorded.since > self._lag_s:
+                gone |= recorded.processes
                 self._absent[vm] = absence
         return gone
