--- a/leverdoor/standins/kv.py
+++ b/leverdoor/standins/kv.py
@@ -14,7 +14,7 @@
 from leverdoor.answers import json_answer
 from leverdoor.codec import serialize_json
 from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
-from leverdoor.storage.etcd import from_base64, key_text, to_base64
+from leverdoor.storage.etcd import decode_key, from_base64, to_base64
 from leverdoor.storage.store import Event, MemoryStore, Write
 
 __all__ = ["KvStandin", "KvFaults"]
@@ -90,7 +90,7 @@
     async def _range(self, request: web.Request) -> web.StreamResponse:
         wanted = msgspec.json.decode(await request.read(), type=_Key)
         try:
-            listing = await self.store.read(key_text(wanted.key))
+            listing = await self.store.read(decode_key(wanted.key))
         except StoreUnavailable:
             return web.Response(status=503)
         kvs = [
@@ -125,7 +125,7 @@
         await response.prepare(request)
         await _line(response, {"created": True, "header": _header(self.store.revision)})
         try:
-            watch = self.store.watch(key_text(create.key), create.start_revision - 1)
+            watch = self.store.watch(decode_key(create.key), create.start_revision - 1)
             async for events in watch:
                 result = {
                     "header": _header(self.store.revision),
@@ -157,15 +157,15 @@
 
 
 def _writes(txn: _Txn) -> list[Write]:
-    expected = {key_text(c.key): c.mod_revision for c in txn.compare}
+    expected = {decode_key(c.key): c.mod_revision for c in txn.compare}
     writes = []
     for op in txn.success:
         if op.request_put is not None:
-            key = key_text(op.request_put.key)
+            key = decode_key(op.request_put.key)
             value: bytes | None = from_base64(op.request_put.value)
         else:
             assert op.request_delete_range is not None
-            key, value = key_text(op.request_delete_range.key), None
+            key, value = decode_key(op.request_delete_range.key), None
         writes.append(Write(key, value, expected.get(key)))
     return writes
 
--- a/leverdoor/storage/etcd.py
+++ b/leverdoor/storage/etcd.py
@@ -29,7 +29,7 @@
     client_default_wait,
 )
 
-__all__ = ["EtcdStore", "from_base64", "key_text", "to_base64"]
+__all__ = ["EtcdStore", "from_base64", "decode_key", "to_base64"]
 
 T = TypeVar("T")
 
@@ -160,7 +160,9 @@
     mod_revision: int = 0
 
     def entry(self) -> KeyValue:
-        return KeyValue(key_text(self.key), from_base64(self.value), self.mod_revision)
+        return KeyValue(
+            decode_key(self.key), from_base64(self.value), self.mod_revision
+        )
 
 
 class _RangeResponse(msgspec.Struct):
@@ -237,7 +239,7 @@
     return base64.b64decode(text)
 
 
-def key_text(text: str) -> str:
+def decode_key(text: str) -> str:
     """Decode a key of the JSON API."""
     return from_base64(text).decode()
 
