--- a/leverdoor/agent/api.py
+++ b/leverdoor/agent/api.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The resource API, served by every agent over HTTP.
+"""The resource API, which every agent serves over HTTP.
 
-Owns no state but the queues of its watchers. Queries read the agent's copy of the
-store, which may lag; commands go through `storage/configuration.py` to the store.
+Owns the event queues of its watchers, which are lost with the process. Queries read the
+agent's replica of the store, which may lag; commands write to the store through
+`storage/configuration.py`.
 """
 
 import asyncio
@@ -32,27 +33,28 @@
 
 __all__ = ["Api", "Change", "Item", "ItemList", "Status"]
 
-MAX_BODY = 1_000_000
-"""Longest document accepted, in bytes; the longest value of the store."""
+MAX_BODY_BYTES = 1_000_000
+"""Maximum size of a request body in bytes; the largest value of the store."""
 BOOKMARK_S = 5.0
-"""Seconds between bookmarks to an idle watch: below usual idle time-outs."""
+"""Interval of bookmarks on an idle watch, in seconds; below common idle timeouts."""
 REPORT_WATCH_S = 1.0
-"""Seconds between two reports to a watcher: people read them."""
+"""Interval of reports to a watcher, in seconds; people read them."""
 WATCH_QUEUE = 1_000
-"""Changes kept for a slow watcher before its watch ends and it has to list again.
+"""Length of a watcher's queue, in deltas; a full queue ends the watch.
 
-Holds a large apply; a greater one costs memory for each slow watcher.
+A watcher whose watch ends has to list again. The queue holds a large apply; a longer
+one costs memory for each slow watcher.
 """
 NO_CONFIGURATION_RETRY_MS = 500
-"""Retry-After in ms while the agent has no copy of the store yet.
+"""Retry-After in ms while the agent has no replica of the store yet.
 
-About the time in which a new agent gets it from a peer.
+About the time that a new agent needs to fetch the state from a peer.
 """
-ABSENT = msgspec.Raw(b"null")
+NO_RESOURCE = msgspec.Raw(b"null")
 
 
 class Item(msgspec.Struct):
-    """A resource, and how many of all gates have it in force."""
+    """A resource, and the number of gates that have it in force."""
 
     revision: int
     resource: msgspec.Raw
@@ -61,23 +63,23 @@
 
 
 class ItemList(msgspec.Struct):
-    """Resources at one revision, from which a watch can go on."""
+    """Resources at one revision, from which a watch can continue."""
 
     revision: int
     items: list[Item]
 
 
 class Change(msgspec.Struct, omit_defaults=True):
-    """One line of a watch: put, delete, or a bookmark that has only the revision."""
+    """One line of a watch: a put, a delete, or a bookmark with only a revision."""
 
     revision: int
     type: str
     key: str = ""
-    resource: msgspec.Raw = ABSENT
+    resource: msgspec.Raw = NO_RESOURCE
 
 
 class Status(msgspec.Struct):
-    """How many of all gates have a revision in force."""
+    """Number of gates that have a revision in force, and number of all gates."""
 
     revision: int
     in_force: int
@@ -88,20 +90,22 @@
 
 
 @web.middleware
-async def _errors(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Turn errors into numbered problems."""
+async def _handle_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
+    """Convert exceptions to problem responses with an error code."""
     try:
         return await handler(request)
     except LeverdoorError as e:
-        return _problem(e)
+        return _problem_response(e)
     except web.HTTPException as e:
         if e.status == 404:
-            return _problem(LeverdoorError(Code.NOT_FOUND, f"no {request.path}"))
-        return _problem(LeverdoorError(Code.MALFORMED, e.reason))
+            return _problem_response(
+                LeverdoorError(Code.NOT_FOUND, f"no {request.path}")
+            )
+        return _problem_response(LeverdoorError(Code.MALFORMED, e.reason))
 
 
 class Api:
-    """Handlers of the resource API."""
+    """HTTP handlers of the resource API."""
 
     def __init__(
         self,
@@ -110,15 +114,17 @@
         reporter: Reporter,
         metrics: AgentMetrics,
     ) -> None:
-        """Create it from an agent's parts."""
+        """Create the handlers from the components of an agent."""
         self._configuration = configuration
         self._state = state
         self._reporter = reporter
         self._metrics = metrics
 
     def app(self) -> web.Application:
-        """Return the application."""
-        app = web.Application(middlewares=[_errors], client_max_size=MAX_BODY)
+        """Return the web application with all routes."""
+        app = web.Application(
+            middlewares=[_handle_errors], client_max_size=MAX_BODY_BYTES
+        )
         app.router.add_get("/v1/resources", self._list)
         app.router.add_get("/v1/resources/{kind}", self._list)
         app.router.add_get("/v1/resources/{kind}/{name}", self._get)
@@ -127,7 +133,7 @@
         app.router.add_post("/v1/apply", self._apply)
         app.router.add_get("/v1/watch", self._watch)
         app.router.add_get("/v1/reports/{name}", self._report)
-        app.router.add_route("*", "/v1/reports/{name}", self._read_only)
+        app.router.add_route("*", "/v1/reports/{name}", self._reject_write)
         app.router.add_get("/v1/status", self._status)
         app.router.add_get("/v1/internal/state", self._internal_state)
         app.router.add_get("/healthz", self._healthz)
@@ -140,33 +146,33 @@
     async def _list(self, request: web.Request) -> web.StreamResponse:
         kind = request.match_info.get("kind", "")
         if kind:
-            _known_kind(kind)
-        self._need_configuration()
+            _check_kind(kind)
+        self._require_configuration()
         prefix = RESOURCES + (f"{kind}/" if kind else "")
-        items = [self._item(e) for e in self._state.list_prefix(prefix)]
+        items = [self._build_item(e) for e in self._state.list_prefix(prefix)]
         return json_answer(ItemList(self._state.revision, items))
 
     async def _get(self, request: web.Request) -> web.StreamResponse:
         key = _key(request)
-        self._need_configuration()
+        self._require_configuration()
         entry = self._state.entries.get(RESOURCES + key)
         if entry is None:
             raise LeverdoorError(Code.NOT_FOUND, f"there is no {key}")
-        response = json_answer(self._item(entry))
+        response = json_answer(self._build_item(entry))
         response.headers["ETag"] = f'"{entry.revision}"'
         return response
 
-    def _item(self, entry: KeyValue) -> Item:
+    def _build_item(self, entry: KeyValue) -> Item:
         in_force, entries = self._reporter.in_force(entry.revision)
         return Item(entry.revision, msgspec.Raw(entry.value), in_force, entries)
 
     async def _status(self, request: web.Request) -> web.StreamResponse:
-        revision = _number(request, "revision", self._state.revision)
+        revision = _parse_number(request, "revision", self._state.revision)
         return json_answer(Status(revision, *self._reporter.in_force(revision)))
 
     async def _internal_state(self, request: web.Request) -> web.StreamResponse:
-        """Give a peer what it lacks."""
-        since = _number(request, "since", 0)
+        """Return the changes that a peer lacks."""
+        since = _parse_number(request, "since", 0)
         return web.Response(body=pack(self._state.delta(since)))
 
     async def _report(self, request: web.Request) -> web.StreamResponse:
@@ -186,29 +192,29 @@
             await asyncio.sleep(REPORT_WATCH_S)
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
-        """Stream changes after a revision, without a gap."""
-        self._need_configuration()
+        """Stream all changes after a revision without gaps."""
+        self._require_configuration()
         kind = request.query.get("kind", "")
         if kind:
-            _known_kind(kind)
-        since = _number(request, "since", self._state.revision)
+            _check_kind(kind)
+        since = _parse_number(request, "since", self._state.revision)
         if not self._state.has_changes_since(since):
             raise LeverdoorError(Code.COMPACTED, revision=self._state.revision)
         prefix = RESOURCES + (f"{kind}/" if kind else "")
-        return await _stream_lines(request, self._changes(prefix, since))
+        return await _stream_lines(request, self._change_lines(prefix, since))
 
-    async def _changes(self, prefix: str, since: int) -> AsyncIterator[bytes]:
-        """Yield changes as lines; ends when the watcher is too slow to follow."""
+    async def _change_lines(self, prefix: str, since: int) -> AsyncIterator[bytes]:
+        """Yield changes as lines until the watcher's queue overflows."""
         queue: asyncio.Queue[Delta | None] = asyncio.Queue(WATCH_QUEUE)
 
-        def put(delta: Delta) -> None:
+        def enqueue(delta: Delta) -> None:
             if queue.full():
                 queue.get_nowait()
                 queue.put_nowait(None)
             else:
                 queue.put_nowait(delta)
 
-        subscription = self._state.changes.subscribe(put)
+        subscription = self._state.changes.subscribe(enqueue)
         try:
             delta: Delta | None = self._state.delta(since)
             while True:
@@ -216,7 +222,7 @@
                     return
                 for event in delta.events:
                     if event.revision > since and event.key.startswith(prefix):
-                        yield serialize_json(_change(event))
+                        yield serialize_json(_build_change(event))
                 since = max(since, delta.revision)
                 try:
                     async with asyncio.timeout(BOOKMARK_S):
@@ -231,10 +237,10 @@
         return web.Response(text="ok\n")
 
     async def _readyz(self, request: web.Request) -> web.StreamResponse:
-        self._need_configuration()
+        self._require_configuration()
         return web.Response(text="ready\n")
 
-    def _need_configuration(self) -> None:
+    def _require_configuration(self) -> None:
         if self._state.revision == 0:
             raise LeverdoorError(
                 Code.NO_CONFIGURATION, retry_after_ms=NO_CONFIGURATION_RETRY_MS
@@ -259,33 +265,35 @@
     async def _write(
         self, resources: list[Resource], request: web.Request
     ) -> web.StreamResponse:
-        condition = _condition(request)
+        condition = _parse_condition(request)
         conditions = {}
         if condition is not None:
             conditions = {resource_key(r): condition for r in resources}
         dry_run = "dry_run" in request.query
-        return _applied(await self._configuration.apply(resources, conditions, dry_run))
+        return _apply_response(
+            await self._configuration.apply(resources, conditions, dry_run)
+        )
 
     async def _delete(self, request: web.Request) -> web.StreamResponse:
         dry_run = "dry_run" in request.query
-        return _applied(
+        return _apply_response(
             await self._configuration.delete(
-                _key(request), _condition(request), dry_run
+                _key(request), _parse_condition(request), dry_run
             )
         )
 
-    async def _read_only(self, request: web.Request) -> web.StreamResponse:
+    async def _reject_write(self, request: web.Request) -> web.StreamResponse:
         raise LeverdoorError(Code.READ_ONLY)
 
 
-def _change(event: Event) -> Change:
+def _build_change(event: Event) -> Change:
     key = event.key.removeprefix(RESOURCES)
     if event.value is None:
         return Change(event.revision, "delete", key)
     return Change(event.revision, "put", key, msgspec.Raw(event.value))
 
 
-def _known_kind(kind: str) -> None:
+def _check_kind(kind: str) -> None:
     if kind not in KINDS:
         raise LeverdoorError(
             Code.NOT_FOUND, f"there is no kind {kind}; kinds: {', '.join(KINDS)}"
@@ -294,11 +302,11 @@
 
 def _key(request: web.Request) -> str:
     kind = request.match_info["kind"]
-    _known_kind(kind)
+    _check_kind(kind)
     return f"{kind}/{request.match_info['name']}"
 
 
-def _number(request: web.Request, name: str, default: int) -> int:
+def _parse_number(request: web.Request, name: str, default: int) -> int:
     text = request.query.get(name, str(default))
     if not text.isdigit():
         raise ConfigError(
@@ -307,8 +315,8 @@
     return int(text)
 
 
-def _condition(request: web.Request) -> int | None:
-    """Read If-Match or If-None-Match."""
+def _parse_condition(request: web.Request) -> int | None:
+    """Return the required revision from If-Match or If-None-Match, or None."""
     if request.headers.get("If-None-Match") == "*":
         return 0
     text = request.headers.get("If-Match", "").strip('"')
@@ -321,13 +329,13 @@
     return int(text)
 
 
-def _applied(result: Result[Applied, LeverdoorError]) -> web.Response:
+def _apply_response(result: Result[Applied, LeverdoorError]) -> web.Response:
     if isinstance(result, Failure):
-        return _problem(result.failure())
+        return _problem_response(result.failure())
     return json_answer(result.unwrap())
 
 
-def _problem(e: LeverdoorError) -> web.Response:
+def _problem_response(e: LeverdoorError) -> web.Response:
     logger.info("api refused", code=int(e.code), detail=e.detail)
     return problem_answer(e)
 
--- a/leverdoor/agent/probing.py
+++ b/leverdoor/agent/probing.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Probes targets for their own reports.
+"""Fetches the reports of targets as health probes.
 
-Owns its connections. A target without the report counts as reachable; one that doesn't
-answer in time as failed, and its gate ejects it.
+Owns its connections, which are lost with the process. A target that does not offer the
+report counts as reachable. A target that does not respond in time counts as failed, and
+the gate ejects it.
 """
 
 import asyncio
@@ -17,18 +18,17 @@
 __all__ = ["Prober", "TargetReport"]
 
 PROBE_TIMEOUT_S = 1.0
-"""Longest time for a report of a target, in seconds.
+"""Timeout of a probe, in seconds; equal to the probe interval.
 
-As the interval of probes: a longer one lets probes pile up, a shorter one takes
-a busy target for a dead one.
+With a longer one, probes accumulate; with a shorter one, a busy target counts as dead.
 """
 PROBE_PATH = "/.leverdoor/report"
-CONNECTIONS = 16
-"""Probes under way at once: keeps the agent's bursts short."""
+MAX_CONNECTIONS = 16
+"""Maximum number of concurrent probes; keeps the agent's CPU bursts short."""
 
 
 class TargetReport(msgspec.Struct):
-    """A target's own report at PROBE_PATH, as JSON; `in_flight` is all its requests."""
+    """A target's JSON report at PROBE_PATH; `in_flight` counts all its requests."""
 
     in_flight: int = 0
     leaving: bool = False
@@ -38,10 +38,10 @@
     """Probes targets over HTTP."""
 
     def __init__(self) -> None:
-        """Create it; must be called on the loop."""
+        """Create a prober; requires a running event loop."""
         self._session = aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=PROBE_TIMEOUT_S),
-            connector=aiohttp.TCPConnector(limit=CONNECTIONS),
+            connector=aiohttp.TCPConnector(limit=MAX_CONNECTIONS),
         )
 
     async def close(self) -> None:
@@ -49,18 +49,18 @@
         await self._session.close()
 
     async def probe(self, addresses: Iterable[str]) -> dict[str, Probe]:
-        """Probe targets at once and return their reports by address."""
-        wanted = list(addresses)
-        found = await asyncio.gather(*(self._one(a) for a in wanted))
-        return dict(zip(wanted, found, strict=True))
+        """Probe targets concurrently and return the results by address."""
+        targets = list(addresses)
+        probes = await asyncio.gather(*(self._probe_one(a) for a in targets))
+        return dict(zip(targets, probes, strict=True))
 
-    async def _one(self, address: str) -> Probe:
+    async def _probe_one(self, address: str) -> Probe:
         loop = asyncio.get_running_loop()
         try:
-            async with self._session.get(f"http://{address}{PROBE_PATH}") as answer:
-                if answer.status == 404:
+            async with self._session.get(f"http://{address}{PROBE_PATH}") as response:
+                if response.status == 404:
                     return Probe(True, taken_at=loop.time(), reports=False)
-                report = msgspec.json.decode(await answer.read(), type=TargetReport)
+                report = msgspec.json.decode(await response.read(), type=TargetReport)
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.MsgspecError):
             return Probe(False, taken_at=loop.time())
         return Probe(True, report.leaving, report.in_flight, loop.time())
--- a/leverdoor/agent/reports.py
+++ b/leverdoor/agent/reports.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The reports of a plain site, computed for each call.
+"""The reports of a plain site, computed for each request.
 
-Owns no state but connections. Relies on heartbeats for all but the burn report, which
-is fetched from the gates; what one doesn't give is listed as missing.
+Owns only connections, which are lost with the process. Relies on heartbeats for all
+reports except the burn report, which is fetched from the gates; a gate that does not
+respond is listed as missing.
 """
 
 import asyncio
@@ -21,12 +22,12 @@
 __all__ = ["REPORTS", "Report", "Reporter"]
 
 FETCH_TIMEOUT_S = 1.5
-"""Longest time to fetch a gate's part of a report, in s: a person waits."""
+"""Timeout of fetching a gate's part of a report, in seconds; a person waits."""
 REPORTS = ("entries", "headroom", "burn", "shifts", "drains")
 
 
 class EntryLine(msgspec.Struct, tag_field="type"):
-    """One entry VM."""
+    """State of one entry VM."""
 
     vm: str
     region: str
@@ -39,7 +40,7 @@
 
 
 class HeadroomLine(msgspec.Struct, tag_field="type"):
-    """Slots of one service in one region: all, held by gates, free, and what waits."""
+    """Slots of one service in one region (all, held, free) and waiting requests."""
 
     region: str
     service: str
@@ -50,7 +51,7 @@
 
 
 class ShiftLine(msgspec.Struct, tag_field="type"):
-    """One shift cap and what is left of it in the current window."""
+    """One shift cap and its units that are free in the current window."""
 
     service: str
     region: str
@@ -60,7 +61,7 @@
 
 
 class DrainLine(msgspec.Struct, tag_field="type"):
-    """One drain and what is still in flight under it."""
+    """One drain, its targets and their requests in flight."""
 
     name: str
     targets: int
@@ -68,7 +69,7 @@
 
 
 class Report(msgspec.Struct):
-    """One report at one moment; lines are of the report's own type."""
+    """One report at one moment; the type of its lines depends on the report."""
 
     name: str
     revision: int
@@ -78,10 +79,10 @@
 
 
 class Reporter:
-    """Computes reports from heartbeats and from what gates answer."""
+    """Computes reports from heartbeats and from the responses of gates."""
 
     def __init__(self, cache: ViewCache, peers: Peers) -> None:
-        """Create it from an agent's parts."""
+        """Create a reporter from the components of an agent."""
         self._cache = cache
         self._peers = peers
         self._session: aiohttp.ClientSession | None = None
@@ -91,14 +92,14 @@
         if self._session is not None:
             await self._session.close()
 
-    def _live(self) -> list[Peer]:
+    def _live_peers(self) -> list[Peer]:
         return self._peers.live(asyncio.get_running_loop().time())
 
     async def report(self, name: str) -> Report:
         """Compute a report.
 
         Raises:
-          LeverdoorError: NOT_FOUND.
+          LeverdoorError: NOT_FOUND, no report has this name.
         """
         missing: list[str] = []
         lines: list[EntryLine | HeadroomLine | BurnLine | ShiftLine | DrainLine]
@@ -117,11 +118,11 @@
             case _:
                 raise LeverdoorError(Code.NOT_FOUND, f"there is no report {name}")
         view = self._cache.view
-        return Report(name, view.revision, len(self._live()), missing, lines)
+        return Report(name, view.revision, len(self._live_peers()), missing, lines)
 
     def in_force(self, revision: int) -> tuple[int, int]:
-        """Count the serving entries that have a revision in force, and all."""
-        gates = [p.heartbeat for p in self._live() if p.heartbeat.gate]
+        """Return the number of gates with a revision in force and of all live gates."""
+        gates = [p.heartbeat for p in self._live_peers() if p.heartbeat.gate]
         return sum(b.gate_revision >= revision for b in gates), len(gates)
 
     def _entries(self) -> list[EntryLine]:
@@ -137,7 +138,7 @@
                 sum(load.held for load in p.heartbeat.loads.values()),
                 int((now - p.last_seen) * 1000),
             )
-            for p in self._live()
+            for p in self._live_peers()
         ]
 
     def _headroom(self) -> list[HeadroomLine]:
@@ -147,7 +148,7 @@
         ):
             loads = [
                 p.heartbeat.loads[service]
-                for p in self._live()
+                for p in self._live_peers()
                 if p.heartbeat.region == region and service in p.heartbeat.loads
             ]
             lines.append(
@@ -167,7 +168,7 @@
         for cap in sorted(self._cache.view.caps.values(), key=lambda c: c.name):
             row = cap_row(cap.service, cap.region)
             held = self._cache.table(cap.region).rows.get(row)
-            free = sum(p.heartbeat.caps.get(row, 0) for p in self._live())
+            free = sum(p.heartbeat.caps.get(row, 0) for p in self._live_peers())
             units = sum(held.held.values()) if held else 0
             lines.append(ShiftLine(cap.service, cap.region, cap.units, units, free))
         return lines
@@ -175,7 +176,7 @@
     def _drains(self) -> list[DrainLine]:
         view = self._cache.view
         in_flight: dict[str, int] = {}
-        for p in self._live():
+        for p in self._live_peers():
             for target, n in p.heartbeat.draining.items():
                 in_flight[target] = in_flight.get(target, 0) + n
         lines = []
@@ -186,18 +187,25 @@
         return lines
 
     async def _burn(self) -> tuple[list[BurnLine], list[str]]:
-        """Fetch the counts of every live gate and merge them."""
-        heartbeats = [p.heartbeat for p in self._live() if p.heartbeat.relay]
-        parts = await asyncio.gather(*(self._series(b.relay) for b in heartbeats))
-        missing = [b.vm for b, p in zip(heartbeats, parts, strict=True) if p is None]
-        merged = merge_series(s for p in parts if p for s in p)
+        """Fetch the request counts of every live gate and merge them.
+
+        Returns: the lines, and the VMs whose gates did not respond.
+        """
+        heartbeats = [p.heartbeat for p in self._live_peers() if p.heartbeat.relay]
+        series_by_gate = await asyncio.gather(
+            *(self._fetch_series(b.relay) for b in heartbeats)
+        )
+        missing = [
+            b.vm for b, p in zip(heartbeats, series_by_gate, strict=True) if p is None
+        ]
+        merged = merge_series(s for p in series_by_gate if p for s in p)
         return summarize(merged, self._cache.view.levels.values()), missing
 
-    async def _series(self, relay: str) -> list[Series] | None:
+    async def _fetch_series(self, relay: str) -> list[Series] | None:
         if self._session is None:
             self._session = new_session(FETCH_TIMEOUT_S)
         try:
-            async with self._session.get(f"http://{relay}/v1/burn") as answer:
-                return msgspec.json.decode(await answer.read(), type=list[Series])
+            async with self._session.get(f"http://{relay}/v1/burn") as response:
+                return msgspec.json.decode(await response.read(), type=list[Series])
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.MsgspecError):
             return None
