--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -1,11 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The agent daemon: the control path of one VM of a plain site.
+"""The agent daemon: the control plane of one VM of a plain site.
 
-Owns the parts of the agent and their wiring: the copy of the store, the peers, what the
-VM list shows (`vm_watch.py`) and the gate's last report (`gate_sessions.py`). All of it
-is lost with the process and comes back from the store, the peers and the gate. Relies
-on the store only to change things; while it is down the last snapshot stays in force.
+Owns and connects the components of the agent: the replica of the store, the peers, the
+last reading of the VM list (`vm_list.py`) and the gate's last report
+(`gate_sessions.py`). All of it is lost with the process and restored from the store,
+the peers and the gate. Relies on the store for changes only; during an outage the last
+snapshot stays in force.
 """
 
 import asyncio
@@ -39,29 +40,29 @@
 __all__ = ["Agent"]
 
 STOP_TIMEOUT_S = 1.0
-"""Longest time that closing may take, in seconds: a gate goes on meanwhile."""
-METRICS_BEATS = 10
-"""Heartbeats between two updates of metrics and of peers to forget: 2 s."""
-PROBES_PER_S = 8
-"""Targets probed in a second; keeps an agent below 1% of a core."""
+"""Shutdown timeout of the API, in seconds; the gate keeps serving meanwhile."""
+HEARTBEATS_PER_UPDATE = 10
+"""Heartbeats between updates of metrics and expiry of silent peers: 2 s."""
+MAX_PROBES_PER_S = 8
+"""Maximum rate of target probes; keeps an agent below 1% of a core."""
 
 
 class Agent:
     """One agent process."""
 
     def __init__(self, settings: AgentSettings) -> None:
-        """Create an agent; nothing is opened yet."""
+        """Create an agent; `run` opens its sockets."""
         self._settings = settings
-        self._started = time.time_ns() // 1_000
+        self._started_us = time.time_ns() // 1_000
         self._stop = asyncio.Event()
         self._seq = 0
 
     def stop(self) -> None:
-        """Begin to end; the gate goes on serving."""
+        """Request the end of `run`; the gate keeps serving."""
         self._stop.set()
 
     async def run(self) -> None:
-        """Follow, gossip, plan and serve the API until stopped."""
+        """Follow the store, gossip, plan and serve the API until stopped."""
         await self._build()
         s = self._settings
         runner = web.AppRunner(
@@ -101,9 +102,9 @@
         self._cache = ViewCache(self._state, with_blocks=False)
         self._peers = Peers(s.vm, s.region)
         self._store = EtcdStore(s.store)
-        self._vm_watch = VmListMonitor(s)
+        self._vm_list = VmListMonitor(s)
         self._prober = Prober()
-        self._pull = PeerFetcher(self._state)
+        self._fetcher = PeerFetcher(self._state)
         self._role = ElectedRole(self._is_elected, self._now, self._rng)
         self._follower = StoreFollower(
             self._store,
@@ -117,7 +118,7 @@
             self._state,
             self._cache,
             self._peers,
-            self._follower_place,
+            self._watcher_rank,
             self.leaving_vms,
             self.departed,
         )
@@ -135,28 +136,28 @@
         self._socket.close()
         self._link.close()
         await self._prober.close()
-        await self._pull.close()
+        await self._fetcher.close()
         await self._reporter.close()
-        await self._vm_watch.close()
+        await self._vm_list.close()
         await self._store.close()
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def _follower_place(self) -> int:
-        """Return this agent's place among those that follow the store, -1 if none."""
-        return self._place(self._role.unserved)
+    def _watcher_rank(self) -> int:
+        """Return this agent's rank among the watchers of the store, -1 for none."""
+        return self._rank(self._role.unserved)
 
-    def _place(self, unserved: bool) -> int:
+    def _rank(self, unserved: bool) -> int:
         return watcher_rank(self._peers, self._settings.vm, self._now(), unserved)
 
     def _is_elected(self, unserved: bool) -> bool:
-        return self._place(unserved) >= 0
+        return self._rank(unserved) >= 0
 
     # Membership.
 
     def _renew_heartbeat(self) -> None:
-        """Renew this VM's own heartbeat."""
+        """Create and record the next heartbeat of this VM."""
         s = self._settings
         now = self._now()
         self._seq += 1
@@ -166,11 +167,11 @@
             domain=s.domain,
             gossip=str(s.gossip),
             api=str(s.api),
-            agent=self._started,
+            agent=self._started_us,
             seq=self._seq,
             revision=self._state.revision,
-            departed=sorted(self._vm_watch.departed),
-            leaving_vms=sorted(self._vm_watch.leaving),
+            departed=sorted(self._vm_list.departed),
+            leaving_vms=sorted(self._vm_list.leaving),
             unserved=self._role.unserved,
         )
         r = self._gates.fresh_report(now)
@@ -195,13 +196,13 @@
         while True:
             now = self._now()
             self._renew_heartbeat()
-            if self._seq % METRICS_BEATS == 0:
+            if self._seq % HEARTBEATS_PER_UPDATE == 0:
                 self._peers.forget(now)
             message = self._peers.message(self._rng, now)
-            for to in self._peers.partners(self._rng, seeds):
-                self._socket.send(message, to)
+            for address in self._peers.partners(self._rng, seeds):
+                self._socket.send(message, address)
             await self._send_hints()
-            if self._seq % METRICS_BEATS == 0:
+            if self._seq % HEARTBEATS_PER_UPDATE == 0:
                 self._update_metrics(now)
             await asyncio.sleep(interval * (0.9 + 0.2 * self._rng.random()))
 
@@ -214,44 +215,44 @@
         m.gossip_bytes.labels("received").set(self._socket.received_bytes)
 
     def _take_gossip(self, gossip: Gossip) -> None:
-        news = self._peers.merge(gossip.heartbeats, self._now())
-        self._gates.add_heartbeats(news)
-        ahead = [b for b in news if b.revision > self._state.revision]
+        newer = self._peers.merge(gossip.heartbeats, self._now())
+        self._gates.add_heartbeats(newer)
+        ahead = [b for b in newer if b.revision > self._state.revision]
         if ahead:
             best = max(ahead, key=lambda b: b.revision)
-            task = asyncio.create_task(self._pull.pull(best.api))
+            task = asyncio.create_task(self._fetcher.pull(best.api))
             task.add_done_callback(lambda t: t.exception())
 
     # The VM list.
 
     def leaving_vms(self) -> frozenset[str]:
-        """Return the VMs that leave by any reading of the VM list in the region."""
-        found = set(self._vm_watch.leaving)
+        """Return the VMs that any agent of the region has read as leaving."""
+        union = set(self._vm_list.leaving)
         for heartbeat in self._peers.live_near(self._now()):
-            found |= set(heartbeat.leaving_vms)
-        return frozenset(found)
+            union |= set(heartbeat.leaving_vms)
+        return frozenset(union)
 
     def departed(self) -> frozenset[str]:
-        """Return the identities of processes proved to be gone by any such reading."""
-        found = self._vm_watch.departed
+        """Return the identities of processes that any such agent found terminated."""
+        union = self._vm_list.departed
         for heartbeat in self._peers.live_near(self._now()):
-            found |= set(heartbeat.departed)
-        return frozenset(found)
+            union |= set(heartbeat.departed)
+        return frozenset(union)
 
     async def _list_loop(self) -> None:
         interval = self._settings.vm_list_interval_ms / 1000
         while True:
-            if self._follower_place() >= 0:
+            if self._watcher_rank() >= 0:
                 await self._read_list()
             else:
-                self._vm_watch.pause(self._now())
+                self._vm_list.pause(self._now())
             await asyncio.sleep(interval * (0.9 + 0.2 * self._rng.random()))
 
     async def _read_list(self) -> None:
-        """Read the VM list; while it is away, nobody is proved to be gone by it."""
+        """Read the VM list; a failed reading reports no process as terminated."""
         table = self._cache.table(self._settings.region)
         try:
-            gone = await self._vm_watch.read(table, self._peers)
+            gone = await self._vm_list.read(table, self._peers)
         except LeverdoorError as e:
             logger.warning("VM list not read", error=str(e))
             return
@@ -261,19 +262,19 @@
     # Targets.
 
     async def _probe_loop(self) -> None:
-        """Probe the targets of which the gate holds slots, pacing the probes."""
-        least_s = self._settings.probe_interval_ms / 1000
+        """Probe the targets of which the gate holds slots, at a limited rate."""
+        min_interval_s = self._settings.probe_interval_ms / 1000
         while True:
             report = self._gates.report
             held = [r.removeprefix("t:") for r in report.held] if report else []
-            interval = max(least_s, len(held) / PROBES_PER_S)
+            interval = max(min_interval_s, len(held) / MAX_PROBES_PER_S)
             await asyncio.sleep(interval * (0.9 + 0.2 * self._rng.random()))
             self._gates.set_probes(await self._prober.probe(held))
 
     # The gate.
 
     async def _receive_reports(self) -> None:
-        """Take reports; a gate that is behind gets what it lacks."""
+        """Receive reports, and send each gate the changes that it lacks."""
         while True:
             peer, report = await self._link.receive()
             is_new = self._gates.receive(peer, report, self._now())
@@ -283,7 +284,7 @@
                 await self._link.send(peer, self._state.delta(report.revision))
 
     def _push_delta(self, delta: Delta) -> None:
-        """Send a change of the configuration or the table to the gates at once."""
+        """Send a change of the configuration or the ownership table to the gates."""
         for peer in self._gates.connections():
             task = asyncio.create_task(self._link.send(peer, delta))
             task.add_done_callback(lambda t: t.exception())
@@ -291,16 +292,19 @@
     async def _send_hints(self) -> None:
         report = self._gates.report
         if report is not None:
-            floor = self._floor(report)
+            floor = self._incarnation_floor(report)
             await self._gates.send_hints(self.leaving_vms(), floor, self._now())
 
-    def _floor(self, report: GateReport) -> int:
-        """Return a later incarnation in the table at the gate's address, else 0."""
+    def _incarnation_floor(self, report: GateReport) -> int:
+        """Return the latest incarnation in the ownership table at the gate's address.
+
+        Returns: 0 if it is not later than the gate's own.
+        """
         members = self._cache.table(self._settings.region).members.values()
-        same = [
+        incarnations = [
             m.incarnation
             for m in members
             if m.gate == report.gate and m.vm == self._settings.vm
         ]
-        later = [i for i in same if i > report.incarnation]
+        later = [i for i in incarnations if i > report.incarnation]
         return max(later, default=0)
--- a/leverdoor/agent/gate_sessions.py
+++ b/leverdoor/agent/gate_sessions.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The gate processes connected to one agent: their last report, and what they get.
+"""The gate processes connected to one agent: their last report and their next hints.
 
-Owns the last report and what is new for the gate since the last hints; all of it starts
-empty with the process and comes again within a second. Relies on the link: a gate that
-is away misses messages and gets what it lacks after its next report.
+Owns the last report and the changes since the last hints. All of it is empty when the
+process starts and arrives again within a second. Relies on the link: a disconnected
+gate loses messages and receives the missing changes after its next report.
 """
 
 from collections.abc import Iterable
@@ -16,29 +16,29 @@
 __all__ = ["GateSessions"]
 
 GATE_SILENCE_S = 1.0
-"""Silence on the link after which a gate's report is not used, in seconds.
+"""Silence on the link after which a gate's report is ignored, in seconds.
 
-Ten of its reports. A greater one names a dead gate to callers for longer; a smaller one
-drops a gate whose process is paused for a moment.
+Ten report intervals. With a greater value, callers are sent to a dead gate for longer;
+a smaller one drops a gate whose process pauses for a moment.
 """
 SESSION_SILENCE_S = 10 * GATE_SILENCE_S
-"""Silence after which nothing more is sent to a connection, in seconds."""
+"""Silence after which the agent forgets a connection, in seconds."""
 
 
 class GateSessions:
-    """The connections of gates, of which the last to report is this VM's gate."""
+    """The connections of gates; the one that reported last is this VM's gate."""
 
     def __init__(self, link: AgentLink) -> None:
-        """Create it around the agent's end of the link."""
+        """Create sessions on the agent's end of the link."""
         self.report: GateReport | None = None
         self._reported_at = 0.0
         self._last_seen: dict[bytes, float] = {}
         self._link = link
-        self._heartbeats: dict[str, AgentHeartbeat] = {}
-        self._probes: dict[str, Probe] = {}
+        self._queued_heartbeats: dict[str, AgentHeartbeat] = {}
+        self._queued_probes: dict[str, Probe] = {}
 
     def receive(self, peer: bytes, report: GateReport, now: float) -> bool:
-        """Take a report; return whether its connection is new."""
+        """Record a report; return whether its connection is new."""
         is_new = peer not in self._last_seen
         self.report = report
         self._reported_at = now
@@ -46,36 +46,36 @@
         return is_new
 
     def fresh_report(self, now: float) -> GateReport | None:
-        """Return the last report, None if the gate has been silent for too long."""
+        """Return the last report; None after `GATE_SILENCE_S` without a report."""
         if self.report is None or now - self._reported_at > GATE_SILENCE_S:
             return None
         return self.report
 
     def connections(self) -> list[bytes]:
-        """Return the connections of gates."""
+        """Return the connection ids of all gates."""
         return list(self._last_seen)
 
     def add_heartbeats(self, heartbeats: Iterable[AgentHeartbeat]) -> None:
-        """Keep newer heartbeats for the next hints, the latest of each VM."""
+        """Queue the latest heartbeat of each VM for the next hints."""
         for heartbeat in heartbeats:
-            self._heartbeats[heartbeat.vm] = heartbeat
+            self._queued_heartbeats[heartbeat.vm] = heartbeat
 
     def set_probes(self, probes: dict[str, Probe]) -> None:
-        """Keep the targets' reports for the next hints."""
-        self._probes = probes
+        """Queue the reports of the targets for the next hints."""
+        self._queued_probes = probes
 
     async def send_hints(
         self, leaving_vms: Iterable[str], incarnation_floor: int, now: float
     ) -> None:
-        """Send what is new since the last hints to each gate that reports."""
+        """Send the changes since the last hints to each gate that still reports."""
         hints = Hints(
-            heartbeats=list(self._heartbeats.values()),
+            heartbeats=list(self._queued_heartbeats.values()),
             leaving_vms=sorted(leaving_vms),
-            probes=self._probes,
+            probes=self._queued_probes,
             incarnation_floor=incarnation_floor,
         )
-        self._heartbeats = {}
-        self._probes = {}
+        self._queued_heartbeats = {}
+        self._queued_probes = {}
         for peer, last_seen in list(self._last_seen.items()):
             if now - last_seen > SESSION_SILENCE_S:
                 del self._last_seen[peer]
--- a/leverdoor/agent/link.py
+++ b/leverdoor/agent/link.py
@@ -2,9 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """The link between a VM's gate and its agent: typed messages over ZeroMQ.
 
-The gate sends a `GateReport` ten times a second; the agent answers with deltas of the
-configuration and with `Hints`. Owns the socket of either end. Relies on nothing: a
-message that can't be sent is dropped, and the next report or hint replaces it.
+The gate sends a `GateReport` ten times per second; the agent responds with deltas of
+the configuration and with `Hints`. Each end owns its socket and its queue, which are
+lost with the process. Does not rely on delivery: a message that cannot be sent is
+dropped, and the next report or hint replaces it.
 """
 
 from typing import TypeAlias
@@ -22,18 +23,19 @@
 
 __all__ = ["AgentLink", "FromAgent", "GateLink", "GateReport", "Hints"]
 
-HIGH_WATER = 1_000
-"""Messages queued on the link before new ones are dropped.
+MAX_QUEUED_MESSAGES = 1_000
+"""Messages that the link queues before it drops new ones.
 
-100 s of reports. Older ones are worthless, so a longer queue gains nothing.
+Holds 100 s of reports. Older reports are useless, so a longer queue has no benefit.
 """
 
 
 class GateReport(msgspec.Struct, frozen=True, tag=True):
-    """State of a gate, ten times a second.
+    """State of a gate, sent ten times per second.
 
-    `loads` is its load by service, `caps` its free units by row of a shift cap, `held`
-    its rows of slots, `draining` the requests in flight by target that is drained.
+    `loads` is the load by service, `caps` the free units by shift cap row, `held` the
+    slot rows of which the gate holds units, and `draining` the requests in flight by
+    drained target.
     """
 
     gate: str
@@ -49,12 +51,12 @@
 
 
 class Hints(msgspec.Struct, frozen=True, tag=True):
-    """What a gate uses beside the configuration; any of it may be late or missing.
+    """Data for a gate beside the configuration; any of it may be late or missing.
 
-    `heartbeats` are those new since the last hints, with the loads of other gates;
-    `probes` the targets' own reports by address. `incarnation_floor` is the latest
-    incarnation that the ownership table has at the gate's address, if it is later than
-    the gate's own.
+    `heartbeats` are new since the last hints and contain the loads of other gates.
+    `probes` are the reports of the targets by address. `incarnation_floor` is the
+    latest incarnation in the ownership table at the gate's address if it is later than
+    the gate's own, else 0.
     """
 
     heartbeats: list[AgentHeartbeat]
@@ -67,26 +69,26 @@
 
 
 class GateLink:
-    """The gate's end; it reconnects by itself when the agent comes back."""
+    """The gate's end of the link; reconnects automatically."""
 
     def __init__(self, agent: Address) -> None:
-        """Connect to the agent, which need not be there yet."""
+        """Connect to the agent, which need not be running yet."""
         self._context = zmq.asyncio.Context()
         self._socket = self._context.socket(zmq.DEALER)
         self._socket.setsockopt(zmq.LINGER, 0)
-        self._socket.setsockopt(zmq.SNDHWM, HIGH_WATER)
+        self._socket.setsockopt(zmq.SNDHWM, MAX_QUEUED_MESSAGES)
         self._socket.setsockopt(zmq.RECONNECT_IVL_MAX, 500)
         self._socket.connect(f"tcp://{agent}")
 
     async def send(self, report: GateReport) -> None:
-        """Send a report; it is dropped when the agent is away."""
+        """Send a report, or drop it if the queue to the agent is full."""
         try:
             await self._socket.send(pack(report), flags=zmq.NOBLOCK)
         except zmq.Again:
             return
 
     async def receive(self) -> FromAgent:
-        """Wait for the next message of the agent."""
+        """Receive the next message of the agent."""
         return unpack(await self._socket.recv(), FromAgent)  # type: ignore[arg-type]
 
     def close(self) -> None:
@@ -96,25 +98,25 @@
 
 
 class AgentLink:
-    """The agent's end, which serves the gates of its VM."""
+    """The agent's end of the link; serves the gates of its VM."""
 
     def __init__(self, listen: Address) -> None:
         """Bind the agent's link address."""
         self._context = zmq.asyncio.Context()
         self._socket = self._context.socket(zmq.ROUTER)
         self._socket.setsockopt(zmq.LINGER, 0)
-        self._socket.setsockopt(zmq.SNDHWM, HIGH_WATER)
+        self._socket.setsockopt(zmq.SNDHWM, MAX_QUEUED_MESSAGES)
         self._socket.bind(f"tcp://{listen}")
 
     async def send(self, peer: bytes, message: FromAgent) -> None:
-        """Send a message to one gate; it is dropped when the gate is away."""
+        """Send a message to one gate, or drop it if the gate's queue is full."""
         try:
             await self._socket.send_multipart([peer, pack(message)], flags=zmq.NOBLOCK)
         except zmq.Again:
             return
 
     async def receive(self) -> tuple[bytes, GateReport]:
-        """Wait for the next report and who sent it."""
+        """Receive the next report and the connection id of its sender."""
         peer, data = await self._socket.recv_multipart()
         return peer, unpack(data, GateReport)
 
--- a/leverdoor/agent/planning.py
+++ b/leverdoor/agent/planning.py
@@ -2,10 +2,11 @@
 # SPDX-License-Identifier: Apache-2.0
 """Writes the ownership table of the agent's region when it has to change.
 
-The first of the region's followers of the store plans, the second stands by; what a
-plan may do is `membership.ownership.plan`. Owns how long a change has been waiting;
-the table itself is the store's. Relies on the compare-and-swap of the store: two
-planners at once cost a refused write.
+The first-ranked watcher of the region plans and the second is its standby;
+`membership.ownership.plan` defines the permitted changes. Owns the number of rounds
+that a change has been pending, which is lost with the process; the store owns the
+table. Relies on the store's compare-and-swap: concurrent planners only cost a rejected
+write.
 """
 
 import asyncio
@@ -30,28 +31,32 @@
 __all__ = ["Planner"]
 
 PLAN_INTERVAL_S = 0.25
-"""Seconds between two checks of the table; a plan of 1,000 targets takes 0.15 s.
+"""Interval of table checks, in seconds; a plan of 1,000 targets takes 0.15 s.
 
-Greater, units of a dead VM idle for longer; smaller, an agent does little else.
+A longer interval leaves the units of a dead VM idle for longer; a shorter one uses most
+of the agent's CPU time.
 """
 WRITE_PAUSE_S = 0.25
-"""With the interval, at most two writes a second and region: 28 regions that
-all have to change, as after an outage, stay under the store's 100 a second."""
-STANDBY_ROUNDS = 6
-"""Rounds that the standby planner waits before it acts, 1.5 s.
+"""Pause after a write, in seconds.
 
-Above the time in which the first one writes. Greater, a dead planner is missed for
-longer; smaller, both write and one is refused.
+With `PLAN_INTERVAL_S` it limits a region to two writes per second. If all 28 regions
+change at once, as after an outage, the rate stays below the store's 100 per second.
+"""
+STANDBY_WAIT_ROUNDS = 6
+"""Rounds that the standby planner waits before it writes: 1.5 s.
+
+Exceeds the time that the first planner needs to write. With a greater value, a dead
+planner is replaced later; with a smaller one, both write and one write is rejected.
 """
 
 
-_Basis: TypeAlias = tuple[
+_Inputs: TypeAlias = tuple[
     View, Table, frozenset[str], frozenset[str], frozenset[str], dict[str, Ack]
 ]
 
 
 class Planner:
-    """Computes and writes the next table; any number may run at once."""
+    """Computes and writes the next table; several planners may run concurrently."""
 
     def __init__(
         self,
@@ -60,40 +65,40 @@
         state: State,
         cache: ViewCache,
         peers: Peers,
-        follower_place: Callable[[], int],
+        watcher_rank: Callable[[], int],
         leaving: Callable[[], frozenset[str]],
         gone: Callable[[], frozenset[str]],
     ) -> None:
-        """Create it.
+        """Create a planner.
 
         Args:
-          region: whose table to write.
-          store: the platform's service.
-          state: the copy of the store.
+          region: the region whose table is written.
+          store: the platform's key-value service.
+          state: the replica of the store.
           cache: the compiled configuration.
-          peers: the VMs known, with their newest heartbeats.
-          follower_place: this agent's place among the followers of the store: 0 to
-            write at once, higher to stand by, -1 not to write.
-          leaving: VMs that should hold nothing any more.
-          gone: identities of processes proved to be gone.
+          peers: the known VMs and their newest heartbeats.
+          watcher_rank: returns this agent's rank among the watchers of the store: 0
+            to write at once, higher for standby, -1 for none.
+          leaving: returns the VMs that should release all units.
+          gone: returns the identities of processes that have terminated.
         """
         self._region = region
         self._store = store
         self._state = state
         self._cache = cache
         self._peers = peers
-        self._follower_place = follower_place
+        self._watcher_rank = watcher_rank
         self._leaving = leaving
         self._gone = gone
-        self._pending = 0
-        self._settled: _Basis | None = None
+        self._pending_rounds = 0
+        self._unchanged_inputs: _Inputs | None = None
 
     async def run(self) -> None:
         """Plan until cancelled."""
         while True:
             await asyncio.sleep(PLAN_INTERVAL_S)
-            if self._follower_place() < 0 or self._state.revision == 0:
-                self._pending = 0
+            if self._watcher_rank() < 0 or self._state.revision == 0:
+                self._pending_rounds = 0
                 continue
             try:
                 await self._step()
@@ -102,9 +107,10 @@
                 await asyncio.sleep(1.0)
 
     def next_table(self) -> Table | None:
-        """Compute the next table from what is known now.
+        """Compute the next table from the current inputs.
 
-        Nothing is computed again while nothing that it rests on has changed.
+        Returns: None if the table does not change, without planning again while all
+          inputs equal those of the last plan without a change.
         """
         now = asyncio.get_running_loop().time()
         heartbeats = self._peers.live_near(now)
@@ -119,7 +125,7 @@
         gone = self._gone()
         table = self._cache.table(self._region)
         acks = self._awaited_acks(table)
-        basis = (
+        inputs = (
             self._cache.view,
             table,
             frozenset(m.identity for m in live),
@@ -127,17 +133,17 @@
             gone,
             acks,
         )
-        if basis == self._settled:
+        if inputs == self._unchanged_inputs:
             return None
         specs = self._cache.view.specs(self._region)
-        after = plan(table, specs, live, leaving, gone, acks)
-        self._settled = basis if after is None else None
-        return after
+        planned = plan(table, specs, live, leaving, gone, acks)
+        self._unchanged_inputs = inputs if planned is None else None
+        return planned
 
     def _awaited_acks(self, table: Table) -> dict[str, Ack]:
-        """Acknowledgements of members that are giving units back."""
-        waiting = {r.member for row in table.rows.values() for r in row.releases}
-        identities = {table.members[n].identity for n in waiting}
+        """Return the acknowledgements of members that are releasing units."""
+        releasing = {r.member for row in table.rows.values() for r in row.releases}
+        identities = {table.members[n].identity for n in releasing}
         return {i: a for i, a in self._peers.acks().items() if i in identities}
 
     async def _step(self) -> None:
@@ -145,24 +151,24 @@
         entry = self._state.entries.get(key)
         table = self.next_table()
         if table is None:
-            self._pending = 0
+            self._pending_rounds = 0
             return
-        self._pending += 1
-        if self._pending <= self._follower_place() * STANDBY_ROUNDS:
+        self._pending_rounds += 1
+        if self._pending_rounds <= self._watcher_rank() * STANDBY_WAIT_ROUNDS:
             return
         write = Write(key, serialize_table(table), entry.revision if entry else 0)
-        done = await self._store.commit([write])
+        result = await self._store.commit([write])
         logger.info(
-            "table written" if done.committed else "table refused",
+            "table written" if result.committed else "table refused",
             version=table.version,
-            revision=done.revision,
+            revision=result.revision,
         )
         await asyncio.sleep(WRITE_PAUSE_S)
-        if done.committed:
-            await self._wait_for(done.revision)
+        if result.committed:
+            await self._wait_for_revision(result.revision)
 
-    async def _wait_for(self, revision: int) -> None:
-        """Wait until the copy has caught up with this agent's own write."""
+    async def _wait_for_revision(self, revision: int) -> None:
+        """Wait up to 1 s until the replica has this agent's own write."""
         for _ in range(8):
             if self._state.revision >= revision:
                 return
