--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Contract of the resource API, and the command line on top of it."""
+"""Contract of the resource API and of the command line that uses it."""
 
 import asyncio
 import json
@@ -27,8 +27,8 @@
 TIER = {"kind": "tier", "name": "a", "weight": 2}
 
 
-class Served:
-    """An agent's API over a store in memory."""
+class ApiServer:
+    """The API of an agent on an in-memory store."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
@@ -53,8 +53,8 @@
 
 
 @pytest.fixture
-async def served() -> AsyncIterator[Served]:
-    s = Served()
+async def served() -> AsyncIterator[ApiServer]:
+    s = ApiServer()
     await s.server.start_server()
     task = asyncio.create_task(s.follow())
     await asyncio.sleep(0)
@@ -69,34 +69,34 @@
         yield s
 
 
-async def settle(s: Served) -> None:
+async def wait_for_replica(s: ApiServer) -> None:
     while s.state.revision < s.store.revision:
         await asyncio.sleep(0.005)
 
 
 async def test_create_read_replace_delete(
-    served: Served, session: aiohttp.ClientSession
+    served: ApiServer, session: aiohttp.ClientSession
 ) -> None:
     url = f"http://{served.address}/v1/resources/tier/a"
-    async with session.put(url, json=TIER, headers={"If-None-Match": "*"}) as answer:
-        assert answer.status == 200
-        revision = (await answer.json(content_type=None))["revision"]
-    await settle(served)
-    async with session.get(url) as answer:
-        assert answer.headers["ETag"] == f'"{revision}"'
-        assert json.loads(await answer.read())["resource"].items() >= TIER.items()
-    async with session.put(url, json=TIER, headers={"If-Match": "1"}) as answer:
-        assert answer.status == 409
-        assert (await answer.json(content_type=None))["revision"] == revision
-    head = {"If-Match": str(revision)}
-    async with session.delete(url, headers=head) as answer:
-        assert answer.status == 200
-    await settle(served)
-    async with session.get(url) as answer:
-        assert answer.status == 404
-
-
-BAD = [
+    async with session.put(url, json=TIER, headers={"If-None-Match": "*"}) as response:
+        assert response.status == 200
+        revision = (await response.json(content_type=None))["revision"]
+    await wait_for_replica(served)
+    async with session.get(url) as response:
+        assert response.headers["ETag"] == f'"{revision}"'
+        assert json.loads(await response.read())["resource"].items() >= TIER.items()
+    async with session.put(url, json=TIER, headers={"If-Match": "1"}) as response:
+        assert response.status == 409
+        assert (await response.json(content_type=None))["revision"] == revision
+    headers = {"If-Match": str(revision)}
+    async with session.delete(url, headers=headers) as response:
+        assert response.status == 200
+    await wait_for_replica(served)
+    async with session.get(url) as response:
+        assert response.status == 404
+
+
+BAD_REQUESTS = [
     ("PUT", "/v1/resources/tier/a", "{", Code.MALFORMED),
     ("PUT", "/v1/resources/tier/b", json.dumps(TIER), Code.CONTRADICTION),
     ("PUT", "/v1/resources/none/a", json.dumps(TIER), Code.NOT_FOUND),
@@ -109,45 +109,47 @@
 ]
 
 
-@pytest.mark.parametrize(("method", "path", "body", "code"), BAD)
-async def test_bad_requests_get_a_numbered_problem(
-    served: Served,
+@pytest.mark.parametrize(("method", "path", "body", "code"), BAD_REQUESTS)
+async def test_bad_requests_get_a_problem_with_an_error_code(
+    served: ApiServer,
     session: aiohttp.ClientSession,
     method: str,
     path: str,
     body: str,
     code: Code,
 ) -> None:
-    await settle(served)
+    await wait_for_replica(served)
     before = served.store.revision
     url = f"http://{served.address}{path}"
-    async with session.request(method, url, data=body) as answer:
-        assert json.loads(await answer.read())["code"] == code
+    async with session.request(method, url, data=body) as response:
+        assert json.loads(await response.read())["code"] == code
     assert served.store.revision == before
 
 
-async def test_a_watch_has_no_gap(served: Served) -> None:
+async def test_watch_has_no_gap(served: ApiServer) -> None:
     operator = Operator([served.address])
     first = await operator.apply([Tier(name="a", weight=1)])
     for weight in (2, 3):
         await operator.apply([Tier(name="a", weight=weight)])
-    await settle(served)
-    found = []
+    await wait_for_replica(served)
+    changes = []
     async for change in operator.watch("tier", first.revision):
-        found.append(change)
-        if len(found) == 2:
+        changes.append(change)
+        if len(changes) == 2:
             await operator.delete("tier/a")
-        if len(found) == 3:
+        if len(changes) == 3:
             break
     await operator.close()
-    assert [c.type for c in found] == ["put", "put", "delete"]
-    assert [c.revision for c in found] == sorted(c.revision for c in found)
+    assert [c.type for c in changes] == ["put", "put", "delete"]
+    assert [c.revision for c in changes] == sorted(c.revision for c in changes)
 
 
-async def test_a_watch_of_a_forgotten_revision_is_told_so(served: Served) -> None:
+async def test_watch_of_a_compacted_revision_fails(
+    served: ApiServer,
+) -> None:
     operator = Operator([served.address])
     await operator.apply([Tier(name="a")])
-    await settle(served)
+    await wait_for_replica(served)
     full = served.state.delta(0).events
     served.state.apply(Delta(0, served.state.revision + 1, True, full))
     with pytest.raises(LeverdoorError) as e:
@@ -157,21 +159,21 @@
     await operator.close()
 
 
-async def test_without_configuration_an_agent_is_not_ready(
+async def test_agent_without_configuration_is_not_ready(
     session: aiohttp.ClientSession,
 ) -> None:
-    s = Served()
+    s = ApiServer()
     await s.server.start_server()
-    async with session.get(f"http://{s.address}/readyz") as answer:
-        assert answer.status == 503
-        assert (await answer.json(content_type=None))["code"] == 2003
-    async with session.get(f"http://{s.address}/healthz") as answer:
-        assert answer.status == 200
+    async with session.get(f"http://{s.address}/readyz") as response:
+        assert response.status == 503
+        assert (await response.json(content_type=None))["code"] == 2003
+    async with session.get(f"http://{s.address}/healthz") as response:
+        assert response.status == 200
     await s.server.close()
 
 
 @pytest.mark.parametrize("name", REPORTS)
-async def test_reports_are_read(served: Served, name: str) -> None:
+async def test_reports_are_read(served: ApiServer, name: str) -> None:
     operator = Operator([served.address])
     assert (await operator.report(name)).lines == []
     await operator.close()
@@ -186,17 +188,17 @@
 
 
 async def cli(
-    served: Served, command: str, *args: str, stdin: str = ""
+    served: ApiServer, command: str, *args: str, stdin: str = ""
 ) -> tuple[int, str]:
     flags = (command, f"--api={served.address}", *args)
     return await asyncio.to_thread(run, *flags, stdin=stdin)
 
 
-async def test_the_command_line_applies_gets_and_deletes(served: Served) -> None:
+async def test_the_command_line_applies_gets_and_deletes(served: ApiServer) -> None:
     text = json.dumps([TIER, {"kind": "tier", "name": "b"}])
     code, out = await cli(served, "apply", "-f", "-", stdin=text)
     assert (code, out.count("accepted")) == (0, 2)
-    await settle(served)
+    await wait_for_replica(served)
     code, out = await cli(served, "get", "tier")
     assert code == 0
     assert [line.split()[1] for line in out.splitlines()[1:]] == ["a", "b"]
@@ -206,7 +208,7 @@
     assert (code, out.count("deleted")) == (0, 2)
 
 
-async def test_errors_end_with_the_exit_status_of_their_code(served: Served) -> None:
+async def test_errors_end_with_the_exit_status_of_their_code(served: ApiServer) -> None:
     bad = json.dumps({"kind": "tier", "name": "a", "wieght": 1})
     code, out = await cli(served, "apply", "-f", "-", stdin=bad)
     assert code == 11
@@ -215,7 +217,7 @@
     assert code == 14
 
 
-async def test_a_dry_run_stores_nothing(served: Served) -> None:
+async def test_dry_run_stores_nothing(served: ApiServer) -> None:
     flags = ("--dry-run", "-f", "-")
     code, out = await cli(served, "apply", *flags, stdin=json.dumps(TIER))
     assert (code, "checked" in out) == (0, True)
--- a/tests/test_clock_set_back.py
+++ b/tests/test_clock_set_back.py
@@ -1,40 +1,43 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tests of agents whose VM's clock was set back before they started again."""
+"""Heartbeats of agents that restarted after the clock of their VM was set back."""
 
 from leverdoor.membership.peers import AgentHeartbeat, Peers
 
-AHEAD = 2_000_000
-"""When the former agent started, by its clock, in microseconds."""
-BEHIND = 1_000_000
-"""When the next one started, by the clock that was set back, in microseconds."""
-SOON_S = 11.0
-"""Above the longest silence after which a VM counts as lost (10 s), and far below the
-60 s after which it is forgotten."""
+PREVIOUS_START_US = 2_000_000
+"""Start time of the previous agent by its clock, in microseconds."""
+RESTART_US = 1_000_000
+"""Start time of the restarted agent by the set-back clock, in microseconds."""
+RESTART_SEEN_S = 11.0
+"""Time of the restarted agent's first heartbeat, in seconds.
+
+Above the longest silence after which a VM counts as lost (10 s), and far below the 60 s
+after which peers forget it.
+"""
 
 
 def heartbeat(agent: int, seq: int) -> AgentHeartbeat:
     return AgentHeartbeat("vm1", "r0", "r0-0", "vm1:1", "vm1:2", agent, seq)
 
 
-def test_an_agent_whose_clock_was_set_back_is_known_again() -> None:
-    """Its heartbeats count once those of the agent before it stay away."""
+def test_restarted_agent_is_accepted_after_its_clock_was_set_back() -> None:
+    """Its heartbeats are accepted once those of the previous agent have stopped."""
     peers = Peers("vm0", "r0")
-    peers.merge([heartbeat(AHEAD, 9)], 0.0)
-    peers.merge([heartbeat(BEHIND, 1)], SOON_S)
-    assert [b.vm for b in peers.live_near(SOON_S)] == ["vm1"]
+    peers.merge([heartbeat(PREVIOUS_START_US, 9)], 0.0)
+    peers.merge([heartbeat(RESTART_US, 1)], RESTART_SEEN_S)
+    assert [b.vm for b in peers.live_near(RESTART_SEEN_S)] == ["vm1"]
 
 
-def test_heartbeats_of_the_former_agent_that_others_pass_on_count_no_more() -> None:
+def test_forwarded_heartbeats_of_the_previous_agent_are_ignored() -> None:
     peers = Peers("vm0", "r0")
-    peers.merge([heartbeat(AHEAD, 9)], 0.0)
-    peers.merge([heartbeat(BEHIND, 1)], SOON_S)
-    assert peers.merge([heartbeat(AHEAD, 10)], SOON_S + 1.0) == []
-    assert peers.merge([heartbeat(BEHIND, 2)], SOON_S + 1.0)
-    assert peers.merge([heartbeat(AHEAD + 1, 1)], SOON_S + 2.0)
+    peers.merge([heartbeat(PREVIOUS_START_US, 9)], 0.0)
+    peers.merge([heartbeat(RESTART_US, 1)], RESTART_SEEN_S)
+    assert peers.merge([heartbeat(PREVIOUS_START_US, 10)], RESTART_SEEN_S + 1.0) == []
+    assert peers.merge([heartbeat(RESTART_US, 2)], RESTART_SEEN_S + 1.0)
+    assert peers.merge([heartbeat(PREVIOUS_START_US + 1, 1)], RESTART_SEEN_S + 2.0)
 
 
-def test_an_earlier_start_does_not_count_while_the_later_agent_lives() -> None:
+def test_earlier_start_is_ignored_while_the_later_agent_is_alive() -> None:
     peers = Peers("vm0", "r0")
-    peers.merge([heartbeat(AHEAD, 9)], 0.0)
-    assert peers.merge([heartbeat(BEHIND, 1)], 0.2) == []
+    peers.merge([heartbeat(PREVIOUS_START_US, 9)], 0.0)
+    assert peers.merge([heartbeat(RESTART_US, 1)], 0.2) == []
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Configuration under racing operators, lost answers and outages."""
+"""Configuration writes under concurrent operators, lost responses and outages."""
 
 import asyncio
 from collections.abc import Sequence
@@ -34,45 +34,45 @@
     return Region(name=name, domains=list(domains) or [f"{name}-0"])
 
 
-class Delayed(MemoryStore):
-    """A store on which a write without an answer may take effect later."""
+class FaultyStore(MemoryStore):
+    """A store on which a write without a response may take effect later."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.fate = ""
-        self.late: list[Sequence[Write]] = []
+        self.next_fault = ""
+        self.delayed_writes: list[Sequence[Write]] = []
 
     async def commit(self, writes: Sequence[Write]) -> Commit:
-        fate, self.fate = self.fate, ""
-        if fate == "refused":
+        next_fault, self.next_fault = self.next_fault, ""
+        if next_fault == "refused":
             raise StoreUnavailable
-        if fate == "late":
-            self.late.append(writes)
+        if next_fault == "late":
+            self.delayed_writes.append(writes)
             raise StoreUnknown
-        if fate == "lost":
+        if next_fault == "lost":
             self._commit(writes)
             raise StoreUnknown
         return await super().commit(writes)
 
     async def read(self, prefix: str) -> Listing:
-        if self.fate == "unreadable":
-            self.fate = ""
+        if self.next_fault == "unreadable":
+            self.next_fault = ""
             raise StoreUnavailable
         return await super().read(prefix)
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Operators race through two agents whose copies lag."""
+    """Operators write concurrently through two agents whose replicas lag."""
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = asyncio.new_event_loop()
-        self.store = Delayed()
+        self.store = FaultyStore()
         self.states = [State(), State()]
         self.agents = [Configuration(self.store, s) for s in self.states]
         self.accepted: dict[int, tuple[str, int]] = {}
         self.refused: set[int] = set()
-        self.seen = [0, 0]
+        self.highest_revisions = [0, 0]
         self.number = 0
 
     def teardown(self) -> None:
@@ -84,11 +84,11 @@
     @rule(
         agent=st.integers(0, 1),
         name=st.sampled_from(["a", "b"]),
-        fate=st.sampled_from(["", "", "", "lost", "late", "refused"]),
+        next_fault=st.sampled_from(["", "", "", "lost", "late", "refused"]),
     )
-    def apply(self, agent: int, name: str, fate: str) -> None:
+    def apply(self, agent: int, name: str, next_fault: str) -> None:
         self.number += 1
-        self.store.fate = fate
+        self.store.next_fault = next_fault
         tier = Tier(name=name, weight=1 + self.number % 1000)
         result = self.loop.run_until_complete(self.agents[agent].apply([tier]))
         if isinstance(result, Success):
@@ -100,16 +100,16 @@
                 self.refused.add(self.number)
 
     @rule()
-    def late_write_arrives(self) -> None:
-        if self.store.late:
-            self.store._commit(self.store.late.pop(0))
+    def apply_delayed_write(self) -> None:
+        if self.store.delayed_writes:
+            self.store._commit(self.store.delayed_writes.pop(0))
 
     @rule(agent=st.integers(0, 1))
     def catch_up(self, agent: int) -> None:
         self.states[agent].reset(self.listing())
 
     @rule(source=st.integers(0, 1))
-    def hear_from_peer(self, source: int) -> None:
+    def fetch_from_peer(self, source: int) -> None:
         other = self.states[1 - source]
         other.apply(self.states[source].delta(other.revision))
 
@@ -122,19 +122,19 @@
             self.agents[agent] = Configuration(self.store, fresh)
 
     @invariant()
-    def no_copy_goes_back(self) -> None:
+    def no_replica_goes_back(self) -> None:
         for i, state in enumerate(self.states):
-            assert state.revision >= self.seen[i]
-            self.seen[i] = state.revision
+            assert state.revision >= self.highest_revisions[i]
+            self.highest_revisions[i] = state.revision
 
     @invariant()
-    def what_was_refused_never_shows(self) -> None:
+    def rejected_writes_never_appear(self) -> None:
         weights = {e.value for e in self.listing().entries if "tier/" in e.key}
         for number in self.refused:
             assert all(f'"weight":{1 + number % 1000},' not in str(w) for w in weights)
 
     @invariant()
-    def the_last_accepted_stands(self) -> None:
+    def last_accepted_write_is_stored(self) -> None:
         last: dict[str, int] = {}
         for number, (name, _) in self.accepted.items():
             last[name] = number
@@ -144,7 +144,7 @@
             assert f'"weight":{1 + number % 1000},' in value.decode()
 
 
-def test_accepted_never_reverts_in_random_orders() -> None:
+def test_accepted_writes_are_never_reverted_in_random_orders() -> None:
     run_state_machine_as_test(
         ConfigurationMachine,
         settings=settings(
@@ -160,30 +160,30 @@
 async def test_without_the_fence_a_late_write_undoes_an_accepted_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The writer is told `not written`, writes again, and the first arrives."""
+    """The writer learns `not written` and writes again; then the first one arrives."""
 
     async def no_fence(self: Configuration, write_id: str, snapshot: object) -> int:
         return 0
 
-    async def play() -> bytes:
-        store = Delayed()
+    async def run_scenario() -> bytes:
+        store = FaultyStore()
         agent = Configuration(store, State())
-        store.fate = "late"
+        store.next_fault = "late"
         await agent.apply([Tier(name="a", weight=1)])
         await agent.apply([Tier(name="a", weight=2)])
-        unconditional = [Write(w.key, w.value) for w in store.late[0]]
-        late = store.late[0] if fenced else unconditional
-        store._commit(late)
+        unconditional = [Write(w.key, w.value) for w in store.delayed_writes[0]]
+        delayed_writes = store.delayed_writes[0] if fenced else unconditional
+        store._commit(delayed_writes)
         return (await store.read("/leverdoor/resources/")).entries[0].value
 
     fenced = True
-    assert b'"weight":2' in await play()
+    assert b'"weight":2' in await run_scenario()
     fenced = False
     monkeypatch.setattr(Configuration, "_resolve", no_fence)
-    assert b'"weight":1' in await play()
+    assert b'"weight":1' in await run_scenario()
 
 
-async def test_racing_operators_cannot_store_a_contradiction() -> None:
+async def test_concurrent_operators_cannot_store_a_contradiction() -> None:
     store: Store = MemoryStore()
     one, two = Configuration(store, State()), Configuration(store, State())
     await one.apply([Tier(name="a", reserve_percent=40)])
@@ -196,7 +196,7 @@
     assert failed.failure().code is Code.CONTRADICTION
 
 
-async def test_a_condition_that_fails_is_a_conflict() -> None:
+async def test_failed_condition_is_a_conflict() -> None:
     agent = Configuration(MemoryStore(), State())
     first = (await agent.apply([region("r")])).unwrap()
     await agent.apply([region("r", "d1")])
@@ -206,7 +206,7 @@
 
 
 @pytest.mark.parametrize("key", ["region/r", "service/s"])
-async def test_what_is_referred_to_cannot_be_deleted(key: str) -> None:
+async def test_referenced_resource_cannot_be_deleted(key: str) -> None:
     agent = Configuration(MemoryStore(), State())
     cap = ShiftCap(name="c", service="s", region="r", units=1, window_ms=1000)
     resources: list[Resource] = [
@@ -221,7 +221,7 @@
     assert isinstance(await agent.delete(key), Success)
 
 
-async def test_store_down_refuses_at_once() -> None:
+async def test_outage_of_the_store_rejects_a_write_at_once() -> None:
     store = MemoryStore()
     store.down = True
     result = await Configuration(store, State()).apply([region("r")])
@@ -229,9 +229,9 @@
     assert result.failure().retry_after_ms > 0
 
 
-async def test_unreadable_after_a_lost_answer_is_unknown() -> None:
-    store = Delayed()
-    store.fate = "lost"
+async def test_unreadable_store_after_a_lost_response_is_unknown() -> None:
+    store = FaultyStore()
+    store.next_fault = "lost"
     agent = Configuration(store, State())
     await agent._snapshot(fresh=True)
 
@@ -244,7 +244,7 @@
         await agent._resolve("x", snapshot)
 
 
-async def test_a_dry_run_writes_nothing() -> None:
+async def test_dry_run_writes_nothing() -> None:
     store = MemoryStore()
     result = await Configuration(store, State()).apply([region("r")], dry_run=True)
     assert result.unwrap().revision == 0
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which of a plain site's agents follow the store, and what an unserved one does.
+"""Election of the agents that follow the store, and the loop that follows it.
 
-The role was given to agents that are alive, whether or not the store answered them: an
-agent that was cut off from it alone kept the role, and planned nothing for its region.
+Guards against an agent that keeps the role although the store does not respond to it:
+when the election considered only whether an agent is alive, an agent that alone was cut
+off from the store kept the role and planned nothing for its region.
 """
 
 import asyncio
@@ -32,25 +33,25 @@
 NOW = 50.0
 
 
-def peers(vm: str, unserved: set[str]) -> Peers:
-    found = Peers(vm, "r")
+def peers_of(vm: str, unserved: set[str]) -> Peers:
+    known = Peers(vm, "r")
     for name in VMS:
-        beat = AgentHeartbeat(name, "r", "r-0", name, name, 1, 1)
-        beat = msgspec.structs.replace(beat, unserved=name in unserved)
-        found.merge([beat], NOW)
-    return found
+        heartbeat = AgentHeartbeat(name, "r", "r-0", name, name, 1, 1)
+        heartbeat = msgspec.structs.replace(heartbeat, unserved=name in unserved)
+        known.merge([heartbeat], NOW)
+    return known
 
 
 def followers(unserved: set[str]) -> list[str]:
-    """Return who takes itself for a follower."""
+    """Return the VMs whose agents elect themselves."""
     return [
         vm
         for vm in VMS
-        if watcher_rank(peers(vm, unserved), vm, NOW, vm in unserved) >= 0
+        if watcher_rank(peers_of(vm, unserved), vm, NOW, vm in unserved) >= 0
     ]
 
 
-def test_agents_that_the_store_does_not_answer_hand_the_role_on() -> None:
+def test_unserved_agents_hand_the_role_to_served_ones() -> None:
     first = followers(set())
     assert len(first) == WATCHERS_PER_REGION
     assert len(followers({first[0]})) == WATCHERS_PER_REGION
@@ -58,21 +59,21 @@
     assert not set(first) & set(followers(set(first)))
 
 
-def test_the_only_agent_that_is_served_follows() -> None:
+def test_only_served_agent_follows() -> None:
     for vm in VMS:
         assert followers(set(VMS) - {vm}) == [vm]
 
 
-def test_while_the_store_answers_no_agent_the_first_go_on() -> None:
+def test_election_is_unchanged_while_no_agent_is_served() -> None:
     assert followers(set(VMS)) == followers(set())
 
 
-def test_one_that_is_not_served_tries_again_after_a_while() -> None:
+def test_unserved_agent_retries_after_a_pause() -> None:
     now = [NOW]
-    asked: list[bool] = []
+    unserved_arguments: list[bool] = []
 
     def is_elected(unserved: bool) -> bool:
-        asked.append(unserved)
+        unserved_arguments.append(unserved)
         return not unserved
 
     role = ElectedRole(is_elected, lambda: now[0], Random(1))
@@ -82,14 +83,14 @@
     assert not role.follows()
     now[0] += RETRY_MEAN_S * (1 + MIN_FRACTION_OF_MEAN)
     assert role.follows()
-    assert role.unserved, "others keep the role until the try has come off"
+    assert role.unserved, "other agents keep the role until the retry succeeds"
     role.answered()
-    assert asked == [False, True, False]
+    assert unserved_arguments == [False, True, False]
     assert not role.unserved
 
 
 class StaleRole(FollowerRole):
-    """Always follows; what is held is as old as the test says."""
+    """Always follows; the test sets whether the replica is stale."""
 
     def __init__(self) -> None:
         self.stale = False
@@ -105,8 +106,8 @@
         self.failures += 1
 
 
-class StuckStore(MemoryStore):
-    """A store whose first watch says nothing more once it has begun."""
+class SilentWatchStore(MemoryStore):
+    """A store whose first watch stays silent."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -122,11 +123,11 @@
             yield events
 
 
-def test_a_watch_that_went_silent_is_given_up_once_what_is_held_is_old() -> None:
-    """Its store may just have nothing to say, as long as what is held is not old."""
+def test_silent_watch_is_abandoned_once_the_replica_is_stale() -> None:
+    """Before the replica is stale, silence may mean that the store has no changes."""
 
     async def run() -> None:
-        store, state, role = StuckStore(), State(), StaleRole()
+        store, state, role = SilentWatchStore(), State(), StaleRole()
         follower = StoreFollower(store, state, role, Random(1), prefix="")
         task = asyncio.ensure_future(follower.run())
         await asyncio.sleep(10 * WATCH_OVERDUE_S)
@@ -134,7 +135,7 @@
         role.stale = True
         await asyncio.sleep(3 * POLL_S)
         assert store.watches == 2
-        assert not role.failures, "the store did not fail to answer a call"
+        assert not role.failures, "an abandoned watch is not a failed request"
         role.stale = False
         revision = (await store.commit([Write("k", b"v")])).revision
         await asyncio.sleep(POLL_S)
@@ -145,7 +146,7 @@
 
 
 class DownStore(MemoryStore):
-    """A store that refuses all reads and watches."""
+    """A store that rejects all watches."""
 
     async def watch(
         self, prefix: str, after: int, wait_s: Wait = client_default_wait
@@ -154,7 +155,7 @@
         yield []
 
 
-def test_a_call_that_fails_is_told_to_the_role() -> None:
+def test_role_records_failed_requests() -> None:
     async def run() -> None:
         role = StaleRole()
         follower = StoreFollower(DownStore(), State(), role, Random(1), prefix="")
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Contract of the key-value service: in memory and through HTTP alike."""
+"""Contract of the key-value service, tested in memory and over HTTP."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -14,8 +14,8 @@
 from leverdoor.storage.store import MAX_LOG_EVENTS, Event, MemoryStore, Store, Write
 
 
-class Pair:
-    """A store and the memory behind it."""
+class Backend:
+    """A store under test and the `MemoryStore` that holds its data."""
 
     def __init__(self, store: Store, memory: MemoryStore) -> None:
         self.store = store
@@ -23,33 +23,33 @@
 
 
 @pytest.fixture(params=["memory", "http"])
-async def pair(request: pytest.FixtureRequest) -> AsyncIterator[Pair]:
+async def pair(request: pytest.FixtureRequest) -> AsyncIterator[Backend]:
     if request.param == "memory":
         memory = MemoryStore()
-        yield Pair(memory, memory)
+        yield Backend(memory, memory)
         return
     standin = KvStandin()
     server = TestServer(standin.app())
     await server.start_server()
     store = EtcdStore([str(server.make_url(""))], timeout_s=0.5)
-    yield Pair(store, standin.store)
+    yield Backend(store, standin.store)
     await store.close()
     await server.close()
 
 
-async def test_write_then_read(pair: Pair) -> None:
-    done = await pair.store.commit([Write("/a/1", b"x"), Write("/a/2", b"\xff")])
+async def test_write_then_read(pair: Backend) -> None:
+    result = await pair.store.commit([Write("/a/1", b"x"), Write("/a/2", b"\xff")])
     listing = await pair.store.read("/a/")
-    assert done.committed
+    assert result.committed
     assert [(e.key, e.value) for e in listing.entries] == [
         ("/a/1", b"x"),
         ("/a/2", b"\xff"),
     ]
-    assert {e.revision for e in listing.entries} == {done.revision}
-    assert listing.revision == done.revision
+    assert {e.revision for e in listing.entries} == {result.revision}
+    assert listing.revision == result.revision
 
 
-async def test_prefix_leaves_out_neighbours(pair: Pair) -> None:
+async def test_read_returns_only_keys_under_the_prefix(pair: Backend) -> None:
     await pair.store.commit([Write("/a/1", b"x"), Write("/b", b"y")])
     assert [e.key for e in (await pair.store.read("/a/")).entries] == ["/a/1"]
 
@@ -57,32 +57,36 @@
 @pytest.mark.parametrize(
     ("expect", "taken"), [(None, True), (0, False), (1, False), (2, True), (3, False)]
 )
-async def test_compare_and_swap(pair: Pair, expect: int | None, taken: bool) -> None:
+async def test_compare_and_swap(pair: Backend, expect: int | None, taken: bool) -> None:
     await pair.store.commit([Write("/k", b"old")])
-    done = await pair.store.commit([Write("/other", b"n"), Write("/k", b"new", expect)])
-    assert done.committed is taken
+    result = await pair.store.commit(
+        [Write("/other", b"n"), Write("/k", b"new", expect)]
+    )
+    assert result.committed is taken
     values = {e.key: e.value for e in (await pair.store.read("/")).entries}
     assert values["/k"] == (b"new" if taken else b"old")
     assert ("/other" in values) is taken
 
 
-async def test_watch_gives_every_change_after_a_revision(pair: Pair) -> None:
+async def test_watch_yields_every_change_after_a_revision(pair: Backend) -> None:
     first = await pair.store.commit([Write("/a", b"1")])
     await pair.store.commit([Write("/a", b"2"), Write("/b", b"1")])
     await pair.store.commit([Write("/a", None)])
-    found: list[Event] = []
+    received: list[Event] = []
     async for events in pair.store.watch("/", first.revision):
-        found += events
-        if len(found) == 3:
+        received += events
+        if len(received) == 3:
             break
-    assert [(e.key, e.value) for e in found] == [
+    assert [(e.key, e.value) for e in received] == [
         ("/a", b"2"),
         ("/b", b"1"),
         ("/a", None),
     ]
 
 
-async def test_watch_of_a_forgotten_revision_says_so(pair: Pair) -> None:
+async def test_watch_of_a_compacted_revision_fails(
+    pair: Backend,
+) -> None:
     for i in range(MAX_LOG_EVENTS + 2):
         pair.memory._commit([Write("/a", str(i).encode())])
     with pytest.raises(LeverdoorError) as e:
@@ -91,7 +95,9 @@
     assert e.value.code is Code.COMPACTED
 
 
-async def test_down_refuses_and_writes_nothing(pair: Pair) -> None:
+async def test_outage_rejects_requests_and_writes_nothing(
+    pair: Backend,
+) -> None:
     pair.memory.down = True
     with pytest.raises(StoreUnavailable):
         await pair.store.commit([Write("/a", b"1")])
@@ -101,7 +107,7 @@
     assert (await pair.store.read("/")).entries == []
 
 
-async def test_down_ends_a_watch(pair: Pair) -> None:
+async def test_outage_ends_a_watch(pair: Backend) -> None:
     async def follow() -> None:
         async for _ in pair.store.watch("/", 1):
             pass
@@ -114,14 +120,16 @@
         await asyncio.wait_for(task, 5)
 
 
-async def test_a_lost_answer_may_have_taken_effect(pair: Pair) -> None:
+async def test_write_with_a_lost_response_may_have_taken_effect(
+    pair: Backend,
+) -> None:
     pair.memory.lose_answers = 1
     with pytest.raises(StoreUnknown):
         await pair.store.commit([Write("/a", b"1")])
     assert [e.value for e in (await pair.store.read("/a")).entries] == [b"1"]
 
 
-async def test_a_hanging_service_is_unknown_for_writes() -> None:
+async def test_timeout_of_a_write_is_unknown_and_of_a_read_unavailable() -> None:
     standin = KvStandin()
     server = TestServer(standin.app())
     await server.start_server()
@@ -136,7 +144,7 @@
     await server.close()
 
 
-async def test_nobody_there_is_unavailable() -> None:
+async def test_refused_connection_is_unavailable() -> None:
     store = EtcdStore(["http://127.0.0.1:9"], timeout_s=0.5)
     with pytest.raises(StoreUnavailable):
         await store.commit([Write("/a", b"1")])
--- a/tests/test_vmlist.py
+++ b/tests/test_vmlist.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Contract of the VM list, and what may be concluded from it."""
+"""Contract of the VM list client, and detection of terminated processes."""
 
 from collections.abc import AsyncIterator
 
@@ -35,18 +35,18 @@
     await server.close()
 
 
-async def test_the_list_is_read(vm_list: HttpVmList) -> None:
+async def test_client_reads_the_list(vm_list: HttpVmList) -> None:
     assert await vm_list.fetch() == LISTED
 
 
-async def test_a_list_that_cannot_be_read_is_an_error() -> None:
+async def test_unreachable_list_is_an_error() -> None:
     client = HttpVmList("http://127.0.0.1:9/vms")
     with pytest.raises(LeverdoorError):
         await client.fetch()
     await client.close()
 
 
-def test_parse_and_serialize_agree() -> None:
+def test_parser_accepts_serialized_lists_and_rejects_others() -> None:
     assert parse_vms(serialize_vms(LISTED)) == LISTED
     with pytest.raises(LeverdoorError):
         parse_vms(b"{}")
@@ -55,26 +55,26 @@
 KNOWN = {"a": {"a|g|1"}}
 
 
-def test_a_vm_absent_for_longer_than_the_lag_is_gone() -> None:
-    d = DepartureTracker(10.0)
-    assert d.observe(set(), KNOWN, 0.0) == set()
-    assert d.observe(set(), KNOWN, 10.0) == set()
-    assert d.observe(set(), KNOWN, 10.1) == {"a|g|1"}
+def test_processes_of_a_vm_absent_for_longer_than_the_lag_are_gone() -> None:
+    tracker = DepartureTracker(10.0)
+    assert tracker.observe(set(), KNOWN, 0.0) == set()
+    assert tracker.observe(set(), KNOWN, 10.0) == set()
+    assert tracker.observe(set(), KNOWN, 10.1) == {"a|g|1"}
 
 
-def test_one_sight_of_a_vm_starts_the_wait_again() -> None:
-    d = DepartureTracker(10.0)
-    d.observe(set(), KNOWN, 0.0)
-    d.observe({"a"}, KNOWN, 9.0)
-    assert d.observe(set(), KNOWN, 11.0) == set()
-    assert d.observe(set(), KNOWN, 21.1) == {"a|g|1"}
+def test_reappearance_of_a_vm_restarts_the_wait() -> None:
+    tracker = DepartureTracker(10.0)
+    tracker.observe(set(), KNOWN, 0.0)
+    tracker.observe({"a"}, KNOWN, 9.0)
+    assert tracker.observe(set(), KNOWN, 11.0) == set()
+    assert tracker.observe(set(), KNOWN, 21.1) == {"a|g|1"}
 
 
-def test_a_process_that_came_back_is_not_covered() -> None:
-    """The VM died, came back, and the list still lacks it."""
-    d = DepartureTracker(10.0)
-    d.observe(set(), KNOWN, 0.0)
-    back = {"a": {"a|g|1", "a|g|2"}}
-    assert d.observe(set(), back, 10.1) == {"a|g|1"}
-    assert d.observe(set(), back, 15.0) == set()
-    assert d.observe({"a"}, back, 18.0) == set()
+def test_process_started_after_the_first_absence_is_not_gone() -> None:
+    """The VM failed and returned while the list still lacks it."""
+    tracker = DepartureTracker(10.0)
+    tracker.observe(set(), KNOWN, 0.0)
+    restarted = {"a": {"a|g|1", "a|g|2"}}
+    assert tracker.observe(set(), restarted, 10.1) == {"a|g|1"}
+    assert tracker.observe(set(), restarted, 15.0) == set()
+    assert tracker.observe({"a"}, restarted, 18.0) == set()
