--- a/leverdoor/agent/api.py
+++ b/leverdoor/agent/api.py
@@ -34,11 +34,11 @@
 __all__ = ["Api", "Change", "Item", "ItemList", "Status"]
 
 MAX_BODY_BYTES = 1_000_000
-"""Maximum size of a request body in bytes; the largest value of the store."""
+"""Maximum size of a request body in bytes; equals the store's limit for a value."""
 BOOKMARK_S = 5.0
 """Interval of bookmarks on an idle watch, in seconds; below common idle timeouts."""
 REPORT_WATCH_S = 1.0
-"""Interval of reports to a watcher, in seconds; people read them."""
+"""Interval of reports to a watcher, in seconds; sufficient for human readers."""
 WATCH_QUEUE = 1_000
 """Length of a watcher's queue, in deltas; a full queue ends the watch.
 
@@ -51,6 +51,7 @@
 About the time that a new agent needs to fetch the state from a peer.
 """
 NO_RESOURCE = msgspec.Raw(b"null")
+"""`Change.resource` of a delete or a bookmark."""
 
 
 class Item(msgspec.Struct):
@@ -153,7 +154,7 @@
         return json_answer(ItemList(self._state.revision, items))
 
     async def _get(self, request: web.Request) -> web.StreamResponse:
-        key = _key(request)
+        key = _parse_key(request)
         self._require_configuration()
         entry = self._state.entries.get(RESOURCES + key)
         if entry is None:
@@ -198,7 +199,7 @@
         if kind:
             _check_kind(kind)
         since = _parse_number(request, "since", self._state.revision)
-        if not self._state.has_changes_since(since):
+        if not self._state.log_covers(since):
             raise LeverdoorError(Code.COMPACTED, revision=self._state.revision)
         prefix = RESOURCES + (f"{kind}/" if kind else "")
         return await _stream_lines(request, self._change_lines(prefix, since))
@@ -209,6 +210,7 @@
 
         def enqueue(delta: Delta) -> None:
             if queue.full():
+                # None ends the watch.
                 queue.get_nowait()
                 queue.put_nowait(None)
             else:
@@ -249,7 +251,7 @@
     # Commands.
 
     async def _put(self, request: web.Request) -> web.StreamResponse:
-        key = _key(request)
+        key = _parse_key(request)
         resource = parse_resource(await request.read())
         if resource_key(resource) != key:
             raise ConfigError(
@@ -278,7 +280,7 @@
         dry_run = "dry_run" in request.query
         return _apply_response(
             await self._configuration.delete(
-                _key(request), _parse_condition(request), dry_run
+                _parse_key(request), _parse_condition(request), dry_run
             )
         )
 
@@ -300,7 +302,7 @@
         )
 
 
-def _key(request: web.Request) -> str:
+def _parse_key(request: web.Request) -> str:
     kind = request.match_info["kind"]
     _check_kind(kind)
     return f"{kind}/{request.match_info['name']}"
--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -6,7 +6,7 @@
 last reading of the VM list (`vm_list.py`) and the gate's last report
 (`gate_sessions.py`). All of it is lost with the process and restored from the store,
 the peers and the gate. Relies on the store for changes only; during an outage the last
-snapshot stays in force.
+replica stays in force.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
 STOP_TIMEOUT_S = 1.0
 """Shutdown timeout of the API, in seconds; the gate keeps serving meanwhile."""
 HEARTBEATS_PER_UPDATE = 10
-"""Heartbeats between updates of metrics and expiry of silent peers: 2 s."""
+"""Metrics are updated and silent peers expire once per this many heartbeats: 2 s."""
 MAX_PROBES_PER_S = 8
 """Maximum rate of target probes; keeps an agent below 1% of a core."""
 
@@ -127,7 +127,7 @@
         self._api = Api(self._configuration, self._state, self._reporter, self._metrics)
         self._link = AgentLink(s.link)
         self._gates = GateSessions(self._link)
-        self._socket = GossipSocket(Gossip, self._take_gossip)
+        self._socket = GossipSocket(Gossip, self._receive_gossip)
         await self._socket.open(s.gossip)
         self._state.changes.subscribe(self._push_delta)
         self._renew_heartbeat()
@@ -214,7 +214,7 @@
         m.gossip_bytes.labels("sent").set(self._socket.sent_bytes)
         m.gossip_bytes.labels("received").set(self._socket.received_bytes)
 
-    def _take_gossip(self, gossip: Gossip) -> None:
+    def _receive_gossip(self, gossip: Gossip) -> None:
         newer = self._peers.merge(gossip.heartbeats, self._now())
         self._gates.add_heartbeats(newer)
         ahead = [b for b in newer if b.revision > self._state.revision]
@@ -226,14 +226,14 @@
     # The VM list.
 
     def leaving_vms(self) -> frozenset[str]:
-        """Return the VMs that any agent of the region has read as leaving."""
+        """Return the VMs that any agent of the region knows to be leaving."""
         union = set(self._vm_list.leaving)
         for heartbeat in self._peers.live_near(self._now()):
             union |= set(heartbeat.leaving_vms)
         return frozenset(union)
 
     def departed(self) -> frozenset[str]:
-        """Return the identities of processes that any such agent found terminated."""
+        """Return identities of processes that any agent of the region found terminated."""
         union = self._vm_list.departed
         for heartbeat in self._peers.live_near(self._now()):
             union |= set(heartbeat.departed)
@@ -284,7 +284,7 @@
                 await self._link.send(peer, self._state.delta(report.revision))
 
     def _push_delta(self, delta: Delta) -> None:
-        """Send a change of the configuration or the ownership table to the gates."""
+        """Send a change of the configuration or the ownership table to all gates."""
         for peer in self._gates.connections():
             task = asyncio.create_task(self._link.send(peer, delta))
             task.add_done_callback(lambda t: t.exception())
--- a/leverdoor/agent/gate_sessions.py
+++ b/leverdoor/agent/gate_sessions.py
@@ -2,9 +2,9 @@
 # SPDX-License-Identifier: Apache-2.0
 """The gate processes connected to one agent: their last report and their next hints.
 
-Owns the last report and the changes since the last hints. All of it is empty when the
-process starts and arrives again within a second. Relies on the link: a disconnected
-gate loses messages and receives the missing changes after its next report.
+Owns the last report and the changes since the last hints. Both are empty at the start
+of the process until the gate reports again, within a second. Relies on the link: a
+disconnected gate loses messages and receives the missing changes after its next report.
 """
 
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 """Silence on the link after which a gate's report is ignored, in seconds.
 
 Ten report intervals. With a greater value, callers are sent to a dead gate for longer;
-a smaller one drops a gate whose process pauses for a moment.
+a smaller one ignores a gate whose process pauses briefly.
 """
 SESSION_SILENCE_S = 10 * GATE_SILENCE_S
 """Silence after which the agent forgets a connection, in seconds."""
--- a/leverdoor/agent/planning.py
+++ b/leverdoor/agent/planning.py
@@ -78,7 +78,7 @@
           cache: the compiled configuration.
           peers: the known VMs and their newest heartbeats.
           watcher_rank: returns this agent's rank among the watchers of the store: 0
-            to write at once, higher for standby, -1 for none.
+            to write at once, higher for standby, -1 if it is no watcher.
           leaving: returns the VMs that should release all units.
           gone: returns the identities of processes that have terminated.
         """
@@ -91,7 +91,7 @@
         self._leaving = leaving
         self._gone = gone
         self._pending_rounds = 0
-        self._unchanged_inputs: _Inputs | None = None
+        self._inputs_without_change: _Inputs | None = None
 
     async def run(self) -> None:
         """Plan until cancelled."""
@@ -109,8 +109,9 @@
     def next_table(self) -> Table | None:
         """Compute the next table from the current inputs.
 
-        Returns: None if the table does not change, without planning again while all
-          inputs equal those of the last plan without a change.
+        Skips planning if the inputs equal those of a plan that changed nothing.
+
+        Returns: None if the table does not change.
         """
         now = asyncio.get_running_loop().time()
         heartbeats = self._peers.live_near(now)
@@ -133,11 +134,11 @@
             gone,
             acks,
         )
-        if inputs == self._unchanged_inputs:
+        if inputs == self._inputs_without_change:
             return None
         specs = self._cache.view.specs(self._region)
         planned = plan(table, specs, live, leaving, gone, acks)
-        self._unchanged_inputs = inputs if planned is None else None
+        self._inputs_without_change = inputs if planned is None else None
         return planned
 
     def _awaited_acks(self, table: Table) -> dict[str, Ack]:
--- a/leverdoor/agent/reports.py
+++ b/leverdoor/agent/reports.py
@@ -22,7 +22,7 @@
 __all__ = ["REPORTS", "Report", "Reporter"]
 
 FETCH_TIMEOUT_S = 1.5
-"""Timeout of fetching a gate's part of a report, in seconds; a person waits."""
+"""Timeout of fetching a gate's part of a report, in s; the operator waits for it."""
 REPORTS = ("entries", "headroom", "burn", "shifts", "drains")
 
 
@@ -192,13 +192,13 @@
         Returns: the lines, and the VMs whose gates did not respond.
         """
         heartbeats = [p.heartbeat for p in self._live_peers() if p.heartbeat.relay]
-        series_by_gate = await asyncio.gather(
+        series_lists = await asyncio.gather(
             *(self._fetch_series(b.relay) for b in heartbeats)
         )
         missing = [
-            b.vm for b, p in zip(heartbeats, series_by_gate, strict=True) if p is None
+            b.vm for b, p in zip(heartbeats, series_lists, strict=True) if p is None
         ]
-        merged = merge_series(s for p in series_by_gate if p for s in p)
+        merged = merge_series(s for p in series_lists if p for s in p)
         return summarize(merged, self._cache.view.levels.values()), missing
 
     async def _fetch_series(self, relay: str) -> list[Series] | None:
--- a/leverdoor/agent/vm_list.py
+++ b/leverdoor/agent/vm_list.py
@@ -45,11 +45,11 @@
         return set(self._departed)
 
     def pause(self, now: float) -> None:
-        """Clear the leaving VMs while other agents read the list.
+        """Clear the leaving VMs if the last reading is older than the lag of the list.
 
-        Keeps them until the lag of the list has passed since the last reading, so that
-        the other agents have time to read it. While the store responds to none of the
-        agents, all of them may stop reading for a moment as the role changes hands.
+        Called while other agents read the list. The delay gives them time to do so:
+        while the store responds to none of the agents, all of them may stop reading for
+        a moment as the elected agents change.
         """
         if now - self._read_at > self._lag_s:
             self.leaving = frozenset()
@@ -59,7 +59,7 @@
 
         Args:
           table: the ownership table, whose members are the processes to check.
-          peers: the peers; a recent heartbeat overrides the list.
+          peers: the peers; a process with a recent heartbeat is not terminated.
         Returns: identities of the processes found to be terminated by this reading.
         Raises:
           LeverdoorError: the list could not be read.
--- a/leverdoor/storage/configuration.py
+++ b/leverdoor/storage/configuration.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Validates resources and writes them to the store in one transaction.
 
-Every write replaces the guard key on condition of its revision, which serializes all
-writes (docs/DESIGN.md, Configuration). If the response to a write is lost, the guard
-shows by the id of the write whether it took effect. Keeps no state outside the store;
-relies on the store's compare-and-swap.
+Every write replaces the guard key on condition of its revision, which puts all writes
+in one order (docs/DESIGN.md, Configuration). A write whose response was lost took
+effect if the guard contains its id. Keeps no state outside the store; relies on the
+store's compare-and-swap.
 """
 
 import uuid
@@ -32,10 +32,12 @@
 __all__ = ["Applied", "Configuration", "Guard"]
 
 MAX_GUARD_WRITES = 64
-"""Number of write ids kept in the guard: half of etcd's default limit of 128
-operations in a transaction."""
+"""Number of write ids kept in the guard: half of etcd's default limit of 128.
+
+After that many later writes, a write whose response was lost is not recognized.
+"""
 MAX_ATTEMPTS = 6
-"""Attempts of a transaction that conflicts with concurrent writes.
+"""Maximum number of attempts to commit a change, including the first.
 
 After that many conflicts the operator gets CONFLICT and can inspect what the others
 wrote. Each attempt costs the store a read and a write.
@@ -43,7 +45,7 @@
 CONFLICT_RETRY_MS = 500
 """Retry-After of a CONFLICT, in ms.
 
-Concurrent writes have finished by then, and a person does not notice the delay.
+Long enough for concurrent writes to finish, too short for an operator to notice.
 """
 MAX_RESOURCES = 100
 """Most resources in one document.
@@ -56,7 +58,7 @@
     """Ids of the last configuration writes that took effect, newest last.
 
     Every configuration write replaces the guard on condition of its revision. Writes
-    are therefore serialized, and each is validated against all earlier ones.
+    therefore take effect one after another, each validated against all earlier ones.
     """
 
     writes: list[str] = []
@@ -91,7 +93,7 @@
 
         Args:
           store: the platform's key-value service.
-          state: a replica, which may lag; after a conflict the store is read instead.
+          state: a replica, which may lag; later attempts read the store instead.
           cache: the compiled replica, which saves parsing it again.
         """
         self._cache = cache
@@ -168,6 +170,7 @@
                 )
                 if isinstance(checked, Failure):
                     error = checked.failure()
+                    # The replica may lag: validate against the store as well.
                     if attempt == 0 and not dry_run:
                         continue
                     return Failure(error)
@@ -230,7 +233,8 @@
         While the guard still has the revision that the write expects, a delayed write
         may take effect. Replacing the guard makes its condition fail.
 
-        Returns: the revision of the write, or 0 if it has no effect.
+        Returns: the revision of the guard if it contains the write, or 0 if the write
+          never takes effect.
         Raises:
           StoreUnknown: the store did not respond.
         """
--- a/leverdoor/storage/etcd.py
+++ b/leverdoor/storage/etcd.py
@@ -203,6 +203,7 @@
 
 def _events(line: bytes) -> list[Event]:
     result = msgspec.json.decode(line, type=_WatchMessage, strict=False).result
+    # The service cancels a watch if its start revision is compacted.
     if result.canceled:
         raise LeverdoorError(Code.COMPACTED, revision=result.compact_revision)
     events = []
--- a/leverdoor/storage/fetching.py
+++ b/leverdoor/storage/fetching.py
@@ -3,9 +3,10 @@
 """Fetches changes of the store that this process lacks from its peers.
 
 `DeltaSource` is the transport to a peer, implemented over HTTP by `HttpDeltaSource`;
-`PeerFetcher` limits concurrent fetches. Owns the connections, the fetches in progress
-and the times of recent failures; all of it is lost with the process. Relies on `State`,
-which owns the replica and ignores a delta that is not newer.
+`PeerFetcher` limits the concurrent fetches of `fetch` and `pull`. Owns the connections,
+the fetches in progress and the times of recent failures; all of it is lost with the
+process. Relies on `State`, which owns the replica and ignores a delta that is not
+newer.
 """
 
 import asyncio
@@ -36,27 +37,29 @@
 """Longest time without a byte from a peer, in seconds, before the fetch is retried.
 
 The single retry opens a new connection. A shorter timeout aborts the response of a busy
-peer; a longer one delays changes when a connection is dead, which nothing else detects.
+peer; a longer one delays changes on a dead connection. Nothing else detects one.
 """
 HEDGE_DELAY_S = 0.25
 """Time without a response after which a second peer is queried as well, in seconds.
 
-Two round trips between regions. A shorter delay fetches slow responses twice; a longer
-one delays changes when a peer or its connection is silent.
+Two round trips between regions. With a shorter delay, slow responses are fetched twice;
+with a longer one, changes arrive later when a peer or its connection is silent.
 """
 MAX_CONCURRENT_FETCHES = 2
-"""Most concurrent fetches; bounds the bytes that a slow link transfers twice."""
+"""Most concurrent fetches; bounds duplicate transfers over a slow link."""
 FAILED_PEER_BACKOFF_S = 1.0
 """How long a peer is skipped after a fetch from it failed, in seconds.
 
-Other peers and the store have the same state. A shorter pause queries an unreachable
-peer in place of them; a longer one skips a peer that has recovered.
+Skipping it is harmless: other peers and the store have the same state. A shorter pause
+queries an unreachable peer in place of them; a longer one skips a peer that has
+recovered.
 """
 IDLE_CONNECTION_S = 2.0
 """Idle time after which a connection to a peer is not reused, in seconds.
 
-An idle connection may be dead without a reset, which only a timeout reveals. A shorter
-limit makes fetches wait for new connections more often; a longer one, for timeouts.
+An idle connection may be dead although no reset arrived; only a timeout detects it.
+With a shorter limit, fetches open new connections more often; with a longer one, they
+wait for timeouts more often.
 """
 READ_TIMEOUT = aiohttp.ClientTimeout(
     sock_connect=READ_TIMEOUT_S, sock_read=READ_TIMEOUT_S
@@ -81,10 +84,12 @@
     async def fetch(self, address: str, since: int) -> Delta:
         """Fetch the changes that a peer has after a revision.
 
+        The caller limits the total duration.
+
         Args:
           address: the peer's API address, as `ip:port`.
           since: the revision of the local replica.
-        Raises: one of `FETCH_ERRORS`. The call has no overall timeout.
+        Raises: one of `FETCH_ERRORS`.
         """
 
     async def close(self) -> None:  # noqa: B027
@@ -155,7 +160,10 @@
         failed_at = self._failed_at.get(api)
         if failed_at is not None and now - failed_at < FAILED_PEER_BACKOFF_S:
             return False
-        return all(now - began >= HEDGE_DELAY_S for began in self._started_at.values())
+        return all(
+            now - started_at >= HEDGE_DELAY_S
+            for started_at in self._started_at.values()
+        )
 
     async def pull_any(self, apis: list[str], patience_s: float) -> bool:
         """Fetch from several peers concurrently and apply the first newer state.
--- a/leverdoor/storage/following.py
+++ b/leverdoor/storage/following.py
@@ -25,7 +25,7 @@
 __all__ = ["ElectedRole", "FollowerRole", "POLL_S", "StoreFollower", "watcher_rank"]
 
 WATCHERS_PER_REGION = 2
-"""Number of agents of a region that watch the store; one of them may fail.
+"""Number of agents of a region that watch the store; the second covers a failure.
 
 Each further watcher costs the store an open request. Entries use a separate rule
 (`entry.store_role`) and a setting for the number.
@@ -38,20 +38,21 @@
 MAX_BACKOFF_S = 5.0
 """Longest pause between failed requests, in seconds.
 
-The recovery of the store may go unnoticed for as long. During an outage each follower
+The recovery of the store may go unnoticed for that long. During an outage each follower
 sends 0.2 requests per second.
 """
 POLL_S = 0.1
 """Interval at which the role and the age of the replica are checked, in seconds.
 
-Adds to the time until a change that no peer forwarded is in force. The check costs the
+A change that no peer forwards takes effect up to this much later. The check costs the
 store nothing.
 """
 WATCH_OVERDUE_S = 1.4
 """Silence after which a watch may be abandoned, in seconds.
 
 Exceeds the duration of a request and its retry. A greater value waits longer for a dead
-keep-alive connection; with a smaller one, an outage of the store shows as lost watches.
+keep-alive connection; with a smaller one, watches are abandoned before an outage makes
+them fail.
 """
 
 
@@ -63,18 +64,18 @@
         """Return whether this process should watch the store now."""
 
     def must_ask(self) -> bool:
-        """Return whether to query the store now without following it."""
+        """Return whether to watch until one response although `follows` is false."""
         return False
 
     def is_stale(self) -> bool:
-        """Return whether the replica is older than it should be."""
+        """Return whether the replica is older than the role permits."""
         return False
 
     def asked(self) -> None:  # noqa: B027
         """Record that this process queries the store because `must_ask` requires it."""
 
     def answered(self) -> None:  # noqa: B027
-        """Record that the store responded and that the replica is up to date."""
+        """Record that the store responded and its changes were applied."""
 
     def failed(self) -> None:  # noqa: B027
         """Record that a request to the store failed."""
@@ -94,7 +95,7 @@
 
         Args:
           is_elected: returns whether this process should watch now; the argument is
-            true if the store does not respond to this process.
+            true if the store does not respond and no retry is due.
           now: returns monotonic time in seconds.
           rng: spreads the retries of a process to which the store does not respond.
         """
@@ -128,11 +129,11 @@
 def watcher_rank(peers: Peers, vm: str, now: float, unserved: bool = False) -> int:
     """Return this agent's rank among its region's watchers of the store, or -1.
 
-    Every agent orders the live VMs of its region by the same hash, without the VMs to
-    which the store does not respond. The first `WATCHERS_PER_REGION` of them watch the
-    store and forward changes to the others. Agents that see different peers may elect
-    themselves at the same time, which only costs an open request. If the store responds
-    to none of the VMs, all of them are ranked.
+    Every agent ranks the live VMs of its region by the same hash of their names. The
+    first `WATCHERS_PER_REGION` of them watch the store and forward changes to the
+    others. Only VMs to which the store responds are ranked, or all if there is none; an
+    unserved agent gets -1 while another agent is served. Agents that see different
+    peers may elect themselves at the same time, which only costs an open request.
 
     Args:
       peers: the known peers and their heartbeats.
@@ -186,7 +187,7 @@
         """Whether the last request succeeded; None before the first one."""
 
     async def run(self) -> None:
-        """Follow the store until cancelled."""
+        """Follow the store until the task is cancelled."""
         backoff = INITIAL_BACKOFF_S
         while True:
             if not self._should_follow():
@@ -199,6 +200,7 @@
                 # The next watch opens a new connection.
                 logger.info("watch silent while its answer is due")
             except LeverdoorError as e:
+                # The first failure after a success starts with the shortest pause.
                 if self.reachable:
                     backoff = INITIAL_BACKOFF_S
                 self._role.failed()
@@ -216,7 +218,7 @@
         return True
 
     async def _follow(self) -> None:
-        """Watch from the revision of the replica; list only if that is impossible."""
+        """Watch until the role ends; list if the replica is empty or compacted."""
         if self._state.revision == 0:
             await self._read_all()
         watch = self._store.watch(self._prefix, self._state.revision, self._role.wait_s)
@@ -263,10 +265,10 @@
         self._role.answered()
         self._set_reachable(True, "")
 
-    def _set_reachable(self, reachable: bool, why: str) -> None:
+    def _set_reachable(self, reachable: bool, error: str) -> None:
         if reachable != self.reachable:
             self.reachable = reachable
-            self._on_change(reachable, why)
+            self._on_change(reachable, error)
 
     async def _read_all(self) -> None:
         listing = await self._store.read(self._prefix)
@@ -280,8 +282,8 @@
         self._record_response()
 
 
-def _log_reachability(reachable: bool, why: str) -> None:
+def _log_reachability(reachable: bool, error: str) -> None:
     if reachable:
         logger.info("store answers")
     else:
-        logger.warning("store lost", error=why)
+        logger.warning("store lost", error=error)
--- a/leverdoor/storage/state.py
+++ b/leverdoor/storage/state.py
@@ -22,16 +22,20 @@
 RESOURCES = PREFIX + "resources/"
 TABLES = PREFIX + "tables/"
 GUARD = PREFIX + "guard"
+"""Key that every configuration write replaces, which puts the writes in one order."""
 MAX_LOG_EVENTS = 5_000
 """Number of changes kept for incremental fetches by peers.
 
-Holds the 4,600 changes of one day at the target size. A peer that is further behind
-fetches all entries.
+Covers one day of changes (4,600) at the planned size of the system. A peer that is
+further behind fetches all entries.
 """
 
 
 class Delta(msgspec.Struct, frozen=True, tag=True):
-    """The changes between two revisions, or all entries if `full`."""
+    """The changes after `since` up to `revision`.
+
+    If `full`, `since` is 0 and `events` are all entries at `revision`.
+    """
 
     since: int
     revision: int
@@ -51,7 +55,7 @@
         self.entries: dict[str, KeyValue] = {}
         self.changes: Subject[Delta] = Subject()
         self._log: deque[Event] = deque()
-        self._log_start_revision = 0
+        self._log_after_revision = 0
 
     def reset(self, listing: Listing) -> bool:
         """Replace all entries by a listing if it is newer.
@@ -94,7 +98,7 @@
             if e.value is not None
         }
         self._log.clear()
-        self._log_start_revision = delta.revision
+        self._log_after_revision = delta.revision
 
     def _apply_changes(self, delta: Delta) -> None:
         for e in delta.events:
@@ -113,19 +117,19 @@
             self._drop_oldest_revision()
 
     def _drop_oldest_revision(self) -> None:
-        """Drop all events of the oldest revision; no delta may split a revision."""
+        """Drop the oldest revision; a delta has all events of a revision or none."""
         oldest = self._log[0].revision
         while self._log and self._log[0].revision == oldest:
             self._log.popleft()
-        self._log_start_revision = oldest
+        self._log_after_revision = oldest
 
-    def has_changes_since(self, since: int) -> bool:
-        """Return whether the log still holds every change after a revision."""
-        return self._log_start_revision <= since <= self.revision
+    def log_covers(self, since: int) -> bool:
+        """Return whether the log contains every change after a revision."""
+        return self._log_after_revision <= since <= self.revision
 
     def delta(self, since: int) -> Delta:
         """Return the changes that a replica at revision `since` lacks."""
-        if self.has_changes_since(since):
+        if self.log_covers(since):
             events = [e for e in self._log if e.revision > since]
             return Delta(since, self.revision, False, events)
         events = [Event(e.revision, e.key, e.value) for e in self.entries.values()]
--- a/leverdoor/storage/store.py
+++ b/leverdoor/storage/store.py
@@ -35,8 +35,8 @@
 WATCH_SILENCE_S = 6.0
 """Silence of a watch after which the store counts as unreachable, in seconds.
 
-Covers several missed keep-alive messages; an outage that long is noticed by operators
-at once.
+Covers several missed keep-alive messages; operators notice an outage of this length at
+once.
 """
 MAX_LOG_EVENTS = 20_000
 """Number of events that `MemoryStore` keeps before it compacts its log.
@@ -107,14 +107,14 @@
         """Read all entries under a prefix.
 
         Raises:
-          StoreUnavailable: the service did not answer.
+          StoreUnavailable: the service did not respond.
         """
 
     async def read_stale(self, prefix: str) -> Listing:
         """Read all entries under a prefix, at lower cost and some seconds out of date.
 
         Raises:
-          StoreUnavailable: the service did not answer.
+          StoreUnavailable: the service did not respond.
         """
         return await self.read(prefix)
 
@@ -168,7 +168,7 @@
         """Renew a lease; return False if it has expired and its keys are deleted.
 
         Raises:
-          StoreUnavailable: the service did not answer.
+          StoreUnavailable: the service did not respond.
         """
 
     @abstractmethod
--- a/leverdoor/storage/store_availability.py
+++ b/leverdoor/storage/store_availability.py
@@ -2,9 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Records whether the store responds to this process.
 
-A process without a response gives up the role of following the store and retries after
-a randomized pause. Owns the times at which that state and the pause end; they are lost
-with the process. Has no side effects except for the random generator passed in.
+The roles of agents and entries give up following the store after a failure
+and retry after a randomized pause. Owns the times at which that state and the pause
+end; they are lost with the process. Has no side effects except for the random generator
+passed in.
 """
 
 from random import Random
@@ -14,16 +15,16 @@
 RETRY_MEAN_S = 5.0
 """Mean pause before a process that got no response retries, in seconds.
 
-A longer pause keeps a preferred follower replaced by another for longer. A shorter one
+With a longer pause, a recovered process gets its role back later. A shorter one
 sends more requests to a store that does not respond.
 """
 UNSERVED_S = 10.0
 """How long a process counts as unserved after a failed request, in seconds.
 
-Exceeds the longest pause before the next retry; otherwise `may_try` would never hold.
+Exceeds the longest pause before the next retry; `may_try` is false after that time.
 """
 MIN_FRACTION_OF_MEAN = 0.5
-"""Shortest pause as a fraction of the mean; the longest exceeds the mean as much."""
+"""Shortest pause as a fraction of the mean; the longest is 1.5 times the mean."""
 
 
 class StoreAvailability:
--- a/leverdoor/storage/view.py
+++ b/leverdoor/storage/view.py
@@ -41,7 +41,7 @@
 
 DEFAULT_TIER = Tier(name="default", default=True)
 CAP_SPREAD_ALL = 0
-"""Spread of a shift cap's row: 0 divides its units among all gates of a region."""
+"""`RowSpec.spread` of a shift cap: 0 divides its units among all gates."""
 
 
 class View:
@@ -127,7 +127,10 @@
         return delays
 
     def distance_ms(self, a: str, b: str) -> float:
-        """Return the one-way latency between two regions in ms; 0 within a region."""
+        """Return the one-way latency between two regions in ms.
+
+        Returns: 0 within a region, and 1,000 if neither region has a value.
+        """
         if a == b:
             return 0.0
         for start, end in ((a, b), (b, a)):
@@ -140,8 +143,8 @@
 class ViewCache:
     """Updates the compiled view and the ownership tables from a State.
 
-    Client blocks are stored in compiled form only. Their resource in the view is an
-    outline that names the regions they refer to.
+    Client blocks are stored in compiled form only. `View.resources` contains an outline
+    of each, which names the regions that it refers to.
     """
 
     def __init__(self, state: State, with_blocks: bool = True) -> None:
@@ -224,7 +227,7 @@
 
     Args:
       entries: the entries of the store.
-      known: the view of `state`; supplies the resources that have not changed.
+      known: the view of `state`; reused for entries with the revision in `state`.
       state: the replica of the store from which the view was compiled.
     Returns: the resources; an entry that cannot be parsed is omitted.
     """
--- a/leverdoor/storage/vmlist.py
+++ b/leverdoor/storage/vmlist.py
@@ -84,7 +84,7 @@
     """The absence of a VM from the list."""
 
     since: float
-    """Monotonic time just before the first reading without the VM, in seconds."""
+    """Monotonic time just before the reading that started the wait, in seconds."""
     processes: frozenset[str]
     """Identities of the processes known on the VM at that time."""
 
@@ -92,10 +92,10 @@
 class DepartureTracker:
     """Determines which processes of absent VMs have terminated.
 
-    A reading shows the list as it was at most `lag_s` ago. If a reading taken more
-    than `lag_s` after the first absence still lacks the VM, the VM was absent at some
-    time after that first reading, so every process seen on it before has terminated.
-    A process that started later is not covered, whatever the list says.
+    A reading shows the platform as it was at most `lag_s` ago. If a reading taken more
+    than `lag_s` after the first one without a VM still lacks that VM, the platform did
+    not have it at some time after the first one. All processes known on the VM at the
+    first one have terminated; a process that started later is not covered.
     """
 
     def __init__(self, lag_s: float) -> None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -62,7 +62,7 @@
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Operators write concurrently through two agents whose replicas lag."""
+    """Operators write through two agents with lagging replicas, in random order."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_fetching.py
+++ b/tests/test_fetching.py
@@ -81,7 +81,7 @@
 
 
 def test_late_response_does_not_revert_the_replica() -> None:
-    """The slower of two fetches may return a state older than the replica by then."""
+    """A fetched state that is older than the replica is ignored."""
 
     async def run() -> None:
         state = State()
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -89,7 +89,7 @@
     assert not role.unserved
 
 
-class StaleRole(FollowerRole):
+class FakeRole(FollowerRole):
     """Always follows; the test sets whether the replica is stale."""
 
     def __init__(self) -> None:
@@ -127,7 +127,7 @@
     """Before the replica is stale, silence may mean that the store has no changes."""
 
     async def run() -> None:
-        store, state, role = SilentWatchStore(), State(), StaleRole()
+        store, state, role = SilentWatchStore(), State(), FakeRole()
         follower = StoreFollower(store, state, role, Random(1), prefix="")
         task = asyncio.ensure_future(follower.run())
         await asyncio.sleep(10 * WATCH_OVERDUE_S)
@@ -157,7 +157,7 @@
 
 def test_role_records_failed_requests() -> None:
     async def run() -> None:
-        role = StaleRole()
+        role = FakeRole()
         follower = StoreFollower(DownStore(), State(), role, Random(1), prefix="")
         task = asyncio.ensure_future(follower.run())
         await asyncio.sleep(1.0)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -23,7 +23,7 @@
 
 
 @pytest.fixture(params=["memory", "http"])
-async def pair(request: pytest.FixtureRequest) -> AsyncIterator[Backend]:
+async def backend(request: pytest.FixtureRequest) -> AsyncIterator[Backend]:
     if request.param == "memory":
         memory = MemoryStore()
         yield Backend(memory, memory)
@@ -37,9 +37,9 @@
     await server.close()
 
 
-async def test_write_then_read(pair: Backend) -> None:
-    result = await pair.store.commit([Write("/a/1", b"x"), Write("/a/2", b"\xff")])
-    listing = await pair.store.read("/a/")
+async def test_write_then_read(backend: Backend) -> None:
+    result = await backend.store.commit([Write("/a/1", b"x"), Write("/a/2", b"\xff")])
+    listing = await backend.store.read("/a/")
     assert result.committed
     assert [(e.key, e.value) for e in listing.entries] == [
         ("/a/1", b"x"),
@@ -49,31 +49,33 @@
     assert listing.revision == result.revision
 
 
-async def test_read_returns_only_keys_under_the_prefix(pair: Backend) -> None:
-    await pair.store.commit([Write("/a/1", b"x"), Write("/b", b"y")])
-    assert [e.key for e in (await pair.store.read("/a/")).entries] == ["/a/1"]
+async def test_read_returns_only_keys_under_the_prefix(backend: Backend) -> None:
+    await backend.store.commit([Write("/a/1", b"x"), Write("/b", b"y")])
+    assert [e.key for e in (await backend.store.read("/a/")).entries] == ["/a/1"]
 
 
 @pytest.mark.parametrize(
     ("expect", "taken"), [(None, True), (0, False), (1, False), (2, True), (3, False)]
 )
-async def test_compare_and_swap(pair: Backend, expect: int | None, taken: bool) -> None:
-    await pair.store.commit([Write("/k", b"old")])
-    result = await pair.store.commit(
+async def test_compare_and_swap(
+    backend: Backend, expect: int | None, taken: bool
+) -> None:
+    await backend.store.commit([Write("/k", b"old")])
+    result = await backend.store.commit(
         [Write("/other", b"n"), Write("/k", b"new", expect)]
     )
     assert result.committed is taken
-    values = {e.key: e.value for e in (await pair.store.read("/")).entries}
+    values = {e.key: e.value for e in (await backend.store.read("/")).entries}
     assert values["/k"] == (b"new" if taken else b"old")
     assert ("/other" in values) is taken
 
 
-async def test_watch_yields_every_change_after_a_revision(pair: Backend) -> None:
-    first = await pair.store.commit([Write("/a", b"1")])
-    await pair.store.commit([Write("/a", b"2"), Write("/b", b"1")])
-    await pair.store.commit([Write("/a", None)])
+async def test_watch_yields_every_change_after_a_revision(backend: Backend) -> None:
+    first = await backend.store.commit([Write("/a", b"1")])
+    await backend.store.commit([Write("/a", b"2"), Write("/b", b"1")])
+    await backend.store.commit([Write("/a", None)])
     received: list[Event] = []
-    async for events in pair.store.watch("/", first.revision):
+    async for events in backend.store.watch("/", first.revision):
         received += events
         if len(received) == 3:
             break
@@ -85,48 +87,48 @@
 
 
 async def test_watch_of_a_compacted_revision_fails(
-    pair: Backend,
+    backend: Backend,
 ) -> None:
     for i in range(MAX_LOG_EVENTS + 2):
-        pair.memory._commit([Write("/a", str(i).encode())])
+        backend.memory._commit([Write("/a", str(i).encode())])
     with pytest.raises(LeverdoorError) as e:
-        async for _ in pair.store.watch("/", 1):
+        async for _ in backend.store.watch("/", 1):
             pass
     assert e.value.code is Code.COMPACTED
 
 
 async def test_outage_rejects_requests_and_writes_nothing(
-    pair: Backend,
+    backend: Backend,
 ) -> None:
-    pair.memory.down = True
+    backend.memory.down = True
     with pytest.raises(StoreUnavailable):
-        await pair.store.commit([Write("/a", b"1")])
+        await backend.store.commit([Write("/a", b"1")])
     with pytest.raises(StoreUnavailable):
-        await pair.store.read("/")
-    pair.memory.down = False
-    assert (await pair.store.read("/")).entries == []
+        await backend.store.read("/")
+    backend.memory.down = False
+    assert (await backend.store.read("/")).entries == []
 
 
-async def test_outage_ends_a_watch(pair: Backend) -> None:
+async def test_outage_ends_a_watch(backend: Backend) -> None:
     async def follow() -> None:
-        async for _ in pair.store.watch("/", 1):
+        async for _ in backend.store.watch("/", 1):
             pass
 
     task = asyncio.create_task(follow())
     await asyncio.sleep(0.05)
-    pair.memory.down = True
-    pair.memory.wake_watches()
+    backend.memory.down = True
+    backend.memory.wake_watches()
     with pytest.raises(StoreUnavailable):
         await asyncio.wait_for(task, 5)
 
 
 async def test_write_with_a_lost_response_may_have_taken_effect(
-    pair: Backend,
+    backend: Backend,
 ) -> None:
-    pair.memory.lose_answers = 1
+    backend.memory.lose_answers = 1
     with pytest.raises(StoreUnknown):
-        await pair.store.commit([Write("/a", b"1")])
-    assert [e.value for e in (await pair.store.read("/a")).entries] == [b"1"]
+        await backend.store.commit([Write("/a", b"1")])
+    assert [e.value for e in (await backend.store.read("/a")).entries] == [b"1"]
 
 
 async def test_timeout_of_a_write_is_unknown_and_of_a_read_unavailable() -> None:
