--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -245,7 +245,7 @@
             if self._watcher_rank() >= 0:
                 await self._read_list()
             else:
-                self._vm_list.pause(self._now())
+                self._vm_list.expire_leaving(self._now())
             await asyncio.sleep(interval * (0.9 + 0.2 * self._rng.random()))
 
     async def _read_list(self) -> None:
--- a/leverdoor/agent/vm_list.py
+++ b/leverdoor/agent/vm_list.py
@@ -5,7 +5,7 @@
 Owns the last reading and the processes that it shows as terminated. Both are empty when
 the process starts and are read again. Relies on the VM list, which lags: a process
 counts as terminated only if its VM was absent for longer than that lag
-(`storage/vmlist.py`) and its heartbeats have stopped.
+(`storage/vm_list_client.py`) and its heartbeats have stopped.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from leverdoor.membership.ownership import Table
 from leverdoor.membership.peers import Peers
 from leverdoor.settings import AgentSettings
-from leverdoor.storage.vmlist import DepartureTracker, HttpVmList, VmState
+from leverdoor.storage.vm_list_client import DepartureTracker, HttpVmList, VmState
 
 __all__ = ["VmListMonitor"]
 
@@ -44,7 +44,7 @@
         """Identities of the processes that this agent found to be terminated."""
         return set(self._departed)
 
-    def pause(self, now: float) -> None:
+    def expire_leaving(self, now: float) -> None:
         """Clear the leaving VMs if the last reading is older than the lag of the list.
 
         Called while other agents read the list. The delay gives them time to do so:
--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -166,7 +166,7 @@
         """Fetch what another entry has and this one lacks."""
         loop = asyncio.get_running_loop()
         began, since = loop.time(), self._state.revision
-        if not self.puller.may_pull(address, began):
+        if not self.puller.may_fetch(address, began):
             return
         delta = await self.puller.fetch(address)
         self._keeper.source = address
--- a/leverdoor/entry/membership/joining.py
+++ b/leverdoor/entry/membership/joining.py
@@ -128,7 +128,7 @@
             peers = self._choose()
             if not peers or self._has_state.is_set():
                 break
-            if await self._puller.pull_any(peers, TRY_S):
+            if await self._puller.fetch_first_newer(peers, TRY_S):
                 break
         if not self._has_state.is_set():
             await self._wait(self._patience_s(followers))
--- a/leverdoor/standins/cli.py
+++ b/leverdoor/standins/cli.py
@@ -15,7 +15,7 @@
 from leverdoor.standins.kv import KvStandin
 from leverdoor.standins.targets import TargetStandin
 from leverdoor.standins.vms import VmListStandin
-from leverdoor.storage.vmlist import Vm
+from leverdoor.storage.vm_list_client import Vm
 
 __all__ = ["main"]
 
--- a/leverdoor/standins/vms.py
+++ b/leverdoor/standins/vms.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from leverdoor.codec import serialize_json
-from leverdoor.storage.vmlist import Vm
+from leverdoor.storage.vm_list_client import Vm
 
 __all__ = ["VmListStandin"]
 
--- a/leverdoor/storage/fetching.py
+++ b/leverdoor/storage/fetching.py
@@ -145,7 +145,7 @@
         """Close the connections."""
         await self._source.close()
 
-    def may_pull(self, api: str, now: float) -> bool:
+    def may_fetch(self, api: str, now: float) -> bool:
         """Return whether a fetch from a peer may start now.
 
         A fetch without a response blocks other fetches only for `HEDGE_DELAY_S`, not
@@ -165,17 +165,17 @@
             for started_at in self._started_at.values()
         )
 
-    async def pull_any(self, apis: list[str], patience_s: float) -> bool:
+    async def fetch_first_newer(self, apis: list[str], timeout_s: float) -> bool:
         """Fetch from several peers concurrently and apply the first newer state.
 
         Args:
           apis: the API addresses of the peers.
-          patience_s: timeout of the whole call, in seconds.
+          timeout_s: timeout of the whole call, in seconds.
         Returns: whether a newer state was applied.
         """
         fetches = [asyncio.create_task(self._fetch_with_retry(api)) for api in apis]
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(timeout_s):
                 for fetched in asyncio.as_completed(fetches):
                     if await self._apply_fetched(fetched):
                         return True
@@ -209,7 +209,7 @@
           start or failed.
         """
         now = asyncio.get_running_loop().time()
-        if not self.may_pull(api, now):
+        if not self.may_fetch(api, now):
             return None
         self._started_at[api] = now
         try:
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -29,7 +29,7 @@
 from leverdoor.standins.site import HOST, free_ports
 from leverdoor.standins.targets import TargetStandin
 from leverdoor.standins.vms import VmListStandin
-from leverdoor.storage.vmlist import Vm
+from leverdoor.storage.vm_list_client import Vm
 
 TIMEOUT_S = 20.0
 
--- a/tests/test_entry_joining.py
+++ b/tests/test_entry_joining.py
@@ -64,7 +64,7 @@
         self.having = having
         self.asked: list[list[str]] = []
 
-    async def pull_any(self, apis: list[str], patience_s: float) -> bool:
+    async def fetch_first_newer(self, apis: list[str], timeout_s: float) -> bool:
         self.asked.append(apis)
         if self.having.isdisjoint(apis):
             return False
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -24,7 +24,7 @@
     Target,
 )
 from leverdoor.settings import Address, AgentSettings
-from leverdoor.storage.vmlist import Vm, VmState
+from leverdoor.storage.vm_list_client import Vm, VmState
 
 
 async def test_a_drained_target_gets_nothing_new(bench: Bench) -> None:
@@ -111,9 +111,9 @@
     await watch.read(Table("r0"), Peers("vm00", "r0"))
     lag_s = settings.vm_list_lag_ms / 1000
     now = asyncio.get_running_loop().time()
-    watch.pause(now + lag_s / 2)
+    watch.expire_leaving(now + lag_s / 2)
     assert watch.leaving == {"host"}
-    watch.pause(now + lag_s + 0.1)
+    watch.expire_leaving(now + lag_s + 0.1)
     assert watch.leaving == frozenset()
 
 
--- a/tests/test_vmlist.py
+++ b/tests/test_vmlist.py
@@ -10,7 +10,7 @@
 
 from leverdoor.errors import LeverdoorError
 from leverdoor.standins.vms import VmListStandin
-from leverdoor.storage.vmlist import (
+from leverdoor.storage.vm_list_client import (
     DepartureTracker,
     HttpVmList,
     Vm,
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -50,7 +50,7 @@
 from leverdoor.storage.configuration import Applied, Guard
 from leverdoor.storage.state import Delta
 from leverdoor.storage.store import Event, KeyValue
-from leverdoor.storage.vmlist import Vm, VmState
+from leverdoor.storage.vm_list_client import Vm, VmState
 
 
 class Sample(msgspec.Struct, frozen=True):
