--- a/leverdoor/agent/api.py
+++ b/leverdoor/agent/api.py
@@ -256,7 +256,7 @@
         if resource_key(resource) != key:
             raise ConfigError(
                 Code.CONTRADICTION,
-                f"the path says {key}, the body {resource_key(resource)}",
+                f"the path names {key}, the body {resource_key(resource)}",
                 field="name",
             )
         return await self._write([resource], request)
--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -233,7 +233,7 @@
         return frozenset(union)
 
     def departed(self) -> frozenset[str]:
-        """Return identities of processes that any agent of the region found terminated."""
+        """Return identities of processes that any agent of the region found gone."""
         union = self._vm_list.departed
         for heartbeat in self._peers.live_near(self._now()):
             union |= set(heartbeat.departed)
--- a/leverdoor/agent/link.py
+++ b/leverdoor/agent/link.py
@@ -51,7 +51,7 @@
 
 
 class Hints(msgspec.Struct, frozen=True, tag=True):
-    """Data for a gate beside the configuration; any of it may be late or missing.
+    """State that an agent sends to its gate; any of it may be late or missing.
 
     `heartbeats` are new since the last hints and contain the loads of other gates.
     `probes` are the reports of the targets by address. `incarnation_floor` is the
--- a/leverdoor/agent/probing.py
+++ b/leverdoor/agent/probing.py
@@ -2,9 +2,9 @@
 # SPDX-License-Identifier: Apache-2.0
 """Fetches the reports of targets as health probes.
 
-Owns its connections, which are lost with the process. A target that does not offer the
-report counts as reachable. A target that does not respond in time counts as failed, and
-the gate ejects it.
+Owns its connections, which are lost with the process. A target that responds with 404
+has no report and counts as reachable. A target that does not respond in time counts as
+failed, and the gate ejects it.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 __all__ = ["Prober", "TargetReport"]
 
 PROBE_TIMEOUT_S = 1.0
-"""Timeout of a probe, in seconds; equal to the probe interval.
+"""Timeout of a probe, in seconds; equal to the default probe interval.
 
 With a longer one, probes accumulate; with a shorter one, a busy target counts as dead.
 """
--- a/leverdoor/agent/reports.py
+++ b/leverdoor/agent/reports.py
@@ -167,10 +167,10 @@
         lines = []
         for cap in sorted(self._cache.view.caps.values(), key=lambda c: c.name):
             row = cap_row(cap.service, cap.region)
-            held = self._cache.table(cap.region).rows.get(row)
+            table_row = self._cache.table(cap.region).rows.get(row)
             free = sum(p.heartbeat.caps.get(row, 0) for p in self._live_peers())
-            units = sum(held.held.values()) if held else 0
-            lines.append(ShiftLine(cap.service, cap.region, cap.units, units, free))
+            held = sum(table_row.held.values()) if table_row else 0
+            lines.append(ShiftLine(cap.service, cap.region, cap.units, held, free))
         return lines
 
     def _drains(self) -> list[DrainLine]:
--- a/leverdoor/agent/vm_list.py
+++ b/leverdoor/agent/vm_list.py
@@ -21,8 +21,8 @@
 DEPARTED_KEPT_S = 120.0
 """How long heartbeats list a terminated process, in seconds.
 
-Twice the time after which peers forget a silent VM, so that a late heartbeat does not
-return the process to the ownership table.
+Twice the time after which peers forget a silent VM, so that a delayed heartbeat does
+not add the process to the ownership table again.
 """
 
 
--- a/leverdoor/storage/following.py
+++ b/leverdoor/storage/following.py
@@ -273,6 +273,7 @@
     async def _read_all(self) -> None:
         listing = await self._store.read(self._prefix)
         if not self._state.reset(listing) and listing.revision < self._state.revision:
+            # The store lost revisions that this replica has already applied.
             logger.error(
                 "the store is behind what was accepted",
                 store=listing.revision,
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -53,7 +53,7 @@
 
 
 @pytest.fixture
-async def served() -> AsyncIterator[ApiServer]:
+async def api_server() -> AsyncIterator[ApiServer]:
     s = ApiServer()
     await s.server.start_server()
     task = asyncio.create_task(s.follow())
@@ -75,13 +75,13 @@
 
 
 async def test_create_read_replace_delete(
-    served: ApiServer, session: aiohttp.ClientSession
+    api_server: ApiServer, session: aiohttp.ClientSession
 ) -> None:
-    url = f"http://{served.address}/v1/resources/tier/a"
+    url = f"http://{api_server.address}/v1/resources/tier/a"
     async with session.put(url, json=TIER, headers={"If-None-Match": "*"}) as response:
         assert response.status == 200
         revision = (await response.json(content_type=None))["revision"]
-    await wait_for_replica(served)
+    await wait_for_replica(api_server)
     async with session.get(url) as response:
         assert response.headers["ETag"] == f'"{revision}"'
         assert json.loads(await response.read())["resource"].items() >= TIER.items()
@@ -91,7 +91,7 @@
     headers = {"If-Match": str(revision)}
     async with session.delete(url, headers=headers) as response:
         assert response.status == 200
-    await wait_for_replica(served)
+    await wait_for_replica(api_server)
     async with session.get(url) as response:
         assert response.status == 404
 
@@ -111,27 +111,27 @@
 
 @pytest.mark.parametrize(("method", "path", "body", "code"), BAD_REQUESTS)
 async def test_bad_requests_get_a_problem_with_an_error_code(
-    served: ApiServer,
+    api_server: ApiServer,
     session: aiohttp.ClientSession,
     method: str,
     path: str,
     body: str,
     code: Code,
 ) -> None:
-    await wait_for_replica(served)
-    before = served.store.revision
-    url = f"http://{served.address}{path}"
+    await wait_for_replica(api_server)
+    before = api_server.store.revision
+    url = f"http://{api_server.address}{path}"
     async with session.request(method, url, data=body) as response:
         assert json.loads(await response.read())["code"] == code
-    assert served.store.revision == before
+    assert api_server.store.revision == before
 
 
-async def test_watch_has_no_gap(served: ApiServer) -> None:
-    operator = Operator([served.address])
+async def test_watch_has_no_gap(api_server: ApiServer) -> None:
+    operator = Operator([api_server.address])
     first = await operator.apply([Tier(name="a", weight=1)])
     for weight in (2, 3):
         await operator.apply([Tier(name="a", weight=weight)])
-    await wait_for_replica(served)
+    await wait_for_replica(api_server)
     changes = []
     async for change in operator.watch("tier", first.revision):
         changes.append(change)
@@ -145,13 +145,13 @@
 
 
 async def test_watch_of_a_compacted_revision_fails(
-    served: ApiServer,
+    api_server: ApiServer,
 ) -> None:
-    operator = Operator([served.address])
+    operator = Operator([api_server.address])
     await operator.apply([Tier(name="a")])
-    await wait_for_replica(served)
-    full = served.state.delta(0).events
-    served.state.apply(Delta(0, served.state.revision + 1, True, full))
+    await wait_for_replica(api_server)
+    full = api_server.state.delta(0).events
+    api_server.state.apply(Delta(0, api_server.state.revision + 1, True, full))
     with pytest.raises(LeverdoorError) as e:
         async for _ in operator.watch("tier", 1):
             pass
@@ -173,8 +173,8 @@
 
 
 @pytest.mark.parametrize("name", REPORTS)
-async def test_reports_are_read(served: ApiServer, name: str) -> None:
-    operator = Operator([served.address])
+async def test_reports_are_read(api_server: ApiServer, name: str) -> None:
+    operator = Operator([api_server.address])
     assert (await operator.report(name)).lines == []
     await operator.close()
 
@@ -188,40 +188,42 @@
 
 
 async def cli(
-    served: ApiServer, command: str, *args: str, stdin: str = ""
+    api_server: ApiServer, command: str, *args: str, stdin: str = ""
 ) -> tuple[int, str]:
-    flags = (command, f"--api={served.address}", *args)
+    flags = (command, f"--api={api_server.address}", *args)
     return await asyncio.to_thread(run, *flags, stdin=stdin)
 
 
-async def test_the_command_line_applies_gets_and_deletes(served: ApiServer) -> None:
+async def test_the_command_line_applies_gets_and_deletes(api_server: ApiServer) -> None:
     text = json.dumps([TIER, {"kind": "tier", "name": "b"}])
-    code, out = await cli(served, "apply", "-f", "-", stdin=text)
+    code, out = await cli(api_server, "apply", "-f", "-", stdin=text)
     assert (code, out.count("accepted")) == (0, 2)
-    await wait_for_replica(served)
-    code, out = await cli(served, "get", "tier")
+    await wait_for_replica(api_server)
+    code, out = await cli(api_server, "get", "tier")
     assert code == 0
     assert [line.split()[1] for line in out.splitlines()[1:]] == ["a", "b"]
-    code, out = await cli(served, "get", "tier/a")
+    code, out = await cli(api_server, "get", "tier/a")
     assert json.loads(out)["resource"].items() >= TIER.items()
-    code, out = await cli(served, "delete", "tier/a", "tier/b")
+    code, out = await cli(api_server, "delete", "tier/a", "tier/b")
     assert (code, out.count("deleted")) == (0, 2)
 
 
-async def test_errors_end_with_the_exit_status_of_their_code(served: ApiServer) -> None:
+async def test_errors_end_with_the_exit_status_of_their_code(
+    api_server: ApiServer,
+) -> None:
     bad = json.dumps({"kind": "tier", "name": "a", "wieght": 1})
-    code, out = await cli(served, "apply", "-f", "-", stdin=bad)
+    code, out = await cli(api_server, "apply", "-f", "-", stdin=bad)
     assert code == 11
     assert "wieght" in out
-    code, out = await cli(served, "delete", "tier/none")
+    code, out = await cli(api_server, "delete", "tier/none")
     assert code == 14
 
 
-async def test_dry_run_stores_nothing(served: ApiServer) -> None:
+async def test_dry_run_stores_nothing(api_server: ApiServer) -> None:
     flags = ("--dry-run", "-f", "-")
-    code, out = await cli(served, "apply", *flags, stdin=json.dumps(TIER))
+    code, out = await cli(api_server, "apply", *flags, stdin=json.dumps(TIER))
     assert (code, "checked" in out) == (0, True)
-    assert served.store.writes == 0
+    assert api_server.store.writes == 0
 
 
 @pytest.mark.parametrize(
