--- a/leverdoor/storage/etcd.py
+++ b/leverdoor/storage/etcd.py
@@ -115,7 +115,7 @@
         except (aiohttp.ClientError, OSError, TimeoutError) as e:
             self._switch_member()
             raise StoreUnavailable(f"watch: {e!r}") from None
-        raise StoreUnavailable("watch: the service closed the stream")
+        raise StoreUnavailable("watch: the service ended the stream")
 
     async def _call(self, path: str, body: object, response_type: type[T]) -> T:
         """Send one request and decode the response.
