--- a/leverdoor/entry/exchange/peer_link.py
+++ b/leverdoor/entry/exchange/peer_link.py
@@ -3,7 +3,7 @@
 """Sends and receives messages among entries, and fetches newer states.
 
 Owns the time of the last announcement, lost with the process. Relies on `Exchange` for
-messages and recipients, on `PeerNetwork` for transport, on `PeerFollower` for fetches,
+messages and recipients, on `PeerNetwork` for transport, on `PeerFetcher` for fetches,
 and on the clock of the event loop. Lost datagrams are not retransmitted; the next round
 replaces them.
 """
@@ -28,7 +28,7 @@
 )
 from leverdoor.entry.exchange.peer_network import PeerNetwork
 from leverdoor.settings import Address
-from leverdoor.storage.fetching import PeerFollower
+from leverdoor.storage.fetching import PeerFetcher
 from leverdoor.storage.state import State
 
 __all__ = ["PeerLink", "PermitMessageHandler", "PeerUpdateHandler"]
@@ -94,7 +94,7 @@
         self._get_status = get_status
         self._on_update = on_update
         self._on_permit_message = on_permit_message
-        self.peer_follower = PeerFollower(state, network)
+        self.peer_follower = PeerFetcher(state, network)
         self._announcement_scheduled = False
         self._announced_at = 0.0
 
@@ -174,7 +174,7 @@
         """Fetch newer state from another entry and apply it."""
         loop = asyncio.get_running_loop()
         started_at, old_revision = loop.time(), self._state.revision
-        if not self.peer_follower.may_pull(address, started_at):
+        if not self.peer_follower.may_fetch(address, started_at):
             return
         delta = await self.peer_follower.fetch(address)
         # `apply` triggers a log line that contains the source.
--- a/leverdoor/entry/membership/joining.py
+++ b/leverdoor/entry/membership/joining.py
@@ -9,7 +9,7 @@
 
 Owns the time from which this entry may follow the store (`may_follow_store_from`); it
 is lost with the process. Relies on `Roles` for the rank of this entry, on
-`PeerFollower` for fetches and on the store for the listing. If the store is
+`PeerFetcher` for fetches and on the store for the listing. If the store is
 unavailable, the error is logged and the listing counts as empty.
 """
 
@@ -21,7 +21,7 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.errors import LeverdoorError
-from leverdoor.storage.fetching import PeerFollower
+from leverdoor.storage.fetching import PeerFetcher
 from leverdoor.storage.state import State
 from leverdoor.storage.store import KeyValue, LeasingStore
 
@@ -82,7 +82,7 @@
         membership: Membership,
         roles: Roles,
         state: State,
-        puller: PeerFollower,
+        puller: PeerFetcher,
         events: Events,
         rng: Random,
     ) -> None:
@@ -140,7 +140,7 @@
             peers = self._choose_peers()
             if not peers or self._has_state.is_set():
                 break
-            if await self._puller.pull_any(peers, ATTEMPT_TIMEOUT_S):
+            if await self._puller.fetch_first_newer(peers, ATTEMPT_TIMEOUT_S):
                 break
         if not self._has_state.is_set():
             await self._wait_for_state(self._list_delay_s(follower_count))
--- a/leverdoor/entry/membership/registration.py
+++ b/leverdoor/entry/membership/registration.py
@@ -133,7 +133,7 @@
             try:
                 if self._lease == 0:
                     await self._register()
-                elif not await self._store.keep(self._lease):
+                elif not await self._store.renew_lease(self._lease):
                     self._lease = 0
                     self._events.process("registration lost")
                     continue
@@ -151,7 +151,9 @@
         Raises:
           LeverdoorError: the store rejected the write, or its result is unknown.
         """
-        self._lease = await self._store.hold(self._key, self._value, LEASE_TTL_S)
+        self._lease = await self._store.put_with_lease(
+            self._key, self._value, LEASE_TTL_S
+        )
         self._events.process("registered", lease=self._lease)
         if self._ended:
             await self.end()
@@ -161,4 +163,4 @@
         self._ended = True
         lease, self._lease = self._lease, 0
         if lease:
-            await self._store.let_go(lease)
+            await self._store.revoke_lease(lease)
--- a/leverdoor/entry/store_role.py
+++ b/leverdoor/entry/store_role.py
@@ -46,7 +46,7 @@
 from leverdoor.entry.membership.peer_record import NEVER
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.entry.settings import EntrySettings
-from leverdoor.storage.served import LEAST_OF_MEAN, Served
+from leverdoor.storage.store_availability import MIN_FRACTION_OF_MEAN, StoreAvailability
 
 __all__ = ["MAX_ANSWER_AGE_S", "StoreRole"]
 
@@ -145,7 +145,7 @@
         self._settings = settings
         self._rng = rng
         self._temporary_until = NEVER
-        self._served = Served(rng)
+        self._served = StoreAvailability(rng)
         self._next_query_at = NEVER
         self._is_querying = False
         """Whether a query outside the follower role is in progress."""
@@ -235,7 +235,7 @@
         if self._is_querying:
             reads_per_s = RETRY_READ_SHARE * self._settings().store_reads_per_s
             mean_s = self._membership.count * CALLS_PER_FAILED_QUERY / reads_per_s
-            jitter = LEAST_OF_MEAN + self._rng.random()
+            jitter = MIN_FRACTION_OF_MEAN + self._rng.random()
             self._next_query_at = now + max(MIN_RETRY_PAUSE_S, mean_s) * jitter
         self._is_querying = False
         self._served.failed(now)
--- a/leverdoor/membership/ownership.py
+++ b/leverdoor/membership/ownership.py
@@ -22,7 +22,7 @@
 The units of a dead VM can be used again after three steps:
 
 1. Two reads of the VM list omit the VM. They are further apart than the lag of the list
-   (`vm_list_lag_ms`, `agent/vm_watch.py`).
+   (`vm_list_lag_ms`, `agent/vm_list.py`).
 2. The next round of a planner grants the units (PLAN_INTERVAL_S, `agent/planning.py`).
 3. The units ripen, for the `linger_ms` of the service or the window of the cap.
 
--- a/tests/test_entry_joining.py
+++ b/tests/test_entry_joining.py
@@ -18,7 +18,7 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.membership.roles import Roles
 from leverdoor.errors import StoreUnavailable
-from leverdoor.storage.fetching import PeerFollower
+from leverdoor.storage.fetching import PeerFetcher
 from leverdoor.storage.state import Delta, State
 from leverdoor.storage.store import Commit, Event, KeyValue, LeasingStore, Listing
 
@@ -49,17 +49,17 @@
     def watch(self, prefix: str, after: int) -> object:  # type: ignore[override]
         raise AssertionError("watched")
 
-    async def hold(self, key: str, value: bytes, ttl_s: float) -> int:
+    async def put_with_lease(self, key: str, value: bytes, ttl_s: float) -> int:
         raise AssertionError("registered")
 
-    async def keep(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         return True
 
-    async def let_go(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         raise AssertionError("the lease was revoked")
 
 
-class FakePeerFollower(PeerFollower):
+class FakePeerFollower(PeerFetcher):
     """Fetches from peers, of which only some have the state."""
 
     def __init__(self, state: State, peers_with_state: set[str]) -> None:
@@ -68,7 +68,7 @@
         self.peers_with_state = peers_with_state
         self.requested: list[list[str]] = []
 
-    async def pull_any(self, apis: list[str], patience_s: float) -> bool:
+    async def fetch_first_newer(self, apis: list[str], timeout_s: float) -> bool:
         self.requested.append(apis)
         if self.peers_with_state.isdisjoint(apis):
             return False
--- a/tests/test_quarantine_records.py
+++ b/tests/test_quarantine_records.py
@@ -64,7 +64,7 @@
         writes = self.records.pending_writes(self.now, wall_s)
         for w in writes:
             stored = self.store.get(w.key)
-            assert w.expect == (stored.revision if stored else 0)
+            assert w.expected_revision == (stored.revision if stored else 0)
             if w.value is None:
                 del self.store[w.key]
             else:
--- a/tests/test_store_role.py
+++ b/tests/test_store_role.py
@@ -24,7 +24,7 @@
     StoreRole,
 )
 from leverdoor.settings import Address
-from leverdoor.storage.served import LEAST_OF_MEAN, TRY_AGAIN_S
+from leverdoor.storage.store_availability import MIN_FRACTION_OF_MEAN, RETRY_MEAN_S
 
 REGIONS = ("a", "b", "c")
 ADDRESS = Address("127.0.0.1", 1)
@@ -110,7 +110,7 @@
     first.role.failed(NOW)
     assert first.role.is_unserved(NOW)
     assert not first.role.follows(NOW)
-    later = NOW + TRY_AGAIN_S * (1 + LEAST_OF_MEAN)
+    later = NOW + RETRY_MEAN_S * (1 + MIN_FRACTION_OF_MEAN)
     first.receive_heartbeats(later)
     assert first.role.follows(later), "an unserved entry retries after the pause"
     assert first.role.is_unserved(later), (
@@ -228,8 +228,10 @@
     third = Entry("a1-2")
     third.role.asked()
     third.role.failed(NOW)
-    assert not third.role.must_ask(NOW + MIN_RETRY_PAUSE_S * LEAST_OF_MEAN - 0.01)
-    later = NOW + MIN_RETRY_PAUSE_S * (1 + LEAST_OF_MEAN)
+    assert not third.role.must_ask(
+        NOW + MIN_RETRY_PAUSE_S * MIN_FRACTION_OF_MEAN - 0.01
+    )
+    later = NOW + MIN_RETRY_PAUSE_S * (1 + MIN_FRACTION_OF_MEAN)
     third.receive_heartbeats(later)
     assert third.role.must_ask(later)
 
@@ -240,8 +242,8 @@
     one.role.asked()
     one.role.failed(NOW)
     mean_s = 300 * 2 / (0.025 * 2_000.0)
-    one.receive_heartbeats(NOW + mean_s * LEAST_OF_MEAN - 0.01)
-    assert not one.role.must_ask(NOW + mean_s * LEAST_OF_MEAN - 0.01)
+    one.receive_heartbeats(NOW + mean_s * MIN_FRACTION_OF_MEAN - 0.01)
+    assert not one.role.must_ask(NOW + mean_s * MIN_FRACTION_OF_MEAN - 0.01)
 
 
 def test_answered_query_makes_first_ranks_temporary_followers() -> None:
