--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -45,7 +45,7 @@
     WorkClass,
     resource_key,
 )
-from leverdoor.storage.view import DEFAULT_TIER, BlockMap, View
+from leverdoor.storage.view import DEFAULT_TIER, ClientRegionMap, View
 
 HOP_S = 0.001
 TICK_S = 0.02
@@ -236,7 +236,7 @@
                 slots=setup.slots,
             )
         )
-    return View(1, {resource_key(r): r for r in resources}, BlockMap({}))
+    return View(1, {resource_key(r): r for r in resources}, ClientRegionMap({}))
 
 
 def leverdoor_with(holders: int) -> Callable[[Setup], Outcome]:
--- a/benchmarks/emulated_store.py
+++ b/benchmarks/emulated_store.py
@@ -17,7 +17,7 @@
 
 from leverdoor.codec import serialize_json
 from leverdoor.errors import StoreUnknown
-from leverdoor.platform.store import IDLE_S, NoAnswer, PlatformStore
+from leverdoor.platform.store import IDLE_S, CallTimeoutError, PlatformStore
 from leverdoor.storage.store import KeyValue
 
 __all__ = ["EmulatedStore", "StoreWay", "WayFault"]
@@ -173,7 +173,7 @@
                 return await self._unless_reset(self._exchange(call, query, body))
         except TimeoutError as e:
             self._forget_connection()
-            raise NoAnswer(f"{call}: {e!r}") from None
+            raise CallTimeoutError(f"{call}: {e!r}") from None
         except ConnectionResetError as e:
             self._forget_connection()
             raise StoreUnknown(f"{call}: {e!r}") from None
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -30,7 +30,7 @@
     serialize_table,
 )
 from leverdoor.membership.peers import AgentHeartbeat, GateState, Gossip, Load, Peers
-from leverdoor.model.blocks import BlockMap, compile_chunk
+from leverdoor.model.blocks import ClientRegionMap, compile_blocks
 from leverdoor.model.resources import (
     ClientBlocks,
     Region,
@@ -96,8 +96,8 @@
     ]
 
 
-def compiled(resources: Sequence[ClientBlocks]) -> BlockMap:
-    return BlockMap({r.name: compile_chunk(r) for r in resources})
+def compiled(resources: Sequence[ClientBlocks]) -> ClientRegionMap:
+    return ClientRegionMap({r.name: compile_blocks(r) for r in resources})
 
 
 def in_child(name: str, size: int) -> float:
@@ -334,7 +334,7 @@
     points = []
     for targets in (8, 16, 32, 64):
         resources = region_resources(targets)
-        view = View(1, {resource_key(r): r for r in resources}, BlockMap({}))
+        view = View(1, {resource_key(r): r for r in resources}, ClientRegionMap({}))
         member = GateProcess("vm0", "g0", 1)
         held = plan(Table("r"), view.specs("r"), [member])
         assert held is not None
--- a/leverdoor/gate/daemon.py
+++ b/leverdoor/gate/daemon.py
@@ -29,7 +29,7 @@
 from leverdoor.lifecycle import keep_running
 from leverdoor.membership.peers import GateState
 from leverdoor.metrics import GateMetrics
-from leverdoor.model.burn import BurnMeter
+from leverdoor.model.burn import BurnRateMeter
 from leverdoor.settings import Address, GateSettings
 from leverdoor.storage.state import Delta, State
 from leverdoor.storage.view import ViewCache
@@ -121,7 +121,7 @@
             self._keyed,
             self._ring,
             self._quarantine,
-            BurnMeter(),
+            BurnRateMeter(),
             self._metrics,
         )
         self._handler.address = str(s.listen)
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -32,7 +32,7 @@
 from leverdoor.gate.serving import Served, Server, finishing
 from leverdoor.membership.peers import GateState
 from leverdoor.metrics import GateMetrics
-from leverdoor.model.burn import BurnMeter
+from leverdoor.model.burn import BurnRateMeter
 from leverdoor.model.resources import Service, Tier, WorkClass
 
 __all__ = ["MAX_HEADER_BYTES", "GateHandler"]
@@ -53,7 +53,7 @@
         keyed: KeyedServer,
         ring: KeyRing,
         quarantine: GateQuarantine,
-        burn: BurnMeter,
+        burn: BurnRateMeter,
         metrics: GateMetrics,
     ) -> None:
         """Create it from the gate's parts."""
--- a/leverdoor/model/blocks.py
+++ b/leverdoor/model/blocks.py
@@ -18,7 +18,7 @@
 
 from leverdoor.model.resources import ClientBlocks
 
-__all__ = ["BlockMap", "Chunk", "compile_chunk", "outline"]
+__all__ = ["ClientRegionMap", "CompiledBlocks", "compile_blocks", "without_networks"]
 
 NO_REGION = 0
 """Number of the region of addresses that no block covers."""
@@ -28,7 +28,7 @@
 _Range: TypeAlias = tuple[int, int, int]
 
 
-class Chunk(msgspec.Struct):
+class CompiledBlocks(msgspec.Struct):
     """One resource's networks, compiled: bounds and region of each, by version."""
 
     regions: list[str]
@@ -49,7 +49,7 @@
         return self.regions[self.numbers[at]] if at >= 0 else ""
 
 
-def compile_chunk(resource: ClientBlocks) -> Chunk:
+def compile_blocks(resource: ClientBlocks) -> CompiledBlocks:
     """Compile the networks of one resource."""
     regions = ["", *sorted(resource.networks)]
     ranges = {v: [array("Q"), array("Q"), array("H")] for v in (4, 6)}
@@ -60,17 +60,17 @@
             firsts.append(first)
             lasts.append(last)
             numbers.append(number)
-    return Chunk(regions, ranges)
+    return CompiledBlocks(regions, ranges)
 
 
-def outline(resource: ClientBlocks) -> ClientBlocks:
+def without_networks(resource: ClientBlocks) -> ClientBlocks:
     """Return a resource without its networks, to check references by."""
     return ClientBlocks(
         name=resource.name, networks={region: [] for region in resource.networks}
     )
 
 
-class BlockMap:
+class ClientRegionMap:
     """Longest-prefix match by binary search.
 
     Each chunk is flattened by itself into disjoint ranges that have one answer
@@ -80,7 +80,9 @@
     """
 
     def __init__(
-        self, chunks: Mapping[str, Chunk], before: "BlockMap | None" = None
+        self,
+        chunks: Mapping[str, CompiledBlocks],
+        before: "ClientRegionMap | None" = None,
     ) -> None:
         """Build the map.
 
@@ -134,7 +136,9 @@
     return 4, first, last
 
 
-def _groups(chunks: Iterable[Chunk], version: int) -> list[list[Chunk]]:
+def _groups(
+    chunks: Iterable[CompiledBlocks], version: int
+) -> list[list[CompiledBlocks]]:
     """Put chunks together that overlap, in the order of their addresses."""
     spans = sorted(
         (
@@ -144,7 +148,7 @@
         ),
         key=lambda s: (s[0], s[1]),
     )
-    groups: list[list[Chunk]] = []
+    groups: list[list[CompiledBlocks]] = []
     end = -1
     for first, last, chunk in spans:
         if first > end:
@@ -154,7 +158,7 @@
     return groups
 
 
-def _flatten(group: list[Chunk], version: int) -> _Part:
+def _flatten(group: list[CompiledBlocks], version: int) -> _Part:
     """Cut nested networks into disjoint ranges; the longest prefix wins."""
     regions = ["", *sorted({r for c in group for r in c.regions if r})]
     numbers = {name: i for i, name in enumerate(regions)}
--- a/leverdoor/model/burn.py
+++ b/leverdoor/model/burn.py
@@ -15,7 +15,7 @@
 
 from leverdoor.model.resources import ServiceLevel
 
-__all__ = ["BurnLine", "BurnMeter", "Series", "merge_series", "summarize"]
+__all__ = ["BurnLine", "BurnRateMeter", "Series", "merge_series", "summarize"]
 
 BUCKET_S = 10.0
 """Length of a bucket of counts, in seconds: 360 buckets an hour, and the short window
@@ -82,7 +82,7 @@
         self.histograms: deque[tuple[float, HdrHistogram]] = deque()
 
 
-class BurnMeter:
+class BurnRateMeter:
     """Counts requests of one gate by service and tier."""
 
     def __init__(self) -> None:
--- a/leverdoor/platform/store.py
+++ b/leverdoor/platform/store.py
@@ -26,7 +26,7 @@
     own_wait,
 )
 
-__all__ = ["IDLE_S", "NoAnswer", "PlatformStore"]
+__all__ = ["IDLE_S", "CallTimeoutError", "PlatformStore"]
 
 T = TypeVar("T")
 
@@ -118,7 +118,7 @@
     lease: int
 
 
-class NoAnswer(StoreUnknown):
+class CallTimeoutError(StoreUnknown):
     """No answer came within the time of a call."""
 
 
@@ -258,11 +258,11 @@
         for timeout_s in first:
             try:
                 return await self._read_once(call, query, timeout_s)
-            except NoAnswer:
+            except CallTimeoutError:
                 continue
         try:
             return await self._read_once(call, query, last)
-        except NoAnswer as e:
+        except CallTimeoutError as e:
             raise StoreUnavailable(e.detail) from None
 
     async def _read_once(
@@ -270,7 +270,7 @@
     ) -> bytes:
         try:
             status, data = await self._call("GET", call, query, None, timeout_s)
-        except NoAnswer:
+        except CallTimeoutError:
             raise
         except StoreUnknown as e:
             raise StoreUnavailable(e.detail) from None
@@ -313,7 +313,7 @@
         except aiohttp.ClientConnectorError as e:
             raise StoreUnavailable(f"{call}: {e}") from None
         except TimeoutError as e:
-            raise NoAnswer(f"{call}: {e!r}") from None
+            raise CallTimeoutError(f"{call}: {e!r}") from None
         except (aiohttp.ClientError, OSError) as e:
             raise StoreUnknown(f"{call}: {e!r}") from None
 
--- a/leverdoor/storage/view.py
+++ b/leverdoor/storage/view.py
@@ -19,7 +19,12 @@
     parse_table,
     slot_row,
 )
-from leverdoor.model.blocks import BlockMap, Chunk, compile_chunk, outline
+from leverdoor.model.blocks import (
+    ClientRegionMap,
+    CompiledBlocks,
+    compile_blocks,
+    without_networks,
+)
 from leverdoor.model.resources import (
     ClientBlocks,
     Drain,
@@ -48,7 +53,7 @@
     """All resources at one revision, indexed."""
 
     def __init__(
-        self, revision: int, resources: dict[str, Resource], blocks: BlockMap
+        self, revision: int, resources: dict[str, Resource], blocks: ClientRegionMap
     ) -> None:
         """Index resources.
 
@@ -150,8 +155,8 @@
           with_blocks: whether to compile client blocks; agents look none up.
         """
         self._with_blocks = with_blocks
-        self._chunks: dict[str, Chunk] = {}
-        self._blocks = BlockMap({})
+        self._chunks: dict[str, CompiledBlocks] = {}
+        self._blocks = ClientRegionMap({})
         self.view = View(0, {}, self._blocks)
         self.tables: dict[str, Table] = {}
         self.take(state.delta(0))
@@ -174,7 +179,7 @@
             return
         if self._with_blocks and chunks != self._chunks:
             self._chunks = chunks
-            self._blocks = BlockMap(chunks, self._blocks)
+            self._blocks = ClientRegionMap(chunks, self._blocks)
         self.view = View(delta.revision, resources, self._blocks)
 
     def _take_table(self, key: str, value: bytes | None) -> None:
@@ -191,7 +196,7 @@
 
 def _put(
     resources: dict[str, Resource],
-    chunks: dict[str, Chunk] | None,
+    chunks: dict[str, CompiledBlocks] | None,
     key: str,
     value: bytes | None,
 ) -> None:
@@ -208,8 +213,8 @@
         return
     if isinstance(resource, ClientBlocks):
         if chunks is not None:
-            chunks[key] = compile_chunk(resource)
-        resource = outline(resource)
+            chunks[key] = compile_blocks(resource)
+        resource = without_networks(resource)
     resources[key] = resource
 
 
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -8,14 +8,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from leverdoor.model.blocks import BlockMap, compile_chunk, outline
+from leverdoor.model.blocks import ClientRegionMap, compile_blocks, without_networks
 from leverdoor.model.resources import ClientBlocks
 
 
-def made(*chunks: list[tuple[str, str]]) -> BlockMap:
-    return BlockMap(
+def made(*chunks: list[tuple[str, str]]) -> ClientRegionMap:
+    return ClientRegionMap(
         {
-            f"b{i}": compile_chunk(
+            f"b{i}": compile_blocks(
                 ClientBlocks(
                     name=f"b{i}",
                     networks={
@@ -90,5 +90,7 @@
 
 
 def test_an_outline_names_every_region() -> None:
-    found = outline(ClientBlocks(name="x", networks={"a": ["10.0.0.0/8"], "b": []}))
+    found = without_networks(
+        ClientBlocks(name="x", networks={"a": ["10.0.0.0/8"], "b": []})
+    )
     assert found.networks == {"a": [], "b": []}
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -2,14 +2,14 @@
 # SPDX-License-Identifier: Apache-2.0
 """Tests of service-level burn."""
 
-from leverdoor.model.burn import FAST_S, SLOW_S, BurnMeter, merge_series, summarize
+from leverdoor.model.burn import FAST_S, SLOW_S, BurnRateMeter, merge_series, summarize
 from leverdoor.model.resources import ServiceLevel
 
 LEVEL = ServiceLevel(name="l", service="s", tier="t", latency_ms=100, objective=0.9)
 
 
-def meter(took: list[float], lost: int = 0, at: float = 0.0) -> BurnMeter:
-    m = BurnMeter()
+def meter(took: list[float], lost: int = 0, at: float = 0.0) -> BurnRateMeter:
+    m = BurnRateMeter()
     for ms in took:
         m.record("s", "t", ms, True, [LEVEL], at)
     for _ in range(lost):
@@ -45,7 +45,7 @@
 
 
 def test_a_tier_without_an_objective_is_shown_all_the_same() -> None:
-    m = BurnMeter()
+    m = BurnRateMeter()
     m.record("s", "other", 5.0, True, [], 0.0)
     line = summarize(m.series(1.0), [LEVEL])[0]
     assert (line.tier, line.level) == ("other", "")
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -10,7 +10,7 @@
 
 import leverdoor.platform.store as platform_store
 from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
-from leverdoor.platform.store import NoAnswer, PlatformStore
+from leverdoor.platform.store import CallTimeoutError, PlatformStore
 from leverdoor.standins.metadata import MetadataFaults, MetadataStandin
 from leverdoor.storage.store import Write
 
@@ -105,7 +105,7 @@
     async def first_is_lost(*args: object) -> tuple[int, bytes]:
         if lost:
             lost.pop()
-            raise NoAnswer("no answer")
+            raise CallTimeoutError("no answer")
         return await call(*args)  # type: ignore[arg-type]
 
     pair.store._call = first_is_lost  # type: ignore[method-assign]
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -16,7 +16,7 @@
 from leverdoor.gate.target_health import TargetHealth
 from leverdoor.membership.ownership import GateProcess, Table, plan
 from leverdoor.membership.peers import AgentHeartbeat, GateState, Load
-from leverdoor.model.blocks import BlockMap
+from leverdoor.model.blocks import ClientRegionMap
 from leverdoor.model.probe import Probe
 from leverdoor.model.resources import (
     Drain,
@@ -58,7 +58,7 @@
         FREE,
         *more,
     ]
-    return View(1, {resource_key(r): r for r in resources}, BlockMap({}))
+    return View(1, {resource_key(r): r for r in resources}, ClientRegionMap({}))
 
 
 def scheduler(v: View) -> Scheduler:
