--- a/benchmarks/emulated_following.py
+++ b/benchmarks/emulated_following.py
@@ -41,7 +41,7 @@
 from leverdoor.entry.membership.members import Membership
 from leverdoor.entry.settings import EntrySettings
 from leverdoor.entry.wire import Configured
-from leverdoor.platform.names import wire
+from leverdoor.platform.wire_format import wire
 from leverdoor.settings import Address
 from leverdoor.storage.fetching import SILENCE_S
 from leverdoor.storage.state import Delta, State
--- a/leverdoor/headers.py
+++ b/leverdoor/headers.py
@@ -3,7 +3,7 @@
 """HTTP headers: leverdoor's own names on plain sites, and what may pass a hop.
 
 The names towards callers and targets of the users' platform stand in
-`leverdoor.platform.names`. Owns no state.
+`leverdoor.platform.wire_format`. Owns no state.
 """
 
 from collections.abc import Iterable, Mapping
--- a/leverdoor/platform/formats.py
+++ b/leverdoor/platform/formats.py
@@ -24,8 +24,8 @@
 from leverdoor.storage.store import KeyValue
 
 __all__ = [
-    "HELD",
-    "PEERS",
+    "QUARANTINE_PREFIX",
+    "ENTRY_PREFIX",
     "Translator",
     "parse_leaving",
     "parse_limit",
@@ -33,15 +33,15 @@
     "parse_rest",
 ]
 
-CONFIG = "op/config"
+CONFIG_KEY = "op/config"
 """The key of the operator's configuration."""
-EVACUATIONS = "op/evacuate/"
+EVACUATION_PREFIX = "op/evacuate/"
 """A key below it names a failure domain that gets no new requests."""
-SERVERS = "servers/"
+REGISTRATION_PREFIX = "servers/"
 """Below it targets register, each under its name."""
-PEERS = "leverdoor/entries/"
+ENTRY_PREFIX = "leverdoor/entries/"
 """Below it entries register, each under its name."""
-HELD = "leverdoor/quarantine/"
+QUARANTINE_PREFIX = "leverdoor/quarantine/"
 """Below it stand the requests that are held back, each under its fingerprint."""
 LOAD_FIGURES = 3
 """Figures of a target's load: running, waiting, slots."""
@@ -81,7 +81,7 @@
 
     def __call__(self, entries: Mapping[str, KeyValue]) -> Configured:
         """Translate all keys of the store."""
-        config = entries.get(CONFIG)
+        config = entries.get(CONFIG_KEY)
         if config is not None and config.revision != self._config_revision:
             self._take_config(config)
         resources = [*self._regions, *self._config_resources]
@@ -90,18 +90,18 @@
         targets: dict[str, tuple[int, Target]] = {}
         left_out: dict[str, LeftOut] = {}
         for key, entry in entries.items():
-            if key.startswith(SERVERS):
+            if key.startswith(REGISTRATION_PREFIX):
                 try:
                     targets[key] = self._target(entry)
                 except _LeftOutError as e:
                     left_out[key] = e.left_out
-            elif key.startswith(EVACUATIONS):
-                zone = key.removeprefix(EVACUATIONS)
+            elif key.startswith(EVACUATION_PREFIX):
+                zone = key.removeprefix(EVACUATION_PREFIX)
                 resources.append(Drain(name=zone, domain=zone))
-            elif key.startswith(PEERS):
-                peers[key.removeprefix(PEERS)] = entry.value
-            elif key.startswith(HELD):
-                held[key.removeprefix(HELD)] = entry
+            elif key.startswith(ENTRY_PREFIX):
+                peers[key.removeprefix(ENTRY_PREFIX)] = entry.value
+            elif key.startswith(QUARANTINE_PREFIX):
+                held[key.removeprefix(QUARANTINE_PREFIX)] = entry
         self._targets = targets
         self._left_out = left_out
         resources += [target for _, target in targets.values()]
@@ -139,7 +139,7 @@
         bad = self._left_out.get(entry.key)
         if bad is not None and bad.revision == entry.revision:
             raise _LeftOutError(bad)
-        name = entry.key.removeprefix(SERVERS)
+        name = entry.key.removeprefix(REGISTRATION_PREFIX)
         try:
             return entry.revision, read_registration(name, entry.value, self._places)
         except BadRegistration as e:
--- a/leverdoor/platform/program.py
+++ b/leverdoor/platform/program.py
@@ -15,20 +15,20 @@
 from leverdoor.errors import SettingsError, code_info
 from leverdoor.lifecycle import run_daemon
 from leverdoor.logs import setup_logs
-from leverdoor.platform.names import wire
 from leverdoor.platform.settings import PlatformSettings, parse_settings
 from leverdoor.platform.store import PlatformStore
+from leverdoor.platform.wire_format import wire
 from leverdoor.signals import EarlyReload
 
 __all__ = ["run_entry"]
 
-SETTINGS = "LEVERDOOR_SETTINGS"
+SETTINGS_VARIABLE = "LEVERDOOR_SETTINGS"
 """The environment variable that has the path of the settings file."""
 
 
 def settings_path() -> Path:
     """Return where the settings file lies."""
-    return Path(os.environ.get(SETTINGS, ""))
+    return Path(os.environ.get(SETTINGS_VARIABLE, ""))
 
 
 def read_settings() -> PlatformSettings:
@@ -41,7 +41,7 @@
     try:
         return parse_settings(path.read_bytes())
     except OSError as e:
-        raise SettingsError(f"{SETTINGS}={path}: {e.strerror}") from None
+        raise SettingsError(f"{SETTINGS_VARIABLE}={path}: {e.strerror}") from None
 
 
 def run_entry(early: EarlyReload) -> int:
--- a/leverdoor/platform/names.py
+++ b/leverdoor/platform/wire_format.py
@@ -11,8 +11,8 @@
 
 from leverdoor.entry.wire import HeaderNames, Lookup, Wire
 from leverdoor.platform.formats import (
-    HELD,
-    PEERS,
+    ENTRY_PREFIX,
+    QUARANTINE_PREFIX,
     Translator,
     parse_leaving,
     parse_limit,
@@ -60,8 +60,8 @@
         parse_leaving=parse_leaving,
         parse_rest=parse_rest,
         translate=Translator(zones),
-        peer_key=lambda name: PEERS + name,
-        held_key=lambda fingerprint: HELD + fingerprint,
+        peer_key=lambda name: ENTRY_PREFIX + name,
+        held_key=lambda fingerprint: QUARANTINE_PREFIX + fingerprint,
     )
 
 
--- a/tests/test_http_bytes.py
+++ b/tests/test_http_bytes.py
@@ -26,8 +26,8 @@
 from leverdoor.entry.admin import AdminServer
 from leverdoor.entry.metrics import EntryMetrics
 from leverdoor.errors import Code, Refusal
-from leverdoor.platform.names import wire
 from leverdoor.platform.store import PlatformStore
+from leverdoor.platform.wire_format import wire
 from leverdoor.standins.deployments import Deployment, TargetPlan
 from leverdoor.standins.entry_process import Place
 from leverdoor.standins.entry_site import EntrySite
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -40,13 +40,13 @@
 from leverdoor.logs import _Line
 from leverdoor.metrics import AgentMetrics, GateMetrics
 from leverdoor.platform import formats, program
-from leverdoor.platform.names import wire
 from leverdoor.platform.settings import (
     GOSSIP_OFFSET,
     METRICS_PORT,
     PULL_OFFSET,
     PlatformSettings,
 )
+from leverdoor.platform.wire_format import wire
 from leverdoor.settings import Address, AgentSettings, GateSettings
 from leverdoor.standins.cli import main as standin_command
 from leverdoor.storage import state
@@ -114,7 +114,7 @@
 
 
 def test_constants_of_the_settings_file() -> None:
-    assert program.SETTINGS == "LEVERDOOR_SETTINGS"
+    assert program.SETTINGS_VARIABLE == "LEVERDOOR_SETTINGS"
     assert (METRICS_PORT, GOSSIP_OFFSET, PULL_OFFSET) == (9464, 0, 1)
     assert RELOADABLE == (
         "grace_s",
@@ -393,7 +393,7 @@
     assert state.RESOURCES == "/leverdoor/resources/"
     assert state.TABLES == "/leverdoor/tables/"
     assert state.GUARD == "/leverdoor/guard"
-    assert formats.CONFIG == "op/config"
-    assert formats.EVACUATIONS == "op/evacuate/"
-    assert formats.SERVERS == "servers/"
-    assert formats.PEERS == "leverdoor/entries/"
+    assert formats.CONFIG_KEY == "op/config"
+    assert formats.EVACUATION_PREFIX == "op/evacuate/"
+    assert formats.REGISTRATION_PREFIX == "servers/"
+    assert formats.ENTRY_PREFIX == "leverdoor/entries/"
--- a/tests/test_platform_bytes.py
+++ b/tests/test_platform_bytes.py
@@ -21,8 +21,8 @@
     WorkClass,
     Workspace,
 )
-from leverdoor.platform.names import wire
 from leverdoor.platform.settings import parse_settings
+from leverdoor.platform.wire_format import wire
 from leverdoor.settings import Address
 from leverdoor.storage.store import (
     KeyValue,
--- a/tests/test_quarantine_records.py
+++ b/tests/test_quarantine_records.py
@@ -14,7 +14,7 @@
 from leverdoor.entry.log_writer import LineWriter
 from leverdoor.entry.quarantine_records import REMOVED_AFTER_S, QuarantineRecords
 from leverdoor.errors import Code
-from leverdoor.platform.names import wire
+from leverdoor.platform.wire_format import wire
 from leverdoor.quarantine.crashes import LostRun
 from leverdoor.quarantine.fingerprint import fingerprint_text
 from leverdoor.quarantine.notices import serialize_notices
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -33,7 +33,7 @@
     resource_key,
     serialize_resource,
 )
-from leverdoor.platform.names import wire
+from leverdoor.platform.wire_format import wire
 from leverdoor.storage.configuration import Configuration, Guard
 from leverdoor.storage.state import GUARD, PREFIX, RESOURCES, TABLES, Delta, State
 from leverdoor.storage.store import (
