--- a/leverdoor/model/blocks.py
+++ b/leverdoor/model/blocks.py
@@ -2,9 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """The map from client networks to home regions, as flat sorted arrays.
 
-Arrays of 64-bit bounds, since 220,000 networks must fit beside all else into the 64 MB
-of a node (docs/CAPACITY.md). Immutable once compiled; a changed resource recompiles
-only its own chunk.
+The arrays hold 64-bit bounds because 220,000 networks must fit, together with all
+other data, into the 64 MB of a node (docs/CAPACITY.md). A compiled map is immutable. A
+changed resource recompiles only its own networks. The state is held in memory and is
+lost with the process; the map is rebuilt from the stored resources.
 """
 
 import ipaddress
@@ -21,22 +22,26 @@
 __all__ = ["ClientRegionMap", "CompiledBlocks", "compile_blocks", "without_networks"]
 
 NO_REGION = 0
-"""Number of the region of addresses that no block covers."""
+"""Region number of addresses that no network covers."""
 HALF_BITS = 64
-"""Bits of each half of an IPv6 address in the arrays."""
+"""Bits in each half of an IPv6 address; the arrays store only the upper half."""
 
-_Range: TypeAlias = tuple[int, int, int]
+_NumberedRange: TypeAlias = tuple[int, int, int]
 
 
 class CompiledBlocks(msgspec.Struct):
-    """One resource's networks, compiled: bounds and region of each, by version."""
+    """The compiled networks of one resource.
+
+    `ranges` maps the IP version to parallel arrays of first addresses, last addresses
+    and indexes into `regions`.
+    """
 
     regions: list[str]
     ranges: dict[int, list["array[int]"]]
 
 
-class _Part(msgspec.Struct):
-    """Disjoint ranges between two addresses, in the order of their starts."""
+class _DisjointRanges(msgspec.Struct):
+    """Disjoint address ranges from `first` to `last`, sorted by start address."""
 
     first: int
     last: int
@@ -50,12 +55,16 @@
 
 
 def compile_blocks(resource: ClientBlocks) -> CompiledBlocks:
-    """Compile the networks of one resource."""
+    """Compile the networks of one resource.
+
+    Raises:
+      ValueError: a network is not in CIDR notation.
+    """
     regions = ["", *sorted(resource.networks)]
     ranges = {v: [array("Q"), array("Q"), array("H")] for v in (4, 6)}
     for number, region in enumerate(regions[1:], 1):
         for network in resource.networks[region]:
-            version, first, last = _bounds(network)
+            version, first, last = _network_bounds(network)
             firsts, lasts, numbers = ranges[version]
             firsts.append(first)
             lasts.append(last)
@@ -64,7 +73,10 @@
 
 
 def without_networks(resource: ClientBlocks) -> ClientBlocks:
-    """Return a resource without its networks, to check references by."""
+    """Return a copy that names the same regions but has no networks.
+
+    The copy is sufficient for checking references to regions.
+    """
     return ClientBlocks(
         name=resource.name, networks={region: [] for region in resource.networks}
     )
@@ -73,30 +85,30 @@
 class ClientRegionMap:
     """Longest-prefix match by binary search.
 
-    Each chunk is flattened by itself into disjoint ranges that have one answer
-    each; a look-up bisects the chunks and then one chunk. Only chunks that
-    overlap are flattened together. A v6 address is looked up by its
-    upper 64 bits.
+    The networks of each resource are flattened into disjoint ranges with one region
+    each. Resources whose address spans overlap are flattened together. A look-up
+    bisects the groups and then the ranges of one group. An IPv6 address is looked up
+    by its upper 64 bits.
     """
 
     def __init__(
         self,
         chunks: Mapping[str, CompiledBlocks],
-        before: "ClientRegionMap | None" = None,
+        previous: "ClientRegionMap | None" = None,
     ) -> None:
         """Build the map.
 
         Args:
-          chunks: compiled chunks by resource name.
-          before: an earlier map, whose parts for unchanged chunks are reused.
+          chunks: compiled networks by resource name.
+          before: an earlier map; the ranges of unchanged resources are reused.
         """
-        self._known: dict[tuple[int, tuple[int, ...]], _Part] = {}
-        known = before._known if before is not None else {}
-        self._parts: dict[int, list[_Part]] = {}
+        self._known: dict[tuple[int, tuple[int, ...]], _DisjointRanges] = {}
+        known = previous._known if previous is not None else {}
+        self._parts: dict[int, list[_DisjointRanges]] = {}
         self._firsts: dict[int, list[int]] = {}
         for version in (4, 6):
             parts = []
-            for group in _groups(chunks.values(), version):
+            for group in _group_overlapping(chunks.values(), version):
                 key = (version, tuple(id(c) for c in group))
                 part = known.get(key) or _flatten(group, version)
                 self._known[key] = part
@@ -106,10 +118,13 @@
         self._chunks = list(chunks.values())
 
     def region(self, address: str) -> str:
-        """Return the home region of a client, or "" when none is known."""
+        """Return the home region of a client address, or "" if it has none.
+
+        Text that is not an IP address has no home region.
+        """
         try:
             version = 6 if ":" in address else 4
-            value = _number(address, version)
+            value = _parse_address(address, version)
         except (OSError, ValueError):
             return ""
         at = bisect_right(self._firsts[version], value) - 1
@@ -119,15 +134,18 @@
         return part.region(value) if value <= part.last else ""
 
 
-def _number(address: str, version: int) -> int:
+def _parse_address(address: str, version: int) -> int:
     if version == 4:
         return int.from_bytes(socket.inet_pton(socket.AF_INET, address))
     packed = socket.inet_pton(socket.AF_INET6, address.split("%")[0])
     return int.from_bytes(packed[:8])
 
 
-def _bounds(prefix: str) -> tuple[int, int, int]:
-    """Return version, first and last address of a network."""
+def _network_bounds(prefix: str) -> tuple[int, int, int]:
+    """Return the IP version and the first and last address of a network.
+
+    IPv6 addresses are reduced to their upper 64 bits.
+    """
     network = ipaddress.ip_network(prefix)
     first = int(network.network_address)
     last = int(network.broadcast_address)
@@ -136,10 +154,10 @@
     return 4, first, last
 
 
-def _groups(
+def _group_overlapping(
     chunks: Iterable[CompiledBlocks], version: int
 ) -> list[list[CompiledBlocks]]:
-    """Put chunks together that overlap, in the order of their addresses."""
+    """Group resources whose address spans overlap, sorted by address."""
     spans = sorted(
         (
             (min(c.ranges[version][0]), max(c.ranges[version][1]), c)
@@ -158,11 +176,11 @@
     return groups
 
 
-def _flatten(group: list[CompiledBlocks], version: int) -> _Part:
-    """Cut nested networks into disjoint ranges; the longest prefix wins."""
+def _flatten(group: list[CompiledBlocks], version: int) -> _DisjointRanges:
+    """Flatten nested networks into disjoint ranges; the longest prefix wins."""
     regions = ["", *sorted({r for c in group for r in c.regions if r})]
     numbers = {name: i for i, name in enumerate(regions)}
-    networks: list[_Range] = []
+    networks: list[_NumberedRange] = []
     for chunk in group:
         firsts, lasts, which = chunk.ranges[version]
         mapped = [numbers[name] for name in chunk.regions]
@@ -170,13 +188,13 @@
             (f, e, mapped[w]) for f, e, w in zip(firsts, lasts, which, strict=True)
         ]
     networks.sort(key=lambda n: (n[0], -n[1]))
-    starts, found = _cut(networks)
+    starts, found = _split_disjoint(networks)
     last = max(n[1] for n in networks)
-    return _Part(networks[0][0], last, starts, found, regions)
+    return _DisjointRanges(networks[0][0], last, starts, found, regions)
 
 
-def _cut(networks: list[_Range]) -> "tuple[array[int], array[int]]":
-    """Turn sorted networks into the starts of ranges and their regions."""
+def _split_disjoint(networks: list[_NumberedRange]) -> "tuple[array[int], array[int]]":
+    """Convert sorted networks to range starts and the region number of each range."""
     starts, found = array("Q"), array("H")
     enclosing: list[tuple[int, int]] = []
 
@@ -187,8 +205,8 @@
             starts.append(start)
             found.append(number)
 
-    def close(before: int) -> None:
-        while enclosing and enclosing[-1][0] < before:
+    def close(next_start: int) -> None:
+        while enclosing and enclosing[-1][0] < next_start:
             last, _ = enclosing.pop()
             if last + 1 < 1 << HALF_BITS:
                 emit(last + 1, enclosing[-1][1] if enclosing else NO_REGION)
--- a/leverdoor/model/burn.py
+++ b/leverdoor/model/burn.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Service-level burn: how fast each objective's error budget is used up.
+"""Burn rate: how fast each service level objective consumes its error budget.
 
-A gate counts its own requests in buckets; an agent merges the series of all gates and
-computes the report's lines. Owns the counts of the last hour of one gate, which are
-lost with it.
+A gate counts its own requests in buckets. An agent merges the series of all gates and
+computes the lines of the report. Owns the counts of one gate for the last hour; they
+are lost with the gate's process.
 """
 
 from collections import deque
@@ -18,31 +18,37 @@
 __all__ = ["BurnLine", "BurnRateMeter", "Series", "merge_series", "summarize"]
 
 BUCKET_S = 10.0
-"""Length of a bucket of counts, in seconds: 360 buckets an hour, and the short window
-is off by one of its 30 buckets at most."""
-FAST_S = 300.0
-"""Short window of the burn rate in seconds: the usual five minutes."""
-SLOW_S = 3600.0
-"""Long window of the burn rate in seconds: the usual hour."""
+"""Length of a bucket of counts, in seconds.
+
+An hour has 360 buckets. The error of the short window is at most one of its 30 buckets.
+"""
+SHORT_WINDOW_S = 300.0
+"""Short window of the burn rate, in seconds: the customary five minutes."""
+LONG_WINDOW_S = 3600.0
+"""Long window of the burn rate, in seconds: the customary hour."""
 HISTOGRAM_S = 60.0
-"""Length of one latency histogram, in seconds: a fifth of the short window."""
-HISTOGRAMS = 6
-"""Histograms kept: six minutes, a little over the short window."""
-MAX_MS = 600_000
-"""Largest latency that a histogram holds, in ms: ten minutes."""
-DIGITS = 2
-"""Significant digits of a histogram; 1% is enough for objectives."""
+"""Period that one latency histogram covers, in seconds: a fifth of the short window."""
+MAX_HISTOGRAMS = 6
+"""Most histograms kept; they cover six minutes, slightly more than the short window."""
+MAX_LATENCY_MS = 600_000
+"""Largest latency that a histogram records, in ms: ten minutes."""
+SIGNIFICANT_DIGITS = 2
+"""Significant digits of a histogram: an error of 1% is acceptable for objectives."""
 
 
 class Counts(msgspec.Struct, array_like=True):
-    """Requests, those answered, and those answered within each level's latency."""
+    """Numbers of requests.
+
+    `answered` counts requests with a complete response. `in_time` counts, by objective,
+    those answered within its latency.
+    """
 
     total: int = 0
     answered: int = 0
     in_time: dict[str, int] = {}
 
     def add(self, other: "Counts") -> None:
-        """Add another's counts to these."""
+        """Add the counts of `other` to this object."""
         self.total += other.total
         self.answered += other.answered
         for name, n in other.in_time.items():
@@ -50,7 +56,10 @@
 
 
 class Series(msgspec.Struct):
-    """One gate's figures for one service and tier."""
+    """Counts and encoded latency histogram of one service and tier.
+
+    `fast` covers the short window and `slow` the long window.
+    """
 
     service: str
     tier: str
@@ -60,7 +69,11 @@
 
 
 class BurnLine(msgspec.Struct, tag_field="type"):
-    """One line of the report; a burn of 1 uses up the budget just in time."""
+    """One line of the report.
+
+    A burn rate of 1 consumes the error budget exactly within the objective's period.
+    `level` is empty if no objective covers the service and tier.
+    """
 
     service: str
     tier: str
@@ -74,8 +87,8 @@
     slow_burn: float = 0.0
 
 
-class _Meter:
-    """Counts and latencies of one service and tier, oldest first."""
+class _ServiceTierMeter:
+    """Buckets and histograms of one service and tier with start times, oldest first."""
 
     def __init__(self) -> None:
         self.buckets: deque[tuple[float, Counts]] = deque()
@@ -83,11 +96,11 @@
 
 
 class BurnRateMeter:
-    """Counts requests of one gate by service and tier."""
+    """Counts the requests of one gate by service and tier."""
 
     def __init__(self) -> None:
         """Create an empty meter."""
-        self._meters: dict[tuple[str, str], _Meter] = {}
+        self._meters: dict[tuple[str, str], _ServiceTierMeter] = {}
 
     def record(
         self,
@@ -98,18 +111,18 @@
         levels: Iterable[ServiceLevel],
         now: float,
     ) -> None:
-        """Record one finished request.
+        """Record a finished request.
 
         Args:
-          service: the service asked for.
+          service: the requested service.
           tier: the caller's tier.
-          took_ms: from arrival to the end of the answer, in milliseconds.
-          answered: whether the caller got a whole answer.
+          took_ms: time from arrival to the end of the response, in milliseconds.
+          answered: whether the caller received a complete response.
           levels: the objectives that cover this service and tier.
           now: monotonic time in seconds.
         """
-        meter = self._meters.setdefault((service, tier), _Meter())
-        counts = _current(meter, now)
+        meter = self._meters.setdefault((service, tier), _ServiceTierMeter())
+        counts = _current_bucket(meter, now)
         counts.total += 1
         if not answered:
             return
@@ -117,39 +130,47 @@
         for level in levels:
             if took_ms <= level.latency_ms:
                 counts.in_time[level.name] = counts.in_time.get(level.name, 0) + 1
-        _histogram(meter, now).record_value(max(1, min(int(took_ms), MAX_MS)))
+        _current_histogram(meter, now).record_value(
+            max(1, min(int(took_ms), MAX_LATENCY_MS))
+        )
 
     def series(self, now: float) -> list[Series]:
-        """Return all figures in a form that merges with other gates'."""
+        """Return one series for each service and tier, to be merged with other gates.
+
+        Args:
+          now: monotonic time in seconds.
+        """
         return [
             Series(
                 service,
                 tier,
-                _window(meter, now - FAST_S),
-                _window(meter, now - SLOW_S),
-                _merged(h for _, h in meter.histograms).encode().decode(),
+                _counts_since(meter, now - SHORT_WINDOW_S),
+                _counts_since(meter, now - LONG_WINDOW_S),
+                _merge_histograms(h for _, h in meter.histograms).encode().decode(),
             )
             for (service, tier), meter in sorted(self._meters.items())
         ]
 
 
-def _current(meter: _Meter, now: float) -> Counts:
+def _current_bucket(meter: _ServiceTierMeter, now: float) -> Counts:
     if not meter.buckets or now - meter.buckets[-1][0] >= BUCKET_S:
         meter.buckets.append((now, Counts(0, 0, {})))
-        while meter.buckets[0][0] < now - SLOW_S:
+        while meter.buckets[0][0] < now - LONG_WINDOW_S:
             meter.buckets.popleft()
     return meter.buckets[-1][1]
 
 
-def _histogram(meter: _Meter, now: float) -> HdrHistogram:
+def _current_histogram(meter: _ServiceTierMeter, now: float) -> HdrHistogram:
     if not meter.histograms or now - meter.histograms[-1][0] >= HISTOGRAM_S:
-        meter.histograms.append((now, HdrHistogram(1, MAX_MS, DIGITS)))
-        if len(meter.histograms) > HISTOGRAMS:
+        meter.histograms.append(
+            (now, HdrHistogram(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS))
+        )
+        if len(meter.histograms) > MAX_HISTOGRAMS:
             meter.histograms.popleft()
     return meter.histograms[-1][1]
 
 
-def _window(meter: _Meter, since: float) -> Counts:
+def _counts_since(meter: _ServiceTierMeter, since: float) -> Counts:
     total = Counts(0, 0, {})
     for began, counts in meter.buckets:
         if began >= since:
@@ -157,37 +178,41 @@
     return total
 
 
-def _merged(histograms: Iterable[HdrHistogram]) -> HdrHistogram:
-    total = HdrHistogram(1, MAX_MS, DIGITS)
+def _merge_histograms(histograms: Iterable[HdrHistogram]) -> HdrHistogram:
+    total = HdrHistogram(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
     for h in histograms:
         total.add(h)
     return total
 
 
 def merge_series(parts: Iterable[Series]) -> list[Series]:
-    """Merge the figures of several gates."""
+    """Merge the series of several gates by service and tier."""
     found: dict[tuple[str, str], Series] = {}
     for part in parts:
-        have = found.get((part.service, part.tier))
-        if have is None:
+        existing = found.get((part.service, part.tier))
+        if existing is None:
             fast, slow = Counts(0, 0, {}), Counts(0, 0, {})
-            have = Series(part.service, part.tier, fast, slow, part.histogram)
-            found[(part.service, part.tier)] = have
+            existing = Series(part.service, part.tier, fast, slow, part.histogram)
+            found[(part.service, part.tier)] = existing
         else:
-            both = (have.histogram, part.histogram)
-            merged = _merged(HdrHistogram.decode(h) for h in both)
-            have.histogram = merged.encode().decode()
-        have.fast.add(part.fast)
-        have.slow.add(part.slow)
+            both = (existing.histogram, part.histogram)
+            merged = _merge_histograms(HdrHistogram.decode(h) for h in both)
+            existing.histogram = merged.encode().decode()
+        existing.fast.add(part.fast)
+        existing.slow.add(part.slow)
     return [found[key] for key in sorted(found)]
 
 
 def summarize(
     merged: Iterable[Series], levels: Iterable[ServiceLevel]
 ) -> list[BurnLine]:
-    """Turn merged figures into report lines, one for each objective."""
+    """Compute the report lines from merged series.
+
+    Returns: one line for each objective, and one for each service and tier without an
+      objective.
+    """
     lines = []
-    known = list(levels)
+    objectives = list(levels)
     for s in merged:
         histogram = HdrHistogram.decode(s.histogram)
         line = BurnLine(
@@ -198,23 +223,25 @@
             p50_ms=float(histogram.get_value_at_percentile(50)),
             p99_ms=float(histogram.get_value_at_percentile(99)),
         )
-        covering = [v for v in known if (v.service, v.tier) == (s.service, s.tier)]
-        for v in covering:
+        applicable = [
+            v for v in objectives if (v.service, v.tier) == (s.service, s.tier)
+        ]
+        for v in applicable:
             lines.append(
                 msgspec.structs.replace(
                     line,
                     level=v.name,
                     objective=v.objective,
-                    fast_burn=_burn(s.fast, v),
-                    slow_burn=_burn(s.slow, v),
+                    fast_burn=_burn_rate(s.fast, v),
+                    slow_burn=_burn_rate(s.slow, v),
                 )
             )
-        if not covering:
+        if not applicable:
             lines.append(line)
     return lines
 
 
-def _burn(counts: Counts, level: ServiceLevel) -> float:
+def _burn_rate(counts: Counts, level: ServiceLevel) -> float:
     if not counts.total:
         return 0.0
     bad = 1 - counts.in_time.get(level.name, 0) / counts.total
--- a/leverdoor/model/probe.py
+++ b/leverdoor/model/probe.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What a target reports of itself, as an agent passes it to its gate."""
+"""The result of probing a target, which an agent sends to its gate. Owns no state."""
 
 import msgspec
 
@@ -8,10 +8,12 @@
 
 
 class Probe(msgspec.Struct, frozen=True, array_like=True):
-    """One report of a target: reachable, leaving, and its own in-flight count.
+    """The result of one probe.
 
-    `taken_at` is the agent's monotonic time in seconds; gate and agent run on one VM,
-    so their clocks agree.
+    `ok` tells whether the target was reachable, `leaving` whether it is shutting down,
+    and `in_flight` how many requests it counts itself. `taken_at` is the agent's
+    monotonic time in seconds; it is comparable with the gate's because both run on the
+    same VM.
     """
 
     ok: bool
@@ -19,4 +21,4 @@
     in_flight: int = 0
     taken_at: float = 0.0
     reports: bool = True
-    """Whether the target reports anything of itself; not all have a path for it."""
+    """Whether the target reports its own state; some have no path for reports."""
--- a/leverdoor/model/resource_checks.py
+++ b/leverdoor/model/resource_checks.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Checks of resources against one another, before anything is written.
+"""Consistency checks of resources, run before a change is written.
 
-One function a kind says what a resource of it needs; `validate` and `check_removal`
-run them against what all resources would be afterwards. Pure; owns no state.
+Each kind of resource has one check function. `validate` and `check_removal` run these
+functions on the resources that would exist after the change. All functions are pure and
+own no state.
 """
 
 import ipaddress
@@ -32,20 +33,20 @@
 def validate(
     changed: Iterable[Resource], current: Mapping[str, Resource]
 ) -> Result[dict[str, Resource], ConfigError]:
-    """Check resources against one another before anything is written.
+    """Check that changed resources are consistent with all other resources.
 
     Args:
       changed: resources to be written.
-      current: all resources now, by `kind/name`.
-    Returns: what all resources would be, or the first problem found.
+      current: all existing resources, by `kind/name`.
+    Returns: all resources as they would be after the change, or the first error found.
     """
     after = dict(current)
-    touched = []
+    to_check = []
     for resource in changed:
         after[resource_key(resource)] = resource
-        touched.append(resource)
+        to_check.append(resource)
     try:
-        for resource in touched:
+        for resource in to_check:
             _check(resource, after)
         _check_tiers(after)
     except ConfigError as e:
@@ -56,7 +57,13 @@
 def check_removal(
     key: str, current: Mapping[str, Resource]
 ) -> Result[dict[str, Resource], ConfigError]:
-    """Check that nothing refers to a resource about to be deleted."""
+    """Check that no other resource refers to a resource that is to be deleted.
+
+    Args:
+      key: the `kind/name` of the resource.
+      current: all existing resources, by `kind/name`.
+    Returns: the remaining resources, or the first dangling reference found.
+    """
     after = {k: v for k, v in current.items() if k != key}
     try:
         for resource in after.values():
@@ -68,8 +75,14 @@
     return Success(after)
 
 
-def _need(after: Mapping[str, Resource], key: str, owner: str, field: str) -> Resource:
-    """Return the resource that a field refers to."""
+def _require_resource(
+    after: Mapping[str, Resource], key: str, owner: str, field: str
+) -> Resource:
+    """Return the resource that a field refers to.
+
+    Raises:
+      ConfigError: the resource does not exist.
+    """
     found = after.get(key)
     if found is None:
         raise ConfigError(
@@ -89,18 +102,20 @@
     match resource:
         case Region():
             if not resource.domains:
-                raise _contradiction(owner, "domains", "a region needs a domain")
+                raise _contradiction(
+                    owner, "domains", "a region must have at least one failure domain"
+                )
         case Target():
             _check_target(resource, after, owner)
         case ShiftCap():
-            _need(after, f"service/{resource.service}", owner, "service")
-            _need(after, f"region/{resource.region}", owner, "region")
-            _check_one_cap(resource, after, owner)
+            _require_resource(after, f"service/{resource.service}", owner, "service")
+            _require_resource(after, f"region/{resource.region}", owner, "region")
+            _check_duplicate_cap(resource, after, owner)
         case Drain():
             _check_drain(resource, after, owner)
         case ServiceLevel():
-            _need(after, f"service/{resource.service}", owner, "service")
-            _need(after, f"tier/{resource.tier}", owner, "tier")
+            _require_resource(after, f"service/{resource.service}", owner, "service")
+            _require_resource(after, f"tier/{resource.tier}", owner, "tier")
         case Route():
             _check_route(resource, after, owner)
         case Workspace():
@@ -112,12 +127,12 @@
 
 
 def _check_target(target: Target, after: Mapping[str, Resource], owner: str) -> None:
-    _need(after, f"service/{target.service}", owner, "service")
-    region = _need(after, f"region/{target.region}", owner, "region")
+    _require_resource(after, f"service/{target.service}", owner, "service")
+    region = _require_resource(after, f"region/{target.region}", owner, "region")
     if isinstance(region, Region) and target.domain not in region.domains:
         raise ConfigError(
             Code.DANGLING_REFERENCE,
-            f"{owner}: region {region.name} has no domain {target.domain}",
+            f"{owner}: region {region.name} has no failure domain {target.domain}",
             field="domain",
         )
     host, _, port = target.address.rpartition(":")
@@ -137,60 +152,76 @@
             and other.name != target.name
             and other.address == target.address
         ):
-            raise _contradiction(owner, "address", f"target/{other.name} has it too")
+            raise _contradiction(
+                owner, "address", f"target/{other.name} has the same address"
+            )
     if target.connections < target.slots:
-        raise _contradiction(owner, "connections", "fewer connections than slots")
+        raise _contradiction(
+            owner, "connections", "connections must not be less than slots"
+        )
 
 
-def _check_one_cap(cap: ShiftCap, after: Mapping[str, Resource], owner: str) -> None:
+def _check_duplicate_cap(
+    cap: ShiftCap, after: Mapping[str, Resource], owner: str
+) -> None:
     for other in after.values():
         if (
             isinstance(other, ShiftCap)
             and other.name != cap.name
             and (other.service, other.region) == (cap.service, cap.region)
         ):
-            raise _contradiction(owner, "service", f"shiftcap/{other.name} covers it")
+            raise _contradiction(
+                owner,
+                "service",
+                f"shiftcap/{other.name} has the same service and region",
+            )
 
 
 def _check_drain(drain: Drain, after: Mapping[str, Resource], owner: str) -> None:
     named = [f for f in ("region", "domain", "target", "vm") if getattr(drain, f)]
     if len(named) != 1:
-        raise _contradiction(owner, "region", "name one of region, domain, target, vm")
+        raise _contradiction(
+            owner, "region", "set exactly one of region, domain, target, vm"
+        )
     if drain.region:
-        _need(after, f"region/{drain.region}", owner, "region")
+        _require_resource(after, f"region/{drain.region}", owner, "region")
     if drain.target:
-        _need(after, f"target/{drain.target}", owner, "target")
+        _require_resource(after, f"target/{drain.target}", owner, "target")
     if drain.domain and not any(
         isinstance(r, Region) and drain.domain in r.domains for r in after.values()
     ):
         raise ConfigError(
             Code.DANGLING_REFERENCE,
-            f"{owner}: no region has domain {drain.domain}",
+            f"{owner}: no region has failure domain {drain.domain}",
             field="domain",
         )
 
 
 def _check_route(route: Route, after: Mapping[str, Resource], owner: str) -> None:
     for service in route.services:
-        _need(after, f"service/{service}", owner, f"services.{service}")
+        _require_resource(after, f"service/{service}", owner, f"services.{service}")
     for region in route.homes:
-        _need(after, f"region/{region}", owner, "homes")
+        _require_resource(after, f"region/{region}", owner, "homes")
     if not any(route.services.values()):
-        raise _contradiction(owner, "services", "no service has a weight")
+        raise _contradiction(
+            owner, "services", "at least one service must have a positive weight"
+        )
     for other in after.values():
         if (
             isinstance(other, Route)
             and other.name != route.name
             and (other.host, other.prefix) == (route.host, route.prefix)
         ):
-            raise _contradiction(owner, "prefix", f"route/{other.name} has it too")
+            raise _contradiction(
+                owner, "prefix", f"route/{other.name} has the same host and prefix"
+            )
 
 
 def _check_workspace(
     workspace: Workspace, after: Mapping[str, Resource], owner: str
 ) -> None:
     for region in workspace.homes:
-        _need(after, f"region/{region}", owner, "homes")
+        _require_resource(after, f"region/{region}", owner, "homes")
     keys = set(workspace.key_digests)
     for other in after.values():
         if (
@@ -199,7 +230,7 @@
             and not keys.isdisjoint(other.key_digests)
         ):
             raise _contradiction(
-                owner, "key_digests", f"workspace/{other.name} has a key of it too"
+                owner, "key_digests", f"workspace/{other.name} has one of the same keys"
             )
 
 
@@ -207,7 +238,7 @@
     blocks: ClientBlocks, after: Mapping[str, Resource], owner: str
 ) -> None:
     for region, networks in blocks.networks.items():
-        _need(after, f"region/{region}", owner, f"networks.{region}")
+        _require_resource(after, f"region/{region}", owner, f"networks.{region}")
         for i, network in enumerate(networks):
             try:
                 ipaddress.ip_network(network)
@@ -224,15 +255,21 @@
     total = sum(t.reserve_percent for t in tiers)
     if total > 100:
         raise _contradiction(
-            "tier", "reserve_percent", f"reserves add up to {total}%, over 100%"
+            "tier",
+            "reserve_percent",
+            f"reserves add up to {total}%, the maximum is 100%",
         )
     defaults = [t.name for t in tiers if t.default]
     if len(defaults) > 1:
-        raise _contradiction("tier", "default", f"{defaults} are all the default")
+        raise _contradiction(
+            "tier", "default", f"only one tier may be the default, found {defaults}"
+        )
     seen: dict[str, str] = {}
     for tier in tiers:
         for caller in tier.callers:
             if seen.setdefault(caller, tier.name) != tier.name:
                 raise _contradiction(
-                    f"tier/{tier.name}", "callers", f"{caller} is in two tiers"
+                    f"tier/{tier.name}",
+                    "callers",
+                    f"caller {caller} is in more than one tier",
                 )
--- a/leverdoor/model/resources.py
+++ b/leverdoor/model/resources.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The kinds of resource that operators write.
+"""The kinds of resources that operators write.
 
-Their JSON is stored and served: field names, tags and defaults are the interface.
-Immutable; units are in the field names (`_ms`, `_per_s`, `_percent`, `_bytes`).
+The JSON form is stored and served, so field names, tags and defaults are part of the
+public interface. Resources are immutable. Field names end in their units (`_ms`,
+`_per_s`, `_percent`, `_bytes`). Owns no state; relies on `leverdoor.codec`.
 """
 
 from enum import StrEnum
@@ -36,15 +37,15 @@
 ]
 
 Name: TypeAlias = Annotated[str, Meta(pattern=r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$")]
-Positive: TypeAlias = Annotated[int, Meta(ge=1, le=86_400_000)]
+PositiveInt: TypeAlias = Annotated[int, Meta(ge=1, le=86_400_000)]
 Millis: TypeAlias = Annotated[int, Meta(ge=0, le=86_400_000)]
 Percent: TypeAlias = Annotated[int, Meta(ge=0, le=100)]
 Digest: TypeAlias = Annotated[str, Meta(pattern=r"^[0-9a-f]{64}$")]
-Share: TypeAlias = Annotated[float, Meta(gt=0.0, lt=1.0)]
+Fraction: TypeAlias = Annotated[float, Meta(gt=0.0, lt=1.0)]
 
 
 class WorkClass(StrEnum):
-    """Class of work, which says whether a request may be sent twice."""
+    """Class of work; it determines whether a request may be sent more than once."""
 
     LOOKUP = "lookup"
     ONCE = "once"
@@ -52,39 +53,39 @@
 
 
 class _Base(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind"):
-    """What all kinds share."""
+    """Fields that all kinds of resources have."""
 
     name: Name
 
 
 class Region(_Base, frozen=True, tag="region"):
-    """A region, its failure domains and its one-way distance to others."""
+    """A region, its failure domains and its one-way latency to other regions."""
 
     domains: list[Name]
     latency_ms: dict[str, Millis] = {}
 
 
 class Service(_Base, frozen=True, tag="service"):
-    """A service that callers ask for by name."""
+    """A service that callers request by name."""
 
     work: WorkClass
-    deadline_ms: Positive = 2_000
+    deadline_ms: PositiveInt = 2_000
     linger_ms: Millis = 1_000
-    """Longest time a target may go on with a request after its connection ended."""
+    """Longest time a target may still process a request after its connection closed."""
     queue: Annotated[int, Meta(ge=0, le=100_000)] = 64
-    """Longest queue for each entry, in requests."""
+    """Maximum length of the queue of each entry, in requests."""
     bulk_prefixes: list[str] = []
-    """Paths whose requests are bulk uploads, whatever the service's work."""
+    """Path prefixes of bulk uploads; they override the service's class of work."""
     health_path: str = ""
-    """Path that a target answers with 200 while it is healthy; "" for none."""
+    """Health check path; a healthy target answers it with 200. "" for none."""
     connections: Annotated[int, Meta(ge=0, le=1_000_000)] = 0
-    """Most connections of all entries together to one target; 0 for no bound."""
+    """Maximum connections from all entries together to one target; 0 for no limit."""
     warmup_per_s: Annotated[float, Meta(ge=0.0)] = 0.0
-    """Requests a second that a target bears while it is cold; 0 for no bound."""
+    """Requests per second that a cold target can serve; 0 for no limit."""
 
 
 class Target(_Base, frozen=True, tag="target"):
-    """One back end of one service."""
+    """A back end of one service."""
 
     service: Name
     region: Name
@@ -95,13 +96,13 @@
     vm: str = ""
     warmup_ms: Millis = 0
     draining: bool = False
-    """The target says that it is about to leave."""
+    """The target announced that it is about to stop."""
     cold_ms: Millis = 0
-    """How much longer the target stays cold from when this was written."""
+    """Remaining time for which the target is cold, counted from this write."""
 
 
 class Tier(_Base, frozen=True, tag="tier"):
-    """A priority tier: reserved share of slots, weight, and its callers."""
+    """A priority tier with its reserved share of slots, its weight and its callers."""
 
     callers: list[str] = []
     reserve_percent: Percent = 0
@@ -110,18 +111,18 @@
 
 
 class ShiftCap(_Base, frozen=True, tag="shiftcap"):
-    """Most requests from other regions that may begin in any window."""
+    """Maximum number of requests from other regions that may start in any window."""
 
     service: Name
     region: Name
     units: Annotated[int, Meta(ge=1, le=10_000_000)]
-    window_ms: Positive
+    window_ms: PositiveInt
     ramp_percent: Annotated[int, Meta(ge=1, le=100)] = 50
-    """Level at which a shift starts, as a share of the cap."""
+    """Level at which a shift starts, as a percentage of the cap."""
 
 
 class Drain(_Base, frozen=True, tag="drain"):
-    """A planned drain of exactly one region, failure domain, target or vm."""
+    """A planned drain of exactly one region, failure domain, target or VM."""
 
     region: str = ""
     domain: str = ""
@@ -129,7 +130,7 @@
     vm: str = ""
 
     def covers(self, target: Target) -> bool:
-        """Return whether a target is drained by this."""
+        """Return whether this drain applies to a target."""
         return (
             (self.region != "" and self.region == target.region)
             or (self.domain != "" and self.domain == target.domain)
@@ -139,67 +140,71 @@
 
 
 class ServiceLevel(_Base, frozen=True, tag="servicelevel"):
-    """An objective for one service and tier."""
+    """A latency objective for one service and tier.
+
+    `objective` is the fraction of requests to be answered within `latency_ms`.
+    """
 
     service: Name
     tier: Name
-    latency_ms: Positive
-    objective: Share
+    latency_ms: PositiveInt
+    objective: Fraction
 
 
 class Route(_Base, frozen=True, tag="route"):
-    """Which requests go to which services, and how they may be treated."""
+    """Matches requests by host and path prefix, and sets how they are served."""
 
     host: str
     prefix: Annotated[str, Meta(pattern=r"^/(.*/)?$")]
     work: WorkClass
     services: dict[Name, Annotated[float, Meta(ge=0.0)]]
-    """Weights of the services that share the requests."""
+    """Weights by which the requests are split among services."""
     timeout_ms: Millis = 0
-    """Longest time that a request is held; 0 for the caller's deadline alone."""
+    """Request timeout; 0 if only the caller's deadline applies."""
     target_latency_ms: Millis = 0
-    """Time within which an answer is worth its full price; 0 for none."""
+    """Latency up to which a response has its full value; 0 for none."""
     priority: Annotated[int, Meta(ge=0, le=1_000)] = 0
-    """Priority of the requests, 0 for the most urgent."""
+    """Priority of the requests; 0 is the highest."""
     attempts: Annotated[int, Meta(ge=1, le=100)] = 1
-    """Most targets that one request may be sent to."""
+    """Maximum number of targets to which one request may be sent."""
     affinity: bool = False
-    """Targets are faster at things that they have lately seen."""
+    """Send requests with the same key to the same target, which is faster at recently
+    seen requests."""
     homes: list[Name] = []
-    """Regions that may serve it; empty for all."""
+    """Regions that may serve the route; empty for all."""
     anonymous: bool = False
-    """Requests need no key, also where workspaces are configured."""
+    """Accept requests without a workspace key, even if workspaces are configured."""
 
 
 class Workspace(_Base, frozen=True, tag="workspace"):
-    """Whom requests belong to, by their keys, and what all of them may take."""
+    """The owner of requests, identified by its keys, with its quota."""
 
     key_digests: list[Digest] = []
-    """SHA-256 of each key; the keys themselves are kept nowhere."""
+    """SHA-256 digest of each key; the keys themselves are not stored."""
     rate_per_s: Annotated[float, Meta(ge=0.0)] = 0.0
-    """Requests a second, at all entries together; 0 for no bound."""
+    """Requests per second at all entries together; 0 for no limit."""
     burst: Annotated[float, Meta(ge=0.0)] = 0.0
-    """Requests beyond the rate that may come at once."""
+    """Requests that may arrive at once in excess of the rate."""
     priority: Annotated[int, Meta(ge=0, le=1_000)] | None = None
-    """Goes before the priority of the route; the route's holds if there is none."""
+    """Overrides the priority of the route; None to use the priority of the route."""
     homes: list[Name] = []
-    """Regions that may serve its requests; empty for all."""
+    """Regions that may serve the workspace's requests; empty for all."""
 
 
 class ClientLimits(_Base, frozen=True, tag="clientlimits"):
-    """What a client may send and how long it may take."""
+    """Size limits and timeouts for requests of clients."""
 
-    header_bytes: Positive = 16_384
+    header_bytes: PositiveInt = 16_384
     body_bytes: Annotated[int, Meta(ge=0)] = 67_108_864
-    header_timeout_ms: Positive = 3_000
-    idle_timeout_ms: Positive = 15_000
+    header_timeout_ms: PositiveInt = 3_000
+    idle_timeout_ms: PositiveInt = 15_000
 
 
 class ClientBlocks(_Base, frozen=True, tag="clientblocks"):
-    """A chunk of the map from client networks to home regions."""
+    """A part of the map from client networks to home regions."""
 
     networks: dict[str, list[str]]
-    """For each region, the networks that are nearest to it."""
+    """By region, the client networks that are nearest to it, in CIDR notation."""
 
 
 Resource: TypeAlias = (
@@ -240,13 +245,17 @@
     """Parse one resource from JSON.
 
     Raises:
-      ConfigError: the document or a field is not acceptable.
+      ConfigError: the document is malformed, or a field is unknown or invalid.
     """
     return parse_json(data, Resource)  # type: ignore[arg-type]
 
 
 def parse_resources(data: bytes | str) -> list[Resource]:
-    """Parse one resource or a list of them from JSON."""
+    """Parse one resource or a list of resources from JSON.
+
+    Raises:
+      ConfigError: the document is malformed, or a field is unknown or invalid.
+    """
     text = data if isinstance(data, bytes) else data.encode()
     if text.lstrip().startswith(b"["):
         return parse_json(text, list[Resource])
--- a/leverdoor/model/target_id.py
+++ b/leverdoor/model/target_id.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The number by which entries tell each other of a target. Owns no state."""
+"""Hash of a target's name, which identifies it in messages between entries.
+
+Owns no state.
+"""
 
 import xxhash
 
@@ -8,10 +11,10 @@
 
 
 def target_id(name: str) -> int:
-    """Return the 32 bits by which entries tell each other of a target.
+    """Return the 32-bit hash that identifies a target in messages between entries.
 
-    Among 3,000 targets two share them with a chance of 0.001. Two that end at the same
-    moment then count as one end; of two that name limits the newest word counts for
-    both.
+    The probability of a collision among 3,000 targets is 0.001. If two targets with the
+    same hash end at the same moment, only one end is counted. If both report limits,
+    the most recent limit applies to both.
     """
     return xxhash.xxh32_intdigest(name.encode())
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tests of the map from client networks to regions."""
+"""Tests of the map from client networks to home regions."""
 
 import ipaddress
 
@@ -12,7 +12,7 @@
 from leverdoor.model.resources import ClientBlocks
 
 
-def made(*chunks: list[tuple[str, str]]) -> ClientRegionMap:
+def build_map(*chunks: list[tuple[str, str]]) -> ClientRegionMap:
     return ClientRegionMap(
         {
             f"b{i}": compile_blocks(
@@ -46,15 +46,17 @@
     ],
 )
 def test_longest_prefix_wins(address: str, region: str) -> None:
-    block_map = made(
+    block_map = build_map(
         [("10.0.0.0/8", "a"), ("10.1.2.0/24", "c")],
         [("10.1.0.0/16", "b"), ("2001:db8::/32", "d")],
     )
     assert block_map.region(address) == region
 
 
-def test_the_ends_of_the_address_space() -> None:
-    block_map = made([("0.0.0.0/0", "a"), ("255.255.255.255/32", "b"), ("::/0", "c")])
+def test_networks_at_the_limits_of_the_address_space() -> None:
+    block_map = build_map(
+        [("0.0.0.0/0", "a"), ("255.255.255.255/32", "b"), ("::/0", "c")]
+    )
     assert block_map.region("0.0.0.0") == "a"
     assert block_map.region("255.255.255.255") == "b"
     assert block_map.region("ffff::") == "c"
@@ -72,24 +74,24 @@
     st.lists(st.lists(st.tuples(prefixes, st.sampled_from("abc")), max_size=8)),
     st.lists(st.integers(0, 2**32 - 1), min_size=1, max_size=20),
 )
-def test_agrees_with_a_plain_search(
-    chunks: list[list[tuple[str, str]]], asked: list[int]
+def test_map_agrees_with_linear_search(
+    chunks: list[list[tuple[str, str]]], numbers: list[int]
 ) -> None:
     seen: dict[str, str] = {}
     unique = [
         [(p, seen.setdefault(p, r)) for p, r in chunk if p not in seen]
         for chunk in chunks
     ]
-    block_map = made(*unique)
+    block_map = build_map(*unique)
     networks = [(ipaddress.ip_network(p), r) for p, r in seen.items()]
-    for number in asked:
+    for number in numbers:
         address = ipaddress.ip_address(number)
         matching = [(n.prefixlen, r) for n, r in networks if address in n]
         expected = max(matching)[1] if matching else ""
         assert block_map.region(str(address)) == expected
 
 
-def test_an_outline_names_every_region() -> None:
+def test_copy_without_networks_names_every_region() -> None:
     found = without_networks(
         ClientBlocks(name="x", networks={"a": ["10.0.0.0/8"], "b": []})
     )
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tests of resources: what is refused, with which code, naming which field."""
+"""Tests of resources: each rejection has the right error code and field."""
 
 import json
 
@@ -60,14 +60,14 @@
 WORKSPACE = BASE[-1]
 
 
-def base() -> dict[str, Resource]:
+def base_resources() -> dict[str, Resource]:
     found = parse_resources(json.dumps(BASE))
     result = validate(found, {})
     assert isinstance(result, Success)
     return result.unwrap()
 
 
-PARSING = [
+PARSE_ERRORS = [
     ("{", Code.MALFORMED, ""),
     ('{"kind": "nothing", "name": "x"}', Code.UNKNOWN_FIELD, "kind"),
     ('{"kind": "tier", "name": "x", "wieght": 1}', Code.UNKNOWN_FIELD, "wieght"),
@@ -95,8 +95,8 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "code", "field"), PARSING)
-def test_what_cannot_be_read_names_the_field(text: str, code: Code, field: str) -> None:
+@pytest.mark.parametrize(("text", "code", "field"), PARSE_ERRORS)
+def test_parse_error_names_the_field(text: str, code: Code, field: str) -> None:
     with pytest.raises(ConfigError) as e:
         parse_resource(text)
     assert (e.value.code, e.value.field) == (code, field)
@@ -110,21 +110,25 @@
     return {**WORKSPACE, **fields}
 
 
-def changed(at: int, **fields: object) -> dict[str, object]:
-    return {**BASE[at], **fields}
+def with_changes(index: int, **fields: object) -> dict[str, object]:
+    return {**BASE[index], **fields}
 
 
-CHECKS = [
-    (changed(3, service="none"), Code.DANGLING_REFERENCE, "service"),
-    (changed(3, region="none"), Code.DANGLING_REFERENCE, "region"),
-    (changed(3, domain="none"), Code.DANGLING_REFERENCE, "domain"),
-    (changed(3, address="host:80"), Code.UNKNOWN_FIELD, "address"),
-    (changed(3, address="10.0.0.1:0"), Code.UNKNOWN_FIELD, "address"),
-    (changed(3, connections=1), Code.CONTRADICTION, "connections"),
-    (changed(3, name="b"), Code.CONTRADICTION, "address"),
-    (changed(4, name="c2"), Code.CONTRADICTION, "service"),
-    (changed(2, name="t2", reserve_percent=41), Code.CONTRADICTION, "reserve_percent"),
-    (changed(2, name="t2", reserve_percent=1), Code.CONTRADICTION, "callers"),
+INCONSISTENT = [
+    (with_changes(3, service="none"), Code.DANGLING_REFERENCE, "service"),
+    (with_changes(3, region="none"), Code.DANGLING_REFERENCE, "region"),
+    (with_changes(3, domain="none"), Code.DANGLING_REFERENCE, "domain"),
+    (with_changes(3, address="host:80"), Code.UNKNOWN_FIELD, "address"),
+    (with_changes(3, address="10.0.0.1:0"), Code.UNKNOWN_FIELD, "address"),
+    (with_changes(3, connections=1), Code.CONTRADICTION, "connections"),
+    (with_changes(3, name="b"), Code.CONTRADICTION, "address"),
+    (with_changes(4, name="c2"), Code.CONTRADICTION, "service"),
+    (
+        with_changes(2, name="t2", reserve_percent=41),
+        Code.CONTRADICTION,
+        "reserve_percent",
+    ),
+    (with_changes(2, name="t2", reserve_percent=1), Code.CONTRADICTION, "callers"),
     ({"kind": "drain", "name": "d"}, Code.CONTRADICTION, "region"),
     (
         {"kind": "drain", "name": "d", "target": "a", "vm": "v"},
@@ -163,17 +167,17 @@
 ]
 
 
-@pytest.mark.parametrize(("resource", "code", "field"), CHECKS)
-def test_what_contradicts_is_refused(
+@pytest.mark.parametrize(("resource", "code", "field"), INCONSISTENT)
+def test_inconsistent_resource_is_rejected(
     resource: dict[str, object], code: Code, field: str
 ) -> None:
-    result = validate([parse_resource(json.dumps(resource))], base())
+    result = validate([parse_resource(json.dumps(resource))], base_resources())
     problem = result.failure()
     assert (problem.code, problem.field) == (code, field)
 
 
 @pytest.mark.parametrize("name", sorted(DEPLOYMENTS))
-def test_sample_deployments_are_valid_and_read_back(name: str) -> None:
+def test_sample_deployments_are_valid_and_round_trip(name: str) -> None:
     d = build(name)
     addresses = {t.name: f"10.0.0.{i + 1}:80" for i, t in enumerate(d.targets)}
     resources = d.resources + d.target_resources(addresses)
