--- a/leverdoor/platform/__init__.py
+++ b/leverdoor/platform/__init__.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The adapter to the users' platform: its names, formats and calls, no decisions.
+"""Adapter to the platform on which entries run: names, formats and calls.
 
-`program` runs an entry, `settings` reads its file, `names` has headers and paths,
-`documents` and `formats` the contents of the store, `store` its calls. The platform's
-words stay in this folder: zone for failure domain, tenant for workspace, server for
+`program` runs an entry, `settings` reads its settings file, `wire_format` defines
+headers and paths, `documents`, `formats` and `registrations` decode the contents of the
+metadata store, and `store` calls it. The adapter makes no decisions. Only this package
+uses the platform's terms: zone for failure domain, tenant for workspace, server for
 target, credential for workspace key.
 """
--- a/leverdoor/platform/__main__.py
+++ b/leverdoor/platform/__main__.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""`python -m leverdoor.platform`: runs an entry on the platform."""
+"""Runs an entry on the platform: `python -m leverdoor.platform`."""
 
 import sys
 
@@ -9,9 +9,9 @@
 
 
 def main() -> int:
-    """Take signals over before anything large is imported, then run.
+    """Install the signal handler before large imports, then run the entry.
 
-    Returns: the exit status.
+    Returns: the exit status of the process.
     """
     early = EarlyReload()
     read_no_certificates()
--- a/leverdoor/platform/documents.py
+++ b/leverdoor/platform/documents.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Documents that the operator keeps in the platform's store.
+"""The operator's configuration as a JSON document in the platform's store.
 
-Each is decoded once and turned into the product's resources. A field has a comment
-where the platform's name misleads. Owns no state.
+The document is decoded and converted to resources. Field names are the platform's;
+those that are misleading have a comment. Owns no state.
 """
 
 import msgspec
@@ -20,45 +20,57 @@
 
 __all__ = ["Config"]
 
-KINDS = {"safe": WorkClass.LOOKUP, "unsafe": WorkClass.ONCE, "upload": WorkClass.BULK}
-"""Kinds of routes: "safe" may run again, "unsafe" must run at most once."""
+WORK_CLASSES = {
+    "safe": WorkClass.LOOKUP,
+    "unsafe": WorkClass.ONCE,
+    "upload": WorkClass.BULK,
+}
+"""Work class by the kind of a route.
+
+"safe" requests may run more than once, "unsafe" requests must run at most once.
+"""
 
 
-class _Part(msgspec.Struct):
-    """A service and its part of a route's requests."""
+class _WeightedService(msgspec.Struct):
+    """A service and its weight in the traffic split of a route."""
 
     service: str
     weight: float
 
 
 class _Route(msgspec.Struct, rename="kebab"):
-    """A route; one that names a service and a split gets the sum of both."""
+    """A route.
+
+    If it names both a service and a traffic split, their weights are added.
+    """
 
     name: str
     host: str
     path_prefix: str
     kind: str
-    """One of `KINDS`; anything else is taken for what must run at most once."""
+    """A key of `WORK_CLASSES`; requests of any other kind must run at most once."""
     timeout_ms: float = 0
-    """0 for none."""
+    """0 for no timeout."""
     target_latency_ms: float = 0
-    """The latency that the operator aims at; 0 for none. No target is meant."""
+    """Latency objective, 0 for none; "target" here does not mean a back end."""
     priority: int = 0
-    """0 for the most urgent."""
+    """0 is the highest priority."""
     service: str = ""
-    traffic_split: list[_Part] = []
+    traffic_split: list[_WeightedService] = []
     max_attempts: int = 1
-    """Most targets that may get a request; those that were not reached are not
-    counted, see `entry.requests.retries`."""
+    """Maximum number of targets that may receive a request.
+
+    Targets that could not be reached do not count, see `entry.requests.retries`.
+    """
     session_affinity: bool = False
-    """Requests with the same affinity key go to the same target, if it is usable."""
+    """Send requests with equal affinity keys to the same target while it is usable."""
     home_regions: list[str] = []
-    """Regions that may serve it; all if empty."""
+    """Regions that may serve the route; empty for all."""
     allow_anonymous: bool = False
-    """Requests without a workspace key are served."""
+    """Serve requests without a workspace key."""
 
-    def resource(self) -> Route:
-        """Return it in the product's names."""
+    def to_resource(self) -> Route:
+        """Convert the document's fields to a route resource."""
         weights = {self.service: 1.0} if self.service else {}
         for part in self.traffic_split:
             weights[part.service] = weights.get(part.service, 0.0) + part.weight
@@ -66,7 +78,7 @@
             name=self.name,
             host=self.host,
             prefix=self.path_prefix,
-            work=KINDS.get(self.kind, WorkClass.ONCE),
+            work=WORK_CLASSES.get(self.kind, WorkClass.ONCE),
             services=weights,
             timeout_ms=round(self.timeout_ms),
             target_latency_ms=round(self.target_latency_ms),
@@ -79,19 +91,19 @@
 
 
 class _Tenant(msgspec.Struct, rename="kebab"):
-    """A workspace."""
+    """A workspace, which the platform calls a tenant."""
 
     name: str
     api_keys: list[str] = []
-    """Its workspace keys; only their digests go on."""
+    """Workspace keys; only their digests are passed on."""
     priority: int | None = None
-    """Goes before the route's; None to use the route's."""
+    """Overrides the priority of the route; None to use the priority of the route."""
     rate_per_s: float = 0.0
     burst: float = 0.0
     home_regions: list[str] = []
 
-    def resource(self) -> Workspace:
-        """Return it in the product's names."""
+    def to_resource(self) -> Workspace:
+        """Convert the document's fields to a workspace resource."""
         return Workspace(
             name=self.name,
             key_digests=[key_digest(key) for key in self.api_keys],
@@ -103,16 +115,16 @@
 
 
 class _Service(msgspec.Struct, rename="kebab"):
-    """A service; the kind of work stands at its routes."""
+    """A service; its work class is set by its routes."""
 
     name: str
     health_check_path: str = ""
     connection_limit: int = 0
     warmup_per_s: float = 0.0
-    """Requests a second that a cold target bears, of all entries together."""
+    """Requests per second that a cold target can serve, from all entries together."""
 
-    def resource(self) -> Service:
-        """Return it in the product's names."""
+    def to_resource(self) -> Service:
+        """Convert the document's fields to a service resource."""
         return Service(
             name=self.name,
             work=WorkClass.ONCE,
@@ -123,15 +135,15 @@
 
 
 class _Limits(msgspec.Struct, rename="kebab"):
-    """What a client may do."""
+    """Size limits and timeouts for requests of clients."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 67_108_864
     header_timeout_ms: float = 3_000
     idle_timeout_ms: float = 15_000
 
-    def resource(self) -> ClientLimits:
-        """Return it in the product's names."""
+    def to_resource(self) -> ClientLimits:
+        """Convert the document's fields to client limits resource."""
         return ClientLimits(
             name="limits",
             header_bytes=self.max_header_bytes,
@@ -142,7 +154,7 @@
 
 
 class Config(msgspec.Struct):
-    """The operator's configuration, one document."""
+    """The operator's configuration document."""
 
     version: str
     routes: list[_Route] = []
@@ -151,16 +163,16 @@
     tenants: list[_Tenant] = []
 
     def service_names(self) -> set[str]:
-        """Return the services that are described, or that a route leads to."""
+        """Return the names of all services that are defined or used by a route."""
         names = {s.name for s in self.services}
         for route in self.routes:
-            names |= route.resource().services.keys()
+            names |= route.to_resource().services.keys()
         return names
 
-    def resources(self) -> list[Resource]:
-        """Return all that it describes, in the product's names."""
-        found: list[Resource] = [r.resource() for r in self.routes]
-        found += [s.resource() for s in self.services]
-        found += [t.resource() for t in self.tenants]
-        found.append(self.limits.resource())
+    def to_resources(self) -> list[Resource]:
+        """Convert the document to resources."""
+        found: list[Resource] = [r.to_resource() for r in self.routes]
+        found += [s.to_resource() for s in self.services]
+        found += [t.to_resource() for t in self.tenants]
+        found.append(self.limits.to_resource())
         return found
--- a/leverdoor/platform/formats.py
+++ b/leverdoor/platform/formats.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Translates the keys of the platform's store into the product's resources.
+"""Translates the contents of the platform's store and target headers.
 
-Owns the last configuration that could be read, and the targets as they were translated,
-so that only what changed is decoded; lost with the process.
+`Translator` owns the last valid configuration and the translated targets, so that it
+decodes only keys that changed. This state is lost with the process and rebuilt from the
+store.
 """
 
 import re
@@ -17,8 +18,8 @@
 from leverdoor.model.resources import Drain, Region, Resource, Target
 from leverdoor.platform.documents import Config
 from leverdoor.platform.registrations import (
-    BadRegistration,
-    Places,
+    AllowedReferences,
+    InvalidRegistrationError,
     read_registration,
 )
 from leverdoor.storage.store import KeyValue
@@ -34,38 +35,41 @@
 ]
 
 CONFIG_KEY = "op/config"
-"""The key of the operator's configuration."""
+"""Key of the operator's configuration."""
 EVACUATION_PREFIX = "op/evacuate/"
-"""A key below it names a failure domain that gets no new requests."""
+"""Prefix of keys that each name a failure domain to be drained of new requests."""
 REGISTRATION_PREFIX = "servers/"
-"""Below it targets register, each under its name."""
+"""Prefix under which each target registers by its name."""
 ENTRY_PREFIX = "leverdoor/entries/"
-"""Below it entries register, each under its name."""
+"""Prefix under which each entry registers by its name."""
 QUARANTINE_PREFIX = "leverdoor/quarantine/"
-"""Below it stand the requests that are held back, each under its fingerprint."""
-LOAD_FIGURES = 3
-"""Figures of a target's load: running, waiting, slots."""
-TURNED_AWAY = 503
-"""HTTP status of an answer that may ask for rest; elsewhere its header means others."""
-SECONDS = re.compile(r"[0-9]+(\.[0-9]+)?")
-"""A plain decimal number, of any length; a date is none."""
+"""Prefix of quarantine records; each is stored by its request fingerprint."""
+LOAD_FIELD_COUNT = 3
+"""Number of fields in a load header: running, waiting, slots."""
+SERVICE_UNAVAILABLE = 503
+"""HTTP status with which a target may request a pause.
+
+With other statuses the header has a different meaning.
+"""
+SECONDS_PATTERN = re.compile(r"[0-9]+(\.[0-9]+)?")
+"""A decimal number of any length; dates do not match."""
 LEAVES, STAYS = "1", "0"
-"""What a target may say of whether it leaves."""
-LIMIT = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
-"""A plain decimal number: no sign, no exponent, no other base, and finite."""
+"""Values of the header by which a target announces that it is leaving."""
+LIMIT_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
+"""A finite decimal number without sign, exponent or base prefix."""
 
 
 class Translator:
-    """Turns the store's keys into resources; unchanged ones only once."""
+    """Translates the store's keys to resources; decodes each revision only once."""
 
     def __init__(self, zones: Mapping[str, str]) -> None:
-        """Create it.
+        """Create a translator without a configuration.
 
         Args:
-          zones: each failure domain's region.
+          zones: region of each failure domain.
         """
         self._zones = zones
-        """Each failure domain's region."""
+        """Region by failure domain."""
         self._regions = [
             Region(name=r, domains=sorted(z for z, of in zones.items() if of == r))
             for r in sorted(set(zones.values()))
@@ -73,17 +77,17 @@
         self._config_revision = 0
         self._config = Config(version="")
         self._config_resources: list[Resource] = []
-        self._places = Places(zones, frozenset())
+        self._allowed = AllowedReferences(zones, frozenset())
         self._targets: dict[str, tuple[int, Target]] = {}
-        """By key, with the revision that was translated."""
+        """Translated targets and their revisions, by key."""
         self._left_out: dict[str, LeftOut] = {}
-        """Those of which nothing is used, by key."""
+        """Rejected registrations, by key."""
 
     def __call__(self, entries: Mapping[str, KeyValue]) -> Configured:
-        """Translate all keys of the store."""
+        """Translate all keys of the store to resources."""
         config = entries.get(CONFIG_KEY)
         if config is not None and config.revision != self._config_revision:
-            self._take_config(config)
+            self._apply_config(config)
         resources = [*self._regions, *self._config_resources]
         peers: dict[str, bytes] = {}
         held: dict[str, KeyValue] = {}
@@ -93,7 +97,7 @@
             if key.startswith(REGISTRATION_PREFIX):
                 try:
                     targets[key] = self._target(entry)
-                except _LeftOutError as e:
+                except _RejectedError as e:
                     left_out[key] = e.left_out
             elif key.startswith(EVACUATION_PREFIX):
                 zone = key.removeprefix(EVACUATION_PREFIX)
@@ -105,53 +109,53 @@
         self._targets = targets
         self._left_out = left_out
         resources += [target for _, target in targets.values()]
-        bad = list(left_out.values())
-        return Configured(self._config.version, resources, peers, held, bad)
+        rejected = list(left_out.values())
+        return Configured(self._config.version, resources, peers, held, rejected)
 
-    def _take_config(self, entry: KeyValue) -> None:
-        """Read a new configuration; one that can't be read leaves the last in force."""
+    def _apply_config(self, entry: KeyValue) -> None:
+        """Apply a new configuration; keep the previous one if it cannot be decoded."""
         try:
             config = msgspec.json.decode(entry.value, type=Config)
-            self._config_resources = config.resources()
+            self._config_resources = config.to_resources()
             self._config = config
-            self._take_services(config)
+            self._apply_services(config)
         except msgspec.MsgspecError as e:
             logger.error("configuration not taken", key=entry.key, error=str(e))
         self._config_revision = entry.revision
 
-    def _take_services(self, config: Config) -> None:
-        """Take the services that targets may be of, and look at all targets again."""
+    def _apply_services(self, config: Config) -> None:
+        """Update the known services; if they changed, check all targets again."""
         services = frozenset(config.service_names())
-        if services != self._places.services:
-            self._places = Places(self._zones, services)
+        if services != self._allowed.services:
+            self._allowed = AllowedReferences(self._zones, services)
             self._targets = {}
             self._left_out = {}
 
     def _target(self, entry: KeyValue) -> tuple[int, Target]:
-        """Return a target with its revision.
+        """Return the target of a registration and the revision of its key.
 
         Raises:
-          _LeftOutError: the registration names none to use.
+          _RejectedError: the registration is invalid.
         """
         known = self._targets.get(entry.key)
         if known is not None and known[0] == entry.revision:
             return known
-        bad = self._left_out.get(entry.key)
-        if bad is not None and bad.revision == entry.revision:
-            raise _LeftOutError(bad)
+        rejected = self._left_out.get(entry.key)
+        if rejected is not None and rejected.revision == entry.revision:
+            raise _RejectedError(rejected)
         name = entry.key.removeprefix(REGISTRATION_PREFIX)
         try:
-            return entry.revision, read_registration(name, entry.value, self._places)
-        except BadRegistration as e:
+            return entry.revision, read_registration(name, entry.value, self._allowed)
+        except InvalidRegistrationError as e:
             left_out = LeftOut(name, e.cause.value, str(e), entry.revision)
-            raise _LeftOutError(left_out) from None
+            raise _RejectedError(left_out) from None
 
 
-class _LeftOutError(Exception):
-    """A registration is left out.
+class _RejectedError(Exception):
+    """A registration was rejected.
 
     Attributes:
-      left_out: which, and why.
+      left_out: the registration and the reason.
     """
 
     def __init__(self, left_out: LeftOut) -> None:
@@ -162,65 +166,67 @@
 def parse_load(text: str) -> TargetLoad | None:
     """Parse the load that a target reports: running, waiting, slots.
 
-    The figure for running requests still counts the one that is being answered: of
-    12,000 loads reported under high and low load none was below one. It has ended for
-    the reader, so it is taken off here.
+    The number of running requests includes the request that carries the report: none of
+    12,000 reports under high and low load was below one. That request has ended for the
+    receiver, so it is subtracted.
 
-    Returns: None if the text is not a load.
+    Returns: the load, or None if the text is not a load.
     """
     parts = text.split(",")
-    if len(parts) != LOAD_FIGURES or not all(p.strip().isdigit() for p in parts):
+    if len(parts) != LOAD_FIELD_COUNT or not all(p.strip().isdigit() for p in parts):
         return None
     running, waiting, slots = (int(p) for p in parts)
     return TargetLoad(max(running - 1, 0), waiting, slots)
 
 
 def parse_limit(values: Sequence[str]) -> float | None:
-    """Parse the limit that a target names: requests a second, a decimal number.
+    """Parse the rate limit that a target reports.
 
     Args:
-      values: of all headers that should have it.
-    Returns: None if there is no such header.
+      values: the values of all headers with the limit.
+    Returns: requests per second, or None if there is no header.
     Raises:
-      UnreadableLimit: there are several, or what is there is no plain decimal number.
-        It is never taken for a limit of zero.
+      UnreadableLimit: there are several headers, or the value is not a plain decimal
+        number. An invalid value is never treated as a limit of zero.
     """
     if not values:
         return None
-    if len(values) > 1 or not LIMIT.fullmatch(values[0].strip()):
+    if len(values) > 1 or not LIMIT_PATTERN.fullmatch(values[0].strip()):
         raise UnreadableLimit(", ".join(values))
     return float(values[0])
 
 
 def parse_leaving(values: Sequence[str]) -> bool:
-    """Parse whether a target says that it leaves.
+    """Parse whether a target announces that it is leaving.
 
     Args:
-      values: of all headers that should say so.
-    Returns: False if there is no such header.
+      values: the values of all headers with the announcement.
+    Returns: whether the target is leaving; False if there is no header.
     Raises:
-      UnreadableReport: one says neither, or they differ.
+      UnreadableReport: a value is neither "0" nor "1", or the values differ.
     """
-    said = {value.strip() for value in values}
-    if not said or said == {STAYS}:
+    reported = {value.strip() for value in values}
+    if not reported or reported == {STAYS}:
         return False
-    if said != {LEAVES}:
+    if reported != {LEAVES}:
         raise UnreadableReport(", ".join(values))
     return True
 
 
 def parse_rest(status: int, values: Sequence[str]) -> float | None:
-    """Parse the rest that a target asks for with an answer, in seconds.
+    """Parse the pause that a target requests with a response.
 
     Args:
-      status: the answer's HTTP status.
-      values: of all headers that should name it.
-    Returns: None if the target asks for none; infinity for a number beyond a float's.
+      status: the HTTP status of the response.
+      values: the values of all headers with the pause.
+    Returns: the pause in seconds, or None if the target requests none; infinity if the
+      number exceeds the range of a float.
     Raises:
-      UnreadableReport: there are several, or what is there is no plain decimal number.
+      UnreadableReport: there are several headers, or the value is not a plain decimal
+        number.
     """
-    if status != TURNED_AWAY or not values:
+    if status != SERVICE_UNAVAILABLE or not values:
         return None
-    if len(values) > 1 or not SECONDS.fullmatch(values[0].strip()):
+    if len(values) > 1 or not SECONDS_PATTERN.fullmatch(values[0].strip()):
         raise UnreadableReport(", ".join(values))
     return float(values[0])
--- a/leverdoor/platform/program.py
+++ b/leverdoor/platform/program.py
@@ -1,8 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Reads the settings file, connects an entry to the platform, and runs it.
+"""Reads the settings file and runs an entry that uses the platform's store.
 
-Owns the log's writer; flushes it at the end of the process.
+Owns the log writer, which it flushes before the process ends; lines that are still
+buffered at a crash are lost.
 """
 
 import os
@@ -23,11 +24,11 @@
 __all__ = ["run_entry"]
 
 SETTINGS_VARIABLE = "LEVERDOOR_SETTINGS"
-"""The environment variable that has the path of the settings file."""
+"""Environment variable with the path of the settings file."""
 
 
 def settings_path() -> Path:
-    """Return where the settings file lies."""
+    """Return the path of the settings file."""
     return Path(os.environ.get(SETTINGS_VARIABLE, ""))
 
 
@@ -35,7 +36,7 @@
     """Read the settings file.
 
     Raises:
-      SettingsError: it is not there, or a field is missing or wrong.
+      SettingsError: the file cannot be read, or a field is missing or invalid.
     """
     path = settings_path()
     try:
@@ -45,11 +46,11 @@
 
 
 def run_entry(early: EarlyReload) -> int:
-    """Run until stopped.
+    """Run an entry until it is stopped.
 
     Args:
-      early: whether a reload came before the loop runs, and is still due.
-    Returns: the exit status.
+      early: records a reload signal that arrives before the event loop runs.
+    Returns: the exit status of the process.
     """
     try:
         settings = read_settings()
--- a/leverdoor/platform/registrations.py
+++ b/leverdoor/platform/registrations.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Whether what stands under a target's key in the store names a target to use.
+"""Validates the registrations of targets in the platform's store.
 
-Any writer may have written it. Each field is checked for type and range here and
-nowhere else: what is taken can be sent to, and encoded by all that carries it.
-Owns no state; relies on the deployment's failure domains and on the services of the
-operator's configuration.
+Any writer can write to the store. The type and range of each field are checked here and
+nowhere else: requests can be sent to an accepted target, and every message that
+contains it can be encoded. Owns no state; relies on the failure domains of the
+deployment and the services of the operator's configuration.
 """
 
 import re
@@ -20,105 +20,115 @@
 from leverdoor.model.resources import Target
 from leverdoor.settings import parse_address
 
-__all__ = ["BadRegistration", "Cause", "Places", "read_registration"]
-
-MOST_SLOTS = 10_000
-"""Requests that a target may run at a time, as for targets of plain sites."""
-LONGEST_COLD_MS = 3_600_000.0
-"""Longest warm-up that is believed, in ms: an hour."""
-MOST_COUNTED = (1 << 63) - 1
-"""Greatest whole number of a count or a time."""
-LONGEST_NAME = 200
-"""Characters of a name; the store's keys have no more."""
+__all__ = [
+    "InvalidRegistrationError",
+    "Cause",
+    "AllowedReferences",
+    "read_registration",
+]
+
+MAX_SLOTS = 10_000
+"""Maximum number of concurrent requests of a target, as for `Target` resources."""
+MAX_COLD_MS = 3_600_000.0
+"""Maximum remaining warm-up time that is accepted, in ms: one hour."""
+MAX_INT64 = (1 << 63) - 1
+"""Maximum value of a counter or a timestamp."""
+MAX_NAME_LENGTH = 200
+"""Maximum length of a name in characters; keys of the store are not longer."""
 OCTET = r"(?:25[0-5]|2[0-4]\d|1\d\d|[1-9]?\d)"
 FIRST_OCTET = r"(?:22[0-3]|2[01]\d|1\d\d|[1-9]\d?)"
-"""Of a host's address: neither 0 nor one of several hosts."""
+"""First octet of a unicast address: neither 0 nor multicast or reserved."""
 PORT = r"(?:6553[0-5]|655[0-2]\d|65[0-4]\d\d|6[0-4]\d{3}|[1-5]\d{4}|[1-9]\d{0,3})"
 IPV4_ADDRESS = re.compile(rf"{FIRST_OCTET}(?:\.{OCTET}){{3}}:{PORT}", re.ASCII)
-"""The usual form, which is checked without the slower general parser."""
+"""IPv4 address and port; matched without the slower general parser."""
 
 
 class Cause(StrEnum):
-    """Why a registration names no target to use."""
+    """Reason why a registration is rejected."""
 
     UNREADABLE = "unreadable"
-    """Not the document of a target: bytes, types, missing fields, ranges, state."""
+    """Invalid JSON, a missing field, or a field of the wrong type or range."""
     NAME = "name"
     ADDRESS = "address"
     DOMAIN = "domain"
-    """A failure domain that the deployment doesn't have."""
+    """The failure domain does not exist in the deployment."""
     SERVICE = "service"
-    """A service that the operator's configuration doesn't name."""
+    """The service does not exist in the operator's configuration."""
 
 
-class BadRegistration(Exception):
-    """A registration names no target to use.
+class InvalidRegistrationError(Exception):
+    """A registration is invalid.
 
     Attributes:
-      cause: what is wrong.
+      cause: the reason for the rejection.
     """
 
     def __init__(self, cause: Cause, detail: str) -> None:
-        """Create it with what was found."""
+        """Create the error.
+
+        Args:
+          cause: the reason for the rejection.
+          detail: the invalid value, or the message of the decoder.
+        """
         super().__init__(detail)
         self.cause = cause
 
 
-class Places(msgspec.Struct, frozen=True):
-    """What registrations may refer to."""
+class AllowedReferences(msgspec.Struct, frozen=True):
+    """Failure domains and services to which registrations may refer."""
 
     zones: Mapping[str, str]
-    """Each failure domain's region."""
+    """Region by failure domain."""
     services: Container[str]
 
 
 class _Server(msgspec.Struct, rename="kebab"):
-    """What a target writes of itself under its lease; all fields are always there."""
+    """The document that a target writes under its lease; only `born` is optional."""
 
     service: str
     address: str
     zone: str
-    """Its failure domain."""
+    """Failure domain."""
     version: str
-    """Of its software."""
-    slots: Annotated[int, Meta(ge=1, le=MOST_SLOTS)]
+    """Software version."""
+    slots: Annotated[int, Meta(ge=1, le=MAX_SLOTS)]
     state: Literal["ready", "draining"]
-    cold_remaining_ms: Annotated[float, Meta(ge=0.0, le=LONGEST_COLD_MS)]
-    """How much longer it is cold, from when this was written."""
-    sequence: Annotated[int, Meta(ge=0, le=MOST_COUNTED)]
-    """Grows each time that this is written."""
-    born: Annotated[int, Meta(ge=0, le=MOST_COUNTED)] | msgspec.UnsetType = (
-        msgspec.UNSET
-    )
-    """Start of its process, in ms since the epoch; not all deployments tell it."""
+    cold_remaining_ms: Annotated[float, Meta(ge=0.0, le=MAX_COLD_MS)]
+    """Remaining warm-up time, counted from this write."""
+    sequence: Annotated[int, Meta(ge=0, le=MAX_INT64)]
+    """Increases with each write."""
+    born: Annotated[int, Meta(ge=0, le=MAX_INT64)] | msgspec.UnsetType = msgspec.UNSET
+    """Start of the process, in ms since the epoch; some deployments omit it."""
 
 
 _DECODER = msgspec.json.Decoder(_Server)
 
 
-def read_registration(name: str, data: bytes, places: Places) -> Target:
-    """Return the target that a registration names.
+def read_registration(name: str, data: bytes, allowed: AllowedReferences) -> Target:
+    """Decode and validate the registration of a target.
 
     Args:
-      name: the target's, from its key.
-      data: what stands there.
-      places: what it may refer to.
+      name: the name of the target, from the key.
+      data: the value of the key.
+      allowed: the failure domains and services to which it may refer.
+    Returns: the registered target.
     Raises:
-      BadRegistration: it names none to use.
+      InvalidRegistrationError: the name or a field is invalid, or the failure domain or
+        service does not exist.
     """
-    if not _fits_header(name):
-        raise BadRegistration(Cause.NAME, repr(name))
+    if not _is_header_safe(name):
+        raise InvalidRegistrationError(Cause.NAME, repr(name))
     try:
         server = _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as e:
-        raise BadRegistration(Cause.UNREADABLE, str(e)) from None
-    region = places.zones.get(server.zone)
+        raise InvalidRegistrationError(Cause.UNREADABLE, str(e)) from None
+    region = allowed.zones.get(server.zone)
     if region is None:
-        raise BadRegistration(Cause.DOMAIN, repr(server.zone))
-    if server.service not in places.services:
-        raise BadRegistration(Cause.SERVICE, repr(server.service))
-    if not _is_host_and_port(server.address):
-        raise BadRegistration(Cause.ADDRESS, repr(server.address))
+        raise InvalidRegistrationError(Cause.DOMAIN, repr(server.zone))
+    if server.service not in allowed.services:
+        raise InvalidRegistrationError(Cause.SERVICE, repr(server.service))
+    if not _is_ip_and_port(server.address):
+        raise InvalidRegistrationError(Cause.ADDRESS, repr(server.address))
     return Target(
         name=name,
         service=server.service,
@@ -131,23 +141,23 @@
     )
 
 
-def _fits_header(name: str) -> bool:
-    """Return whether a name can go into a header: printable ASCII without blanks."""
-    if not 0 < len(name) <= LONGEST_NAME:
+def _is_header_safe(name: str) -> bool:
+    """Return whether a name is valid in a header: printable ASCII without spaces."""
+    if not 0 < len(name) <= MAX_NAME_LENGTH:
         return False
     return name.isascii() and name.isprintable() and " " not in name
 
 
-def _is_host_and_port(text: str) -> bool:
-    """Return whether a text is the IP address of a host, and a port.
+def _is_ip_and_port(text: str) -> bool:
+    """Return whether a text is a unicast IP address and a port.
 
-    Loopback is one: a target may run beside its entry.
+    Loopback addresses are valid because a target may run on the host of its entry.
     """
-    return bool(IPV4_ADDRESS.fullmatch(text)) or _is_other_host_and_port(text)
+    return bool(IPV4_ADDRESS.fullmatch(text)) or _is_ipv6_and_port(text)
 
 
-def _is_other_host_and_port(text: str) -> bool:
-    """Return the same for IPv6, whose host stands in brackets."""
+def _is_ipv6_and_port(text: str) -> bool:
+    """Return whether a text is an IPv6 address in brackets and a port."""
     if not text.startswith("[") or not text.isascii():
         return False
     try:
--- a/leverdoor/platform/settings.py
+++ b/leverdoor/platform/settings.py
@@ -1,8 +1,8 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The settings file of a process on the platform, and its translation.
+"""Decodes the platform's settings file and converts it to entry settings.
 
-Fields have the file's names; unknown ones are passed over. Owns no state.
+Fields have the names of the file; unknown fields are ignored. Owns no state.
 """
 
 import msgspec
@@ -15,27 +15,28 @@
 __all__ = ["METRICS_PORT", "PlatformSettings", "parse_settings"]
 
 METRICS_PORT = 9464
-"""As `deploy/system.toml` says; the other ports are given at each deployment."""
+"""Port of the metrics, as in `deploy/system.toml`; deployments set all other ports."""
 GOSSIP_OFFSET = 0
-"""Place of the heartbeat port in the range that is kept free for entries."""
+"""Offset of the heartbeat port in the internal port range."""
 PULL_OFFSET = 1
-"""Place of the port for fetching the state, in the same range."""
+"""Offset of the port for state transfer in the internal port range."""
 
 
 LOOKUP_TTL_S = 2.0
-"""How long clients may keep a look-up, in seconds, if the deployment allows it.
+"""Time for which clients may cache a look-up, in seconds, if the deployment allows it.
 
-A leaving entry accepts connections for that long (`entry.daemon`). Greater, a stop
-takes longer and clients go on to dead entries; smaller, there are more look-ups.
+A leaving entry accepts connections for this time (`entry.daemon`). With a greater value
+a stop takes longer and clients use dead entries for longer; with a smaller value there
+are more look-ups.
 """
 
 
-class _Names(msgspec.Struct, rename="kebab"):
-    """Fields are spelled with hyphens; unknown ones are passed over."""
+class _KebabStruct(msgspec.Struct, rename="kebab"):
+    """Base of structs whose field names have hyphens; ignores unknown fields."""
 
 
-class _Listen(_Names):
-    """Addresses as `ip:port`."""
+class _Listen(_KebabStruct):
+    """Addresses on which the entry listens, as `ip:port`."""
 
     frontend: str
     ready: str
@@ -58,58 +59,58 @@
         "revocation_ms": "revocation-ms",
     },
 ):
-    """Bounds that the operator sets."""
+    """Limits that the operator sets."""
 
     grace_s: float = 6.0
-    """How long a planned stop of an entry may take."""
+    """Maximum duration of a planned stop of an entry."""
     drain_ms: float = 2_500.0
-    """Within which time a leaving target must get no new requests."""
+    """Time within which a leaving target must stop receiving new requests."""
     repeat_ratio: float = 0.2
-    """Retries of all entries together, as a share of requests."""
+    """Maximum retries of all entries together, as a fraction of requests."""
     repeat_slack: float = 64.0
-    """Retries of all entries together beyond that."""
+    """Retries of all entries together that are permitted in addition."""
     ttl_max_s: float = 5.0
-    """Longest time for which a client may keep a look-up."""
+    """Maximum time for which a client may cache a look-up."""
     max_shift: float = 0.15
-    """Largest share of a region's requests that may change region in 2 s."""
+    """Maximum fraction of a region's requests that may change region in 2 s."""
     quota_window_s: float = 5.0
     quota_overshoot: float = 0.1
-    """As a share of a quota."""
+    """Permitted excess over a quota, as a fraction of the quota."""
     quota_slack: float = 20.0
-    """In requests, beyond the overshoot."""
+    """Permitted excess beyond the overshoot, in requests."""
     strict_revocation: bool = False
-    """Refuse keys that may have been revoked for longer than `revocation_ms`."""
+    """Reject keys that may have been revoked for longer than `revocation_ms`."""
     revocation_ms: float = 5_000.0
 
     def quotas(self) -> QuotaBounds:
-        """Return how far the use of a quota may go beyond it."""
+        """Return by how much usage may exceed a quota."""
         return QuotaBounds(self.quota_window_s, self.quota_overshoot, self.quota_slack)
 
     def confirm_within_s(self) -> float:
-        """Return the age of the store's last answer at which keys are refused.
+        """Return the age of the store's last response from which keys are rejected.
 
-        Returns: seconds; 0 for never.
+        Returns: seconds; 0 if keys are never rejected for this reason.
         """
         return self.revocation_ms / 1000 if self.strict_revocation else 0.0
 
 
-class _Limits(_Names):
-    """What the VM has."""
+class _Limits(_KebabStruct):
+    """Resources of the VM."""
 
     link_bandwidth_mbps: float = 0.0
 
 
 class _Store(msgspec.Struct):
-    """The metadata store."""
+    """Address and rate limits of the metadata store."""
 
     address: str
     writes_per_s: float = 400.0
-    """Writing calls that it takes in a second, of all entries together."""
+    """Write calls per second that the store accepts from all entries together."""
     reads_per_s: float = 2_000.0
-    """The same for reading calls."""
+    """Read calls per second that the store accepts from all entries together."""
 
 
-class PlatformSettings(_Names):
+class PlatformSettings(_KebabStruct):
     """The settings file of one entry."""
 
     node_name: str
@@ -118,19 +119,19 @@
     """The VM's failure domain."""
     region: str
     zones: dict[str, str]
-    """All failure domains, each with its region."""
+    """Region by failure domain, for all failure domains."""
     listen_addresses: _Listen
     internal_port_range: list[int]
-    """First and last port that are kept free for traffic among entries."""
+    """First and last port reserved for traffic between entries."""
     platform: _Store
-    """The metadata store, which is all that an entry uses of the platform."""
+    """The metadata store, the only service of the platform that an entry calls."""
     bootstrap: bool = False
-    """No entry of the deployment ran before."""
+    """Whether this is the first start of the deployment."""
     limits: _Limits = msgspec.field(default_factory=_Limits)
     bounds: _Bounds = msgspec.field(default_factory=_Bounds)
 
     def entry(self) -> EntrySettings:
-        """Return the settings in the product's names."""
+        """Convert the file's fields to entry settings."""
         listen = self.listen_addresses
         first = self.internal_port_range[0]
         return EntrySettings(
@@ -163,7 +164,7 @@
     """Parse a settings file.
 
     Raises:
-      SettingsError: a field is missing or wrong; its name is in the text.
+      SettingsError: a field is missing or invalid; the message names it.
     """
     try:
         return msgspec.json.decode(data, type=PlatformSettings)
--- a/leverdoor/platform/store.py
+++ b/leverdoor/platform/store.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's metadata store over HTTP, behind the product's `LeasingStore`.
+"""`LeasingStore` over the HTTP API of the platform's metadata store.
 
-Tells calls that were not taken (`StoreUnavailable`) from calls whose outcome is unknown
-(`StoreUnknown`); retries are up to the callers. Owns the connections to the store.
+Distinguishes calls that the store did not execute (`StoreUnavailable`) from calls whose
+outcome is unknown (`StoreUnknown`). Callers decide whether to retry. Owns the
+connections to the store, which are closed by `close` or with the process.
 """
 
 import asyncio
@@ -31,131 +32,137 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S = 2.0
-"""Longest time of a call, in seconds; a slow store takes 60 times its 4 ms."""
+"""Timeout of a call, in seconds; a slow store takes 60 times the normal 4 ms."""
 WATCH_WAIT_MS = 2_500
-"""How long a watch may wait, in ms.
+"""Maximum time for which the store may hold a watch call open, in ms.
 
-Greater, a silent store is noticed later; smaller, each follower makes more calls.
+With a greater value a silent store is detected later; with a smaller value each
+follower makes more calls.
 """
 FIRST_WAIT_MS = 50
-"""Wait of a watch's first call in ms: the return of a lost store shows soon."""
-FIRST_ANSWER_S = 0.4
-"""Time beyond that wait after which the first call is made again, in seconds.
-
-Over another connection: the first packet of one may be lost, which TCP sends again
-after a second, or a kept one may have gone silent. Two round trips between regions and
-a slow store's answer fit. Shorter, more calls to a slow store; longer, an entry that
-asks out of turn is later by as much.
+"""Maximum time for which the store may hold a watch's first call open, in ms.
+
+It is short so that the recovery of an unavailable store is detected soon.
+"""
+FIRST_CALL_SLACK_S = 0.4
+"""Time after `FIRST_WAIT_MS` at which the first call is repeated, in seconds.
+
+The repetition uses another connection: TCP retransmits a lost first packet only after a
+second, and a kept connection may have gone silent. The time covers two round trips
+between regions and the response of a slow store. With a smaller value a slow store
+receives more calls; with a greater value an entry that calls ahead of its schedule is
+delayed by the difference.
 """
 WATCH_SLACK_S = 0.75
-"""Time beyond that wait after which the store counts as silent, in seconds.
+"""Time after the wait of a watch call at which the store is considered silent.
 
-A slow one takes 60 times its 4 ms, and a new connection two round trips between
-regions.
+In seconds. A slow store takes 60 times the normal 4 ms, and opening a connection takes
+two round trips between regions.
 """
 IDLE_S = 1.0
-"""How long an idle connection for reads is used again, in seconds.
+"""Maximum idle time after which a connection for reads is reused, in seconds.
 
-It may have gone silent without a reset, which costs a call its whole time. A watch
-leaves its connection idle for `GATHER_S`. Longer, a call out of turn may be late;
-shorter, watches open connections.
+An idle connection may have gone silent without a reset; a call over it then takes its
+whole timeout. A watch leaves its connection idle for `EVENT_BATCH_DELAY_S`. With a
+greater value a call ahead of schedule may be late; with a smaller value watches open
+new connections.
 """
-GATHER_S = 0.1
-"""Pause after a watch's events, in seconds, so that those that follow come together.
+EVENT_BATCH_DELAY_S = 0.1
+"""Delay after a watch returned events, in seconds, so that later events are batched.
 
-Greater, changes are later; smaller, each of several changes costs a call and a
-compilation at all entries.
+With a greater value changes arrive later; with a smaller value each of several changes
+costs a call and a compilation at all entries.
 """
 
 
-class _Item(msgspec.Struct, rename={"key": "private-key"}):
-    """A key with its value, or a change of one."""
+class _KeyRecord(msgspec.Struct, rename={"key": "private-key"}):
+    """A key with its value, or a change of a key."""
 
     key: str
-    """The platform calls it "private-key"; nothing about it is secret."""
+    """Encoded as "private-key" by the platform, although it is not secret."""
     revision: int
     value: bytes = b""
     gone: bool = False
-    """The key was removed, or its lease is over."""
+    """The key was removed or its lease expired."""
     lease: int = 0
-    """0 for none."""
+    """Lease of the key; 0 for none."""
 
     def key_value(self) -> KeyValue:
-        """Return it as a key that is there."""
+        """Convert the record to an existing key."""
         return KeyValue(self.key, self.value, self.revision, self.lease)
 
     def event(self) -> Event:
-        """Return it as a change."""
+        """Convert the record to a change event."""
         return Event(self.revision, self.key, None if self.gone else self.value)
 
 
-class _Range(msgspec.Struct):
-    """One page of keys."""
+class _RangePage(msgspec.Struct):
+    """One page of a range of keys."""
 
-    items: list[_Item]
+    items: list[_KeyRecord]
     more: bool
     at: int
-    """The store's revision."""
+    """Revision of the store."""
 
 
-class _Events(msgspec.Struct):
-    """What a watch returned."""
+class _WatchReply(msgspec.Struct):
+    """The response to a watch call."""
 
-    events: list[_Item]
+    events: list[_KeyRecord]
     at: int
-    """The store's revision, after which the next watch begins."""
+    """Revision of the store, after which the next watch starts."""
 
 
-class _Done(msgspec.Struct):
-    """A transaction that was done."""
+class _TransactionReply(msgspec.Struct):
+    """The response to a committed transaction."""
 
     revision: int
 
 
-class _Lease(msgspec.Struct):
-    """A lease that was given."""
+class _LeaseReply(msgspec.Struct):
+    """The response to a request for a lease."""
 
     lease: int
 
 
 class CallTimeoutError(StoreUnknown):
-    """No answer came within the time of a call."""
+    """The store did not respond within the timeout of a call."""
 
 
 class PlatformStore(LeasingStore):
-    """The store over HTTP; each method is one call, `read` one for each page."""
+    """Client of the store; each method is one call, a read makes one call per page."""
 
     def __init__(self, address: str) -> None:
-        """Create a client; nothing is opened yet.
+        """Create a client without opening a connection.
 
         Args:
           address: the store's `ip:port`.
         """
         self._base = f"http://{address}/api/"
-        self._reading: aiohttp.ClientSession | None = None
-        self._writing: aiohttp.ClientSession | None = None
+        self._read_session: aiohttp.ClientSession | None = None
+        self._write_session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
-        """Close the connections."""
-        for session in (self._reading, self._writing):
+        """Close all connections."""
+        for session in (self._read_session, self._write_session):
             if session is not None:
                 await session.close()
-        self._reading = self._writing = None
+        self._read_session = self._write_session = None
 
     def _session(self, method: str) -> aiohttp.ClientSession:
-        """Return the session for a method; reads have connections of their own."""
+        """Return the session for an HTTP method; reads have separate connections."""
         if method == "GET":
-            self._reading = self._reading or new_session(idle_s=IDLE_S)
-            return self._reading
-        self._writing = self._writing or new_session()
-        return self._writing
+            self._read_session = self._read_session or new_session(idle_s=IDLE_S)
+            return self._read_session
+        self._write_session = self._write_session or new_session()
+        return self._write_session
 
     async def read(self, prefix: str) -> Listing:
-        """Read all keys under a prefix; the revision is the first page's."""
+        """Read all keys under a prefix, with the revision of the first page."""
         return await self._list({"path-prefix": prefix})
 
     async def read_stale(self, prefix: str) -> Listing:
-        """Read all keys under a prefix from a lagging copy, at a tenth of the price."""
+        """Read all keys under a prefix from a lagging copy, at a tenth of the cost."""
         return await self._list({"path-prefix": prefix, "stale": "1"})
 
     async def _list(self, query: dict[str, str]) -> Listing:
@@ -165,7 +172,7 @@
         while True:
             page_query = query | ({"after": after} if after else {})
             data = await self._read("kv-range", page_query, [CALL_TIMEOUT_S])
-            page = _parse(data, _Range)
+            page = _parse_reply(data, _RangePage)
             revision = revision or page.at
             found.update((i.key, i.key_value()) for i in page.items)
             if not page.more or not page.items:
@@ -175,45 +182,59 @@
     async def watch(
         self, prefix: str, after: int, wait_s: Wait = own_wait
     ) -> AsyncIterator[list[Event]]:
-        """Yield the changes after a revision; an empty list when there are none."""
+        """Yield the changes after a revision; an empty list if a call returns none."""
         wait_ms = FIRST_WAIT_MS
-        patience_s = [FIRST_ANSWER_S, WATCH_SLACK_S]
+        slacks_s = [FIRST_CALL_SLACK_S, WATCH_SLACK_S]
         while True:
             query = {
                 "path-prefix": prefix,
                 "after": str(after),
                 "wait-ms": str(wait_ms),
             }
-            timeouts_s = [wait_ms / 1000 + s for s in patience_s]
-            patience_s = [WATCH_SLACK_S]
-            found = _parse(await self._read("kv-watch", query, timeouts_s), _Events)
+            timeouts_s = [wait_ms / 1000 + s for s in slacks_s]
+            slacks_s = [WATCH_SLACK_S]
+            found = _parse_reply(
+                await self._read("kv-watch", query, timeouts_s), _WatchReply
+            )
             after = max(after, found.at)
             yield [i.event() for i in found.events]
             if found.events:
-                await asyncio.sleep(GATHER_S)
+                await asyncio.sleep(EVENT_BATCH_DELAY_S)
             next_s = wait_s()
             wait_ms = WATCH_WAIT_MS if next_s is None else round(next_s * 1000)
 
     async def commit(self, writes: Sequence[Write]) -> Commit:
-        """Write all changes or none, if every `expect` holds."""
+        """Apply all writes atomically if every expected revision matches."""
         return await self._transact(writes, 0)
 
     async def hold(self, key: str, value: bytes, ttl_s: float) -> int:
-        """Write a key that is removed when its lease is not kept."""
+        """Write a key under a new lease; the store removes it when the lease expires.
+
+        Args:
+          key: the key.
+          value: its value.
+          ttl_s: time to live of the lease, in seconds.
+        Returns: the lease.
+        """
         body = {"ttl_ms": round(ttl_s * 1000)}
-        lease = _parse(await self._write("POST", "kv-lease", body), _Lease).lease
+        lease = _parse_reply(
+            await self._write("POST", "kv-lease", body), _LeaseReply
+        ).lease
         await self._transact([Write(key, value)], lease)
         return lease
 
     async def keep(self, lease: int) -> bool:
-        """Renew a lease."""
+        """Renew a lease.
+
+        Returns: False if the lease does not exist.
+        """
         status, _ = await self._call("POST", f"kv-keep/{lease}", {}, None)
         if status not in (200, 404):
             raise StoreUnavailable(f"kv-keep: HTTP {status}")
         return status == 200
 
     async def let_go(self, lease: int) -> None:
-        """End a lease."""
+        """End a lease; errors are ignored because the lease expires anyway."""
         try:
             await self._write("DELETE", f"kv-lease-end/{lease}", None)
         except LeverdoorError:
@@ -240,19 +261,25 @@
         status, data = await self._call("POST", "kv-txn", {}, body)
         if status == 412:
             return Commit(False, 0)
-        _check(status, "kv-txn")
-        return Commit(True, _parse(data, _Done).revision)
+        _raise_for_status(status, "kv-txn")
+        return Commit(True, _parse_reply(data, _TransactionReply).revision)
 
     async def _read(
         self, call: str, query: dict[str, str], timeouts_s: Sequence[float]
     ) -> bytes:
-        """Make a call that changes nothing: a lost answer is as good as no call.
+        """Make a read call; a lost response is reported as an unavailable store.
 
         Args:
-          call: its name.
-          query: its parameters.
-          timeouts_s: longest time of each try, in seconds; only a call that got no
-            answer in time is tried again.
+          call: the name of the call.
+          query: its query parameters.
+          timeouts_s: timeout of each attempt, in seconds; only a call that timed out is
+            attempted again.
+        Returns: the body of the response.
+        Raises:
+          StoreUnavailable: the store could not be reached or rejected the call, or the
+            response was lost.
+          StoreUnknown: the store responded with an unexpected status.
+          LeverdoorError: with `COMPACTED`, the requested history was compacted.
         """
         *first, last = timeouts_s
         for timeout_s in first:
@@ -276,12 +303,12 @@
             raise StoreUnavailable(e.detail) from None
         if status == 410:
             raise LeverdoorError(Code.COMPACTED)
-        _check(status, call)
+        _raise_for_status(status, call)
         return data
 
     async def _write(self, method: str, call: str, body: object) -> bytes:
         status, data = await self._call(method, call, {}, body)
-        _check(status, call)
+        _raise_for_status(status, call)
         return data
 
     async def _call(
@@ -292,11 +319,12 @@
         body: object,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> tuple[int, bytes]:
-        """Make one call; lost answers differ from calls that were never taken.
+        """Make one call and return the status and body of the response.
 
         Raises:
-          StoreUnavailable: no connection was opened.
-          StoreUnknown: the answer was lost, or did not come in time.
+          StoreUnavailable: no connection was opened, so the call was not sent.
+          CallTimeoutError: the store did not respond in time.
+          StoreUnknown: the response was lost.
         """
         self.calls += 1
         headers = {} if body is None else {"Content-Type": "application/json"}
@@ -318,8 +346,11 @@
             raise StoreUnknown(f"{call}: {e!r}") from None
 
 
-def _check(status: int, call: str) -> None:
-    """Raise unless a call was taken; 429 and 503 say that nothing was done."""
+def _raise_for_status(status: int, call: str) -> None:
+    """Raise an error unless the call succeeded.
+
+    With 404, 429 and 503 the store did not execute the call.
+    """
     if status == 200:
         return
     if status in (429, 503, 404):
@@ -327,8 +358,8 @@
     raise StoreUnknown(f"{call}: HTTP {status}")
 
 
-def _parse(data: bytes, kind: type[T]) -> T:
+def _parse_reply(data: bytes, kind: type[T]) -> T:
     try:
         return msgspec.json.decode(data, type=kind)
     except msgspec.MsgspecError as e:
-        raise StoreUnavailable(f"not an answer of the store: {e}") from None
+        raise StoreUnavailable(f"invalid response from the store: {e}") from None
--- a/leverdoor/platform/wire_format.py
+++ b/leverdoor/platform/wire_format.py
@@ -1,8 +1,8 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's headers, paths and bodies, as a wire of the entry.
+"""The platform's headers, paths and message bodies, as the `Wire` of an entry.
 
-The platform's names that mislead are explained at their place. Owns no state.
+Misleading names of the platform are explained where they are used. Owns no state.
 """
 
 from collections.abc import Mapping
@@ -24,7 +24,7 @@
 
 
 class _Resolved(msgspec.Struct, rename="kebab"):
-    """The answer to a look-up."""
+    """The response to a look-up."""
 
     addresses: list[str]
     ttl_s: float
@@ -34,7 +34,7 @@
     """Return the platform's names, paths and formats.
 
     Args:
-      zones: each failure domain's region; the platform calls them zones.
+      zones: region of each failure domain; the platform calls these zones.
     """
     return Wire(
         headers=HeaderNames(
@@ -66,7 +66,7 @@
 
 
 def _parse_resolve(query: Mapping[str, str]) -> Lookup:
-    # `name` is the host that the client is about to use.
+    # `name` is the host that the client intends to contact.
     return Lookup(query.get("name", ""), query.get("region", ""), query.get("zone", ""))
 
 
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -1,6 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What lies in the platform's store, as resources; and who may know its names."""
+"""Tests of the translation of the store's contents, settings and target headers.
+
+One test checks that only the adapter package uses the platform's names.
+"""
 
 import json
 import math
@@ -33,7 +36,7 @@
 from leverdoor.storage.store import KeyValue
 
 PACKAGE = Path(__file__).parent.parent / "leverdoor"
-NAMES = re.compile(
+PLATFORM_NAMES = re.compile(
     r"X-(Request-Id|Deadline-Ms|Affinity-Key|Expect-Instance|Server-Stamp"
     r"|Not-Executed|Server-Load|Cold-Ms|Instance-Id|Credential|Tenant)|kv-(key|range|watch|txn|lease)"
     r"|Server-Limit|Server-Leaving|private-key|op/config|op/evacuate|api/readiness|api/resolve"
@@ -75,7 +78,7 @@
     ],
     "limits": {"max-body-bytes": 5, "idle-timeout-ms": 15000.0},
 }
-SERVER = {
+REGISTRATION = {
     "service": "s1",
     "address": "10.0.0.9:80",
     "zone": "a2",
@@ -88,17 +91,17 @@
 
 
 def entries(**more: object) -> dict[str, KeyValue]:
-    found = {"op/config": CONFIG, "servers/i-1": SERVER, **more}
+    found = {"op/config": CONFIG, "servers/i-1": REGISTRATION, **more}
     return {
         k: KeyValue(k, json.dumps(v).encode(), i + 2)
         for i, (k, v) in enumerate(found.items())
     }
 
 
-def test_configuration_becomes_resources() -> None:
-    said = Translator(ZONES)(entries())
-    assert said.version == "0000000c"
-    routes = [r for r in said.resources if isinstance(r, Route)]
+def test_configuration_is_translated_to_resources() -> None:
+    configured = Translator(ZONES)(entries())
+    assert configured.version == "0000000c"
+    routes = [r for r in configured.resources if isinstance(r, Route)]
     assert routes[0] == Route(
         name="r-1",
         host="h.example",
@@ -114,18 +117,18 @@
     )
     assert routes[1].services == {"s1": 90.0, "s2": 10.0}
     assert routes[1].work is WorkClass.BULK
-    services = [r for r in said.resources if isinstance(r, Service)]
+    services = [r for r in configured.resources if isinstance(r, Service)]
     assert (services[0].warmup_per_s, services[1].connections) == (11.0, 390)
-    limits = [r for r in said.resources if isinstance(r, ClientLimits)]
+    limits = [r for r in configured.resources if isinstance(r, ClientLimits)]
     assert (limits[0].body_bytes, limits[0].idle_timeout_ms) == (5, 15_000)
 
 
-def test_targets_and_evacuations_become_resources() -> None:
-    said = Translator(ZONES)(
+def test_targets_and_evacuations_are_translated_to_resources() -> None:
+    configured = Translator(ZONES)(
         entries(
             **{
                 "servers/i-2": {
-                    **SERVER,
+                    **REGISTRATION,
                     "state": "draining",
                     "cold-remaining-ms": 900.5,
                 },
@@ -134,22 +137,22 @@
             }
         )
     )
-    targets = {r.name: r for r in said.resources if isinstance(r, Target)}
+    targets = {r.name: r for r in configured.resources if isinstance(r, Target)}
     assert (targets["i-1"].region, targets["i-1"].domain) == ("a", "a2")
     assert (targets["i-1"].draining, targets["i-2"].draining) == (False, True)
     assert targets["i-2"].cold_ms == 900
-    assert [r.domain for r in said.resources if isinstance(r, Drain)] == ["b1"]
-    assert list(said.peers) == ["n1"]
+    assert [r.domain for r in configured.resources if isinstance(r, Drain)] == ["b1"]
+    assert list(configured.peers) == ["n1"]
 
 
-def test_what_cannot_be_read_leaves_the_rest_in_force() -> None:
+def test_unreadable_document_keeps_previous_configuration() -> None:
     translate = Translator(ZONES)
     translate(entries())
     broken = entries(**{"servers/i-2": {"zone": 3}})
     broken["op/config"] = KeyValue("op/config", b'{"version":', 99)
-    said = translate(broken)
-    assert said.version == "0000000c"
-    assert [r.name for r in said.resources if isinstance(r, Target)] == ["i-1"]
+    configured = translate(broken)
+    assert configured.version == "0000000c"
+    assert [r.name for r in configured.resources if isinstance(r, Target)] == ["i-1"]
 
 
 @pytest.mark.parametrize(
@@ -164,7 +167,7 @@
         ("a,b,c", None),
     ],
 )
-def test_reported_loads_leave_the_answered_request_out(
+def test_reported_load_excludes_the_answered_request(
     text: str, expected: tuple[int, int, int] | None
 ) -> None:
     load = parse_load(text)
@@ -190,7 +193,7 @@
 }
 
 
-def test_settings_become_the_products() -> None:
+def test_settings_are_converted_to_entry_settings() -> None:
     settings = parse_settings(json.dumps(SETTINGS).encode())
     entry = settings.entry()
     assert str(entry.front) == "10.0.0.1:8381"
@@ -200,14 +203,14 @@
 
 
 @pytest.mark.parametrize("field", ["node-name", "platform", "listen-addresses"])
-def test_a_missing_setting_is_named(field: str) -> None:
+def test_error_names_missing_setting(field: str) -> None:
     wrong = {k: v for k, v in SETTINGS.items() if k != field}
     with pytest.raises(SettingsError, match=field):
         parse_settings(json.dumps(wrong).encode())
 
 
-def test_metrics_are_where_the_deploy_file_says() -> None:
-    """The range of internal ports differs from day to day; this port must not."""
+def test_metrics_port_matches_deploy_file() -> None:
+    """The internal port range differs by deployment; the metrics port must not."""
     deploy = tomllib.loads((PACKAGE.parent / "deploy" / "system.toml").read_text())
     assert deploy["roles"]["entry"]["metrics"] == f"{METRICS_PORT}/metrics"
     for first in (7080, 7520):
@@ -217,25 +220,23 @@
         assert entry.gossip.port == first
 
 
-def test_only_the_platform_folder_knows_the_platforms_names() -> None:
-    """Its stand-ins apart, which take the platform's place."""
+def test_only_platform_package_uses_platform_names() -> None:
+    """The stand-ins are excluded because they emulate the platform."""
     allowed = (PACKAGE / "platform", PACKAGE / "standins")
-    knowing = [
+    offending = [
         str(path.relative_to(PACKAGE))
         for path in PACKAGE.rglob("*.py")
         if not path.is_relative_to(allowed[0]) and not path.is_relative_to(allowed[1])
-        if NAMES.search(path.read_text())
+        if PLATFORM_NAMES.search(path.read_text())
     ]
-    assert knowing == []
+    assert offending == []
 
 
 @pytest.mark.parametrize(
     ("values", "per_s"),
     [([], None), (["3.5"], 3.5), (["0"], 0.0), (["0.5"], 0.5), (["50"], 50.0)],
 )
-def test_a_limit_is_a_plain_decimal_number(
-    values: list[str], per_s: float | None
-) -> None:
+def test_plain_decimal_limit_is_parsed(values: list[str], per_s: float | None) -> None:
     assert parse_limit(values) == per_s
 
 
@@ -260,7 +261,7 @@
         ["3", "3"],
     ],
 )
-def test_what_is_no_number_is_no_limit_and_never_one_of_zero(
+def test_invalid_limit_is_rejected_and_never_zero(
     values: list[str],
 ) -> None:
     with pytest.raises(UnreadableLimit):
@@ -271,14 +272,14 @@
     ("values", "leaves"),
     [([], False), (["1"], True), ([" 1 "], True), (["0"], False), (["1", "1"], True)],
 )
-def test_a_target_says_that_it_leaves_by_a_one(values: list[str], leaves: bool) -> None:
+def test_leaving_header_is_parsed(values: list[str], leaves: bool) -> None:
     assert parse_leaving(values) is leaves
 
 
 @pytest.mark.parametrize(
     "values", [[""], ["yes"], ["true"], ["2"], ["-1"], ["01"], ["1", "0"], ["1,1"]]
 )
-def test_no_other_text_takes_a_target_for_leaving(values: list[str]) -> None:
+def test_invalid_leaving_header_is_rejected(values: list[str]) -> None:
     with pytest.raises(UnreadableReport):
         parse_leaving(values)
 
@@ -296,7 +297,7 @@
         (200, ["soon"], None),
     ],
 )
-def test_a_target_that_turns_a_request_away_may_ask_for_rest(
+def test_pause_is_parsed_only_with_status_503(
     status: int, values: list[str], rest_s: float | None
 ) -> None:
     assert parse_rest(status, values) == rest_s
@@ -319,6 +320,6 @@
         ["\u0663"],
     ],
 )
-def test_what_is_no_number_of_seconds_asks_for_no_rest(values: list[str]) -> None:
+def test_invalid_pause_is_rejected(values: list[str]) -> None:
     with pytest.raises(UnreadableReport):
         parse_rest(503, values)
--- a/tests/test_platform_registrations.py
+++ b/tests/test_platform_registrations.py
@@ -1,12 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Which registrations of targets are used, whoever wrote them.
+"""Tests of the validation of target registrations from any writer.
 
-What was seen: registrations with an address that is no host and port, an unknown
-failure domain, a service that no configuration names, no state, a thousand million
-slots or minus three were taken for targets; one that can't be read cost a log line at
-each translation. Cause: fields were decoded by type alone, with defaults for those
-that were missing.
+They guard against two failures. Registrations with an invalid address, an unknown
+failure domain or service, no state, 1,000,000,000 slots or -3 slots were accepted as
+targets, because fields were decoded by type alone and missing ones got defaults. An
+unreadable registration caused a log line at each translation.
 """
 
 import json
@@ -32,7 +31,7 @@
 
 ZONES = {"a1": "a", "b1": "b"}
 CONFIG = {"version": "00000001", "services": [{"name": "s1"}], "routes": []}
-SOUND: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "service": "s1",
     "address": "10.0.0.9:80",
     "zone": "a1",
@@ -44,23 +43,25 @@
 }
 
 
-def store(config: object = CONFIG, **servers: bytes) -> dict[str, KeyValue]:
-    """Return the keys of a store; `x` stands for the key of target `x`."""
+def make_store(config: object = CONFIG, **servers: bytes) -> dict[str, KeyValue]:
+    """Return the contents of a store; each keyword is the name of a target."""
     found = {"op/config": json.dumps(config).encode()}
     found |= {f"servers/{name}": data for name, data in servers.items()}
     return {k: KeyValue(k, v, i + 2) for i, (k, v) in enumerate(found.items())}
 
 
-def written(**fields: object) -> bytes:
-    return json.dumps(SOUND | fields).encode()
+def encode_registration(**fields: object) -> bytes:
+    return json.dumps(VALID | fields).encode()
 
 
 def targets(configured: Configured) -> dict[str, Target]:
     return {r.name: r for r in configured.resources if isinstance(r, Target)}
 
 
-def test_a_sound_registration_is_used() -> None:
-    found = Translator(ZONES)(store(x=written(born=1_700_000_000_000, cold=1)))
+def test_valid_registration_is_accepted() -> None:
+    found = Translator(ZONES)(
+        make_store(x=encode_registration(born=1_700_000_000_000, cold=1))
+    )
     assert found.left_out == []
     assert targets(found)["x"] == Target(
         name="x", service="s1", region="a", domain="a1", address="10.0.0.9:80", slots=9
@@ -79,8 +80,10 @@
         {"a-field-of-tomorrow": None},
     ],
 )
-def test_what_is_unusual_and_sound_is_used(fields: dict[str, object]) -> None:
-    assert set(targets(Translator(ZONES)(store(x=written(**fields))))) == {"x"}
+def test_unusual_valid_registration_is_accepted(fields: dict[str, object]) -> None:
+    assert set(
+        targets(Translator(ZONES)(make_store(x=encode_registration(**fields))))
+    ) == {"x"}
 
 
 @pytest.mark.parametrize(
@@ -118,23 +121,27 @@
         ("unreadable", {"version": None}),
     ],
 )
-def test_what_names_no_target_is_left_out_and_the_others_hold(
+def test_invalid_registration_is_rejected_and_others_are_kept(
     cause: str, fields: dict[str, object]
 ) -> None:
-    found = Translator(ZONES)(store(x=written(**fields), y=written()))
+    found = Translator(ZONES)(
+        make_store(x=encode_registration(**fields), y=encode_registration())
+    )
     assert set(targets(found)) == {"y"}
     assert [(one.name, one.cause) for one in found.left_out] == [("x", cause)]
 
 
-@pytest.mark.parametrize("field", SOUND)
-def test_each_field_must_be_there(field: str) -> None:
-    data = {key: value for key, value in SOUND.items() if key != field}
-    found = Translator(ZONES)(store(x=json.dumps(data).encode(), y=written()))
+@pytest.mark.parametrize("field", VALID)
+def test_registration_without_required_field_is_rejected(field: str) -> None:
+    data = {key: value for key, value in VALID.items() if key != field}
+    found = Translator(ZONES)(
+        make_store(x=json.dumps(data).encode(), y=encode_registration())
+    )
     assert set(targets(found)) == {"y"}
 
 
-def test_bytes_that_are_no_document_are_left_out() -> None:
-    bad = {
+def test_undecodable_registration_is_rejected() -> None:
+    invalid = {
         "a": b"",
         "b": b"null",
         "c": b"[1]",
@@ -142,30 +149,32 @@
         "e": b'{"x":',
         "f": b"[" * 100_000,
     }
-    found = Translator(ZONES)(store(**bad, y=written()))
+    found = Translator(ZONES)(make_store(**invalid, y=encode_registration()))
     assert set(targets(found)) == {"y"}
-    assert {one.name for one in found.left_out} == set(bad)
+    assert {one.name for one in found.left_out} == set(invalid)
 
 
 @pytest.mark.parametrize(
     "name", ["", "a b", "a\r\nX-Credential: k", "\u00e9", "x" * 201]
 )
-def test_a_name_that_fits_no_header_is_left_out(name: str) -> None:
-    found = Translator(ZONES)(store(**{name: written(), "y": written()}))
+def test_name_invalid_in_header_is_rejected(name: str) -> None:
+    found = Translator(ZONES)(
+        make_store(**{name: encode_registration(), "y": encode_registration()})
+    )
     assert set(targets(found)) == {"y"}
 
 
-def test_one_that_turns_bad_is_not_kept_in_use() -> None:
+def test_target_is_removed_when_registration_becomes_invalid() -> None:
     translate = Translator(ZONES)
-    assert set(targets(translate(store(x=written())))) == {"x"}
-    entries = store(x=written(address="gone"))
+    assert set(targets(translate(make_store(x=encode_registration())))) == {"x"}
+    entries = make_store(x=encode_registration(address="gone"))
     entries["servers/x"] = msgspec.structs.replace(entries["servers/x"], revision=99)
     assert targets(translate(entries)) == {}
 
 
-def test_a_service_that_is_configured_later_brings_its_targets() -> None:
+def test_targets_are_accepted_once_their_service_is_configured() -> None:
     translate = Translator(ZONES)
-    entries = store(x=written(service="s2"))
+    entries = make_store(x=encode_registration(service="s2"))
     assert targets(translate(entries)) == {}
     routed = {**CONFIG, "routes": [_route("s2")]}
     entries["op/config"] = KeyValue("op/config", json.dumps(routed).encode(), 50)
@@ -186,31 +195,31 @@
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=20),
     lambda inner: (
         st.lists(inner, max_size=3)
-        | st.dictionaries(st.sampled_from(list(SOUND)), inner, max_size=8)
+        | st.dictionaries(st.sampled_from(list(VALID)), inner, max_size=8)
     ),
     max_leaves=12,
 )
-NEARLY_SOUND = st.builds(
-    lambda field, value: SOUND | {field: value}, st.sampled_from(list(SOUND)), ANY_JSON
+NEARLY_VALID = st.builds(
+    lambda field, value: VALID | {field: value}, st.sampled_from(list(VALID)), ANY_JSON
 )
-ANY_VALUE = st.binary(max_size=200) | (ANY_JSON | NEARLY_SOUND).map(
+ANY_VALUE = st.binary(max_size=200) | (ANY_JSON | NEARLY_VALID).map(
     lambda value: json.dumps(value).encode()
 )
 PREFIXES = ("servers/", "op/", "op/evacuate/", "leverdoor/entries/")
 
 
-FOREIGN = st.dictionaries(
+FOREIGN_ENTRIES = st.dictionaries(
     st.tuples(st.sampled_from(PREFIXES), st.text(max_size=12)), ANY_VALUE, max_size=8
 )
 
 
-@given(FOREIGN, ANY_VALUE)
-def test_whatever_stands_in_the_store_nothing_raises_and_the_sound_hold(
+@given(FOREIGN_ENTRIES, ANY_VALUE)
+def test_arbitrary_store_contents_never_raise_and_keep_valid_targets(
     foreign: dict[tuple[str, str], bytes], configuration: bytes
 ) -> None:
     translate = Translator(ZONES)
-    translate(store(y=written()))
-    entries = store(y=written())
+    translate(make_store(y=encode_registration()))
+    entries = make_store(y=encode_registration())
     for number, ((prefix, name), value) in enumerate(foreign.items(), 100):
         key = prefix + name
         if key not in entries:
@@ -219,28 +228,28 @@
     assert "y" in targets(found)
     entries["op/config"] = KeyValue("op/config", configuration, 99)
     translate(entries)
-    carry(list(targets(found).values()), found)
+    check_encodable(list(targets(found).values()), found)
 
 
-def carry(taken: list[Target], found: Configured) -> None:
-    """All that carries a target takes each that is used."""
+def check_encodable(accepted: list[Target], found: Configured) -> None:
+    """Check that every message with a target can encode each accepted target."""
     catalog = Catalog(1, found.version, found.resources)
     lists = TargetLists()
     lists.renew(catalog.names_by_region)
-    counts = {t.name: 3 for t in taken}
+    counts = {t.name: 3 for t in accepted}
     member = Member("n", "a", "a1", "f", "g", "p", 1)
     heartbeat = EntryHeartbeat(member, 1, SERVING, 1, counts)
     assert unpack(pack(heartbeat), EntryHeartbeat) == heartbeat
     for region in lists.regions():
         parsed = lists.parse(lists.serialize(region, counts))
-        assert parsed == {t.name: 3 for t in taken if t.region == region}
-    for target in taken:
+        assert parsed == {t.name: 3 for t in accepted if t.region == region}
+    for target in accepted:
         parse_address(target.address)
         target.name.encode("latin-1")
 
 
-class Lines:
-    """Events that count lines in place of writing them."""
+class RecordedEvents:
+    """Event log that records lines instead of writing them."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, str, str, int]] = []
@@ -249,22 +258,22 @@
         self.lines.append(fields)
 
 
-def test_a_bad_value_is_logged_once_and_counted_while_it_stays() -> None:
-    lines, metrics = Lines(), EntryMetrics()
+def test_invalid_registration_is_logged_once_and_counted_while_present() -> None:
+    lines, metrics = RecordedEvents(), EntryMetrics()
     report = LeftOutReport(lines, metrics)  # type: ignore[arg-type]
-    bad = LeftOut("x", "address", "''", 3)
+    invalid = LeftOut("x", "address", "''", 3)
     for moment in range(5):
-        report.take([bad], float(moment))
+        report.take([invalid], float(moment))
     assert [line[0] for line in lines.lines] == ["x"]
     assert b'registrations_left_out{cause="address"} 1.0' in metrics.text()
-    report.take([msgspec.structs.replace(bad, revision=4)], 6.0)
+    report.take([msgspec.structs.replace(invalid, revision=4)], 6.0)
     assert len(lines.lines) == 2
     report.take([], 7.0)
     assert b"registrations_left_out{" not in metrics.text()
 
 
-def test_a_writer_of_bad_values_fills_no_log() -> None:
-    lines = Lines()
+def test_log_lines_for_invalid_registrations_are_rate_limited() -> None:
+    lines = RecordedEvents()
     report = LeftOutReport(lines, EntryMetrics())  # type: ignore[arg-type]
     for number in range(500):
         report.take([LeftOut("x", "address", "''", number)], number / 10)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Contract of the platform's store: the adapter against the stand-in, with faults."""
+"""Contract tests of `PlatformStore` against a stand-in of the store with faults."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -15,8 +15,8 @@
 from leverdoor.storage.store import Write
 
 
-class Pair:
-    """The adapter and the stand-in behind it."""
+class StoreFixture:
+    """A client of the store and the stand-in that it calls."""
 
     def __init__(self, store: PlatformStore, standin: MetadataStandin) -> None:
         self.store = store
@@ -24,21 +24,21 @@
 
 
 @pytest.fixture
-async def pair(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Pair]:
+async def pair(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[StoreFixture]:
     monkeypatch.setattr(platform_store, "CALL_TIMEOUT_S", 0.3)
     monkeypatch.setattr(platform_store, "WATCH_WAIT_MS", 200)
     monkeypatch.setattr(platform_store, "WATCH_SLACK_S", 0.3)
-    monkeypatch.setattr(platform_store, "GATHER_S", 0.0)
+    monkeypatch.setattr(platform_store, "EVENT_BATCH_DELAY_S", 0.0)
     standin = MetadataStandin()
     server = TestServer(standin.app())
     await server.start_server()
     store = PlatformStore(f"{server.host}:{server.port}")
-    yield Pair(store, standin)
+    yield StoreFixture(store, standin)
     await store.close()
     await server.close()
 
 
-async def test_reads_all_pages(pair: Pair) -> None:
+async def test_reads_all_pages(pair: StoreFixture) -> None:
     pair.standin.faults.page = 2
     for i in range(5):
         pair.standin.put(f"servers/{i}", bytes([i]))
@@ -49,8 +49,10 @@
     assert pair.standin.calls["kv-range"] == 3
 
 
-async def test_a_stale_read_says_so_and_tells_leases(pair: Pair) -> None:
-    """It costs a tenth of another read."""
+async def test_stale_read_uses_stale_call_and_returns_leases(
+    pair: StoreFixture,
+) -> None:
+    """A stale read costs a tenth of an ordinary read."""
     lease = await pair.store.hold("entries/n1", b"1", 5.0)
     listing = await pair.store.read_stale("entries/")
     assert [(e.key, e.value, e.lease) for e in listing.entries] == [
@@ -60,8 +62,8 @@
     assert "kv-range" not in pair.standin.calls
 
 
-async def test_pages_are_dated_by_the_first(pair: Pair) -> None:
-    """What changes between pages must still be heard from the watch."""
+async def test_listing_has_revision_of_first_page(pair: StoreFixture) -> None:
+    """The watch must still return changes that happen between pages."""
     pair.standin.faults.page = 1
     pair.standin.put("servers/a", b"1")
     pair.standin.put("servers/b", b"1")
@@ -70,7 +72,7 @@
     assert listing.revision == first
 
 
-async def test_watch_tells_changes_and_removals(pair: Pair) -> None:
+async def test_watch_returns_changes_and_removals(pair: StoreFixture) -> None:
     at = pair.standin.put("op/config", b"1")
     watch = pair.store.watch("", at)
     assert await anext(watch) == []
@@ -85,7 +87,7 @@
     await watch.aclose()  # type: ignore[attr-defined]
 
 
-async def test_lost_history_is_told(pair: Pair) -> None:
+async def test_watch_reports_compacted_history(pair: StoreFixture) -> None:
     pair.standin.put("op/config", b"1")
     pair.standin.put("op/config", b"2")
     pair.standin.forget_history()
@@ -94,29 +96,29 @@
     assert caught.value.code is Code.COMPACTED
 
 
-async def test_a_watch_whose_first_packet_is_lost_calls_again(
-    pair: Pair, monkeypatch: pytest.MonkeyPatch
+async def test_first_watch_call_is_repeated_after_timeout(
+    pair: StoreFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """TCP sends it again after a second, when the answer would be late."""
-    monkeypatch.setattr(platform_store, "FIRST_ANSWER_S", 0.1)
+    """TCP retransmits a lost first packet after a second, which would be too late."""
+    monkeypatch.setattr(platform_store, "FIRST_CALL_SLACK_S", 0.1)
     call = pair.store._call
-    lost = ["kv-watch"]
+    to_drop = ["kv-watch"]
 
-    async def first_is_lost(*args: object) -> tuple[int, bytes]:
-        if lost:
-            lost.pop()
+    async def drop_first_call(*args: object) -> tuple[int, bytes]:
+        if to_drop:
+            to_drop.pop()
             raise CallTimeoutError("no answer")
         return await call(*args)  # type: ignore[arg-type]
 
-    pair.store._call = first_is_lost  # type: ignore[method-assign]
+    pair.store._call = drop_first_call  # type: ignore[method-assign]
     at = pair.standin.put("op/config", b"1")
     [event] = await anext(pair.store.watch("", at - 1))
     assert event.key == "op/config"
     assert pair.standin.calls["kv-watch"] == 1
 
 
-async def test_a_refused_watch_does_not_call_again(pair: Pair) -> None:
-    """The store was reached, and asked for fewer calls."""
+async def test_rejected_watch_call_is_not_repeated(pair: StoreFixture) -> None:
+    """The store responded and requested fewer calls."""
     pair.standin.faults = MetadataFaults(busy=429)
     with pytest.raises(StoreUnavailable):
         await anext(pair.store.watch("", 0))
@@ -134,8 +136,8 @@
 
 
 @pytest.mark.parametrize("faults", FAULTS)
-async def test_faults_of_reads_are_unavailable(
-    pair: Pair, faults: MetadataFaults
+async def test_read_faults_raise_store_unavailable(
+    pair: StoreFixture, faults: MetadataFaults
 ) -> None:
     pair.standin.faults = faults
     with pytest.raises(StoreUnavailable):
@@ -158,8 +160,8 @@
 
 
 @pytest.mark.parametrize(("faults", "error", "written"), WRITE_FAULTS)
-async def test_faults_of_writes_say_what_is_known(
-    pair: Pair,
+async def test_write_faults_distinguish_unavailable_from_unknown(
+    pair: StoreFixture,
     faults: MetadataFaults,
     error: type[LeverdoorError],
     written: bool,
@@ -170,7 +172,7 @@
     assert ("leverdoor/x" in pair.standin.items) == written
 
 
-async def test_conditions_hold(pair: Pair) -> None:
+async def test_commit_checks_expected_revisions(pair: StoreFixture) -> None:
     first = await pair.store.commit([Write("leverdoor/x", b"1", expect=0)])
     again = await pair.store.commit([Write("leverdoor/x", b"2", expect=0)])
     assert (first.taken, again.taken) == (True, False)
@@ -179,7 +181,7 @@
     assert "leverdoor/x" not in pair.standin.items
 
 
-async def test_leases_are_kept_and_let_go(pair: Pair) -> None:
+async def test_lease_is_renewed_and_ended(pair: StoreFixture) -> None:
     lease = await pair.store.hold("leverdoor/e", b"me", 10.0)
     assert pair.standin.items["leverdoor/e"].lease == lease
     assert await pair.store.keep(lease)
@@ -188,7 +190,7 @@
     assert not await pair.store.keep(lease)
 
 
-async def test_a_lease_that_runs_out_takes_its_keys() -> None:
+async def test_expired_lease_removes_its_keys() -> None:
     now = [0.0]
     standin = MetadataStandin(lambda: now[0])
     server = TestServer(standin.app())
@@ -206,11 +208,11 @@
     await server.close()
 
 
-async def test_what_is_no_answer_of_the_store_is_unavailable(pair: Pair) -> None:
-    async def rubbish(*_: object) -> tuple[int, bytes]:
+async def test_invalid_response_raises_store_unavailable(pair: StoreFixture) -> None:
+    async def invalid_response(*_: object) -> tuple[int, bytes]:
         await asyncio.sleep(0)
         return 200, b"<html>"
 
-    pair.store._call = rubbish  # type: ignore[method-assign]
+    pair.store._call = invalid_response  # type: ignore[method-assign]
     with pytest.raises(StoreUnavailable):
         await pair.store.read("")
