--- a/leverdoor/model/resource_checks.py
+++ b/leverdoor/model/resource_checks.py
@@ -157,7 +157,9 @@
             )
     if target.connections < target.slots:
         raise _contradiction(
-            owner, "connections", "connections must not be less than slots"
+            owner,
+            "connections",
+            f"connections {target.connections} are fewer than slots {target.slots}",
         )
 
 
@@ -181,7 +183,9 @@
     named = [f for f in ("region", "domain", "target", "vm") if getattr(drain, f)]
     if len(named) != 1:
         raise _contradiction(
-            owner, "region", "set exactly one of region, domain, target, vm"
+            owner,
+            "region",
+            f"set exactly one of region, domain, target, vm, found {named}",
         )
     if drain.region:
         _require_resource(after, f"region/{drain.region}", owner, "region")
--- a/leverdoor/platform/registrations.py
+++ b/leverdoor/platform/registrations.py
@@ -117,18 +117,27 @@
         service does not exist.
     """
     if not _is_header_safe(name):
-        raise InvalidRegistrationError(Cause.NAME, repr(name))
+        raise InvalidRegistrationError(
+            Cause.NAME,
+            f"{name!r} is not 1 to {MAX_NAME_LENGTH} printable ASCII non-spaces",
+        )
     try:
         server = _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as e:
         raise InvalidRegistrationError(Cause.UNREADABLE, str(e)) from None
     region = allowed.zones.get(server.zone)
     if region is None:
-        raise InvalidRegistrationError(Cause.DOMAIN, repr(server.zone))
+        raise InvalidRegistrationError(
+            Cause.DOMAIN, f"{server.zone!r} is not a failure domain of the deployment"
+        )
     if server.service not in allowed.services:
-        raise InvalidRegistrationError(Cause.SERVICE, repr(server.service))
+        raise InvalidRegistrationError(
+            Cause.SERVICE, f"{server.service!r} is not a configured service"
+        )
     if not _is_ip_and_port(server.address):
-        raise InvalidRegistrationError(Cause.ADDRESS, repr(server.address))
+        raise InvalidRegistrationError(
+            Cause.ADDRESS, f"{server.address!r} is not a unicast ip:port"
+        )
     return Target(
         name=name,
         service=server.service,
