--- a/benchmarks/emulated_store.py
+++ b/benchmarks/emulated_store.py
@@ -17,7 +17,7 @@
 
 from leverdoor.codec import serialize_json
 from leverdoor.errors import StoreUnknown
-from leverdoor.platform.store import IDLE_S, CallTimeoutError, PlatformStore
+from leverdoor.platform.store import READ_IDLE_S, CallTimeoutError, PlatformStore
 from leverdoor.storage.store import KeyValue
 
 __all__ = ["EmulatedStore", "StoreWay", "WayFault"]
@@ -206,7 +206,7 @@
         if self.fault is WayFault.RESET:
             raise ConnectionResetError
         now = asyncio.get_running_loop().time()
-        if now - self._used_at > IDLE_S:
+        if now - self._used_at > READ_IDLE_S:
             self._forget_connection()
         if not self._connected and self._rng.random() < self.first_packet_loss:
             await asyncio.sleep(SENT_AGAIN_S)
--- a/leverdoor/platform/settings.py
+++ b/leverdoor/platform/settings.py
@@ -16,9 +16,9 @@
 
 METRICS_PORT = 9464
 """Port of the metrics, as in `deploy/system.toml`; deployments set all other ports."""
-GOSSIP_OFFSET = 0
+HEARTBEAT_PORT_OFFSET = 0
 """Offset of the heartbeat port in the internal port range."""
-PULL_OFFSET = 1
+STATE_TRANSFER_PORT_OFFSET = 1
 """Offset of the port for state transfer in the internal port range."""
 
 
@@ -142,8 +142,8 @@
             front=parse_address(listen.frontend),
             ready=parse_address(listen.ready),
             directory=parse_address(listen.directory),
-            gossip=Address(self.ip_address, first + GOSSIP_OFFSET),
-            pull=Address(self.ip_address, first + PULL_OFFSET),
+            gossip=Address(self.ip_address, first + HEARTBEAT_PORT_OFFSET),
+            pull=Address(self.ip_address, first + STATE_TRANSFER_PORT_OFFSET),
             metrics=Address(self.ip_address, METRICS_PORT),
             lookup_ttl_s=min(LOOKUP_TTL_S, self.bounds.ttl_max_s),
             grace_s=self.bounds.grace_s,
--- a/leverdoor/platform/store.py
+++ b/leverdoor/platform/store.py
@@ -27,7 +27,7 @@
     own_wait,
 )
 
-__all__ = ["IDLE_S", "CallTimeoutError", "PlatformStore"]
+__all__ = ["READ_IDLE_S", "CallTimeoutError", "PlatformStore"]
 
 T = TypeVar("T")
 
@@ -59,7 +59,7 @@
 In seconds. A slow store takes 60 times the normal 4 ms, and opening a connection takes
 two round trips between regions.
 """
-IDLE_S = 1.0
+READ_IDLE_S = 1.0
 """Maximum idle time after which a connection for reads is reused, in seconds.
 
 An idle connection may have gone silent without a reset; a call over it then takes its
@@ -152,7 +152,7 @@
     def _session(self, method: str) -> aiohttp.ClientSession:
         """Return the session for an HTTP method; reads have separate connections."""
         if method == "GET":
-            self._read_session = self._read_session or new_session(idle_s=IDLE_S)
+            self._read_session = self._read_session or new_session(idle_s=READ_IDLE_S)
             return self._read_session
         self._write_session = self._write_session or new_session()
         return self._write_session
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -41,9 +41,9 @@
 from leverdoor.metrics import AgentMetrics, GateMetrics
 from leverdoor.platform import formats, program
 from leverdoor.platform.settings import (
-    GOSSIP_OFFSET,
+    HEARTBEAT_PORT_OFFSET,
     METRICS_PORT,
-    PULL_OFFSET,
+    STATE_TRANSFER_PORT_OFFSET,
     PlatformSettings,
 )
 from leverdoor.platform.wire_format import wire
@@ -115,7 +115,11 @@
 
 def test_constants_of_the_settings_file() -> None:
     assert program.SETTINGS_VARIABLE == "LEVERDOOR_SETTINGS"
-    assert (METRICS_PORT, GOSSIP_OFFSET, PULL_OFFSET) == (9464, 0, 1)
+    assert (METRICS_PORT, HEARTBEAT_PORT_OFFSET, STATE_TRANSFER_PORT_OFFSET) == (
+        9464,
+        0,
+        1,
+    )
     assert RELOADABLE == (
         "grace_s",
         "repeat_ratio",
