--- a/leverdoor/model/blocks.py
+++ b/leverdoor/model/blocks.py
@@ -2,9 +2,9 @@
 # SPDX-License-Identifier: Apache-2.0
 """The map from client networks to home regions, as flat sorted arrays.
 
-The arrays hold 64-bit bounds because 220,000 networks must fit, together with all
-other data, into the 64 MB of a node (docs/CAPACITY.md). A compiled map is immutable. A
-changed resource recompiles only its own networks. The state is held in memory and is
+The arrays hold 64-bit bounds because 220,000 networks must fit, together with all other
+data, into the 64 MB of a node (docs/CAPACITY.md). A compiled map is immutable. When a
+resource changes, only its networks are recompiled. The state is held in memory and is
 lost with the process; the map is rebuilt from the stored resources.
 """
 
@@ -23,10 +23,11 @@
 
 NO_REGION = 0
 """Region number of addresses that no network covers."""
-HALF_BITS = 64
-"""Bits in each half of an IPv6 address; the arrays store only the upper half."""
+ADDRESS_BITS = 64
+"""Bits of a bound in the arrays; of an IPv6 address only the upper half is stored."""
 
-_NumberedRange: TypeAlias = tuple[int, int, int]
+_NetworkRange: TypeAlias = tuple[int, int, int]
+"""First address, last address and region number of a network."""
 
 
 class CompiledBlocks(msgspec.Struct):
@@ -46,12 +47,12 @@
     first: int
     last: int
     starts: "array[int]"
-    numbers: "array[int]"
+    region_numbers: "array[int]"
     regions: list[str]
 
     def region(self, value: int) -> str:
         at = bisect_right(self.starts, value) - 1
-        return self.regions[self.numbers[at]] if at >= 0 else ""
+        return self.regions[self.region_numbers[at]] if at >= 0 else ""
 
 
 def compile_blocks(resource: ClientBlocks) -> CompiledBlocks:
@@ -65,10 +66,10 @@
     for number, region in enumerate(regions[1:], 1):
         for network in resource.networks[region]:
             version, first, last = _network_bounds(network)
-            firsts, lasts, numbers = ranges[version]
+            firsts, lasts, region_numbers = ranges[version]
             firsts.append(first)
             lasts.append(last)
-            numbers.append(number)
+            region_numbers.append(number)
     return CompiledBlocks(regions, ranges)
 
 
@@ -87,8 +88,8 @@
 
     The networks of each resource are flattened into disjoint ranges with one region
     each. Resources whose address spans overlap are flattened together. A look-up
-    bisects the groups and then the ranges of one group. An IPv6 address is looked up
-    by its upper 64 bits.
+    bisects the groups and then the ranges of one group. An IPv6 address is looked up by
+    its upper 64 bits, so a network longer than /64 applies to its whole /64.
     """
 
     def __init__(
@@ -100,21 +101,22 @@
 
         Args:
           chunks: compiled networks by resource name.
-          before: an earlier map; the ranges of unchanged resources are reused.
+          previous: an earlier map; the ranges of unchanged resources are reused.
         """
-        self._known: dict[tuple[int, tuple[int, ...]], _DisjointRanges] = {}
-        known = previous._known if previous is not None else {}
+        self._ranges_by_group: dict[tuple[int, tuple[int, ...]], _DisjointRanges] = {}
+        reusable = previous._ranges_by_group if previous is not None else {}
         self._parts: dict[int, list[_DisjointRanges]] = {}
         self._firsts: dict[int, list[int]] = {}
         for version in (4, 6):
             parts = []
             for group in _group_overlapping(chunks.values(), version):
                 key = (version, tuple(id(c) for c in group))
-                part = known.get(key) or _flatten(group, version)
-                self._known[key] = part
+                part = reusable.get(key) or _flatten(group, version)
+                self._ranges_by_group[key] = part
                 parts.append(part)
             self._parts[version] = parts
             self._firsts[version] = [p.first for p in parts]
+        # Keeps the objects alive, so that the ids in `_ranges_by_group` stay unique.
         self._chunks = list(chunks.values())
 
     def region(self, address: str) -> str:
@@ -150,7 +152,7 @@
     first = int(network.network_address)
     last = int(network.broadcast_address)
     if network.version == 6:
-        return 6, first >> HALF_BITS, last >> HALF_BITS
+        return 6, first >> ADDRESS_BITS, last >> ADDRESS_BITS
     return 4, first, last
 
 
@@ -179,13 +181,14 @@
 def _flatten(group: list[CompiledBlocks], version: int) -> _DisjointRanges:
     """Flatten nested networks into disjoint ranges; the longest prefix wins."""
     regions = ["", *sorted({r for c in group for r in c.regions if r})]
-    numbers = {name: i for i, name in enumerate(regions)}
-    networks: list[_NumberedRange] = []
+    region_numbers = {name: i for i, name in enumerate(regions)}
+    networks: list[_NetworkRange] = []
     for chunk in group:
-        firsts, lasts, which = chunk.ranges[version]
-        mapped = [numbers[name] for name in chunk.regions]
+        firsts, lasts, chunk_numbers = chunk.ranges[version]
+        mapped = [region_numbers[name] for name in chunk.regions]
         networks += [
-            (f, e, mapped[w]) for f, e, w in zip(firsts, lasts, which, strict=True)
+            (f, e, mapped[w])
+            for f, e, w in zip(firsts, lasts, chunk_numbers, strict=True)
         ]
     networks.sort(key=lambda n: (n[0], -n[1]))
     starts, found = _split_disjoint(networks)
@@ -193,7 +196,7 @@
     return _DisjointRanges(networks[0][0], last, starts, found, regions)
 
 
-def _split_disjoint(networks: list[_NumberedRange]) -> "tuple[array[int], array[int]]":
+def _split_disjoint(networks: list[_NetworkRange]) -> "tuple[array[int], array[int]]":
     """Convert sorted networks to range starts and the region number of each range."""
     starts, found = array("Q"), array("H")
     enclosing: list[tuple[int, int]] = []
@@ -208,12 +211,12 @@
     def close(next_start: int) -> None:
         while enclosing and enclosing[-1][0] < next_start:
             last, _ = enclosing.pop()
-            if last + 1 < 1 << HALF_BITS:
+            if last + 1 < 1 << ADDRESS_BITS:
                 emit(last + 1, enclosing[-1][1] if enclosing else NO_REGION)
 
     for first, last, number in networks:
         close(first)
         emit(first, number)
         enclosing.append((last, number))
-    close(1 << 65)
+    close(1 << 65)  # Greater than every address.
     return starts, found
--- a/leverdoor/model/burn.py
+++ b/leverdoor/model/burn.py
@@ -20,7 +20,7 @@
 BUCKET_S = 10.0
 """Length of a bucket of counts, in seconds.
 
-An hour has 360 buckets. The error of the short window is at most one of its 30 buckets.
+An hour has 360 buckets. The short window is accurate to one of its 30 buckets.
 """
 SHORT_WINDOW_S = 300.0
 """Short window of the burn rate, in seconds: the customary five minutes."""
@@ -29,7 +29,7 @@
 HISTOGRAM_S = 60.0
 """Period that one latency histogram covers, in seconds: a fifth of the short window."""
 MAX_HISTOGRAMS = 6
-"""Most histograms kept; they cover six minutes, slightly more than the short window."""
+"""Maximum number of histograms: six minutes, a little more than the short window."""
 MAX_LATENCY_MS = 600_000
 """Largest latency that a histogram records, in ms: ten minutes."""
 SIGNIFICANT_DIGITS = 2
@@ -69,9 +69,11 @@
 
 
 class BurnLine(msgspec.Struct, tag_field="type"):
-    """One line of the report.
+    """One line of the burn rate report.
 
-    A burn rate of 1 consumes the error budget exactly within the objective's period.
+    At a burn rate of 1 the fraction of requests that miss the objective equals the
+    permitted fraction. Availability covers the short window, the percentiles cover the
+    kept histograms.
     `level` is empty if no objective covers the service and tier.
     """
 
@@ -212,7 +214,7 @@
       objective.
     """
     lines = []
-    objectives = list(levels)
+    all_levels = list(levels)
     for s in merged:
         histogram = HdrHistogram.decode(s.histogram)
         line = BurnLine(
@@ -224,7 +226,7 @@
             p99_ms=float(histogram.get_value_at_percentile(99)),
         )
         applicable = [
-            v for v in objectives if (v.service, v.tier) == (s.service, s.tier)
+            v for v in all_levels if (v.service, v.tier) == (s.service, s.tier)
         ]
         for v in applicable:
             lines.append(
@@ -244,5 +246,5 @@
 def _burn_rate(counts: Counts, level: ServiceLevel) -> float:
     if not counts.total:
         return 0.0
-    bad = 1 - counts.in_time.get(level.name, 0) / counts.total
-    return round(bad / (1 - level.objective), 3)
+    missed_fraction = 1 - counts.in_time.get(level.name, 0) / counts.total
+    return round(missed_fraction / (1 - level.objective), 3)
--- a/leverdoor/model/probe.py
+++ b/leverdoor/model/probe.py
@@ -10,10 +10,10 @@
 class Probe(msgspec.Struct, frozen=True, array_like=True):
     """The result of one probe.
 
-    `ok` tells whether the target was reachable, `leaving` whether it is shutting down,
-    and `in_flight` how many requests it counts itself. `taken_at` is the agent's
-    monotonic time in seconds; it is comparable with the gate's because both run on the
-    same VM.
+    `ok`: the target was reachable. `leaving`: it announced that it is leaving.
+    `in_flight`: the number of requests in progress that it reported. `taken_at`:
+    monotonic time of the agent in seconds, comparable with the gate's because both run
+    on one VM.
     """
 
     ok: bool
@@ -21,4 +21,4 @@
     in_flight: int = 0
     taken_at: float = 0.0
     reports: bool = True
-    """Whether the target reports its own state; some have no path for reports."""
+    """Whether the target serves a report path; some targets do not."""
--- a/leverdoor/model/resources.py
+++ b/leverdoor/model/resources.py
@@ -4,7 +4,8 @@
 
 The JSON form is stored and served, so field names, tags and defaults are part of the
 public interface. Resources are immutable. Field names end in their units (`_ms`,
-`_per_s`, `_percent`, `_bytes`). Owns no state; relies on `leverdoor.codec`.
+`_per_s`, `_percent`, `_bytes`) where they have one. Owns no state; relies on
+`leverdoor.codec`.
 """
 
 from enum import StrEnum
@@ -48,24 +49,29 @@
     """Class of work; it determines whether a request may be sent more than once."""
 
     LOOKUP = "lookup"
+    """May be sent more than once."""
     ONCE = "once"
+    """Must be executed at most once."""
     BULK = "bulk"
+    """Bulk upload."""
 
 
-class _Base(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind"):
+class _ResourceBase(
+    msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind"
+):
     """Fields that all kinds of resources have."""
 
     name: Name
 
 
-class Region(_Base, frozen=True, tag="region"):
+class Region(_ResourceBase, frozen=True, tag="region"):
     """A region, its failure domains and its one-way latency to other regions."""
 
     domains: list[Name]
     latency_ms: dict[str, Millis] = {}
 
 
-class Service(_Base, frozen=True, tag="service"):
+class Service(_ResourceBase, frozen=True, tag="service"):
     """A service that callers request by name."""
 
     work: WorkClass
@@ -84,7 +90,7 @@
     """Requests per second that a cold target can serve; 0 for no limit."""
 
 
-class Target(_Base, frozen=True, tag="target"):
+class Target(_ResourceBase, frozen=True, tag="target"):
     """A back end of one service."""
 
     service: Name
@@ -92,25 +98,27 @@
     domain: Name
     address: str
     slots: Annotated[int, Meta(ge=1, le=10_000)]
+    """Maximum number of concurrent requests."""
     connections: Annotated[int, Meta(ge=1, le=100_000)] = 130
     vm: str = ""
     warmup_ms: Millis = 0
     draining: bool = False
     """The target announced that it is about to stop."""
     cold_ms: Millis = 0
-    """Remaining time for which the target is cold, counted from this write."""
+    """Remaining warm-up time, counted from the write of this resource."""
 
 
-class Tier(_Base, frozen=True, tag="tier"):
+class Tier(_ResourceBase, frozen=True, tag="tier"):
     """A priority tier with its reserved share of slots, its weight and its callers."""
 
     callers: list[str] = []
     reserve_percent: Percent = 0
     weight: Annotated[int, Meta(ge=1, le=1_000)] = 1
     default: bool = False
+    """Whether callers that no tier lists belong to this tier."""
 
 
-class ShiftCap(_Base, frozen=True, tag="shiftcap"):
+class ShiftCap(_ResourceBase, frozen=True, tag="shiftcap"):
     """Maximum number of requests from other regions that may start in any window."""
 
     service: Name
@@ -121,7 +129,7 @@
     """Level at which a shift starts, as a percentage of the cap."""
 
 
-class Drain(_Base, frozen=True, tag="drain"):
+class Drain(_ResourceBase, frozen=True, tag="drain"):
     """A planned drain of exactly one region, failure domain, target or VM."""
 
     region: str = ""
@@ -139,7 +147,7 @@
         )
 
 
-class ServiceLevel(_Base, frozen=True, tag="servicelevel"):
+class ServiceLevel(_ResourceBase, frozen=True, tag="servicelevel"):
     """A latency objective for one service and tier.
 
     `objective` is the fraction of requests to be answered within `latency_ms`.
@@ -151,7 +159,7 @@
     objective: Fraction
 
 
-class Route(_Base, frozen=True, tag="route"):
+class Route(_ResourceBase, frozen=True, tag="route"):
     """Matches requests by host and path prefix, and sets how they are served."""
 
     host: str
@@ -162,22 +170,22 @@
     timeout_ms: Millis = 0
     """Request timeout; 0 if only the caller's deadline applies."""
     target_latency_ms: Millis = 0
-    """Latency up to which a response has its full value; 0 for none."""
+    """Latency objective of the route; 0 for none. Not related to `Target`."""
     priority: Annotated[int, Meta(ge=0, le=1_000)] = 0
     """Priority of the requests; 0 is the highest."""
     attempts: Annotated[int, Meta(ge=1, le=100)] = 1
     """Maximum number of targets to which one request may be sent."""
     affinity: bool = False
-    """Send requests with the same key to the same target, which is faster at recently
-    seen requests."""
+    """Send requests with equal affinity keys to the same target, because a target is
+    faster at requests for data that it used recently."""
     homes: list[Name] = []
     """Regions that may serve the route; empty for all."""
     anonymous: bool = False
     """Accept requests without a workspace key, even if workspaces are configured."""
 
 
-class Workspace(_Base, frozen=True, tag="workspace"):
-    """The owner of requests, identified by its keys, with its quota."""
+class Workspace(_ResourceBase, frozen=True, tag="workspace"):
+    """A workspace: its keys, its quota and the regions that may serve it."""
 
     key_digests: list[Digest] = []
     """SHA-256 digest of each key; the keys themselves are not stored."""
@@ -191,7 +199,7 @@
     """Regions that may serve the workspace's requests; empty for all."""
 
 
-class ClientLimits(_Base, frozen=True, tag="clientlimits"):
+class ClientLimits(_ResourceBase, frozen=True, tag="clientlimits"):
     """Size limits and timeouts for requests of clients."""
 
     header_bytes: PositiveInt = 16_384
@@ -200,7 +208,7 @@
     idle_timeout_ms: PositiveInt = 15_000
 
 
-class ClientBlocks(_Base, frozen=True, tag="clientblocks"):
+class ClientBlocks(_ResourceBase, frozen=True, tag="clientblocks"):
     """A part of the map from client networks to home regions."""
 
     networks: dict[str, list[str]]
@@ -220,7 +228,7 @@
     | ClientLimits
     | ClientBlocks
 )
-_CLASSES: tuple[type[_Base], ...] = (
+_RESOURCE_TYPES: tuple[type[_ResourceBase], ...] = (
     Region,
     Service,
     Target,
@@ -233,7 +241,9 @@
     ClientLimits,
     ClientBlocks,
 )
-KINDS: dict[str, type[_Base]] = {str(c.__struct_config__.tag): c for c in _CLASSES}
+KINDS: dict[str, type[_ResourceBase]] = {
+    str(c.__struct_config__.tag): c for c in _RESOURCE_TYPES
+}
 
 
 def resource_key(resource: Resource) -> str:
--- a/leverdoor/platform/__init__.py
+++ b/leverdoor/platform/__init__.py
@@ -4,7 +4,7 @@
 
 `program` runs an entry, `settings` reads its settings file, `wire_format` defines
 headers and paths, `documents`, `formats` and `registrations` decode the contents of the
-metadata store, and `store` calls it. The adapter makes no decisions. Only this package
+metadata store, and `store` calls it. It makes no steering decisions. Only this package
 uses the platform's terms: zone for failure domain, tenant for workspace, server for
 target, credential for workspace key.
 """
--- a/leverdoor/platform/__main__.py
+++ b/leverdoor/platform/__main__.py
@@ -9,15 +9,18 @@
 
 
 def main() -> int:
-    """Install the signal handler before large imports, then run the entry.
+    """Run an entry.
+
+    The signal handler is installed before the large imports, so that a reload signal
+    during start does not end the process.
 
     Returns: the exit status of the process.
     """
-    early = EarlyReload()
+    early_reload = EarlyReload()
     read_no_certificates()
     from leverdoor.platform.program import run_entry
 
-    return run_entry(early)
+    return run_entry(early_reload)
 
 
 if __name__ == "__main__":
--- a/leverdoor/platform/documents.py
+++ b/leverdoor/platform/documents.py
@@ -18,7 +18,7 @@
 )
 from leverdoor.workspaces.keys import key_digest
 
-__all__ = ["Config"]
+__all__ = ["OperatorConfig"]
 
 WORK_CLASSES = {
     "safe": WorkClass.LOOKUP,
@@ -27,7 +27,8 @@
 }
 """Work class by the kind of a route.
 
-"safe" requests may run more than once, "unsafe" requests must run at most once.
+"safe" requests may run more than once, "unsafe" requests must run at most once, and
+"upload" requests are bulk uploads.
 """
 
 
@@ -48,7 +49,7 @@
     host: str
     path_prefix: str
     kind: str
-    """A key of `WORK_CLASSES`; requests of any other kind must run at most once."""
+    """Kind of the requests, a key of `WORK_CLASSES`; others are treated as "unsafe"."""
     timeout_ms: float = 0
     """0 for no timeout."""
     target_latency_ms: float = 0
@@ -95,7 +96,7 @@
 
     name: str
     api_keys: list[str] = []
-    """Workspace keys; only their digests are passed on."""
+    """Workspace keys; the resource contains only their digests."""
     priority: int | None = None
     """Overrides the priority of the route; None to use the priority of the route."""
     rate_per_s: float = 0.0
@@ -143,7 +144,7 @@
     idle_timeout_ms: float = 15_000
 
     def to_resource(self) -> ClientLimits:
-        """Convert the document's fields to client limits resource."""
+        """Convert the document's fields to a client limits resource."""
         return ClientLimits(
             name="limits",
             header_bytes=self.max_header_bytes,
@@ -153,7 +154,7 @@
         )
 
 
-class Config(msgspec.Struct):
+class OperatorConfig(msgspec.Struct):
     """The operator's configuration document."""
 
     version: str
--- a/leverdoor/platform/formats.py
+++ b/leverdoor/platform/formats.py
@@ -16,11 +16,11 @@
 from leverdoor.entry.wire import Configured, LeftOut, TargetLoad, UnreadableReport
 from leverdoor.limits.named import UnreadableLimit
 from leverdoor.model.resources import Drain, Region, Resource, Target
-from leverdoor.platform.documents import Config
+from leverdoor.platform.documents import OperatorConfig
 from leverdoor.platform.registrations import (
     AllowedReferences,
     InvalidRegistrationError,
-    read_registration,
+    parse_registration,
 )
 from leverdoor.storage.store import KeyValue
 
@@ -39,9 +39,9 @@
 EVACUATION_PREFIX = "op/evacuate/"
 """Prefix of keys that each name a failure domain to be drained of new requests."""
 REGISTRATION_PREFIX = "servers/"
-"""Prefix under which each target registers by its name."""
+"""Prefix of target registrations; the name of the target follows."""
 ENTRY_PREFIX = "leverdoor/entries/"
-"""Prefix under which each entry registers by its name."""
+"""Prefix of entry registrations; the name of the entry follows."""
 QUARANTINE_PREFIX = "leverdoor/quarantine/"
 """Prefix of quarantine records; each is stored by its request fingerprint."""
 LOAD_FIELD_COUNT = 3
@@ -49,9 +49,9 @@
 SERVICE_UNAVAILABLE = 503
 """HTTP status with which a target may request a pause.
 
-With other statuses the header has a different meaning.
+The same header of a response with another status does not request a pause.
 """
-SECONDS_PATTERN = re.compile(r"[0-9]+(\.[0-9]+)?")
+PAUSE_PATTERN = re.compile(r"[0-9]+(\.[0-9]+)?")
 """A decimal number of any length; dates do not match."""
 LEAVES, STAYS = "1", "0"
 """Values of the header by which a target announces that it is leaving."""
@@ -75,7 +75,7 @@
             for r in sorted(set(zones.values()))
         ]
         self._config_revision = 0
-        self._config = Config(version="")
+        self._config = OperatorConfig(version="")
         self._config_resources: list[Resource] = []
         self._allowed = AllowedReferences(zones, frozenset())
         self._targets: dict[str, tuple[int, Target]] = {}
@@ -115,15 +115,16 @@
     def _apply_config(self, entry: KeyValue) -> None:
         """Apply a new configuration; keep the previous one if it cannot be decoded."""
         try:
-            config = msgspec.json.decode(entry.value, type=Config)
+            config = msgspec.json.decode(entry.value, type=OperatorConfig)
             self._config_resources = config.to_resources()
             self._config = config
             self._apply_services(config)
         except msgspec.MsgspecError as e:
             logger.error("configuration not taken", key=entry.key, error=str(e))
+        # An invalid document counts as seen, so that it is decoded and logged once.
         self._config_revision = entry.revision
 
-    def _apply_services(self, config: Config) -> None:
+    def _apply_services(self, config: OperatorConfig) -> None:
         """Update the known services; if they changed, check all targets again."""
         services = frozenset(config.service_names())
         if services != self._allowed.services:
@@ -145,7 +146,7 @@
             raise _RejectedError(rejected)
         name = entry.key.removeprefix(REGISTRATION_PREFIX)
         try:
-            return entry.revision, read_registration(name, entry.value, self._allowed)
+            return entry.revision, parse_registration(name, entry.value, self._allowed)
         except InvalidRegistrationError as e:
             left_out = LeftOut(name, e.cause.value, str(e), entry.revision)
             raise _RejectedError(left_out) from None
@@ -168,7 +169,7 @@
 
     The number of running requests includes the request that carries the report: none of
     12,000 reports under high and low load was below one. That request has ended for the
-    receiver, so it is subtracted.
+    receiver, so it is subtracted from the number.
 
     Returns: the load, or None if the text is not a load.
     """
@@ -227,6 +228,6 @@
     """
     if status != SERVICE_UNAVAILABLE or not values:
         return None
-    if len(values) > 1 or not SECONDS_PATTERN.fullmatch(values[0].strip()):
+    if len(values) > 1 or not PAUSE_PATTERN.fullmatch(values[0].strip()):
         raise UnreadableReport(", ".join(values))
     return float(values[0])
--- a/leverdoor/platform/program.py
+++ b/leverdoor/platform/program.py
@@ -45,7 +45,7 @@
         raise SettingsError(f"{SETTINGS_VARIABLE}={path}: {e.strerror}") from None
 
 
-def run_entry(early: EarlyReload) -> int:
+def run_entry(early_reload: EarlyReload) -> int:
     """Run an entry until it is stopped.
 
     Args:
@@ -54,15 +54,15 @@
     """
     try:
         settings = read_settings()
-        own = settings.entry()
+        entry_settings = settings.entry()
     except SettingsError as e:
         sys.stderr.write(f"{e}\n")
         return code_info(e.code).exit_status
     writer = LineWriter(sys.stdout.fileno())
-    setup_logs("entry", own.name, write=writer.write)
-    events = Events(writer, own.name)
+    setup_logs("entry", entry_settings.name, write=writer.write)
+    events = Events(writer, entry_settings.name)
     store = PlatformStore(settings.platform.address)
-    entry = Entry(own, store, wire(own.domains), events)
+    entry = Entry(entry_settings, store, wire(entry_settings.domains), events)
 
     def reload() -> None:
         try:
@@ -70,6 +70,6 @@
         except SettingsError as e:
             events.process("reload failed", error=str(e))
 
-    run_daemon(entry, reload, early, settings_path())
+    run_daemon(entry, reload, early_reload, settings_path())
     writer.flush()
     return 0
--- a/leverdoor/platform/registrations.py
+++ b/leverdoor/platform/registrations.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Validates the registrations of targets in the platform's store.
 
-Any writer can write to the store. The type and range of each field are checked here and
-nowhere else: requests can be sent to an accepted target, and every message that
-contains it can be encoded. Owns no state; relies on the failure domains of the
-deployment and the services of the operator's configuration.
+The store does not validate registrations. The type and range of each field are checked
+here and nowhere else. The check guarantees that requests can be sent to an accepted
+target and that every message that contains it can be encoded. Owns no state; relies on
+the failure domains of the deployment and the services of the operator's configuration.
 """
 
 import re
@@ -22,9 +22,9 @@
 
 __all__ = [
     "InvalidRegistrationError",
-    "Cause",
+    "RejectionCause",
     "AllowedReferences",
-    "read_registration",
+    "parse_registration",
 ]
 
 MAX_SLOTS = 10_000
@@ -37,19 +37,21 @@
 """Maximum length of a name in characters; keys of the store are not longer."""
 OCTET = r"(?:25[0-5]|2[0-4]\d|1\d\d|[1-9]?\d)"
 FIRST_OCTET = r"(?:22[0-3]|2[01]\d|1\d\d|[1-9]\d?)"
-"""First octet of a unicast address: neither 0 nor multicast or reserved."""
+"""First octet of a unicast address: not 0, multicast or reserved."""
 PORT = r"(?:6553[0-5]|655[0-2]\d|65[0-4]\d\d|6[0-4]\d{3}|[1-5]\d{4}|[1-9]\d{0,3})"
-IPV4_ADDRESS = re.compile(rf"{FIRST_OCTET}(?:\.{OCTET}){{3}}:{PORT}", re.ASCII)
-"""IPv4 address and port; matched without the slower general parser."""
+IPV4_AND_PORT = re.compile(rf"{FIRST_OCTET}(?:\.{OCTET}){{3}}:{PORT}", re.ASCII)
+"""IPv4 address and port; the pattern is faster than the general parser."""
 
 
-class Cause(StrEnum):
+class RejectionCause(StrEnum):
     """Reason why a registration is rejected."""
 
     UNREADABLE = "unreadable"
     """Invalid JSON, a missing field, or a field of the wrong type or range."""
     NAME = "name"
+    """The name is not valid in a header."""
     ADDRESS = "address"
+    """The address is not an IP address and a port."""
     DOMAIN = "domain"
     """The failure domain does not exist in the deployment."""
     SERVICE = "service"
@@ -63,7 +65,7 @@
       cause: the reason for the rejection.
     """
 
-    def __init__(self, cause: Cause, detail: str) -> None:
+    def __init__(self, cause: RejectionCause, detail: str) -> None:
         """Create the error.
 
         Args:
@@ -90,13 +92,13 @@
     zone: str
     """Failure domain."""
     version: str
-    """Software version."""
+    """Software version; validated but not used."""
     slots: Annotated[int, Meta(ge=1, le=MAX_SLOTS)]
     state: Literal["ready", "draining"]
     cold_remaining_ms: Annotated[float, Meta(ge=0.0, le=MAX_COLD_MS)]
     """Remaining warm-up time, counted from this write."""
     sequence: Annotated[int, Meta(ge=0, le=MAX_INT64)]
-    """Increases with each write."""
+    """Increases with each write; validated but not used."""
     born: Annotated[int, Meta(ge=0, le=MAX_INT64)] | msgspec.UnsetType = msgspec.UNSET
     """Start of the process, in ms since the epoch; some deployments omit it."""
 
@@ -104,7 +106,7 @@
 _DECODER = msgspec.json.Decoder(_Server)
 
 
-def read_registration(name: str, data: bytes, allowed: AllowedReferences) -> Target:
+def parse_registration(name: str, data: bytes, allowed: AllowedReferences) -> Target:
     """Decode and validate the registration of a target.
 
     Args:
@@ -118,25 +120,26 @@
     """
     if not _is_header_safe(name):
         raise InvalidRegistrationError(
-            Cause.NAME,
+            RejectionCause.NAME,
             f"{name!r} is not 1 to {MAX_NAME_LENGTH} printable ASCII non-spaces",
         )
     try:
         server = _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as e:
-        raise InvalidRegistrationError(Cause.UNREADABLE, str(e)) from None
+        raise InvalidRegistrationError(RejectionCause.UNREADABLE, str(e)) from None
     region = allowed.zones.get(server.zone)
     if region is None:
         raise InvalidRegistrationError(
-            Cause.DOMAIN, f"{server.zone!r} is not a failure domain of the deployment"
+            RejectionCause.DOMAIN,
+            f"{server.zone!r} is not a failure domain of the deployment",
         )
     if server.service not in allowed.services:
         raise InvalidRegistrationError(
-            Cause.SERVICE, f"{server.service!r} is not a configured service"
+            RejectionCause.SERVICE, f"{server.service!r} is not a configured service"
         )
     if not _is_ip_and_port(server.address):
         raise InvalidRegistrationError(
-            Cause.ADDRESS, f"{server.address!r} is not a unicast ip:port"
+            RejectionCause.ADDRESS, f"{server.address!r} is not a unicast ip:port"
         )
     return Target(
         name=name,
@@ -158,11 +161,11 @@
 
 
 def _is_ip_and_port(text: str) -> bool:
-    """Return whether a text is a unicast IP address and a port.
+    """Return whether a text is a unicast IPv4 address or an IPv6 address, and a port.
 
     Loopback addresses are valid because a target may run on the host of its entry.
     """
-    return bool(IPV4_ADDRESS.fullmatch(text)) or _is_ipv6_and_port(text)
+    return bool(IPV4_AND_PORT.fullmatch(text)) or _is_ipv6_and_port(text)
 
 
 def _is_ipv6_and_port(text: str) -> bool:
--- a/leverdoor/platform/settings.py
+++ b/leverdoor/platform/settings.py
@@ -23,11 +23,11 @@
 
 
 LOOKUP_TTL_S = 2.0
-"""Time for which clients may cache a look-up, in seconds, if the deployment allows it.
+"""Time for which clients may cache a look-up, in seconds; `ttl_max_s` may reduce it.
 
 A leaving entry accepts connections for this time (`entry.daemon`). With a greater value
-a stop takes longer and clients use dead entries for longer; with a smaller value there
-are more look-ups.
+a stop takes longer and clients use failed entries for longer; with a smaller value
+there are more look-ups.
 """
 
 
@@ -39,18 +39,21 @@
     """Addresses on which the entry listens, as `ip:port`."""
 
     frontend: str
+    """For requests."""
     ready: str
+    """For readiness checks."""
     directory: str
+    """For look-ups."""
 
 
-class _Bounds(
+class _OperatorLimits(
     msgspec.Struct,
     rename={
         "grace_s": "grace-period-s",
         "drain_ms": "drain-ms",
         "repeat_ratio": "retry-budget-ratio",
         "repeat_slack": "retry-budget-slack",
-        "ttl_max_s": "ttl_max_s",
+        "ttl_max_s": "ttl_max_s",  # The file spells this field with underscores.
         "max_shift": "max-shift",
         "quota_window_s": "quota-window-s",
         "quota_overshoot": "quota-overshoot",
@@ -68,33 +71,35 @@
     repeat_ratio: float = 0.2
     """Maximum retries of all entries together, as a fraction of requests."""
     repeat_slack: float = 64.0
-    """Retries of all entries together that are permitted in addition."""
+    """Retries of all entries together that are permitted beyond `repeat_ratio`."""
     ttl_max_s: float = 5.0
     """Maximum time for which a client may cache a look-up."""
     max_shift: float = 0.15
     """Maximum fraction of a region's requests that may change region in 2 s."""
     quota_window_s: float = 5.0
+    """Window over which the use of a quota is counted."""
     quota_overshoot: float = 0.1
     """Permitted excess over a quota, as a fraction of the quota."""
     quota_slack: float = 20.0
     """Permitted excess beyond the overshoot, in requests."""
     strict_revocation: bool = False
-    """Reject keys that may have been revoked for longer than `revocation_ms`."""
+    """Reject workspace keys if the store has not responded for `revocation_ms`, because
+    they may have been revoked in the meantime."""
     revocation_ms: float = 5_000.0
 
-    def quotas(self) -> QuotaBounds:
-        """Return by how much usage may exceed a quota."""
+    def quota_bounds(self) -> QuotaBounds:
+        """Return the permitted excess over quotas."""
         return QuotaBounds(self.quota_window_s, self.quota_overshoot, self.quota_slack)
 
     def confirm_within_s(self) -> float:
-        """Return the age of the store's last response from which keys are rejected.
+        """Return the maximum age of the store's last response for accepting keys.
 
-        Returns: seconds; 0 if keys are never rejected for this reason.
+        Returns: seconds; 0 for no maximum.
         """
         return self.revocation_ms / 1000 if self.strict_revocation else 0.0
 
 
-class _Limits(_KebabStruct):
+class _VmResources(_KebabStruct):
     """Resources of the VM."""
 
     link_bandwidth_mbps: float = 0.0
@@ -127,8 +132,8 @@
     """The metadata store, the only service of the platform that an entry calls."""
     bootstrap: bool = False
     """Whether this is the first start of the deployment."""
-    limits: _Limits = msgspec.field(default_factory=_Limits)
-    bounds: _Bounds = msgspec.field(default_factory=_Bounds)
+    limits: _VmResources = msgspec.field(default_factory=_VmResources)
+    bounds: _OperatorLimits = msgspec.field(default_factory=_OperatorLimits)
 
     def entry(self) -> EntrySettings:
         """Convert the file's fields to entry settings."""
@@ -153,7 +158,7 @@
             max_shift=self.bounds.max_shift,
             store_writes_per_s=self.platform.writes_per_s,
             store_reads_per_s=self.platform.reads_per_s,
-            quotas=self.bounds.quotas(),
+            quotas=self.bounds.quota_bounds(),
             confirm_within_s=self.bounds.confirm_within_s(),
             first_start=self.bootstrap,
             link_mbps=round(self.limits.link_bandwidth_mbps),
--- a/leverdoor/platform/store.py
+++ b/leverdoor/platform/store.py
@@ -2,9 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """`LeasingStore` over the HTTP API of the platform's metadata store.
 
-Distinguishes calls that the store did not execute (`StoreUnavailable`) from calls whose
-outcome is unknown (`StoreUnknown`). Callers decide whether to retry. Owns the
-connections to the store, which are closed by `close` or with the process.
+Distinguishes writes that the store did not execute (`StoreUnavailable`) from writes
+whose outcome is unknown (`StoreUnknown`). Reads whose response is lost also raise
+`StoreUnavailable`, because repeating them is safe. Callers decide whether to retry.
+Owns the connections to the store, which are closed by `close` or with the process.
 """
 
 import asyncio
@@ -36,36 +37,38 @@
 WATCH_WAIT_MS = 2_500
 """Maximum time for which the store may hold a watch call open, in ms.
 
-With a greater value a silent store is detected later; with a smaller value each
-follower makes more calls.
+With a greater value a silent store is detected later; with a smaller value each watcher
+makes more calls.
 """
 FIRST_WAIT_MS = 50
 """Maximum time for which the store may hold a watch's first call open, in ms.
 
 It is short so that the recovery of an unavailable store is detected soon.
 """
-FIRST_CALL_SLACK_S = 0.4
-"""Time after `FIRST_WAIT_MS` at which the first call is repeated, in seconds.
+FIRST_CALL_MARGIN_S = 0.4
+"""Margin of the first call's timeout over `FIRST_WAIT_MS`, in seconds.
+
+The call is repeated after its timeout.
 
 The repetition uses another connection: TCP retransmits a lost first packet only after a
 second, and a kept connection may have gone silent. The time covers two round trips
 between regions and the response of a slow store. With a smaller value a slow store
-receives more calls; with a greater value an entry that calls ahead of its schedule is
-delayed by the difference.
+receives more calls; with a greater value an entry that makes an unscheduled call is
+delayed accordingly.
 """
-WATCH_SLACK_S = 0.75
-"""Time after the wait of a watch call at which the store is considered silent.
+WATCH_MARGIN_S = 0.75
+"""Margin of a watch call's timeout over its wait, in seconds.
 
-In seconds. A slow store takes 60 times the normal 4 ms, and opening a connection takes
-two round trips between regions.
+After it the store is considered silent. A slow store takes 60 times the normal 4 ms,
+and opening a connection takes two round trips between regions.
 """
 READ_IDLE_S = 1.0
-"""Maximum idle time after which a connection for reads is reused, in seconds.
+"""Idle time after which a read connection is no longer reused, in seconds.
 
 An idle connection may have gone silent without a reset; a call over it then takes its
 whole timeout. A watch leaves its connection idle for `EVENT_BATCH_DELAY_S`. With a
-greater value a call ahead of schedule may be late; with a smaller value watches open
-new connections.
+greater value an unscheduled call may be late; with a smaller value watches open new
+connections.
 """
 EVENT_BATCH_DELAY_S = 0.1
 """Delay after a watch returned events, in seconds, so that later events are batched.
@@ -96,7 +99,7 @@
         return Event(self.revision, self.key, None if self.gone else self.value)
 
 
-class _RangePage(msgspec.Struct):
+class _RangeResponse(msgspec.Struct):
     """One page of a range of keys."""
 
     items: list[_KeyRecord]
@@ -105,7 +108,7 @@
     """Revision of the store."""
 
 
-class _WatchReply(msgspec.Struct):
+class _WatchResponse(msgspec.Struct):
     """The response to a watch call."""
 
     events: list[_KeyRecord]
@@ -113,13 +116,13 @@
     """Revision of the store, after which the next watch starts."""
 
 
-class _TransactionReply(msgspec.Struct):
+class _TransactionResponse(msgspec.Struct):
     """The response to a committed transaction."""
 
     revision: int
 
 
-class _LeaseReply(msgspec.Struct):
+class _LeaseResponse(msgspec.Struct):
     """The response to a request for a lease."""
 
     lease: int
@@ -158,21 +161,25 @@
         return self._write_session
 
     async def read(self, prefix: str) -> Listing:
-        """Read all keys under a prefix, with the revision of the first page."""
-        return await self._list({"path-prefix": prefix})
+        """Read all keys under a prefix.
+
+        The listing has the revision of the first page, so that a watch from it also
+        returns changes made between pages.
+        """
+        return await self._read_pages({"path-prefix": prefix})
 
     async def read_stale(self, prefix: str) -> Listing:
         """Read all keys under a prefix from a lagging copy, at a tenth of the cost."""
-        return await self._list({"path-prefix": prefix, "stale": "1"})
+        return await self._read_pages({"path-prefix": prefix, "stale": "1"})
 
-    async def _list(self, query: dict[str, str]) -> Listing:
+    async def _read_pages(self, query: dict[str, str]) -> Listing:
         revision = 0
         found: dict[str, KeyValue] = {}
         after = ""
         while True:
             page_query = query | ({"after": after} if after else {})
-            data = await self._read("kv-range", page_query, [CALL_TIMEOUT_S])
-            page = _parse_reply(data, _RangePage)
+            data = await self._get_with_retry("kv-range", page_query, [CALL_TIMEOUT_S])
+            page = _parse_response(data, _RangeResponse)
             revision = revision or page.at
             found.update((i.key, i.key_value()) for i in page.items)
             if not page.more or not page.items:
@@ -184,17 +191,18 @@
     ) -> AsyncIterator[list[Event]]:
         """Yield the changes after a revision; an empty list if a call returns none."""
         wait_ms = FIRST_WAIT_MS
-        slacks_s = [FIRST_CALL_SLACK_S, WATCH_SLACK_S]
+        margins_s = [FIRST_CALL_MARGIN_S, WATCH_MARGIN_S]
         while True:
             query = {
                 "path-prefix": prefix,
                 "after": str(after),
                 "wait-ms": str(wait_ms),
             }
-            timeouts_s = [wait_ms / 1000 + s for s in slacks_s]
-            slacks_s = [WATCH_SLACK_S]
-            found = _parse_reply(
-                await self._read("kv-watch", query, timeouts_s), _WatchReply
+            timeouts_s = [wait_ms / 1000 + s for s in margins_s]
+            margins_s = [WATCH_MARGIN_S]
+            found = _parse_response(
+                await self._get_with_retry("kv-watch", query, timeouts_s),
+                _WatchResponse,
             )
             after = max(after, found.at)
             yield [i.event() for i in found.events]
@@ -217,8 +225,8 @@
         Returns: the lease.
         """
         body = {"ttl_ms": round(ttl_s * 1000)}
-        lease = _parse_reply(
-            await self._write("POST", "kv-lease", body), _LeaseReply
+        lease = _parse_response(
+            await self._write("POST", "kv-lease", body), _LeaseResponse
         ).lease
         await self._transact([Write(key, value)], lease)
         return lease
@@ -259,12 +267,12 @@
             "removals": [w.key for w in writes if w.value is None],
         }
         status, data = await self._call("POST", "kv-txn", {}, body)
-        if status == 412:
+        if status == 412:  # An expected revision did not match.
             return Commit(False, 0)
         _raise_for_status(status, "kv-txn")
-        return Commit(True, _parse_reply(data, _TransactionReply).revision)
+        return Commit(True, _parse_response(data, _TransactionResponse).revision)
 
-    async def _read(
+    async def _get_with_retry(
         self, call: str, query: dict[str, str], timeouts_s: Sequence[float]
     ) -> bytes:
         """Make a read call; a lost response is reported as an unavailable store.
@@ -284,15 +292,15 @@
         *first, last = timeouts_s
         for timeout_s in first:
             try:
-                return await self._read_once(call, query, timeout_s)
+                return await self._get_once(call, query, timeout_s)
             except CallTimeoutError:
                 continue
         try:
-            return await self._read_once(call, query, last)
+            return await self._get_once(call, query, last)
         except CallTimeoutError as e:
             raise StoreUnavailable(e.detail) from None
 
-    async def _read_once(
+    async def _get_once(
         self, call: str, query: dict[str, str], timeout_s: float
     ) -> bytes:
         try:
@@ -336,8 +344,8 @@
                 data=None if body is None else msgspec.json.encode(body),
                 headers=headers,
                 timeout=aiohttp.ClientTimeout(total=timeout_s),
-            ) as answer:
-                return answer.status, await answer.read()
+            ) as response:
+                return response.status, await response.read()
         except aiohttp.ClientConnectorError as e:
             raise StoreUnavailable(f"{call}: {e}") from None
         except TimeoutError as e:
@@ -358,7 +366,7 @@
     raise StoreUnknown(f"{call}: HTTP {status}")
 
 
-def _parse_reply(data: bytes, kind: type[T]) -> T:
+def _parse_response(data: bytes, kind: type[T]) -> T:
     try:
         return msgspec.json.decode(data, type=kind)
     except msgspec.MsgspecError as e:
--- a/leverdoor/platform/wire_format.py
+++ b/leverdoor/platform/wire_format.py
@@ -23,7 +23,7 @@
 __all__ = ["wire"]
 
 
-class _Resolved(msgspec.Struct, rename="kebab"):
+class _LookupResponse(msgspec.Struct, rename="kebab"):
     """The response to a look-up."""
 
     addresses: list[str]
@@ -31,7 +31,7 @@
 
 
 def wire(zones: Mapping[str, str]) -> Wire:
-    """Return the platform's names, paths and formats.
+    """Return the names, paths and formats that an entry uses on the platform.
 
     Args:
       zones: region of each failure domain; the platform calls these zones.
@@ -53,8 +53,8 @@
         ),
         ready_path="/api/readiness",
         resolve_path="/api/resolve",
-        parse_resolve=_parse_resolve,
-        serialize_resolve=_serialize_resolve,
+        parse_resolve=_parse_lookup,
+        serialize_resolve=_serialize_lookup,
         parse_load=parse_load,
         parse_limit=parse_limit,
         parse_leaving=parse_leaving,
@@ -65,10 +65,10 @@
     )
 
 
-def _parse_resolve(query: Mapping[str, str]) -> Lookup:
+def _parse_lookup(query: Mapping[str, str]) -> Lookup:
     # `name` is the host that the client intends to contact.
     return Lookup(query.get("name", ""), query.get("region", ""), query.get("zone", ""))
 
 
-def _serialize_resolve(addresses: list[str], ttl_s: float) -> bytes:
-    return msgspec.json.encode(_Resolved(addresses, ttl_s))
+def _serialize_lookup(addresses: list[str], ttl_s: float) -> bytes:
+    return msgspec.json.encode(_LookupResponse(addresses, ttl_s))
--- a/tests/test_platform_registrations.py
+++ b/tests/test_platform_registrations.py
@@ -232,7 +232,7 @@
 
 
 def check_encodable(accepted: list[Target], found: Configured) -> None:
-    """Check that every message with a target can encode each accepted target."""
+    """Check that accepted targets can be encoded in every message."""
     catalog = Catalog(1, found.version, found.resources)
     lists = TargetLists()
     lists.renew(catalog.names_by_region)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -27,7 +27,7 @@
 async def pair(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[StoreFixture]:
     monkeypatch.setattr(platform_store, "CALL_TIMEOUT_S", 0.3)
     monkeypatch.setattr(platform_store, "WATCH_WAIT_MS", 200)
-    monkeypatch.setattr(platform_store, "WATCH_SLACK_S", 0.3)
+    monkeypatch.setattr(platform_store, "WATCH_MARGIN_S", 0.3)
     monkeypatch.setattr(platform_store, "EVENT_BATCH_DELAY_S", 0.0)
     standin = MetadataStandin()
     server = TestServer(standin.app())
@@ -52,7 +52,7 @@
 async def test_stale_read_uses_stale_call_and_returns_leases(
     pair: StoreFixture,
 ) -> None:
-    """A stale read costs a tenth of an ordinary read."""
+    """A stale read must not be made as an ordinary read, which costs ten times more."""
     lease = await pair.store.hold("entries/n1", b"1", 5.0)
     listing = await pair.store.read_stale("entries/")
     assert [(e.key, e.value, e.lease) for e in listing.entries] == [
@@ -99,8 +99,11 @@
 async def test_first_watch_call_is_repeated_after_timeout(
     pair: StoreFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """TCP retransmits a lost first packet after a second, which would be too late."""
-    monkeypatch.setattr(platform_store, "FIRST_CALL_SLACK_S", 0.1)
+    """TCP retransmits a lost first packet only after a second.
+
+    The first call is dropped before it reaches the stand-in.
+    """
+    monkeypatch.setattr(platform_store, "FIRST_CALL_MARGIN_S", 0.1)
     call = pair.store._call
     to_drop = ["kv-watch"]
 
