--- a/leverdoor/platform/formats.py
+++ b/leverdoor/platform/formats.py
@@ -71,7 +71,9 @@
         self._zones = zones
         """Region by failure domain."""
         self._regions = [
-            Region(name=r, domains=sorted(z for z, of in zones.items() if of == r))
+            Region(
+                name=r, domains=sorted(z for z, region in zones.items() if region == r)
+            )
             for r in sorted(set(zones.values()))
         ]
         self._config_revision = 0
@@ -83,9 +85,9 @@
         self._left_out: dict[str, LeftOut] = {}
         """Rejected registrations, by key."""
 
-    def __call__(self, entries: Mapping[str, KeyValue]) -> Configured:
+    def __call__(self, items: Mapping[str, KeyValue]) -> Configured:
         """Translate all keys of the store to resources."""
-        config = entries.get(CONFIG_KEY)
+        config = items.get(CONFIG_KEY)
         if config is not None and config.revision != self._config_revision:
             self._apply_config(config)
         resources = [*self._regions, *self._config_resources]
@@ -93,36 +95,36 @@
         held: dict[str, KeyValue] = {}
         targets: dict[str, tuple[int, Target]] = {}
         left_out: dict[str, LeftOut] = {}
-        for key, entry in entries.items():
+        for key, item in items.items():
             if key.startswith(REGISTRATION_PREFIX):
                 try:
-                    targets[key] = self._target(entry)
+                    targets[key] = self._target(item)
                 except _RejectedError as e:
                     left_out[key] = e.left_out
             elif key.startswith(EVACUATION_PREFIX):
                 zone = key.removeprefix(EVACUATION_PREFIX)
                 resources.append(Drain(name=zone, domain=zone))
             elif key.startswith(ENTRY_PREFIX):
-                peers[key.removeprefix(ENTRY_PREFIX)] = entry.value
+                peers[key.removeprefix(ENTRY_PREFIX)] = item.value
             elif key.startswith(QUARANTINE_PREFIX):
-                held[key.removeprefix(QUARANTINE_PREFIX)] = entry
+                held[key.removeprefix(QUARANTINE_PREFIX)] = item
         self._targets = targets
         self._left_out = left_out
         resources += [target for _, target in targets.values()]
         rejected = list(left_out.values())
         return Configured(self._config.version, resources, peers, held, rejected)
 
-    def _apply_config(self, entry: KeyValue) -> None:
+    def _apply_config(self, item: KeyValue) -> None:
         """Apply a new configuration; keep the previous one if it cannot be decoded."""
         try:
-            config = msgspec.json.decode(entry.value, type=OperatorConfig)
+            config = msgspec.json.decode(item.value, type=OperatorConfig)
             self._config_resources = config.to_resources()
             self._config = config
             self._apply_services(config)
         except msgspec.MsgspecError as e:
-            logger.error("configuration not taken", key=entry.key, error=str(e))
+            logger.error("configuration not taken", key=item.key, error=str(e))
         # An invalid document counts as seen, so that it is decoded and logged once.
-        self._config_revision = entry.revision
+        self._config_revision = item.revision
 
     def _apply_services(self, config: OperatorConfig) -> None:
         """Update the known services; if they changed, check all targets again."""
@@ -132,23 +134,23 @@
             self._targets = {}
             self._left_out = {}
 
-    def _target(self, entry: KeyValue) -> tuple[int, Target]:
+    def _target(self, item: KeyValue) -> tuple[int, Target]:
         """Return the target of a registration and the revision of its key.
 
         Raises:
           _RejectedError: the registration is invalid.
         """
-        known = self._targets.get(entry.key)
-        if known is not None and known[0] == entry.revision:
+        known = self._targets.get(item.key)
+        if known is not None and known[0] == item.revision:
             return known
-        rejected = self._left_out.get(entry.key)
-        if rejected is not None and rejected.revision == entry.revision:
+        rejected = self._left_out.get(item.key)
+        if rejected is not None and rejected.revision == item.revision:
             raise _RejectedError(rejected)
-        name = entry.key.removeprefix(REGISTRATION_PREFIX)
+        name = item.key.removeprefix(REGISTRATION_PREFIX)
         try:
-            return entry.revision, parse_registration(name, entry.value, self._allowed)
+            return item.revision, parse_registration(name, item.value, self._allowed)
         except InvalidRegistrationError as e:
-            left_out = LeftOut(name, e.cause.value, str(e), entry.revision)
+            left_out = LeftOut(name, e.cause.value, str(e), item.revision)
             raise _RejectedError(left_out) from None
 
 
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -75,7 +75,7 @@
     st.lists(st.integers(0, 2**32 - 1), min_size=1, max_size=20),
 )
 def test_map_agrees_with_linear_search(
-    chunks: list[list[tuple[str, str]]], numbers: list[int]
+    chunks: list[list[tuple[str, str]]], addresses: list[int]
 ) -> None:
     seen: dict[str, str] = {}
     unique = [
@@ -84,7 +84,7 @@
     ]
     block_map = build_map(*unique)
     networks = [(ipaddress.ip_network(p), r) for p, r in seen.items()]
-    for number in numbers:
+    for number in addresses:
         address = ipaddress.ip_address(number)
         matching = [(n.prefixlen, r) for n, r in networks if address in n]
         expected = max(matching)[1] if matching else ""
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -39,8 +39,8 @@
 
 def test_old_requests_leave_the_windows() -> None:
     m = make_meter([150.0])
-    slow = summarize(m.series(SHORT_WINDOW_S + 60), [LEVEL])[0]
-    assert (slow.fast_burn, slow.slow_burn) == (0.0, 10.0)
+    line = summarize(m.series(SHORT_WINDOW_S + 60), [LEVEL])[0]
+    assert (line.fast_burn, line.slow_burn) == (0.0, 10.0)
     assert summarize(m.series(LONG_WINDOW_S + 60), [LEVEL])[0].slow_burn == 0.0
 
 
--- a/tests/test_platform_registrations.py
+++ b/tests/test_platform_registrations.py
@@ -208,19 +208,19 @@
 PREFIXES = ("servers/", "op/", "op/evacuate/", "leverdoor/entries/")
 
 
-FOREIGN_ENTRIES = st.dictionaries(
+ARBITRARY_ITEMS = st.dictionaries(
     st.tuples(st.sampled_from(PREFIXES), st.text(max_size=12)), ANY_VALUE, max_size=8
 )
 
 
-@given(FOREIGN_ENTRIES, ANY_VALUE)
+@given(ARBITRARY_ITEMS, ANY_VALUE)
 def test_arbitrary_store_contents_never_raise_and_keep_valid_targets(
-    foreign: dict[tuple[str, str], bytes], configuration: bytes
+    arbitrary_items: dict[tuple[str, str], bytes], configuration: bytes
 ) -> None:
     translate = Translator(ZONES)
     translate(make_store(y=encode_registration()))
     entries = make_store(y=encode_registration())
-    for number, ((prefix, name), value) in enumerate(foreign.items(), 100):
+    for number, ((prefix, name), value) in enumerate(arbitrary_items.items(), 100):
         key = prefix + name
         if key not in entries:
             entries[key] = KeyValue(key, value, number)
@@ -259,24 +259,24 @@
 
 
 def test_invalid_registration_is_logged_once_and_counted_while_present() -> None:
-    lines, metrics = RecordedEvents(), EntryMetrics()
-    report = LeftOutReport(lines, metrics)  # type: ignore[arg-type]
+    events, metrics = RecordedEvents(), EntryMetrics()
+    report = LeftOutReport(events, metrics)  # type: ignore[arg-type]
     invalid = LeftOut("x", "address", "''", 3)
     for moment in range(5):
         report.take([invalid], float(moment))
-    assert [line[0] for line in lines.lines] == ["x"]
+    assert [line[0] for line in events.lines] == ["x"]
     assert b'registrations_left_out{cause="address"} 1.0' in metrics.text()
     report.take([msgspec.structs.replace(invalid, revision=4)], 6.0)
-    assert len(lines.lines) == 2
+    assert len(events.lines) == 2
     report.take([], 7.0)
     assert b"registrations_left_out{" not in metrics.text()
 
 
 def test_log_lines_for_invalid_registrations_are_rate_limited() -> None:
-    lines = RecordedEvents()
-    report = LeftOutReport(lines, EntryMetrics())  # type: ignore[arg-type]
+    events = RecordedEvents()
+    report = LeftOutReport(events, EntryMetrics())  # type: ignore[arg-type]
     for number in range(500):
         report.take([LeftOut("x", "address", "''", number)], number / 10)
-    assert len(lines.lines) == MOST_LINES
+    assert len(events.lines) == MOST_LINES
     report.take([LeftOut("x", "address", "''", 900)], 61.0)
-    assert lines.lines[-1][3] == 500 - MOST_LINES
+    assert events.lines[-1][3] == 500 - MOST_LINES
