--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -24,7 +24,7 @@
 
 
 @pytest.fixture
-async def fixture(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[StoreFixture]:
+async def contract(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[StoreFixture]:
     monkeypatch.setattr(platform_store, "CALL_TIMEOUT_S", 0.3)
     monkeypatch.setattr(platform_store, "WATCH_WAIT_MS", 200)
     monkeypatch.setattr(platform_store, "WATCH_MARGIN_S", 0.3)
@@ -38,46 +38,46 @@
     await server.close()
 
 
-async def test_reads_all_pages(fixture: StoreFixture) -> None:
-    fixture.standin.faults.page = 2
+async def test_reads_all_pages(contract: StoreFixture) -> None:
+    contract.standin.faults.page = 2
     for i in range(5):
-        fixture.standin.put(f"servers/{i}", bytes([i]))
-    listing = await fixture.store.read("")
+        contract.standin.put(f"servers/{i}", bytes([i]))
+    listing = await contract.store.read("")
     assert {e.key: e.value for e in listing.entries} == {
         f"servers/{i}": bytes([i]) for i in range(5)
     }
-    assert fixture.standin.calls["kv-range"] == 3
+    assert contract.standin.calls["kv-range"] == 3
 
 
 async def test_stale_read_uses_stale_call_and_returns_leases(
-    fixture: StoreFixture,
+    contract: StoreFixture,
 ) -> None:
     """A stale read must not be made as an ordinary read, which costs ten times more."""
-    lease = await fixture.store.hold("entries/n1", b"1", 5.0)
-    listing = await fixture.store.read_stale("entries/")
+    lease = await contract.store.hold("entries/n1", b"1", 5.0)
+    listing = await contract.store.read_stale("entries/")
     assert [(e.key, e.value, e.lease) for e in listing.entries] == [
         ("entries/n1", b"1", lease)
     ]
-    assert fixture.standin.calls["kv-range stale"] == 1
-    assert "kv-range" not in fixture.standin.calls
+    assert contract.standin.calls["kv-range stale"] == 1
+    assert "kv-range" not in contract.standin.calls
 
 
-async def test_listing_has_revision_of_first_page(fixture: StoreFixture) -> None:
+async def test_listing_has_revision_of_first_page(contract: StoreFixture) -> None:
     """The watch must still return changes that happen between pages."""
-    fixture.standin.faults.page = 1
-    fixture.standin.put("servers/a", b"1")
-    fixture.standin.put("servers/b", b"1")
-    first = fixture.standin.revision
-    listing = await fixture.store.read("")
+    contract.standin.faults.page = 1
+    contract.standin.put("servers/a", b"1")
+    contract.standin.put("servers/b", b"1")
+    first = contract.standin.revision
+    listing = await contract.store.read("")
     assert listing.revision == first
 
 
-async def test_watch_returns_changes_and_removals(fixture: StoreFixture) -> None:
-    at = fixture.standin.put("op/config", b"1")
-    watch = fixture.store.watch("", at)
+async def test_watch_returns_changes_and_removals(contract: StoreFixture) -> None:
+    at = contract.standin.put("op/config", b"1")
+    watch = contract.store.watch("", at)
     assert await anext(watch) == []
-    fixture.standin.put("op/config", b"2")
-    fixture.standin.remove("op/config")
+    contract.standin.put("op/config", b"2")
+    contract.standin.remove("op/config")
     events = await anext(watch)
     assert [(e.key, e.value) for e in events] == [
         ("op/config", b"2"),
@@ -87,24 +87,24 @@
     await watch.aclose()  # type: ignore[attr-defined]
 
 
-async def test_watch_reports_compacted_history(fixture: StoreFixture) -> None:
-    fixture.standin.put("op/config", b"1")
-    fixture.standin.put("op/config", b"2")
-    fixture.standin.forget_history()
+async def test_watch_reports_compacted_history(contract: StoreFixture) -> None:
+    contract.standin.put("op/config", b"1")
+    contract.standin.put("op/config", b"2")
+    contract.standin.forget_history()
     with pytest.raises(LeverdoorError) as caught:
-        await anext(fixture.store.watch("", 1))
+        await anext(contract.store.watch("", 1))
     assert caught.value.code is Code.COMPACTED
 
 
 async def test_first_watch_call_is_repeated_after_timeout(
-    fixture: StoreFixture, monkeypatch: pytest.MonkeyPatch
+    contract: StoreFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """TCP retransmits a lost first packet only after a second.
 
     The first call is dropped before it reaches the stand-in.
     """
     monkeypatch.setattr(platform_store, "FIRST_CALL_MARGIN_S", 0.1)
-    call = fixture.store._call
+    call = contract.store._call
     to_drop = ["kv-watch"]
 
     async def drop_first_call(*args: object) -> tuple[int, bytes]:
@@ -113,19 +113,19 @@
             raise CallTimeoutError("no answer")
         return await call(*args)  # type: ignore[arg-type]
 
-    fixture.store._call = drop_first_call  # type: ignore[method-assign]
-    at = fixture.standin.put("op/config", b"1")
-    [event] = await anext(fixture.store.watch("", at - 1))
+    contract.store._call = drop_first_call  # type: ignore[method-assign]
+    at = contract.standin.put("op/config", b"1")
+    [event] = await anext(contract.store.watch("", at - 1))
     assert event.key == "op/config"
-    assert fixture.standin.calls["kv-watch"] == 1
+    assert contract.standin.calls["kv-watch"] == 1
 
 
-async def test_rejected_watch_call_is_not_repeated(fixture: StoreFixture) -> None:
+async def test_rejected_watch_call_is_not_repeated(contract: StoreFixture) -> None:
     """The store responded and requested fewer calls."""
-    fixture.standin.faults = MetadataFaults(busy=429)
+    contract.standin.faults = MetadataFaults(busy=429)
     with pytest.raises(StoreUnavailable):
-        await anext(fixture.store.watch("", 0))
-    assert fixture.standin.calls["kv-watch"] == 1
+        await anext(contract.store.watch("", 0))
+    assert contract.standin.calls["kv-watch"] == 1
 
 
 FAULTS = [
@@ -140,15 +140,15 @@
 
 @pytest.mark.parametrize("faults", FAULTS)
 async def test_read_faults_raise_store_unavailable(
-    fixture: StoreFixture, faults: MetadataFaults
+    contract: StoreFixture, faults: MetadataFaults
 ) -> None:
-    fixture.standin.faults = faults
+    contract.standin.faults = faults
     with pytest.raises(StoreUnavailable):
-        await fixture.store.read("")
+        await contract.store.read("")
     with pytest.raises(StoreUnavailable):
-        await anext(fixture.store.watch("", 0))
-    fixture.standin.faults = MetadataFaults()
-    assert (await fixture.store.read("")).entries == []
+        await anext(contract.store.watch("", 0))
+    contract.standin.faults = MetadataFaults()
+    assert (await contract.store.read("")).entries == []
 
 
 WRITE_FAULTS = [
@@ -164,33 +164,33 @@
 
 @pytest.mark.parametrize(("faults", "error", "written"), WRITE_FAULTS)
 async def test_write_faults_distinguish_unavailable_from_unknown(
-    fixture: StoreFixture,
+    contract: StoreFixture,
     faults: MetadataFaults,
     error: type[LeverdoorError],
     written: bool,
 ) -> None:
-    fixture.standin.faults = faults
+    contract.standin.faults = faults
     with pytest.raises(error):
-        await fixture.store.commit([Write("leverdoor/x", b"1", expect=0)])
-    assert ("leverdoor/x" in fixture.standin.items) == written
+        await contract.store.commit([Write("leverdoor/x", b"1", expect=0)])
+    assert ("leverdoor/x" in contract.standin.items) == written
 
 
-async def test_commit_checks_expected_revisions(fixture: StoreFixture) -> None:
-    first = await fixture.store.commit([Write("leverdoor/x", b"1", expect=0)])
-    again = await fixture.store.commit([Write("leverdoor/x", b"2", expect=0)])
+async def test_commit_checks_expected_revisions(contract: StoreFixture) -> None:
+    first = await contract.store.commit([Write("leverdoor/x", b"1", expect=0)])
+    again = await contract.store.commit([Write("leverdoor/x", b"2", expect=0)])
     assert (first.taken, again.taken) == (True, False)
-    removed = await fixture.store.commit([Write("leverdoor/x", None, first.revision)])
+    removed = await contract.store.commit([Write("leverdoor/x", None, first.revision)])
     assert removed.taken
-    assert "leverdoor/x" not in fixture.standin.items
+    assert "leverdoor/x" not in contract.standin.items
 
 
-async def test_lease_is_renewed_and_ended(fixture: StoreFixture) -> None:
-    lease = await fixture.store.hold("leverdoor/e", b"me", 10.0)
-    assert fixture.standin.items["leverdoor/e"].lease == lease
-    assert await fixture.store.keep(lease)
-    await fixture.store.let_go(lease)
-    assert "leverdoor/e" not in fixture.standin.items
-    assert not await fixture.store.keep(lease)
+async def test_lease_is_renewed_and_ended(contract: StoreFixture) -> None:
+    lease = await contract.store.hold("leverdoor/e", b"me", 10.0)
+    assert contract.standin.items["leverdoor/e"].lease == lease
+    assert await contract.store.keep(lease)
+    await contract.store.let_go(lease)
+    assert "leverdoor/e" not in contract.standin.items
+    assert not await contract.store.keep(lease)
 
 
 async def test_expired_lease_removes_its_keys() -> None:
@@ -211,11 +211,13 @@
     await server.close()
 
 
-async def test_invalid_response_raises_store_unavailable(fixture: StoreFixture) -> None:
+async def test_invalid_response_raises_store_unavailable(
+    contract: StoreFixture,
+) -> None:
     async def invalid_response(*_: object) -> tuple[int, bytes]:
         await asyncio.sleep(0)
         return 200, b"<html>"
 
-    fixture.store._call = invalid_response  # type: ignore[method-assign]
+    contract.store._call = invalid_response  # type: ignore[method-assign]
     with pytest.raises(StoreUnavailable):
-        await fixture.store.read("")
+        await contract.store.read("")
