--- a/leverdoor/model/blocks.py
+++ b/leverdoor/model/blocks.py
@@ -2,9 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """The map from client networks to home regions, as flat sorted arrays.
 
-Arrays of 64-bit bounds, since 220,000 networks must fit beside all else into the 64 MB
-of a node (docs/CAPACITY.md). Immutable once compiled; a changed resource recompiles
-only its own chunk.
+The arrays hold 64-bit bounds because 220,000 networks must fit, together with all other
+data, into the 64 MB of a node (docs/CAPACITY.md). A compiled map is immutable. When a
+resource changes, only its networks are recompiled. The state is held in memory and is
+lost with the process; the map is rebuilt from the stored resources.
 """
 
 import ipaddress
@@ -18,96 +19,114 @@
 
 from leverdoor.model.resources import ClientBlocks
 
-__all__ = ["BlockMap", "Chunk", "compile_chunk", "outline"]
+__all__ = ["ClientRegionMap", "CompiledBlocks", "compile_blocks", "without_networks"]
 
 NO_REGION = 0
-"""Number of the region of addresses that no block covers."""
-HALF_BITS = 64
-"""Bits of each half of an IPv6 address in the arrays."""
+"""Region number of addresses that no network covers."""
+ADDRESS_BITS = 64
+"""Bits of a bound in the arrays; of an IPv6 address only the upper half is stored."""
 
-_Range: TypeAlias = tuple[int, int, int]
+_NetworkRange: TypeAlias = tuple[int, int, int]
+"""First address, last address and region number of a network."""
 
 
-class Chunk(msgspec.Struct):
-    """One resource's networks, compiled: bounds and region of each, by version."""
+class CompiledBlocks(msgspec.Struct):
+    """The compiled networks of one resource.
+
+    `ranges` maps the IP version to parallel arrays of first addresses, last addresses
+    and indexes into `regions`.
+    """
 
     regions: list[str]
     ranges: dict[int, list["array[int]"]]
 
 
-class _Part(msgspec.Struct):
-    """Disjoint ranges between two addresses, in the order of their starts."""
+class _DisjointRanges(msgspec.Struct):
+    """Disjoint address ranges from `first` to `last`, sorted by start address."""
 
     first: int
     last: int
     starts: "array[int]"
-    numbers: "array[int]"
+    region_numbers: "array[int]"
     regions: list[str]
 
     def region(self, value: int) -> str:
         at = bisect_right(self.starts, value) - 1
-        return self.regions[self.numbers[at]] if at >= 0 else ""
+        return self.regions[self.region_numbers[at]] if at >= 0 else ""
+
 
+def compile_blocks(resource: ClientBlocks) -> CompiledBlocks:
+    """Compile the networks of one resource.
 
-def compile_chunk(resource: ClientBlocks) -> Chunk:
-    """Compile the networks of one resource."""
+    Raises:
+      ValueError: a network is not in CIDR notation.
+    """
     regions = ["", *sorted(resource.networks)]
     ranges = {v: [array("Q"), array("Q"), array("H")] for v in (4, 6)}
     for number, region in enumerate(regions[1:], 1):
         for network in resource.networks[region]:
-            version, first, last = _bounds(network)
-            firsts, lasts, numbers = ranges[version]
+            version, first, last = _network_bounds(network)
+            firsts, lasts, region_numbers = ranges[version]
             firsts.append(first)
             lasts.append(last)
-            numbers.append(number)
-    return Chunk(regions, ranges)
+            region_numbers.append(number)
+    return CompiledBlocks(regions, ranges)
+
 
+def without_networks(resource: ClientBlocks) -> ClientBlocks:
+    """Return a copy that names the same regions but has no networks.
 
-def outline(resource: ClientBlocks) -> ClientBlocks:
-    """Return a resource without its networks, to check references by."""
+    The copy is sufficient for checking references to regions.
+    """
     return ClientBlocks(
         name=resource.name, networks={region: [] for region in resource.networks}
     )
 
 
-class BlockMap:
+class ClientRegionMap:
     """Longest-prefix match by binary search.
 
-    Each chunk is flattened by itself into disjoint ranges that have one answer
-    each; a look-up bisects the chunks and then one chunk. Only chunks that
-    overlap are flattened together. A v6 address is looked up by its
-    upper 64 bits.
+    The networks of each resource are flattened into disjoint ranges with one region
+    each. Resources whose address spans overlap are flattened together. A look-up
+    bisects the groups and then the ranges of one group. An IPv6 address is looked up by
+    its upper 64 bits, so a network longer than /64 applies to its whole /64.
     """
 
     def __init__(
-        self, chunks: Mapping[str, Chunk], before: "BlockMap | None" = None
+        self,
+        chunks: Mapping[str, CompiledBlocks],
+        previous: "ClientRegionMap | None" = None,
     ) -> None:
         """Build the map.
 
         Args:
-          chunks: compiled chunks by resource name.
-          before: an earlier map, whose parts for unchanged chunks are reused.
+          chunks: compiled networks by resource name.
+          previous: an earlier map; the ranges of unchanged resources are reused.
         """
-        self._known: dict[tuple[int, tuple[int, ...]], _Part] = {}
-        known = before._known if before is not None else {}
-        self._parts: dict[int, list[_Part]] = {}
+        self._ranges_by_group: dict[tuple[int, tuple[int, ...]], _DisjointRanges] = {}
+        reusable = previous._ranges_by_group if previous is not None else {}
+        self._parts: dict[int, list[_DisjointRanges]] = {}
         self._firsts: dict[int, list[int]] = {}
         for version in (4, 6):
             parts = []
-            for group in _groups(chunks.values(), version):
+            for group in _group_overlapping(chunks.values(), version):
                 key = (version, tuple(id(c) for c in group))
-                part = known.get(key) or _flatten(group, version)
-                self._known[key] = part
+                part = reusable.get(key) or _flatten(group, version)
+                self._ranges_by_group[key] = part
                 parts.append(part)
             self._parts[version] = parts
             self._firsts[version] = [p.first for p in parts]
+        # Keeps the objects alive, so that the ids in `_ranges_by_group` stay unique.
         self._chunks = list(chunks.values())
 
     def region(self, address: str) -> str:
-        """Return the home region of a client, or "" when none is known."""
+        """Return the home region of a client address, or "" if it has none.
+
+        Text that is not an IP address has no home region.
+        """
         try:
             version = 6 if ":" in address else 4
-            value = _number(address, version)
+            value = _parse_address(address, version)
         except (OSError, ValueError):
             return ""
         at = bisect_right(self._firsts[version], value) - 1
@@ -117,25 +136,30 @@
         return part.region(value) if value <= part.last else ""
 
 
-def _number(address: str, version: int) -> int:
+def _parse_address(address: str, version: int) -> int:
     if version == 4:
         return int.from_bytes(socket.inet_pton(socket.AF_INET, address))
     packed = socket.inet_pton(socket.AF_INET6, address.split("%")[0])
     return int.from_bytes(packed[:8])
 
 
-def _bounds(prefix: str) -> tuple[int, int, int]:
-    """Return version, first and last address of a network."""
+def _network_bounds(prefix: str) -> tuple[int, int, int]:
+    """Return the IP version and the first and last address of a network.
+
+    IPv6 addresses are reduced to their upper 64 bits.
+    """
     network = ipaddress.ip_network(prefix)
     first = int(network.network_address)
     last = int(network.broadcast_address)
     if network.version == 6:
-        return 6, first >> HALF_BITS, last >> HALF_BITS
+        return 6, first >> ADDRESS_BITS, last >> ADDRESS_BITS
     return 4, first, last
 
 
-def _groups(chunks: Iterable[Chunk], version: int) -> list[list[Chunk]]:
-    """Put chunks together that overlap, in the order of their addresses."""
+def _group_overlapping(
+    chunks: Iterable[CompiledBlocks], version: int
+) -> list[list[CompiledBlocks]]:
+    """Group resources whose address spans overlap, sorted by address."""
     spans = sorted(
         (
             (min(c.ranges[version][0]), max(c.ranges[version][1]), c)
@@ -144,7 +168,7 @@
         ),
         key=lambda s: (s[0], s[1]),
     )
-    groups: list[list[Chunk]] = []
+    groups: list[list[CompiledBlocks]] = []
     end = -1
     for first, last, chunk in spans:
         if first > end:
@@ -154,25 +178,26 @@
     return groups
 
 
-def _flatten(group: list[Chunk], version: int) -> _Part:
-    """Cut nested networks into disjoint ranges; the longest prefix wins."""
+def _flatten(group: list[CompiledBlocks], version: int) -> _DisjointRanges:
+    """Flatten nested networks into disjoint ranges; the longest prefix wins."""
     regions = ["", *sorted({r for c in group for r in c.regions if r})]
-    numbers = {name: i for i, name in enumerate(regions)}
-    networks: list[_Range] = []
+    region_numbers = {name: i for i, name in enumerate(regions)}
+    networks: list[_NetworkRange] = []
     for chunk in group:
-        firsts, lasts, which = chunk.ranges[version]
-        mapped = [numbers[name] for name in chunk.regions]
+        firsts, lasts, chunk_numbers = chunk.ranges[version]
+        mapped = [region_numbers[name] for name in chunk.regions]
         networks += [
-            (f, e, mapped[w]) for f, e, w in zip(firsts, lasts, which, strict=True)
+            (f, e, mapped[w])
+            for f, e, w in zip(firsts, lasts, chunk_numbers, strict=True)
         ]
     networks.sort(key=lambda n: (n[0], -n[1]))
-    starts, found = _cut(networks)
+    starts, found = _split_disjoint(networks)
     last = max(n[1] for n in networks)
-    return _Part(networks[0][0], last, starts, found, regions)
+    return _DisjointRanges(networks[0][0], last, starts, found, regions)
 
 
-def _cut(networks: list[_Range]) -> "tuple[array[int], array[int]]":
-    """Turn sorted networks into the starts of ranges and their regions."""
+def _split_disjoint(networks: list[_NetworkRange]) -> "tuple[array[int], array[int]]":
+    """Convert sorted networks to range starts and the region number of each range."""
     starts, found = array("Q"), array("H")
     enclosing: list[tuple[int, int]] = []
 
@@ -183,15 +208,15 @@
             starts.append(start)
             found.append(number)
 
-    def close(before: int) -> None:
-        while enclosing and enclosing[-1][0] < before:
+    def close(next_start: int) -> None:
+        while enclosing and enclosing[-1][0] < next_start:
             last, _ = enclosing.pop()
-            if last + 1 < 1 << HALF_BITS:
+            if last + 1 < 1 << ADDRESS_BITS:
                 emit(last + 1, enclosing[-1][1] if enclosing else NO_REGION)
 
     for first, last, number in networks:
         close(first)
         emit(first, number)
         enclosing.append((last, number))
-    close(1 << 65)
+    close(1 << 65)  # Greater than every address.
     return starts, found
--- a/leverdoor/platform/__main__.py
+++ b/leverdoor/platform/__main__.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""`python -m leverdoor.platform`: runs an entry on the platform."""
+"""Runs an entry on the platform: `python -m leverdoor.platform`."""
 
 import sys
 
@@ -9,15 +9,18 @@
 
 
 def main() -> int:
-    """Take signals over before anything large is imported, then run.
+    """Run an entry.
 
-    Returns: the exit status.
+    The signal handler is installed before the large imports, so that a reload signal
+    during start does not end the process.
+
+    Returns: the exit status of the process.
     """
-    early = EarlyReload()
+    early_reload = EarlyReload()
     disable_certificate_loading()
     from leverdoor.platform.program import run_entry
 
-    return run_entry(early)
+    return run_entry(early_reload)
 
 
 if __name__ == "__main__":
--- a/leverdoor/platform/program.py
+++ b/leverdoor/platform/program.py
@@ -1,8 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Reads the settings file, connects an entry to the platform, and runs it.
+"""Reads the settings file and runs an entry that uses the platform's store.
 
-Owns the log's writer; flushes it at the end of the process.
+Owns the log writer, which it flushes before the process ends; lines that are still
+buffered at a crash are lost.
 """
 
 import os
@@ -15,53 +16,53 @@
 from leverdoor.errors import SettingsError, code_info
 from leverdoor.lifecycle import run_daemon
 from leverdoor.logs import setup_logs
-from leverdoor.platform.names import wire
 from leverdoor.platform.settings import PlatformSettings, parse_settings
 from leverdoor.platform.store import PlatformStore
+from leverdoor.platform.wire_format import wire
 from leverdoor.signals import EarlyReload
 
 __all__ = ["run_entry"]
 
-SETTINGS = "LEVERDOOR_SETTINGS"
-"""The environment variable that has the path of the settings file."""
+SETTINGS_VARIABLE = "LEVERDOOR_SETTINGS"
+"""Environment variable with the path of the settings file."""
 
 
 def settings_path() -> Path:
-    """Return where the settings file lies."""
-    return Path(os.environ.get(SETTINGS, ""))
+    """Return the path of the settings file."""
+    return Path(os.environ.get(SETTINGS_VARIABLE, ""))
 
 
 def read_settings() -> PlatformSettings:
     """Read the settings file.
 
     Raises:
-      SettingsError: it is not there, or a field is missing or wrong.
+      SettingsError: the file cannot be read, or a field is missing or invalid.
     """
     path = settings_path()
     try:
         return parse_settings(path.read_bytes())
     except OSError as e:
-        raise SettingsError(f"{SETTINGS}={path}: {e.strerror}") from None
+        raise SettingsError(f"{SETTINGS_VARIABLE}={path}: {e.strerror}") from None
 
 
-def run_entry(early: EarlyReload) -> int:
-    """Run until stopped.
+def run_entry(early_reload: EarlyReload) -> int:
+    """Run an entry until it is stopped.
 
     Args:
-      early: whether a reload came before the loop runs, and is still due.
-    Returns: the exit status.
+      early: records a reload signal that arrives before the event loop runs.
+    Returns: the exit status of the process.
     """
     try:
         settings = read_settings()
-        own = settings.entry()
+        entry_settings = settings.entry()
     except SettingsError as e:
         sys.stderr.write(f"{e}\n")
         return code_info(e.code).exit_status
     writer = LineWriter(sys.stdout.fileno())
-    setup_logs("entry", own.name, write=writer.write)
-    events = Events(writer, own.name)
+    setup_logs("entry", entry_settings.name, write=writer.write)
+    events = Events(writer, entry_settings.name)
     store = PlatformStore(settings.platform.address)
-    entry = Entry(own, store, wire(own.domains), events)
+    entry = Entry(entry_settings, store, wire(entry_settings.domains), events)
 
     def reload() -> None:
         try:
@@ -69,6 +70,6 @@
         except SettingsError as e:
             events.process("reload failed", error=str(e))
 
-    run_daemon(entry, reload, early, settings_path())
+    run_daemon(entry, reload, early_reload, settings_path())
     writer.flush()
     return 0
--- a/leverdoor/platform/names.py
+++ b/leverdoor/platform/wire_format.py
@@ -1,8 +1,8 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's headers, paths and bodies, as a wire of the entry.
+"""The platform's headers, paths and message bodies, as the `Wire` of an entry.
 
-The platform's names that mislead are explained at their place. Owns no state.
+Misleading names of the platform are explained where they are used. Owns no state.
 """
 
 from collections.abc import Mapping
@@ -11,8 +11,8 @@
 
 from leverdoor.entry.wire import HeaderNames, Lookup, Wire
 from leverdoor.platform.formats import (
-    HELD,
-    PEERS,
+    ENTRY_PREFIX,
+    QUARANTINE_PREFIX,
     Translator,
     parse_leaving,
     parse_limit,
@@ -23,18 +23,18 @@
 __all__ = ["wire"]
 
 
-class _Resolved(msgspec.Struct, rename="kebab"):
-    """The answer to a look-up."""
+class _LookupResponse(msgspec.Struct, rename="kebab"):
+    """The response to a look-up."""
 
     addresses: list[str]
     ttl_s: float
 
 
 def wire(zones: Mapping[str, str]) -> Wire:
-    """Return the platform's names, paths and formats.
+    """Return the names, paths and formats that an entry uses on the platform.
 
     Args:
-      zones: each failure domain's region; the platform calls them zones.
+      zones: region of each failure domain; the platform calls these zones.
     """
     return Wire(
         headers=HeaderNames(
@@ -53,22 +53,22 @@
         ),
         ready_path="/api/readiness",
         resolve_path="/api/resolve",
-        parse_resolve=_parse_resolve,
-        serialize_resolve=_serialize_resolve,
+        parse_resolve=_parse_lookup,
+        serialize_resolve=_serialize_lookup,
         parse_load=parse_load,
         parse_limit=parse_limit,
         parse_leaving=parse_leaving,
         parse_rest=parse_rest,
         translate=Translator(zones),
-        peer_key=lambda name: PEERS + name,
-        quarantine_record_key=lambda fingerprint: HELD + fingerprint,
+        peer_key=lambda name: ENTRY_PREFIX + name,
+        quarantine_record_key=lambda fingerprint: QUARANTINE_PREFIX + fingerprint,
     )
 
 
-def _parse_resolve(query: Mapping[str, str]) -> Lookup:
-    # `name` is the host that the client is about to use.
+def _parse_lookup(query: Mapping[str, str]) -> Lookup:
+    # `name` is the host that the client intends to contact.
     return Lookup(query.get("name", ""), query.get("region", ""), query.get("zone", ""))
 
 
-def _serialize_resolve(addresses: list[str], ttl_s: float) -> bytes:
-    return msgspec.json.encode(_Resolved(addresses, ttl_s))
+def _serialize_lookup(addresses: list[str], ttl_s: float) -> bytes:
+    return msgspec.json.encode(_LookupResponse(addresses, ttl_s))
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Contract of the platform's store: the adapter against the stand-in, with faults."""
+"""Contract tests of `PlatformStore` against a stand-in of the store with faults."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,13 +10,13 @@
 
 import leverdoor.platform.store as platform_store
 from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
-from leverdoor.platform.store import NoAnswer, PlatformStore
+from leverdoor.platform.store import CallTimeoutError, PlatformStore
 from leverdoor.standins.metadata import MetadataFaults, MetadataStandin
 from leverdoor.storage.store import Write
 
 
-class Pair:
-    """The adapter and the stand-in behind it."""
+class StoreFixture:
+    """A client of the store and the stand-in that it calls."""
 
     def __init__(self, store: PlatformStore, standin: MetadataStandin) -> None:
         self.store = store
@@ -24,58 +24,60 @@
 
 
 @pytest.fixture
-async def pair(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Pair]:
+async def contract(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[StoreFixture]:
     monkeypatch.setattr(platform_store, "CALL_TIMEOUT_S", 0.3)
     monkeypatch.setattr(platform_store, "WATCH_WAIT_MS", 200)
-    monkeypatch.setattr(platform_store, "WATCH_SLACK_S", 0.3)
-    monkeypatch.setattr(platform_store, "GATHER_S", 0.0)
+    monkeypatch.setattr(platform_store, "WATCH_MARGIN_S", 0.3)
+    monkeypatch.setattr(platform_store, "EVENT_BATCH_DELAY_S", 0.0)
     standin = MetadataStandin()
     server = TestServer(standin.app())
     await server.start_server()
     store = PlatformStore(f"{server.host}:{server.port}")
-    yield Pair(store, standin)
+    yield StoreFixture(store, standin)
     await store.close()
     await server.close()
 
 
-async def test_reads_all_pages(pair: Pair) -> None:
-    pair.standin.faults.page = 2
+async def test_reads_all_pages(contract: StoreFixture) -> None:
+    contract.standin.faults.page = 2
     for i in range(5):
-        pair.standin.put(f"servers/{i}", bytes([i]))
-    listing = await pair.store.read("")
+        contract.standin.put(f"servers/{i}", bytes([i]))
+    listing = await contract.store.read("")
     assert {e.key: e.value for e in listing.entries} == {
         f"servers/{i}": bytes([i]) for i in range(5)
     }
-    assert pair.standin.calls["kv-range"] == 3
+    assert contract.standin.calls["kv-range"] == 3
 
 
-async def test_a_stale_read_says_so_and_tells_leases(pair: Pair) -> None:
-    """It costs a tenth of another read."""
-    lease = await pair.store.put_with_lease("entries/n1", b"1", 5.0)
-    listing = await pair.store.read_stale("entries/")
+async def test_stale_read_uses_stale_call_and_returns_leases(
+    contract: StoreFixture,
+) -> None:
+    """A stale read must not be made as an ordinary read, which costs ten times more."""
+    lease = await contract.store.put_with_lease("entries/n1", b"1", 5.0)
+    listing = await contract.store.read_stale("entries/")
     assert [(e.key, e.value, e.lease) for e in listing.entries] == [
         ("entries/n1", b"1", lease)
     ]
-    assert pair.standin.calls["kv-range stale"] == 1
-    assert "kv-range" not in pair.standin.calls
+    assert contract.standin.calls["kv-range stale"] == 1
+    assert "kv-range" not in contract.standin.calls
 
 
-async def test_pages_are_dated_by_the_first(pair: Pair) -> None:
-    """What changes between pages must still be heard from the watch."""
-    pair.standin.faults.page = 1
-    pair.standin.put("servers/a", b"1")
-    pair.standin.put("servers/b", b"1")
-    first = pair.standin.revision
-    listing = await pair.store.read("")
+async def test_listing_has_revision_of_first_page(contract: StoreFixture) -> None:
+    """The watch must still return changes that happen between pages."""
+    contract.standin.faults.page = 1
+    contract.standin.put("servers/a", b"1")
+    contract.standin.put("servers/b", b"1")
+    first = contract.standin.revision
+    listing = await contract.store.read("")
     assert listing.revision == first
 
 
-async def test_watch_tells_changes_and_removals(pair: Pair) -> None:
-    at = pair.standin.put("op/config", b"1")
-    watch = pair.store.watch("", at)
+async def test_watch_returns_changes_and_removals(contract: StoreFixture) -> None:
+    at = contract.standin.put("op/config", b"1")
+    watch = contract.store.watch("", at)
     assert await anext(watch) == []
-    pair.standin.put("op/config", b"2")
-    pair.standin.remove("op/config")
+    contract.standin.put("op/config", b"2")
+    contract.standin.remove("op/config")
     events = await anext(watch)
     assert [(e.key, e.value) for e in events] == [
         ("op/config", b"2"),
@@ -85,42 +87,45 @@
     await watch.aclose()  # type: ignore[attr-defined]
 
 
-async def test_lost_history_is_told(pair: Pair) -> None:
-    pair.standin.put("op/config", b"1")
-    pair.standin.put("op/config", b"2")
-    pair.standin.forget_history()
+async def test_watch_reports_compacted_history(contract: StoreFixture) -> None:
+    contract.standin.put("op/config", b"1")
+    contract.standin.put("op/config", b"2")
+    contract.standin.forget_history()
     with pytest.raises(LeverdoorError) as caught:
-        await anext(pair.store.watch("", 1))
+        await anext(contract.store.watch("", 1))
     assert caught.value.code is Code.COMPACTED
 
 
-async def test_a_watch_whose_first_packet_is_lost_calls_again(
-    pair: Pair, monkeypatch: pytest.MonkeyPatch
+async def test_first_watch_call_is_repeated_after_timeout(
+    contract: StoreFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """TCP sends it again after a second, when the answer would be late."""
-    monkeypatch.setattr(platform_store, "FIRST_ANSWER_S", 0.1)
-    call = pair.store._call
-    lost = ["kv-watch"]
-
-    async def first_is_lost(*args: object) -> tuple[int, bytes]:
-        if lost:
-            lost.pop()
-            raise NoAnswer("no answer")
+    """TCP retransmits a lost first packet only after a second.
+
+    The first call is dropped before it reaches the stand-in.
+    """
+    monkeypatch.setattr(platform_store, "FIRST_CALL_MARGIN_S", 0.1)
+    call = contract.store._call
+    to_drop = ["kv-watch"]
+
+    async def drop_first_call(*args: object) -> tuple[int, bytes]:
+        if to_drop:
+            to_drop.pop()
+            raise CallTimeoutError("no answer")
         return await call(*args)  # type: ignore[arg-type]
 
-    pair.store._call = first_is_lost  # type: ignore[method-assign]
-    at = pair.standin.put("op/config", b"1")
-    [event] = await anext(pair.store.watch("", at - 1))
+    contract.store._call = drop_first_call  # type: ignore[method-assign]
+    at = contract.standin.put("op/config", b"1")
+    [event] = await anext(contract.store.watch("", at - 1))
     assert event.key == "op/config"
-    assert pair.standin.calls["kv-watch"] == 1
+    assert contract.standin.calls["kv-watch"] == 1
 
 
-async def test_a_refused_watch_does_not_call_again(pair: Pair) -> None:
-    """The store was reached, and asked for fewer calls."""
-    pair.standin.faults = MetadataFaults(busy=429)
+async def test_rejected_watch_call_is_not_repeated(contract: StoreFixture) -> None:
+    """The store responded and requested fewer calls."""
+    contract.standin.faults = MetadataFaults(busy=429)
     with pytest.raises(StoreUnavailable):
-        await anext(pair.store.watch("", 0))
-    assert pair.standin.calls["kv-watch"] == 1
+        await anext(contract.store.watch("", 0))
+    assert contract.standin.calls["kv-watch"] == 1
 
 
 FAULTS = [
@@ -134,16 +139,16 @@
 
 
 @pytest.mark.parametrize("faults", FAULTS)
-async def test_faults_of_reads_are_unavailable(
-    pair: Pair, faults: MetadataFaults
+async def test_read_faults_raise_store_unavailable(
+    contract: StoreFixture, faults: MetadataFaults
 ) -> None:
-    pair.standin.faults = faults
+    contract.standin.faults = faults
     with pytest.raises(StoreUnavailable):
-        await pair.store.read("")
+        await contract.store.read("")
     with pytest.raises(StoreUnavailable):
-        await anext(pair.store.watch("", 0))
-    pair.standin.faults = MetadataFaults()
-    assert (await pair.store.read("")).entries == []
+        await anext(contract.store.watch("", 0))
+    contract.standin.faults = MetadataFaults()
+    assert (await contract.store.read("")).entries == []
 
 
 WRITE_FAULTS = [
@@ -158,37 +163,41 @@
 
 
 @pytest.mark.parametrize(("faults", "error", "written"), WRITE_FAULTS)
-async def test_faults_of_writes_say_what_is_known(
-    pair: Pair,
+async def test_write_faults_distinguish_unavailable_from_unknown(
+    contract: StoreFixture,
     faults: MetadataFaults,
     error: type[LeverdoorError],
     written: bool,
 ) -> None:
-    pair.standin.faults = faults
+    contract.standin.faults = faults
     with pytest.raises(error):
-        await pair.store.commit([Write("leverdoor/x", b"1", expected_revision=0)])
-    assert ("leverdoor/x" in pair.standin.items) == written
+        await contract.store.commit([Write("leverdoor/x", b"1", expected_revision=0)])
+    assert ("leverdoor/x" in contract.standin.items) == written
 
 
-async def test_conditions_hold(pair: Pair) -> None:
-    first = await pair.store.commit([Write("leverdoor/x", b"1", expected_revision=0)])
-    again = await pair.store.commit([Write("leverdoor/x", b"2", expected_revision=0)])
+async def test_commit_checks_expected_revisions(contract: StoreFixture) -> None:
+    first = await contract.store.commit(
+        [Write("leverdoor/x", b"1", expected_revision=0)]
+    )
+    again = await contract.store.commit(
+        [Write("leverdoor/x", b"2", expected_revision=0)]
+    )
     assert (first.committed, again.committed) == (True, False)
-    removed = await pair.store.commit([Write("leverdoor/x", None, first.revision)])
+    removed = await contract.store.commit([Write("leverdoor/x", None, first.revision)])
     assert removed.committed
-    assert "leverdoor/x" not in pair.standin.items
+    assert "leverdoor/x" not in contract.standin.items
 
 
-async def test_leases_are_kept_and_let_go(pair: Pair) -> None:
-    lease = await pair.store.put_with_lease("leverdoor/e", b"me", 10.0)
-    assert pair.standin.items["leverdoor/e"].lease == lease
-    assert await pair.store.renew_lease(lease)
-    await pair.store.revoke_lease(lease)
-    assert "leverdoor/e" not in pair.standin.items
-    assert not await pair.store.renew_lease(lease)
+async def test_lease_is_renewed_and_ended(contract: StoreFixture) -> None:
+    lease = await contract.store.put_with_lease("leverdoor/e", b"me", 10.0)
+    assert contract.standin.items["leverdoor/e"].lease == lease
+    assert await contract.store.renew_lease(lease)
+    await contract.store.revoke_lease(lease)
+    assert "leverdoor/e" not in contract.standin.items
+    assert not await contract.store.renew_lease(lease)
 
 
-async def test_a_lease_that_runs_out_takes_its_keys() -> None:
+async def test_expired_lease_removes_its_keys() -> None:
     now = [0.0]
     standin = MetadataStandin(lambda: now[0])
     server = TestServer(standin.app())
@@ -206,11 +215,13 @@
     await server.close()
 
 
-async def test_what_is_no_answer_of_the_store_is_unavailable(pair: Pair) -> None:
-    async def rubbish(*_: object) -> tuple[int, bytes]:
+async def test_invalid_response_raises_store_unavailable(
+    contract: StoreFixture,
+) -> None:
+    async def invalid_response(*_: object) -> tuple[int, bytes]:
         await asyncio.sleep(0)
         return 200, b"<html>"
 
-    pair.store._call = rubbish  # type: ignore[method-assign]
+    contract.store._call = invalid_response  # type: ignore[method-assign]
     with pytest.raises(StoreUnavailable):
-        await pair.store.read("")
+        await contract.store.read("")
