--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -30,9 +30,9 @@
     run_simple,
 )
 from leverdoor.errors import Rejection
-from leverdoor.gate.holdings import Holdings
 from leverdoor.gate.placement import Dispatch, Forward
 from leverdoor.gate.queueing import QueuedRequest
+from leverdoor.gate.row_units import HeldUnits
 from leverdoor.gate.scheduler import Scheduler
 from leverdoor.membership import ownership
 from leverdoor.membership.ownership import Ack, GateProcess, Table, plan
@@ -89,7 +89,7 @@
         table = _settled_table(view, members)
         self._gates = []
         for i, m in enumerate(members):
-            holdings = Holdings(m.gate, 1)
+            holdings = HeldUnits(m.gate, 1)
             holdings.apply(table, {}, -1.0)
             rng = Random(setup.rng.random())
             scheduler = Scheduler(f"vm{i}", "r", holdings, view, rng)
@@ -146,7 +146,7 @@
             if served:
                 work.answer(True)
                 return
-            gate.scheduler.neighbours.refused(f"vm{other.number}", "s")
+            gate.scheduler.peer_gates.refused(f"vm{other.number}", "s")
             self._decide(gate, work)
 
         def answer(served: bool) -> None:
@@ -202,7 +202,7 @@
         self._clock.at(self._clock.now + self._setup.hint_s, partial(self._hint, gate))
 
     def _receive(self, gate: _Gate, heartbeat: AgentHeartbeat) -> None:
-        gate.scheduler.neighbours.receive([heartbeat], self._clock.now)
+        gate.scheduler.peer_gates.receive([heartbeat], self._clock.now)
         self._poll(gate)
 
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -325,9 +325,9 @@
 
 def request() -> None:
     """Processor time of the decisions of one request, without I/O."""
-    from leverdoor.gate.holdings import Holdings
     from leverdoor.gate.placement import Dispatch
     from leverdoor.gate.queueing import QueuedRequest
+    from leverdoor.gate.row_units import HeldUnits
     from leverdoor.gate.scheduler import Scheduler
     from leverdoor.storage.view import DEFAULT_TIER
 
@@ -338,7 +338,7 @@
         member = GateProcess("vm0", "g0", 1)
         held = plan(Table("r"), view.specs("r"), [member])
         assert held is not None
-        holdings = Holdings("g0", 1)
+        holdings = HeldUnits("g0", 1)
         holdings.apply(held, {}, 0.0)
         scheduler = Scheduler("vm0", "r", holdings, view, Random(1))
 
--- a/leverdoor/client/caller.py
+++ b/leverdoor/client/caller.py
@@ -17,8 +17,8 @@
 from leverdoor import headers as h
 from leverdoor.codec import parse_json
 from leverdoor.errors import Code, ConfigError, Problem, Refusal, Run
+from leverdoor.gate.hop_client import refusal_from_problem
 from leverdoor.gate.lookups import LookupAnswer, LookupEntry
-from leverdoor.gate.relay import refusal_of
 from leverdoor.sessions import new_session
 
 __all__ = ["Caller", "Reply"]
@@ -286,7 +286,7 @@
 
 def _refusal(data: bytes) -> Refusal:
     try:
-        return refusal_of(parse_json(data, Problem))
+        return refusal_from_problem(parse_json(data, Problem))
     except ConfigError:
         return Refusal(Code.ANSWER_LOST, "an answer that is not leverdoor's")
 
--- a/leverdoor/gate/ramp.py
+++ b/leverdoor/gate/cap_ramp.py
@@ -10,7 +10,7 @@
 
 __all__ = ["Ramp"]
 
-USED_ENOUGH = 0.5
+RAISE_USE_SHARE = 0.5
 """Part of what was allowed that a window must use for the level to rise.
 
 Half. A smaller part raises the level before the receiving caches are warm; a greater
@@ -42,19 +42,19 @@
 
     def allowed(self, units: int, now: float) -> int:
         """Return how many of `units` may be in use now; at least one."""
-        self._turn(units, now)
+        self._advance_window(units, now)
         return min(units, max(1, math.ceil(self._level * units)))
 
     def use(self) -> None:
         """Record that a unit was used."""
         self._used += 1
 
-    def _turn(self, units: int, now: float) -> None:
+    def _advance_window(self, units: int, now: float) -> None:
         passed = int((now - self._began) / self._window_s)
         if passed <= 0:
             return
         allowed = max(1, math.ceil(self._level * units))
-        if self._used >= USED_ENOUGH * allowed:
+        if self._used >= RAISE_USE_SHARE * allowed:
             self._level = min(1.0, self._level * 2)
             passed -= 1
         if passed > 0 and self._used == 0:
--- a/leverdoor/gate/daemon.py
+++ b/leverdoor/gate/daemon.py
@@ -19,11 +19,11 @@
 from leverdoor.agent.link import GateLink, GateReport, Hints
 from leverdoor.gate.dispatch import Dispatcher
 from leverdoor.gate.handler import MAX_HEADER_BYTES, GateHandler
-from leverdoor.gate.holdings import Holdings
-from leverdoor.gate.keyed import KeyedServer
-from leverdoor.gate.keys import KeyRing
+from leverdoor.gate.hop_client import HopClient
+from leverdoor.gate.idempotency_keys import KeyRegistry
+from leverdoor.gate.keyed_server import KeyedServer
 from leverdoor.gate.quarantining import GateQuarantine
-from leverdoor.gate.relay import HopClient
+from leverdoor.gate.row_units import HeldUnits
 from leverdoor.gate.scheduler import Scheduler
 from leverdoor.gate.serving import Server
 from leverdoor.lifecycle import keep_running
@@ -96,22 +96,22 @@
         now = asyncio.get_running_loop().time()
         self._state = State()
         self._cache = ViewCache(self._state)
-        self._holdings = Holdings(str(s.listen), self._incarnation)
+        self._held_units = HeldUnits(str(s.listen), self._incarnation)
         self._scheduler = Scheduler(
-            s.vm, s.region, self._holdings, self._cache.view, rng
+            s.vm, s.region, self._held_units, self._cache.view, rng
         )
         self._dispatcher = Dispatcher(self._scheduler)
         self._client = HopClient()
         self._metrics = GateMetrics()
         self._quarantine = GateQuarantine(
-            s.vm, self._scheduler.neighbours, self._metrics, rng
+            s.vm, self._scheduler.peer_gates, self._metrics, rng
         )
         self._server = Server(self._dispatcher, self._client, self._quarantine)
-        self._ring = KeyRing(
+        self._key_registry = KeyRegistry(
             s.vm, s.relay_address, self._incarnation, secrets.token_bytes(32), now
         )
         self._keyed = KeyedServer(
-            self._ring, self._server, self._scheduler, self._client
+            self._key_registry, self._server, self._scheduler, self._client
         )
         self._handler = GateHandler(
             s.region,
@@ -119,7 +119,7 @@
             self._scheduler,
             self._server,
             self._keyed,
-            self._ring,
+            self._key_registry,
             self._quarantine,
             BurnMeter(),
             self._metrics,
@@ -162,11 +162,11 @@
                 relay=s.relay_address,
                 incarnation=self._incarnation,
                 revision=self._state.revision,
-                ack=self._holdings.ack(now),
+                ack=self._held_units.ack(now),
                 state=self._handler.state,
                 loads=self._scheduler.loads(now),
                 caps=self._scheduler.caps(now),
-                held=sorted(r for r in self._holdings.rows if r.startswith("t:")),
+                held=sorted(r for r in self._held_units.rows if r.startswith("t:")),
                 draining=self._scheduler.pool.draining(now),
             )
             await self._link.send(report)
@@ -181,19 +181,19 @@
                 logger.error("bad message from the agent", error=str(e))
                 continue
             if isinstance(message, Delta):
-                self._take_delta(message)
+                self._apply_delta(message)
             else:
-                self._take_hints(message)
-            self._dispatcher.kick()
+                self._apply_hints(message)
+            self._dispatcher.wake_scheduler()
 
-    def _take_delta(self, delta: Delta) -> None:
+    def _apply_delta(self, delta: Delta) -> None:
         """Put a change of configuration or ownership into force; serve from then on."""
         if not self._state.apply(delta):
             return
         now = asyncio.get_running_loop().time()
         region = self._settings.region
         self._scheduler.view = self._cache.view
-        self._holdings.apply(
+        self._held_units.apply(
             self._cache.table(region), self._cache.view.settle_s(region), now
         )
         self._metrics.revision.set(self._state.revision)
@@ -201,25 +201,25 @@
             self._handler.state = GateState.SERVING
             logger.info("gate ready", revision=self._state.revision)
 
-    def _take_hints(self, hints: Hints) -> None:
+    def _apply_hints(self, hints: Hints) -> None:
         """Take what is no part of the configuration: load, VMs that leave, probes."""
         now = asyncio.get_running_loop().time()
-        self._scheduler.neighbours.receive(hints.heartbeats, now)
+        self._scheduler.peer_gates.receive(hints.heartbeats, now)
         self._scheduler.pool.leaving_vms = frozenset(hints.leaving_vms)
         for address, probe in hints.probes.items():
             self._scheduler.targets.report(address, probe)
         if hints.incarnation_floor >= self._incarnation:
-            self._rename(hints.incarnation_floor + 1)
+            self._raise_incarnation(hints.incarnation_floor + 1)
 
-    def _rename(self, incarnation: int) -> None:
+    def _raise_incarnation(self, incarnation: int) -> None:
         """Take a later incarnation, since an earlier clock gave too early a one."""
-        if self._holdings.rows:
+        if self._held_units.rows:
             return
         logger.warning("later incarnation", incarnation=incarnation)
         self._incarnation = incarnation
-        self._holdings.incarnation = incarnation
-        self._holdings.version = 0
-        self._ring.incarnation = incarnation
+        self._held_units.incarnation = incarnation
+        self._held_units.version = 0
+        self._key_registry.incarnation = incarnation
 
     # Leaving.
 
--- a/leverdoor/gate/dispatch.py
+++ b/leverdoor/gate/dispatch.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """Runs the scheduler on the loop: requests wait here until the scheduler decides.
 
-Owns a future for each waiting request; they end with the process. Relies on `kick`
+Owns a future for each waiting request; they end with the process. Relies on `wake_scheduler`
 being called whenever units, configuration or heartbeats changed.
 """
 
@@ -40,7 +40,7 @@
         """Count the requests that wait."""
         return len(self._waiting)
 
-    def kick(self) -> None:
+    def wake_scheduler(self) -> None:
         """Have `run` decide again on waiting requests; call after anything changed."""
         self._wake.set()
 
@@ -52,7 +52,7 @@
             return decision
         future: asyncio.Future[Decision] = loop.create_future()
         self._waiting[id(request)] = (request, future)
-        self.kick()
+        self.wake_scheduler()
         try:
             return await future
         except asyncio.CancelledError:
@@ -65,10 +65,10 @@
         decision = self.scheduler.offer(request, now)
         if not isinstance(decision, Rejection) or decision.code is not Code.QUEUE_FULL:
             return decision
-        victim = self.scheduler.evictable(request)
+        victim = self.scheduler.eviction_candidate(request)
         if victim is None:
             return decision
-        refuse = self.scheduler.evict(victim, now)
+        refuse = self.scheduler.shed_waiting(victim, now)
         if refuse is not None:
             self._resolve(victim, refuse)
         return self.scheduler.offer(request, now)
@@ -82,7 +82,7 @@
             decision = future.result()
             if isinstance(decision, Dispatch):
                 self.scheduler.done(request, decision, now, 0.0, False, 0.0)
-                self.kick()
+                self.wake_scheduler()
 
     def _resolve(self, request: QueuedRequest, decision: Decision) -> None:
         entry = self._waiting.get(id(request))
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -16,20 +16,20 @@
 from leverdoor import headers as h
 from leverdoor.answers import json_answer, problem_answer
 from leverdoor.errors import Code, Refusal, Run
-from leverdoor.gate.intake import (
+from leverdoor.gate.idempotency_keys import KeyRegistry, Outcome
+from leverdoor.gate.keyed_server import KeyedServer
+from leverdoor.gate.lookups import LookupAnswer, named_entries
+from leverdoor.gate.quarantining import NOTICES_PATH, GateQuarantine
+from leverdoor.gate.request_reader import (
     caller_origin,
+    defer_continue,
     gate_origin,
-    leave_expect,
     read_request,
 )
-from leverdoor.gate.keyed import KeyedServer
-from leverdoor.gate.keys import KeyRing, Outcome
-from leverdoor.gate.lookups import LookupAnswer, named_entries
-from leverdoor.gate.quarantining import NOTICES_PATH, GateQuarantine
-from leverdoor.gate.refusals import LEAVING_RETRY_MS, NOT_READY_RETRY_MS
 from leverdoor.gate.requests import GateRequest, Origin
+from leverdoor.gate.retry_after import LEAVING_RETRY_MS, NOT_READY_RETRY_MS
 from leverdoor.gate.scheduler import Scheduler
-from leverdoor.gate.serving import Served, Server, finishing
+from leverdoor.gate.serving import ServedResponse, Server, ensure_finished
 from leverdoor.membership.peers import GateState
 from leverdoor.metrics import GateMetrics
 from leverdoor.model.burn import BurnMeter
@@ -51,7 +51,7 @@
         scheduler: Scheduler,
         server: Server,
         keyed: KeyedServer,
-        ring: KeyRing,
+        ring: KeyRegistry,
         quarantine: GateQuarantine,
         burn: BurnMeter,
         metrics: GateMetrics,
@@ -66,7 +66,7 @@
         self._scheduler = scheduler
         self._server = server
         self._keyed = keyed
-        self._ring = ring
+        self._key_registry = ring
         self._quarantine = quarantine
         self._burn = burn
         self._metrics = metrics
@@ -82,7 +82,7 @@
             "*",
             "/s/{service}/{tail:.*}",
             self._from_caller,
-            expect_handler=leave_expect,
+            expect_handler=defer_continue,
         )
         return app
 
@@ -90,9 +90,12 @@
         """Return the application that other gates and agents talk to."""
         app = web.Application(client_max_size=0)
         app.router.add_get("/v1/burn", self._burn_series)
-        app.router.add_post(NOTICES_PATH, self._take_notices)
+        app.router.add_post(NOTICES_PATH, self._receive_notices)
         app.router.add_route(
-            "*", "/s/{service}/{tail:.*}", self._from_gate, expect_handler=leave_expect
+            "*",
+            "/s/{service}/{tail:.*}",
+            self._from_gate,
+            expect_handler=defer_continue,
         )
         return app
 
@@ -123,11 +126,11 @@
         """Return a key for one request; none while this gate may end soon."""
         if service.work is WorkClass.LOOKUP or self.state is not GateState.SERVING:
             return ""
-        return self._ring.issue(secrets.token_bytes(8), now)
+        return self._key_registry.issue(secrets.token_bytes(8), now)
 
     # What other gates tell.
 
-    async def _take_notices(self, request: web.Request) -> web.StreamResponse:
+    async def _receive_notices(self, request: web.Request) -> web.StreamResponse:
         self._quarantine.receive(await request.read())
         return web.Response()
 
@@ -152,11 +155,11 @@
             answered = response.status < 500
             return response
         except Refusal as e:
-            return self._refused(e, service, origin)
+            return self._refusal_response(e, service, origin)
         finally:
             self.active -= 1
             if not origin.forwarded and service in self._scheduler.view.services:
-                self._account(service, origin.tier, arrived, answered)
+                self._record_request(service, origin.tier, arrived, answered)
 
     async def _serve(
         self, request: web.Request, origin: Origin, arrived: float
@@ -192,10 +195,12 @@
             outcome = await self._keyed.serve(inbound)
             return _outcome_response(outcome, inbound)
         served = await self._server.serve(inbound)
-        async with finishing(served):
+        async with ensure_finished(served):
             return await _stream(request, inbound, served)
 
-    def _refused(self, e: Refusal, service: str, origin: Origin) -> web.Response:
+    def _refusal_response(
+        self, e: Refusal, service: str, origin: Origin
+    ) -> web.Response:
         """Log and count a refusal; one that may have run is a warning."""
         log = logger.info if e.run is Run.NO else logger.warning
         log(
@@ -208,7 +213,9 @@
         self._metrics.refused(e.code)
         return problem_answer(e, origin.request_id)
 
-    def _account(self, service: str, tier: Tier, arrived: float, ok: bool) -> None:
+    def _record_request(
+        self, service: str, tier: Tier, arrived: float, ok: bool
+    ) -> None:
         """Count a request of a caller for the service levels and the metrics."""
         now = asyncio.get_running_loop().time()
         took_ms = (now - arrived) * 1000
@@ -242,13 +249,13 @@
 
 
 async def _stream(
-    request: web.Request, inbound: GateRequest, served: Served
+    request: web.Request, inbound: GateRequest, served: ServedResponse
 ) -> web.StreamResponse:
     """Pass an answer on; one that is cut short is never ended as if whole."""
     response = web.StreamResponse(status=served.status)
     for name, value in served.headers:
         response.headers.add(name, value)
-    _mark(response, inbound.request_id, served.served_by)
+    _set_gate_headers(response, inbound.request_id, served.served_by)
     try:
         chunks = served.chunks()
         first = await anext(chunks, None)
@@ -273,13 +280,15 @@
         if name.lower() not in ("content-length", "transfer-encoding"):
             response.headers.add(name, value)
     served_by = response.headers.popall(h.SERVED_BY, [""])[0]
-    _mark(response, inbound.request_id, served_by)
+    _set_gate_headers(response, inbound.request_id, served_by)
     if outcome.code is not Code.OK:
         response.headers[h.CODE] = str(int(outcome.code))
     return response
 
 
-def _mark(response: web.StreamResponse, request_id: str, served_by: str) -> None:
+def _set_gate_headers(
+    response: web.StreamResponse, request_id: str, served_by: str
+) -> None:
     response.headers[h.REQUEST_ID] = request_id
     response.headers[h.CODE] = "0"
     response.headers[h.RUN] = Run.YES.value
--- a/leverdoor/gate/relay.py
+++ b/leverdoor/gate/hop_client.py
@@ -19,7 +19,7 @@
 from leverdoor.errors import Code, Problem, Refusal, Run
 from leverdoor.sessions import new_session
 
-__all__ = ["Answer", "Body", "Hop", "HopClient"]
+__all__ = ["HopResponse", "Body", "Hop", "HopClient"]
 
 CONNECT_TIMEOUT_S = 1.0
 """Longest time to connect to a target or gate, in seconds.
@@ -27,7 +27,7 @@
 Far above the 55 ms between regions. A longer one spends the deadline on a dead
 VM; a shorter one takes a busy target for a dead one.
 """
-BUFFERED_ANSWER = 256 * 1024
+READ_AHEAD_BYTES = 256 * 1024
 """Bytes of an answer read ahead of a slow caller.
 
 Most answers are shorter, so that their slot is free at once; it bounds the memory of
@@ -49,7 +49,7 @@
         whole: bytes | None,
         stream: aiohttp.StreamReader | None,
         length: int | None,
-        stall_s: float,
+        idle_timeout_s: float,
     ) -> None:
         """Create a body.
 
@@ -57,24 +57,24 @@
           whole: all of it, if it is in memory.
           stream: where it comes from otherwise.
           length: its length in bytes, if it was announced.
-          stall_s: longest pause of the stream, in seconds.
+          idle_timeout_s: longest pause of the stream, in seconds.
         """
         self.whole = whole
         self.length = length
-        self.touched = False
+        self.consumed = False
         self.on_start: Callable[[], Awaitable[None]] | None = None
         self._stream = stream
-        self._stall_s = stall_s
+        self._stall_s = idle_timeout_s
 
     @property
     def replayable(self) -> bool:
         """Return whether the body can be sent again."""
-        return self.whole is not None or not self.touched
+        return self.whole is not None or not self.consumed
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the stream; any fault ends the hop without a whole body."""
         assert self._stream is not None
-        self.touched = True
+        self.consumed = True
         if self.on_start is not None:
             await self.on_start()
         sent = 0
@@ -97,12 +97,12 @@
     headers: list[tuple[str, str]]
     body: Body
     deadline: float
-    stall_s: float
+    idle_timeout_s: float
     once: bool
     relay: bool
 
 
-class Answer:
+class HopResponse:
     """An answer whose head has come and whose body is still to be read."""
 
     def __init__(self, response: aiohttp.ClientResponse, relay: bool) -> None:
@@ -166,15 +166,15 @@
 
     def __init__(self) -> None:
         """Create the client; must be called on the loop."""
-        self._kept = new_session()
-        self._fresh = new_session(keep_connections=False)
+        self._pooled_session = new_session()
+        self._unpooled_session = new_session(keep_connections=False)
 
     async def close(self) -> None:
         """Close all connections."""
-        await self._kept.close()
-        await self._fresh.close()
+        await self._pooled_session.close()
+        await self._unpooled_session.close()
 
-    async def send(self, hop: Hop, now: float) -> Answer:
+    async def send(self, hop: Hop, now: float) -> HopResponse:
         """Send a request and wait for the answer's head.
 
         Args:
@@ -184,16 +184,16 @@
           Refusal: CONNECT_FAILED if nothing was sent; ANSWER_LOST or
             DEADLINE_PASSED if it may have run.
         """
-        response = await self._begin(hop, now)
-        answer = Answer(response, hop.relay)
+        response = await self._send_request(hop, now)
+        answer = HopResponse(response, hop.relay)
         if not answer.delimited:
             answer.close()
             raise Refusal(Code.ANSWER_LOST, "the answer's end cannot be told")
         return answer
 
-    async def _begin(self, hop: Hop, now: float) -> aiohttp.ClientResponse:
+    async def _send_request(self, hop: Hop, now: float) -> aiohttp.ClientResponse:
         """Send the request and wait for the head, with faults as refusals."""
-        session = self._fresh if hop.once else self._kept
+        session = self._unpooled_session if hop.once else self._pooled_session
         streamed = hop.body.whole is None
         head = CIMultiDict(hop.headers)
         if streamed and hop.body.length is not None:
@@ -223,11 +223,11 @@
     return aiohttp.ClientTimeout(
         total=None if streamed else max(hop.deadline - now, 0.001) + grace_s,
         sock_connect=CONNECT_TIMEOUT_S,
-        sock_read=hop.stall_s if streamed else None,
+        sock_read=hop.idle_timeout_s if streamed else None,
     )
 
 
-def refusal_of(problem: Problem) -> Refusal:
+def refusal_from_problem(problem: Problem) -> Refusal:
     """Turn a problem that a gate sent back into the error it was."""
     try:
         code = Code(problem.code)
--- a/leverdoor/gate/keys.py
+++ b/leverdoor/gate/idempotency_keys.py
@@ -19,13 +19,13 @@
 
 from leverdoor.errors import Code, Refusal
 
-__all__ = ["Key", "KeyRing", "KeyState", "Outcome", "parse_key", "serialize_key"]
+__all__ = ["Key", "KeyRegistry", "KeyState", "Outcome", "parse_key", "serialize_key"]
 
 KEY_TTL_S = 900.0
 """How long a key can be used, in seconds; docs/API.md promises 15 minutes."""
-KEPT_BODY_BYTES = 64 * 1024
+MAX_KEPT_BODY_BYTES = 64 * 1024
 """Longest answer kept for a retry with its key, in bytes; docs/ERRORS.md says so."""
-KEPT_TOTAL_BYTES = 32 * 1024 * 1024
+MAX_KEPT_TOTAL_BYTES = 32 * 1024 * 1024
 """Most bytes of all kept answers."""
 MAC_BYTES = 12
 """Bytes of a key's check; a guess succeeds once in 2**96."""
@@ -82,7 +82,7 @@
         raise Refusal(Code.KEY_INVALID) from None
 
 
-class KeyRing:
+class KeyRegistry:
     """Issues keys and keeps outcomes for one gate process."""
 
     def __init__(
@@ -120,7 +120,7 @@
         key = Key(self._vm, self._relay, self.incarnation, issued_ms, nonce)
         return serialize_key(msgspec.structs.replace(key, mac=self._mac(key)))
 
-    def mine(self, key: Key) -> bool:
+    def issued_here(self, key: Key) -> bool:
         """Return whether this process issued a key."""
         return (key.vm, key.relay, key.incarnation) == (
             self._vm,
@@ -128,7 +128,7 @@
             self.incarnation,
         )
 
-    def replaced(self, key: Key) -> bool:
+    def issued_by_predecessor(self, key: Key) -> bool:
         """Return whether an earlier process at this one's address issued a key."""
         same = (key.vm, key.relay) == (self._vm, self._relay)
         return same and key.incarnation < self.incarnation
@@ -151,7 +151,7 @@
             return KeyState.NEW
         return KeyState.RUNNING if record.outcome is None else KeyState.DONE
 
-    def not_run(self, key: Key) -> None:
+    def forget_unrun(self, key: Key) -> None:
         """Make a key new again, since it is certain that nothing ran."""
         self._records.pop(key.nonce, None)
 
@@ -161,7 +161,7 @@
         if record is None:
             return
         size = len(outcome.body)
-        if size > KEPT_BODY_BYTES or self._bytes + size > KEPT_TOTAL_BYTES:
+        if size > MAX_KEPT_BODY_BYTES or self._bytes + size > MAX_KEPT_TOTAL_BYTES:
             outcome = Outcome(outcome.status, [], b"", Code.ALREADY_RAN)
         self._bytes += len(outcome.body)
         record.outcome = outcome
--- a/leverdoor/gate/keyed.py
+++ b/leverdoor/gate/keyed_server.py
@@ -14,11 +14,17 @@
 
 from leverdoor import headers as h
 from leverdoor.errors import Code, Refusal, Run
-from leverdoor.gate.keys import Key, KeyRing, KeyState, Outcome, parse_key
-from leverdoor.gate.relay import HopClient, refusal_of
+from leverdoor.gate.hop_client import HopClient, refusal_from_problem
+from leverdoor.gate.idempotency_keys import (
+    Key,
+    KeyRegistry,
+    KeyState,
+    Outcome,
+    parse_key,
+)
 from leverdoor.gate.requests import GateRequest, issuer_hop
 from leverdoor.gate.scheduler import Scheduler
-from leverdoor.gate.serving import Served, Server, finishing
+from leverdoor.gate.serving import ServedResponse, Server, ensure_finished
 from leverdoor.membership.peers import AgentHeartbeat
 
 __all__ = ["KeyedServer"]
@@ -37,10 +43,10 @@
     """Runs a key's request here, or passes it to the gate that issued the key."""
 
     def __init__(
-        self, ring: KeyRing, server: Server, scheduler: Scheduler, client: HopClient
+        self, ring: KeyRegistry, server: Server, scheduler: Scheduler, client: HopClient
     ) -> None:
         """Create it from the gate's parts."""
-        self._ring = ring
+        self._key_registry = ring
         self._server = server
         self._scheduler = scheduler
         self._client = client
@@ -58,14 +64,14 @@
           Refusal: there is none; the code says whether it may have run.
         """
         key = parse_key(inbound.key)
-        if not self._ring.mine(key):
+        if not self._key_registry.issued_here(key):
             return await self._from_issuer(inbound, key)
         now = asyncio.get_running_loop().time()
-        state = self._ring.begin(key, now)
+        state = self._key_registry.begin(key, now)
         if state is KeyState.NEW:
             self._start(inbound, key)
         if state is KeyState.DONE:
-            outcome = self._ring.outcome(key)
+            outcome = self._key_registry.outcome(key)
             assert outcome is not None
             return outcome
         return await self._wait(inbound, key)
@@ -82,21 +88,21 @@
             outcome = await self._collect(await self._server.serve(inbound))
         except Refusal as e:
             if e.run is Run.NO:
-                self._ring.not_run(key)
+                self._key_registry.forget_unrun(key)
                 raise
             outcome = _failed(e)
         except BaseException as e:
             outcome = _failed(Refusal(Code.ANSWER_LOST, repr(e)))
-            self._ring.finish(key, outcome)
+            self._key_registry.finish(key, outcome)
             raise
-        self._ring.finish(key, outcome)
+        self._key_registry.finish(key, outcome)
         return outcome
 
-    async def _collect(self, served: Served) -> Outcome:
+    async def _collect(self, served: ServedResponse) -> Outcome:
         """Read an answer whole; an answer too large to keep is an error."""
         parts = []
         size = 0
-        async with finishing(served):
+        async with ensure_finished(served):
             async for chunk in served.chunks():
                 size += len(chunk)
                 if size <= MAX_OUTCOME_BYTES:
@@ -120,8 +126,8 @@
 
     async def _from_issuer(self, inbound: GateRequest, key: Key) -> Outcome:
         """Pass the request to the gate that issued its key."""
-        issuer = self._scheduler.neighbours.get(key.vm)
-        if self._is_gone(key, issuer):
+        issuer = self._scheduler.peer_gates.get(key.vm)
+        if self._issuer_ended(key, issuer):
             raise Refusal(Code.ISSUER_GONE)
         if issuer is None:
             raise Refusal(Code.ISSUER_UNREACHABLE, retry_after_ms=OUTCOME_RETRY_MS)
@@ -139,12 +145,14 @@
         if problem is not None:
             answer.close()
             logger.info("issuer refused", request_id=inbound.request_id)
-            raise refusal_of(problem)
-        return await self._collect(Served(self._server, inbound, answer, None, 0.0))
+            raise refusal_from_problem(problem)
+        return await self._collect(
+            ServedResponse(self._server, inbound, answer, None, 0.0)
+        )
 
-    def _is_gone(self, key: Key, issuer: AgentHeartbeat | None) -> bool:
+    def _issuer_ended(self, key: Key, issuer: AgentHeartbeat | None) -> bool:
         """Return whether the process that issued a key is proved to be gone."""
-        if self._ring.replaced(key):
+        if self._key_registry.issued_by_predecessor(key):
             return True
         if issuer is None or issuer.relay != key.relay:
             return False
--- a/leverdoor/gate/neighbours.py
+++ b/leverdoor/gate/peers.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from leverdoor.gate.target_health import ASSUMED_MS
+from leverdoor.gate.target_health import INITIAL_RUN_MS
 from leverdoor.gate.workload import queue_wait_ms
 from leverdoor.membership.peers import AgentHeartbeat, GateState, Peer
 
-__all__ = ["Neighbour", "Neighbours", "RegionLoad"]
+__all__ = ["PeerGate", "PeerGates", "RegionLoad"]
 
 PEER_BACKOFF_S = 1.0
 """How long a gate that failed is not forwarded to, in seconds.
@@ -30,7 +30,7 @@
 
 A smaller margin forwards for nothing; a greater one leaves queues uneven.
 """
-CHOICES = 2
+SAMPLED_GATES = 2
 """Gates drawn at random, of which the better is used.
 
 The best of all would draw every gate to the same one until its next heartbeat.
@@ -46,7 +46,7 @@
     gates: int
 
 
-class Neighbour(msgspec.Struct):
+class PeerGate(msgspec.Struct):
     """Another gate, and its load less what was sent there since its last heartbeat.
 
     `free` and `sent` count slots and requests by service, `caps` free cap units by row.
@@ -56,7 +56,7 @@
     free: dict[str, int] = {}
     sent: dict[str, int] = {}
     caps: dict[str, int] = {}
-    out_until: float = 0.0
+    backoff_until: float = 0.0
 
     @property
     def heartbeat(self) -> AgentHeartbeat:
@@ -75,11 +75,11 @@
         if load is None or not load.held:
             return None
         queued = load.waiting - load.free + self.sent.get(service, 0) + 1
-        mean_ms = load.mean_ms or ASSUMED_MS
+        mean_ms = load.mean_ms or INITIAL_RUN_MS
         return queue_wait_ms(max(queued, 0), mean_ms, load.held)
 
 
-class Neighbours:
+class PeerGates:
     """The other gates, by VM."""
 
     def __init__(self, vm: str, leaving: Callable[[str], bool], rng: Random) -> None:
@@ -93,7 +93,7 @@
         self._vm = vm
         self._leaving = leaving
         self._rng = rng
-        self._known: dict[str, Neighbour] = {}
+        self._known: dict[str, PeerGate] = {}
 
     def receive(self, heartbeats: Iterable[AgentHeartbeat], now: float) -> None:
         """Take heartbeats that are newer than those known."""
@@ -102,10 +102,10 @@
                 continue
             n = self._known.get(heartbeat.vm)
             if n is None:
-                n = self._known[heartbeat.vm] = Neighbour(Peer(heartbeat, now))
+                n = self._known[heartbeat.vm] = PeerGate(Peer(heartbeat, now))
             elif n.peer.supersedes(heartbeat, now):
                 if heartbeat.incarnation != n.heartbeat.incarnation:
-                    n.out_until = 0.0
+                    n.backoff_until = 0.0
                 n.peer.receive(heartbeat, now)
             else:
                 continue
@@ -123,14 +123,14 @@
     def lost(self, vm: str, now: float) -> None:
         """Forward nothing to a gate for PEER_BACKOFF_S after a failed connection."""
         if vm in self._known:
-            self._known[vm].out_until = now + PEER_BACKOFF_S
+            self._known[vm].backoff_until = now + PEER_BACKOFF_S
 
     def refused(self, vm: str, service: str) -> None:
         """Assume no free slot at a gate that refused, until its next heartbeat."""
         if vm in self._known:
             self._known[vm].free[service] = 0
 
-    def usable(self, now: float, region: str = "") -> list[Neighbour]:
+    def usable(self, now: float, region: str = "") -> list[PeerGate]:
         """Return the gates that can be used now, of one region or of all.
 
         They are serving, not silent, not on a VM that leaves, and had no failed
@@ -141,7 +141,7 @@
             for n in self._known.values()
             if region in ("", n.heartbeat.region)
             and n.heartbeat.state is GateState.SERVING
-            and now >= n.out_until
+            and now >= n.backoff_until
             and not n.peer.silent(now)
             and not self._leaving(n.heartbeat.vm)
         ]
@@ -162,7 +162,7 @@
 
     def with_free_slot(
         self, service: str, region: str, cap: str, now: float
-    ) -> Neighbour | None:
+    ) -> PeerGate | None:
         """Choose a gate with a free slot: the better of two at random.
 
         Args:
@@ -178,7 +178,7 @@
         ]
         if not found:
             return None
-        picked = self._rng.sample(found, min(CHOICES, len(found)))
+        picked = self._rng.sample(found, min(SAMPLED_GATES, len(found)))
         best = max(picked, key=lambda n: n.free[service])
         best.free[service] -= 1
         if cap:
@@ -187,7 +187,7 @@
 
     def with_shorter_queue(
         self, service: str, region: str, own_ms: float, now: float
-    ) -> Neighbour | None:
+    ) -> PeerGate | None:
         """Choose a gate where the wait is shorter than here by more than the hop.
 
         Under load a slot is free for a shorter time than a heartbeat is old, so
@@ -200,7 +200,7 @@
         ]
         if not found:
             return None
-        picked = self._rng.sample(found, min(CHOICES, len(found)))
+        picked = self._rng.sample(found, min(SAMPLED_GATES, len(found)))
         wait_ms, best = min(picked, key=lambda f: f[0])
         if wait_ms + FORWARD_MARGIN_MS >= own_ms:
             return None
--- a/leverdoor/gate/placement.py
+++ b/leverdoor/gate/placement.py
@@ -13,12 +13,12 @@
 import msgspec
 
 from leverdoor.errors import Rejection
-from leverdoor.gate.holdings import Holdings
-from leverdoor.gate.neighbours import Neighbour, Neighbours, RegionLoad
+from leverdoor.gate.peers import PeerGate, PeerGates, RegionLoad
 from leverdoor.gate.pool import TargetPool
 from leverdoor.gate.queueing import QueuedRequest
-from leverdoor.gate.shifts import ShiftLimiter
-from leverdoor.gate.target_health import ASSUMED_MS
+from leverdoor.gate.row_units import HeldUnits
+from leverdoor.gate.shift_limiter import ShiftLimiter
+from leverdoor.gate.target_health import INITIAL_RUN_MS
 from leverdoor.gate.workload import Workloads, queue_wait_ms
 from leverdoor.membership.ownership import cap_row, slot_row
 from leverdoor.model.resources import Service, Target, WorkClass
@@ -72,7 +72,7 @@
     return max(1, int(held * BULK_SHARE))
 
 
-def is_worth_leaving(load: RegionLoad, nearest_ms: float) -> bool:
+def should_leave_home(load: RegionLoad, nearest_ms: float) -> bool:
     """Return whether a request should leave its home region.
 
     It should if the expected wait there is longer than the round trip to the nearest
@@ -84,7 +84,7 @@
     """
     if load.held == 0:
         return True
-    wait_ms = queue_wait_ms(load.waiting + 1, load.mean_ms or ASSUMED_MS, load.held)
+    wait_ms = queue_wait_ms(load.waiting + 1, load.mean_ms or INITIAL_RUN_MS, load.held)
     return wait_ms > 2 * nearest_ms + SPILL_MARGIN_MS
 
 
@@ -94,9 +94,9 @@
     def __init__(
         self,
         region: str,
-        holdings: Holdings,
+        held_units: HeldUnits,
         pool: TargetPool,
-        neighbours: Neighbours,
+        peer_gates: PeerGates,
         workloads: Workloads,
         rng: Random,
     ) -> None:
@@ -111,12 +111,12 @@
           rng: where all chance comes from.
         """
         self._region = region
-        self._holdings = holdings
+        self._held_units = held_units
         self._pool = pool
-        self._neighbours = neighbours
+        self._peer_gates = peer_gates
         self._workloads = workloads
         self._rng = rng
-        self._shifts = ShiftLimiter(region, holdings)
+        self._shifts = ShiftLimiter(region, held_units)
 
     @property
     def _view(self) -> View:
@@ -143,7 +143,7 @@
                 return decision
             if request.forwarded and region != self._region:
                 continue
-            if not self._may_leave(request, region, now):
+            if not self._may_try_farther(request, region, now):
                 return None
         return None
 
@@ -152,7 +152,7 @@
         distance_ms = self._view.distance_ms
         return sorted(names, key=lambda r: (distance_ms(request.home, r), r))
 
-    def _may_leave(self, request: QueuedRequest, region: str, now: float) -> bool:
+    def _may_try_farther(self, request: QueuedRequest, region: str, now: float) -> bool:
         """Return whether regions after this one may be tried."""
         if region != request.home:
             return True
@@ -160,13 +160,13 @@
         nearest_ms = min(
             (self._view.distance_ms(region, r) for r in others), default=0.0
         )
-        return is_worth_leaving(
+        return should_leave_home(
             self._region_load(request.service, region, now), nearest_ms
         )
 
     def _region_load(self, service: str, region: str, now: float) -> RegionLoad:
         """Add up a region's load, this gate's own included."""
-        others = self._neighbours.load(service, region, now)
+        others = self._peer_gates.load(service, region, now)
         if region != self._region:
             return others
         own = self._workloads.of(service)
@@ -192,7 +192,7 @@
         if cap is None:
             return None
         slot = slot_row(best.address)
-        self._holdings.acquire(slot, now)
+        self._held_units.acquire(slot, now)
         self._pool.health.of(best, now).in_flight += 1
         self._workloads.add(request.service).begin(request)
         return Dispatch(best, slot, cap)
@@ -210,42 +210,46 @@
         cap = ""
         if region != request.home and (request.service, region) in self._view.caps:
             cap = cap_row(request.service, region)
-        found = self._neighbours.with_free_slot(request.service, region, cap, now)
+        found = self._peer_gates.with_free_slot(request.service, region, cap, now)
         return _forward_to(found, region)
 
-    def to_shorter_queue(self, request: QueuedRequest, now: float) -> Forward | None:
+    def forward_to_shorter_queue(
+        self, request: QueuedRequest, now: float
+    ) -> Forward | None:
         """Pass a request on to a gate of this region where the wait is shorter.
 
         Bulk uploads and requests that were passed on already wait here.
         """
         if request.forwarded or request.bulk:
             return None
-        own_ms = self._own_wait_ms(request.service, now)
-        found = self._neighbours.with_shorter_queue(
+        own_ms = self._local_wait_ms(request.service, now)
+        found = self._peer_gates.with_shorter_queue(
             request.service, self._region, own_ms, now
         )
         return _forward_to(found, self._region)
 
-    def _own_wait_ms(self, service: str, now: float) -> float:
+    def _local_wait_ms(self, service: str, now: float) -> float:
         """Return the expected wait at this gate alone; endless without a slot."""
         held = self._pool.slots(service, now)
         if not held:
             return NO_SLOT_WAIT_MS
         workload = self._workloads.of(service)
-        mean = ASSUMED_MS if workload.mean_ms is None else workload.mean_ms
+        mean = INITIAL_RUN_MS if workload.mean_ms is None else workload.mean_ms
         return queue_wait_ms(workload.queue.interactive() + 1, mean, held)
 
-    def give_back(
-        self, request: QueuedRequest, made: Dispatch, now: float, cool_s: float
+    def release_units(
+        self, request: QueuedRequest, made: Dispatch, now: float, cooldown_s: float
     ) -> None:
-        """Give back the units that a dispatch took, counted for `cool_s` more."""
-        self._holdings.release(made.slot, now, cool_s)
+        """Give back the units that a dispatch took, counted for `cooldown_s` more."""
+        self._held_units.release(made.slot, now, cooldown_s)
         if made.cap:
-            self._shifts.give_back(self._view, request.service, made.cap, now, cool_s)
+            self._shifts.release_units(
+                self._view, request.service, made.cap, now, cooldown_s
+            )
         self._pool.health.of(made.target, now).in_flight -= 1
 
 
-def _forward_to(gate: Neighbour | None, region: str) -> Forward | None:
+def _forward_to(gate: PeerGate | None, region: str) -> Forward | None:
     if gate is None:
         return None
     return Forward(gate.heartbeat.vm, gate.heartbeat.relay, region)
--- a/leverdoor/gate/pool.py
+++ b/leverdoor/gate/pool.py
@@ -10,15 +10,15 @@
 from collections.abc import Collection
 from random import Random
 
-from leverdoor.gate.holdings import Holdings
-from leverdoor.gate.target_health import TargetBook
+from leverdoor.gate.row_units import HeldUnits
+from leverdoor.gate.target_health import TargetHealthTable
 from leverdoor.membership.ownership import slot_row
 from leverdoor.model.resources import Target
 from leverdoor.storage.view import View
 
 __all__ = ["TargetPool"]
 
-JITTER = 0.1
+SCORE_JITTER = 0.1
 """Random part of a target's score.
 
 Without it gates with the same reports send to the same target; a greater one hides
@@ -29,7 +29,7 @@
 class TargetPool:
     """Targets of this gate's region, by units held and health."""
 
-    def __init__(self, region: str, holdings: Holdings, view: View) -> None:
+    def __init__(self, region: str, held_units: HeldUnits, view: View) -> None:
         """Create it.
 
         Args:
@@ -38,22 +38,22 @@
           view: the configuration in force; set anew when it changes.
         """
         self.view = view
-        self.health = TargetBook()
+        self.health = TargetHealthTable()
         self.leaving_vms: frozenset[str] = frozenset()
         self._region = region
-        self._holdings = holdings
+        self._held_units = held_units
         self._held_targets: dict[str, list[Target]] = {}
         self._held_of: tuple[View, int] = (view, -1)
 
     def targets(self, service: str) -> list[Target]:
         """Targets of a service of which slots are held here."""
-        basis = (self.view, self._holdings.version)
+        basis = (self.view, self._held_units.version)
         if self._held_of != basis:
             self._held_of = basis
             self._held_targets = {}
         found = self._held_targets.get(service)
         if found is None:
-            rows = self._holdings.rows
+            rows = self._held_units.rows
             region = self.view.by_place.get((service, self._region), [])
             found = [t for t in region if slot_row(t.address) in rows]
             self._held_targets[service] = found
@@ -70,11 +70,11 @@
     def free_at(self, target: Target, now: float) -> int:
         """Return how many slots of a target can be taken now; fewer in slow start."""
         row = slot_row(target.address)
-        free = self._holdings.free(row, now)
+        free = self._held_units.free(row, now)
         if free <= 0 or not target.warmup_ms:
             return free
         health = self.health.of(target, now)
-        held = self._holdings.held(row)
+        held = self._held_units.held(row)
         allowed = health.allowance(held, target.warmup_ms / 1000, now)
         return min(free, allowed - health.in_flight)
 
@@ -87,7 +87,9 @@
         for t in self.targets(service):
             if t.address in tried or not self.open(t, now) or self.free_at(t, now) <= 0:
                 continue
-            score = self.health.of(t, now).score(now) * (1 + JITTER * rng.random())
+            score = self.health.of(t, now).score(now) * (
+                1 + SCORE_JITTER * rng.random()
+            )
             if best is None or score < best_score:
                 best, best_score = t, score
         return best
@@ -95,7 +97,7 @@
     def slots(self, service: str, now: float) -> int:
         """Slots held of targets that take new work."""
         return sum(
-            self._holdings.held(slot_row(t.address))
+            self._held_units.held(slot_row(t.address))
             for t in self.targets(service)
             if self.open(t, now)
         )
@@ -111,15 +113,15 @@
     def slots_in_service(self, service: str) -> int:
         """Slots held, also of targets that are ejected for the moment."""
         return sum(
-            self._holdings.held(slot_row(t.address))
+            self._held_units.held(slot_row(t.address))
             for t in self.targets(service)
             if self.in_service(t)
         )
 
-    def pause_ms(self, service: str, now: float) -> float:
+    def first_ejection_end_ms(self, service: str, now: float) -> float:
         """Return the time until the first ejection of a target here ends, in ms."""
         pauses = [
-            self.health.of(t, now).out_until - now
+            self.health.of(t, now).ejected_until - now
             for t in self.targets(service)
             if self.in_service(t)
         ]
--- a/leverdoor/gate/quarantining.py
+++ b/leverdoor/gate/quarantining.py
@@ -7,7 +7,7 @@
 number.
 
 Owns the gate's quarantine and the checks of targets under way; lost with the process,
-and told again by the other gates. Relies on `Neighbours` for who there is, and on the
+and told again by the other gates. Relies on `PeerGates` for who there is, and on the
 gates' addresses for each other.
 """
 
@@ -17,8 +17,8 @@
 import aiohttp
 from loguru import logger
 
-from leverdoor.gate.neighbours import Neighbours
-from leverdoor.gate.relay import CONNECT_TIMEOUT_S
+from leverdoor.gate.hop_client import CONNECT_TIMEOUT_S
+from leverdoor.gate.peers import PeerGates
 from leverdoor.metrics import GateMetrics
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
@@ -36,12 +36,12 @@
 
 NOTICES_PATH = "/v1/internal/notices"
 """Path at which gates tell each other, on the address for other gates."""
-ROUND_S = 0.2
+NOTICE_INTERVAL_S = 0.2
 """Time between two rounds, in seconds: as heartbeats are sent."""
-TOLD_GATES = 8
+NOTICE_FANOUT = 8
 """Gates that are told in one round: with three rounds for each news 195 gates have it
 after three rounds. Fewer: some have it later. More: more connections."""
-TELL_TIMEOUT_S = 1.0
+NOTICE_TIMEOUT_S = 1.0
 """Longest time to tell one gate, in seconds: another round follows."""
 
 
@@ -49,7 +49,7 @@
     """The requests that one gate holds back."""
 
     def __init__(
-        self, vm: str, neighbours: Neighbours, metrics: GateMetrics, rng: Random
+        self, vm: str, peer_gates: PeerGates, metrics: GateMetrics, rng: Random
     ) -> None:
         """Create it; must be called on the loop.
 
@@ -60,12 +60,12 @@
           rng: chooses whom to tell.
         """
         self._vm = vm
-        self._neighbours = neighbours
+        self._peer_gates = peer_gates
         self._metrics = metrics
         self._rng = rng
         self._quarantine = Quarantine()
-        self._ended = EndedTargets(_check_target, self._take_checked)
-        self._session = new_session(TELL_TIMEOUT_S)
+        self._ended = EndedTargets(_check_target, self._record_check)
+        self._session = new_session(NOTICE_TIMEOUT_S)
 
     async def close(self) -> None:
         """Close the connections to other gates."""
@@ -83,7 +83,7 @@
         hold = self._quarantine.hold(fingerprint, now)
         if hold is None:
             return
-        mine = tries_for_all(self._vm, self._neighbours.vms(), fingerprint)
+        mine = tries_for_all(self._vm, self._peer_gates.vms(), fingerprint)
         if not mine or not self._quarantine.try_once_more(hold, now):
             raise held_refusal(hold, now)
         logger.info("quarantine try", fingerprint=fingerprint_text(fingerprint))
@@ -105,7 +105,7 @@
             now = asyncio.get_running_loop().time()
             self._quarantine.answered(fingerprint, now)
 
-    def _take_checked(
+    def _record_check(
         self, target: Target, found: TargetCheck, runs: list[LostRun], took_s: float
     ) -> None:
         """Note the runs that ended with a target; a drained one ended as planned."""
@@ -126,7 +126,7 @@
     async def run(self) -> None:
         """Judge and tell other gates, round after round, until cancelled."""
         while True:
-            await asyncio.sleep(ROUND_S)
+            await asyncio.sleep(NOTICE_INTERVAL_S)
             now = asyncio.get_running_loop().time()
             for change in self._quarantine.judge(now):
                 logger.info(
@@ -138,17 +138,19 @@
                     tries=change.tries,
                 )
             self._metrics.quarantined.set(len(self._quarantine.holds))
-            await self._tell(serialize_notices(self._quarantine.notices(now)), now)
+            await self._send_notices(
+                serialize_notices(self._quarantine.notices(now)), now
+            )
 
-    async def _tell(self, notices: bytes, now: float) -> None:
+    async def _send_notices(self, notices: bytes, now: float) -> None:
         """Tell some gates at once; one that is not reached is told by others."""
         if not notices:
             return
-        relays = sorted(n.heartbeat.relay for n in self._neighbours.usable(now))
-        chosen = self._rng.sample(relays, min(TOLD_GATES, len(relays)))
-        await asyncio.gather(*(self._tell_one(relay, notices) for relay in chosen))
+        relays = sorted(n.heartbeat.relay for n in self._peer_gates.usable(now))
+        chosen = self._rng.sample(relays, min(NOTICE_FANOUT, len(relays)))
+        await asyncio.gather(*(self._send_to_gate(relay, notices) for relay in chosen))
 
-    async def _tell_one(self, relay: str, notices: bytes) -> None:
+    async def _send_to_gate(self, relay: str, notices: bytes) -> None:
         url = f"http://{relay}{NOTICES_PATH}"
         try:
             async with self._session.post(url, data=notices) as answer:
--- a/leverdoor/gate/queueing.py
+++ b/leverdoor/gate/queueing.py
@@ -47,7 +47,7 @@
         self._tiers: dict[str, Tier] = {}
         self._passes: dict[str, float] = {}
         self._bulk: deque[QueuedRequest] = deque()
-        self._now = 0.0
+        self._virtual_time = 0.0
 
     def __len__(self) -> int:
         """Count the waiting requests, bulk uploads included."""
@@ -65,7 +65,7 @@
         name = request.tier.name
         queue = self._waiting.setdefault(name, deque())
         if not queue:
-            self._passes[name] = max(self._passes.get(name, 0.0), self._now)
+            self._passes[name] = max(self._passes.get(name, 0.0), self._virtual_time)
         self._tiers[name] = request.tier
         queue.append(request)
 
@@ -85,11 +85,11 @@
           held: all slots that the gate holds for the service.
         """
         tiers = [self._tiers[n] for n, q in self._waiting.items() if q]
-        tiers.sort(key=lambda t: self._turn(t, in_use, held))
+        tiers.sort(key=lambda t: self._rank(t, in_use, held))
         heads = [self._waiting[t.name][0] for t in tiers]
         return heads + ([self._bulk[0]] if self._bulk else [])
 
-    def _turn(
+    def _rank(
         self, tier: Tier, in_use: dict[str, int], held: int
     ) -> tuple[bool, float, str]:
         """Order tiers: those below their reserve, the least served of it first."""
@@ -105,7 +105,7 @@
         if request.bulk:
             return
         name = request.tier.name
-        self._now = max(self._now, self._passes.get(name, 0.0))
+        self._virtual_time = max(self._virtual_time, self._passes.get(name, 0.0))
         self._passes[name] = self._passes.get(name, 0.0) + 1 / request.tier.weight
 
     def ahead(self, tier: Tier) -> float:
--- a/leverdoor/gate/intake.py
+++ b/leverdoor/gate/request_reader.py
@@ -14,16 +14,16 @@
 
 from leverdoor import headers as h
 from leverdoor.errors import Code, Refusal
+from leverdoor.gate.hop_client import Body
 from leverdoor.gate.queueing import QueuedRequest
-from leverdoor.gate.relay import Body
 from leverdoor.gate.requests import GateRequest, Origin
 from leverdoor.model.resources import Service, WorkClass
 from leverdoor.quarantine.fingerprint import request_fingerprint
 from leverdoor.storage.view import View
 
-__all__ = ["caller_origin", "gate_origin", "leave_expect", "read_request"]
+__all__ = ["caller_origin", "gate_origin", "defer_continue", "read_request"]
 
-BUFFERED_BODY = 64 * 1024
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
 """Longest body kept in memory for a retry, in bytes; longer ones are streamed.
 
 Holds queries and corrections; a greater one costs memory for each request.
@@ -119,17 +119,17 @@
 
 async def _read_body(request: web.Request, service: Service) -> Body:
     """Read a short body whole, so that it can be sent again; stream others."""
-    stall_s = service.deadline_ms / 1000
+    idle_timeout_s = service.deadline_ms / 1000
     if not request.body_exists:
-        return Body(b"", None, 0, stall_s)
+        return Body(b"", None, 0, idle_timeout_s)
     length = request.content_length
-    if length is None or length > BUFFERED_BODY:
-        body = Body(None, request.content, length, stall_s)
-        body.on_start = lambda: _continue(request)
+    if length is None or length > MAX_BUFFERED_BODY_BYTES:
+        body = Body(None, request.content, length, idle_timeout_s)
+        body.on_start = lambda: _send_continue(request)
         return body
-    await _continue(request)
+    await _send_continue(request)
     try:
-        async with asyncio.timeout(stall_s):
+        async with asyncio.timeout(idle_timeout_s):
             data = await request.content.read(-1)
     except TimeoutError:
         raise Refusal(Code.BODY_TOO_SLOW) from None
@@ -137,14 +137,14 @@
         raise Refusal(Code.BAD_REQUEST, f"the body was cut: {e!r}") from None
     if len(data) != length:
         raise Refusal(Code.BAD_REQUEST, "the body was cut short")
-    return Body(data, None, length, stall_s)
+    return Body(data, None, length, idle_timeout_s)
 
 
-async def leave_expect(request: web.Request) -> None:
+async def defer_continue(request: web.Request) -> None:
     """Leave the answer to `Expect: 100-continue` until the request is placed."""
 
 
-async def _continue(request: web.Request) -> None:
+async def _send_continue(request: web.Request) -> None:
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         request.writer.output_size = 0
--- a/leverdoor/gate/requests.py
+++ b/leverdoor/gate/requests.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from leverdoor import headers as h
+from leverdoor.gate.hop_client import Body, Hop
 from leverdoor.gate.queueing import QueuedRequest
-from leverdoor.gate.relay import Body, Hop
 from leverdoor.model.resources import Service, Tier, WorkClass
 
 __all__ = ["GateRequest", "Origin", "gate_hop", "issuer_hop", "target_hop"]
@@ -78,7 +78,7 @@
     head = [
         _request_id(inbound),
         *_origin(inbound),
-        (h.DEADLINE, str(_left_ms(inbound, now))),
+        (h.DEADLINE, str(_remaining_ms(inbound, now))),
     ]
     hop = _hop(inbound, _gate_url(inbound, relay), head)
     hop.relay = True
@@ -102,7 +102,7 @@
     ]
 
 
-def _left_ms(inbound: GateRequest, now: float) -> int:
+def _remaining_ms(inbound: GateRequest, now: float) -> int:
     return max(int((inbound.queued.deadline - now) * 1000), 1)
 
 
@@ -110,7 +110,7 @@
     """Return the time left; a bulk upload has none."""
     if inbound.queued.bulk:
         return []
-    return [(h.DEADLINE, str(_left_ms(inbound, now)))]
+    return [(h.DEADLINE, str(_remaining_ms(inbound, now)))]
 
 
 def _hop(inbound: GateRequest, url: str, head: list[tuple[str, str]]) -> Hop:
@@ -120,7 +120,7 @@
         headers=inbound.headers + head,
         body=inbound.body,
         deadline=inbound.queued.deadline,
-        stall_s=inbound.service.deadline_ms / 1000,
+        idle_timeout_s=inbound.service.deadline_ms / 1000,
         once=inbound.once,
         relay=False,
     )
--- a/leverdoor/gate/retries.py
+++ b/leverdoor/gate/retries.py
@@ -10,7 +10,7 @@
 from leverdoor.gate.requests import GateRequest
 from leverdoor.retry_budget import RetryBudget
 
-__all__ = ["RetryRule"]
+__all__ = ["RetryPolicy"]
 
 MAX_ATTEMPTS = 4
 """Most attempts of one request, the first included.
@@ -29,11 +29,11 @@
 A target that dies loses some requests at once. A greater limit lets a burst of retries
 hit the targets that are left.
 """
-EVERY_SERVICE = ""
+BUDGET_KEY = ""
 """The budget's only key: a gate has one budget for all services."""
 
 
-class RetryRule:
+class RetryPolicy:
     """Decides whether a refused attempt of a request is followed by another."""
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
 
     def count(self) -> None:
         """Count a request, which earns a part of a retry."""
-        self._budget.earn(EVERY_SERVICE)
+        self._budget.earn(BUDGET_KEY)
 
     def allows(self, inbound: GateRequest, refusal: Refusal, attempt: int) -> bool:
         """Return whether another attempt is safe and within the bounds.
@@ -58,4 +58,4 @@
         if refusal.run is Run.NO:
             return True
         lost = refusal.code is Code.ANSWER_LOST
-        return lost and not inbound.once and self._budget.spend(EVERY_SERVICE)
+        return lost and not inbound.once and self._budget.spend(BUDGET_KEY)
--- a/leverdoor/gate/holdings.py
+++ b/leverdoor/gate/row_units.py
@@ -13,7 +13,7 @@
 
 from leverdoor.membership.ownership import Ack, Table
 
-__all__ = ["Holdings", "Units"]
+__all__ = ["HeldUnits", "Units"]
 
 
 class Units:
@@ -33,31 +33,31 @@
         self.settle_s = settle_s
         self.held = 0
         self.in_use = 0
-        self._ripening: list[tuple[float, int]] = []
-        self._cooling: list[float] = []
+        self._settling: list[tuple[float, int]] = []
+        self._cooldowns: list[float] = []
 
     def set_held(self, held: int, now: float) -> None:
         """Take a new grant from the table."""
         change = held - self.held
         self.held = held
         if change > 0:
-            self._ripening.append((now + self.settle_s, change))
-        while change < 0 and self._ripening:
-            ready, units = self._ripening.pop()
+            self._settling.append((now + self.settle_s, change))
+        while change < 0 and self._settling:
+            ready, units = self._settling.pop()
             if units > -change:
-                self._ripening.append((ready, units + change))
+                self._settling.append((ready, units + change))
             change += units
 
     def used(self, now: float) -> int:
         """Units in use or cooling."""
-        while self._cooling and self._cooling[0] <= now:
-            heapq.heappop(self._cooling)
-        return self.in_use + len(self._cooling)
+        while self._cooldowns and self._cooldowns[0] <= now:
+            heapq.heappop(self._cooldowns)
+        return self.in_use + len(self._cooldowns)
 
     def free(self, now: float) -> int:
         """Units that can be taken now; negative when over the grant."""
-        self._ripening = [r for r in self._ripening if r[0] > now]
-        unripe = sum(units for _, units in self._ripening)
+        self._settling = [r for r in self._settling if r[0] > now]
+        unripe = sum(units for _, units in self._settling)
         return self.held - unripe - self.used(now)
 
     def acquire(self, now: float) -> bool:
@@ -67,14 +67,14 @@
         self.in_use += 1
         return True
 
-    def release(self, now: float, cool_s: float = 0.0) -> None:
-        """Give one unit back, which stays counted for `cool_s` seconds."""
+    def release(self, now: float, cooldown_s: float = 0.0) -> None:
+        """Give one unit back, which stays counted for `cooldown_s` seconds."""
         self.in_use -= 1
-        if cool_s > 0:
-            heapq.heappush(self._cooling, now + cool_s)
+        if cooldown_s > 0:
+            heapq.heappush(self._cooldowns, now + cooldown_s)
 
 
-class Holdings:
+class HeldUnits:
     """All units of one process, by row."""
 
     def __init__(self, gate: str, incarnation: int) -> None:
@@ -135,9 +135,9 @@
         units = self.rows.get(row)
         return units.acquire(now) if units else False
 
-    def release(self, row: str, now: float, cool_s: float = 0.0) -> None:
+    def release(self, row: str, now: float, cooldown_s: float = 0.0) -> None:
         """Give one unit of a row back."""
-        self.rows[row].release(now, cool_s)
+        self.rows[row].release(now, cooldown_s)
         self._forget(now)
 
     def ack(self, now: float) -> Ack:
--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -4,7 +4,7 @@
 
 A request is placed (`placement.py`) if none waits before it, else passed on to a gate
 with a shorter queue, else it waits or is refused. Owns nothing that outlasts the
-process: what waits and runs here is in `workload.py`, units are in `holdings.py`.
+process: what waits and runs here is in `workload.py`, units are in `held_units.py`.
 Relies on the snapshot of the configuration and on heartbeats of other gates, 0.1 s
 old and more; without them it decides from its own counts alone.
 """
@@ -12,14 +12,14 @@
 from random import Random
 
 from leverdoor.errors import Code, Rejection
-from leverdoor.gate.holdings import Holdings
-from leverdoor.gate.neighbours import Neighbours
+from leverdoor.gate.peers import PeerGates
 from leverdoor.gate.placement import Decision, Dispatch, Placement
 from leverdoor.gate.pool import TargetPool
 from leverdoor.gate.queueing import QueuedRequest, WaitQueue
-from leverdoor.gate.refusals import retry_after_ms
-from leverdoor.gate.shifts import rate_out
-from leverdoor.gate.target_health import ASSUMED_MS, TargetBook
+from leverdoor.gate.retry_after import retry_after_ms
+from leverdoor.gate.row_units import HeldUnits
+from leverdoor.gate.shift_limiter import shift_rate_per_s
+from leverdoor.gate.target_health import INITIAL_RUN_MS, TargetHealthTable
 from leverdoor.gate.workload import Workloads, queue_wait_ms
 from leverdoor.membership.peers import AgentHeartbeat, Load
 from leverdoor.model.resources import Service
@@ -32,7 +32,7 @@
     """Places requests on targets and gates, lets them wait, or refuses them."""
 
     def __init__(
-        self, vm: str, region: str, holdings: Holdings, view: View, rng: Random
+        self, vm: str, region: str, held_units: HeldUnits, view: View, rng: Random
     ) -> None:
         """Create it.
 
@@ -45,11 +45,11 @@
         """
         self.vm = vm
         self.region = region
-        self.pool = TargetPool(region, holdings, view)
-        self.neighbours = Neighbours(vm, self.vm_leaving, rng)
+        self.pool = TargetPool(region, held_units, view)
+        self.peer_gates = PeerGates(vm, self.vm_leaving, rng)
         self._workloads = Workloads()
         self._placement = Placement(
-            region, holdings, self.pool, self.neighbours, self._workloads, rng
+            region, held_units, self.pool, self.peer_gates, self._workloads, rng
         )
         self._rng = rng
 
@@ -65,7 +65,7 @@
         self.pool.view = view
 
     @property
-    def targets(self) -> TargetBook:
+    def targets(self) -> TargetHealthTable:
         """The health of targets."""
         return self.pool.health
 
@@ -75,7 +75,7 @@
 
     def usable_gates(self, now: float) -> list[AgentHeartbeat]:
         """Heartbeats of the other gates that can be used now."""
-        return [n.heartbeat for n in self.neighbours.usable(now)]
+        return [n.heartbeat for n in self.peer_gates.usable(now)]
 
     def loads(self, now: float) -> dict[str, Load]:
         """Return this gate's own load by service, as its heartbeats carry it."""
@@ -110,7 +110,7 @@
             decision = self._placement.place(request, service, now)
             if decision is not None:
                 return decision
-        shorter = self._placement.to_shorter_queue(request, now)
+        shorter = self._placement.forward_to_shorter_queue(request, now)
         if shorter is not None:
             return shorter
         return self._wait(request, service, queue, now)
@@ -155,15 +155,15 @@
         own = workload.queue.interactive()
         # Heartbeats don't say of which tier others' requests are: assume as here.
         share = ahead / own if own else 1.0
-        others = self.neighbours.load(request.service, self.region, now)
+        others = self.peer_gates.load(request.service, self.region, now)
         held = self.pool.slots_in_service(request.service) + others.held
-        mean = ASSUMED_MS if workload.mean_ms is None else workload.mean_ms
+        mean = INITIAL_RUN_MS if workload.mean_ms is None else workload.mean_ms
         if not held:
-            rate = rate_out(self.view, request.service, request.home, mean)
+            rate = shift_rate_per_s(self.view, request.service, request.home, mean)
             return 1000 * (ahead + 1) * (1 + others.gates) / rate
         waiting = ahead + share * others.waiting
-        pause_ms = self.pool.pause_ms(request.service, now)
-        return pause_ms + queue_wait_ms(waiting + 1, mean, held)
+        first_ejection_end_ms = self.pool.first_ejection_end_ms(request.service, now)
+        return first_ejection_end_ms + queue_wait_ms(waiting + 1, mean, held)
 
     def _refuse(self, code: Code, request: QueuedRequest, now: float) -> Rejection:
         """Refuse a request, with when its caller should return."""
@@ -174,13 +174,13 @@
 
     # Waiting requests.
 
-    def evictable(self, request: QueuedRequest) -> QueuedRequest | None:
+    def eviction_candidate(self, request: QueuedRequest) -> QueuedRequest | None:
         """Return a waiting request to shed in favour of one of a higher tier."""
         if request.bulk:
             return None
         return self._workloads.of(request.service).queue.lowest(request.tier)
 
-    def evict(self, request: QueuedRequest, now: float) -> Rejection | None:
+    def shed_waiting(self, request: QueuedRequest, now: float) -> Rejection | None:
         """Shed a waiting request; None if it waits no longer."""
         if not self._workloads.of(request.service).queue.remove(request):
             return None
@@ -228,7 +228,7 @@
         now: float,
         took_ms: float,
         ok: bool,
-        cool_s: float,
+        cooldown_s: float,
     ) -> None:
         """Give back what a dispatch took.
 
@@ -238,7 +238,7 @@
           now: monotonic time in seconds.
           took_ms: time at the target, in milliseconds.
           ok: whether a whole answer came.
-          cool_s: how long the units stay counted since the target may go on.
+          cooldown_s: how long the units stay counted since the target may go on.
         """
-        self._placement.give_back(request, made, now, cool_s)
+        self._placement.release_units(request, made, now, cooldown_s)
         self._workloads.of(request.service).end(request, took_ms, ok)
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """Serves one request: places it, sends it on, and retries where that is safe.
 
-Owns what an answer on its way back holds (`Served`): the slot and cap unit of its
+Owns what an answer on its way back holds (`ServedResponse`): the slot and cap unit of its
 target, given back when it ends, however it ends. Relies on the dispatcher for places
 and on `retries.py` for whether to try again.
 """
@@ -15,26 +15,31 @@
 
 from leverdoor.errors import Code, Refusal, Rejection, Run
 from leverdoor.gate.dispatch import Dispatcher
+from leverdoor.gate.hop_client import (
+    READ_AHEAD_BYTES,
+    HopClient,
+    HopResponse,
+    refusal_from_problem,
+)
 from leverdoor.gate.placement import Dispatch, Forward
 from leverdoor.gate.quarantining import GateQuarantine
-from leverdoor.gate.relay import BUFFERED_ANSWER, Answer, HopClient, refusal_of
 from leverdoor.gate.requests import GateRequest, gate_hop, target_hop
-from leverdoor.gate.retries import RetryRule
+from leverdoor.gate.retries import RetryPolicy
 
-__all__ = ["Served", "Server", "finishing"]
+__all__ = ["ServedResponse", "Server", "ensure_finished"]
 
-OVERLOADED = (429, 503)
+OVERLOAD_STATUSES = (429, 503)
 """HTTP statuses by which a target says that it has too much to do."""
 
 
-class Served:
+class ServedResponse:
     """An answer on its way back, which holds units until it is finished."""
 
     def __init__(
         self,
         server: "Server",
         inbound: GateRequest,
-        answer: Answer,
+        answer: HopResponse,
         made: Dispatch | None,
         began: float,
     ) -> None:
@@ -66,7 +71,7 @@
         whole = False
         source = self._answer.chunks()
         try:
-            while size < BUFFERED_ANSWER:
+            while size < READ_AHEAD_BYTES:
                 chunk = await anext(source, None)
                 if chunk is None:
                     whole = True
@@ -94,7 +99,7 @@
         else:
             self._answer.close()
         if self._made is not None:
-            self._server.give_back(self._inbound, self._made, self._began, whole)
+            self._server.release_units(self._inbound, self._made, self._began, whole)
 
 
 class Server:
@@ -113,9 +118,9 @@
         self._quarantine = quarantine
         self._dispatcher = dispatcher
         self._client = client
-        self._retries = RetryRule()
+        self._retries = RetryPolicy()
 
-    async def serve(self, inbound: GateRequest) -> Served:
+    async def serve(self, inbound: GateRequest) -> ServedResponse:
         """Get the head of an answer, after some attempts if need be.
 
         Raises:
@@ -151,12 +156,14 @@
             return False
         return self._retries.allows(inbound, refusal, attempt)
 
-    async def _send(self, inbound: GateRequest, made: Dispatch | Forward) -> Served:
+    async def _send(
+        self, inbound: GateRequest, made: Dispatch | Forward
+    ) -> ServedResponse:
         if isinstance(made, Dispatch):
             return await self._to_target(inbound, made)
         return await self._to_gate(inbound, made)
 
-    async def _to_target(self, inbound: GateRequest, made: Dispatch) -> Served:
+    async def _to_target(self, inbound: GateRequest, made: Dispatch) -> ServedResponse:
         """Send it to a target, whose health learns from what comes of it."""
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -170,50 +177,50 @@
                 health.failed(loop.time())
             if e.code is Code.ANSWER_LOST:
                 self._quarantine.lost(made.target, inbound.fingerprint, began)
-            self._return(inbound, made, began, False, e.run is not Run.NO)
+            self._release_dispatch(inbound, made, began, False, e.run is not Run.NO)
             raise
         except BaseException:
-            self._return(inbound, made, began, False, True)
+            self._release_dispatch(inbound, made, began, False, True)
             raise
         if answer.leaving:
-            health.said_that_it_leaves(loop.time())
+            health.record_leaving(loop.time())
         if answer.shed:
             answer.close()
             health.shed(loop.time())
-            self._return(inbound, made, began, False, False)
+            self._release_dispatch(inbound, made, began, False, False)
             inbound.queued.tried.add(made.target.address)
             raise Refusal(Code.CONNECT_FAILED, "the target shed it")
-        if answer.status in OVERLOADED:
+        if answer.status in OVERLOAD_STATUSES:
             health.shed(loop.time())
-        return Served(self, inbound, answer, made, began)
+        return ServedResponse(self, inbound, answer, made, began)
 
-    async def _to_gate(self, inbound: GateRequest, made: Forward) -> Served:
+    async def _to_gate(self, inbound: GateRequest, made: Forward) -> ServedResponse:
         """Send it to a gate with a free slot; its refusal is passed on as raised."""
         loop = asyncio.get_running_loop()
-        neighbours = self._dispatcher.scheduler.neighbours
+        peer_gates = self._dispatcher.scheduler.peer_gates
         hop = gate_hop(inbound, made.relay, loop.time())
         try:
             answer = await self._client.send(hop, loop.time())
             problem = await answer.problem()
         except Refusal:
-            neighbours.lost(made.vm, loop.time())
+            peer_gates.lost(made.vm, loop.time())
             raise
         if problem is not None:
             answer.close()
             if problem.run is Run.NO:
-                neighbours.refused(made.vm, inbound.service.name)
-            raise refusal_of(problem)
-        return Served(self, inbound, answer, None, 0.0)
+                peer_gates.refused(made.vm, inbound.service.name)
+            raise refusal_from_problem(problem)
+        return ServedResponse(self, inbound, answer, None, 0.0)
 
-    def give_back(
+    def release_units(
         self, inbound: GateRequest, made: Dispatch, began: float, whole: bool
     ) -> None:
         """Give back the units of a dispatch whose answer has ended."""
         if whole:
             self._quarantine.answered(inbound.fingerprint)
-        self._return(inbound, made, began, whole, not whole)
+        self._release_dispatch(inbound, made, began, whole, not whole)
 
-    def _return(
+    def _release_dispatch(
         self,
         inbound: GateRequest,
         made: Dispatch,
@@ -227,13 +234,13 @@
         scheduler = self._dispatcher.scheduler
         if ok:
             scheduler.targets.of(made.target, now).served(took_ms)
-        cool_s = inbound.service.linger_ms / 1000 if may_run else 0.0
-        scheduler.done(inbound.queued, made, now, took_ms, ok, cool_s)
-        self._dispatcher.kick()
+        cooldown_s = inbound.service.linger_ms / 1000 if may_run else 0.0
+        scheduler.done(inbound.queued, made, now, took_ms, ok, cooldown_s)
+        self._dispatcher.wake_scheduler()
 
 
 @contextlib.asynccontextmanager
-async def finishing(served: Served) -> AsyncIterator[Served]:
+async def ensure_finished(served: ServedResponse) -> AsyncIterator[ServedResponse]:
     """Finish an answer whatever happens to its reader."""
     try:
         yield served
--- a/leverdoor/gate/shifts.py
+++ b/leverdoor/gate/shift_limiter.py
@@ -8,18 +8,18 @@
 
 import math
 
-from leverdoor.gate.holdings import Holdings
-from leverdoor.gate.ramp import Ramp
+from leverdoor.gate.cap_ramp import Ramp
+from leverdoor.gate.row_units import HeldUnits
 from leverdoor.membership.ownership import cap_row
 from leverdoor.storage.view import View
 
-__all__ = ["ShiftLimiter", "rate_out"]
+__all__ = ["ShiftLimiter", "shift_rate_per_s"]
 
 
 class ShiftLimiter:
     """Takes and gives back the cap units of requests from other regions."""
 
-    def __init__(self, region: str, holdings: Holdings) -> None:
+    def __init__(self, region: str, held_units: HeldUnits) -> None:
         """Create it.
 
         Args:
@@ -27,7 +27,7 @@
           holdings: the units of this process.
         """
         self._region = region
-        self._holdings = holdings
+        self._held_units = held_units
         self._ramps: dict[str, Ramp] = {}
 
     def take(self, view: View, service: str, now: float) -> str | None:
@@ -44,15 +44,15 @@
         if ramp is None:
             start = cap.ramp_percent / 100
             ramp = self._ramps[row] = Ramp(start, cap.window_ms / 1000, now)
-        held = self._holdings.held(row)
-        used = held - self._holdings.free(row, now)
-        if used >= ramp.allowed(held, now) or not self._holdings.acquire(row, now):
+        held = self._held_units.held(row)
+        used = held - self._held_units.free(row, now)
+        if used >= ramp.allowed(held, now) or not self._held_units.acquire(row, now):
             return None
         ramp.use()
         return row
 
-    def give_back(
-        self, view: View, service: str, row: str, now: float, cool_s: float
+    def release_units(
+        self, view: View, service: str, row: str, now: float, cooldown_s: float
     ) -> None:
         """Give a unit back, which counts for a window more.
 
@@ -61,22 +61,22 @@
           service: the service of the request.
           row: what `take` returned.
           now: monotonic time in seconds.
-          cool_s: how long the target may go on with the request besides.
+          cooldown_s: how long the target may go on with the request besides.
         """
         cap = view.caps.get((service, self._region))
         window_s = cap.window_ms / 1000 if cap else 0.0
-        self._holdings.release(row, now, window_s + cool_s)
+        self._held_units.release(row, now, window_s + cooldown_s)
 
     def free(self, now: float) -> dict[str, int]:
         """Return the free units of each cap into this region, by row."""
         return {
-            row: max(self._holdings.free(row, now), 0)
-            for row in self._holdings.rows
+            row: max(self._held_units.free(row, now), 0)
+            for row in self._held_units.rows
             if row.startswith("c:")
         }
 
 
-def rate_out(view: View, service: str, home: str, mean_ms: float) -> float:
+def shift_rate_per_s(view: View, service: str, home: str, mean_ms: float) -> float:
     """Return how many requests a second the caps let out of a region."""
     total = 0.0
     for region in view.regions:
--- a/leverdoor/gate/target_health.py
+++ b/leverdoor/gate/target_health.py
@@ -10,7 +10,7 @@
 from leverdoor.model.probe import Probe
 from leverdoor.model.resources import Target
 
-__all__ = ["ASSUMED_MS", "TargetBook", "TargetHealth"]
+__all__ = ["INITIAL_RUN_MS", "TargetHealthTable", "TargetHealth"]
 
 FAILURE_EJECTION_FIRST_S = 0.25
 """First ejection of a target that failed, in seconds; it doubles with each failure.
@@ -35,22 +35,22 @@
 Far below that of failures: a target that sheds works, and does so less than a
 dead one keeps its slots idle.
 """
-LATENCY_WEIGHT = 0.2
+LATENCY_EWMA_WEIGHT = 0.2
 """Weight of one answer in the mean latency of a target.
 
 The last five answers. A greater one lets single answers decide; a smaller one sends
 requests to a target that has become slow.
 """
-ASSUMED_MS = 20.0
+INITIAL_RUN_MS = 20.0
 """Run time assumed before any answer, in ms: the run of a look-up."""
-REPORT_TRUST_S = 5.0
+MAX_REPORT_AGE_S = 5.0
 """Age in seconds at which a target's own report counts for nothing.
 
 Some intervals of the probes, so that one lost probe changes little; a longer one orders
 targets by load that has gone.
 """
 
-PROBE_LAG_S = 1.0
+MAX_PROBE_LAG_S = 1.0
 """Time after an answer that said that the target leaves in which a probe that says
 otherwise counts as older, in seconds. A new start at the address takes longer."""
 
@@ -60,15 +60,15 @@
 
     def __init__(self, now: float) -> None:
         """Create it, cold, in service since `now`."""
-        self.mean_ms = ASSUMED_MS
+        self.mean_ms = INITIAL_RUN_MS
         self.in_flight = 0
         self.leaving = False
-        self._left_at = -PROBE_LAG_S
+        self._leaving_recorded_at = -MAX_PROBE_LAG_S
         """When an answer last said that it leaves."""
-        self._ended = False
+        self._process_ended = False
         """The newest probe did not reach it: what comes next is a new start."""
-        self.out_until = 0.0
-        self.warm_since = now
+        self.ejected_until = 0.0
+        self.slow_start_at = now
         self._failures = 0
         self._sheds = 0
         self._probe: Probe | None = None
@@ -77,7 +77,7 @@
         """Record a whole answer."""
         self._failures = 0
         self._sheds = 0
-        self.mean_ms += LATENCY_WEIGHT * (took_ms - self.mean_ms)
+        self.mean_ms += LATENCY_EWMA_WEIGHT * (took_ms - self.mean_ms)
 
     def failed(self, now: float) -> None:
         """Record a failed connection or a lost answer."""
@@ -85,44 +85,44 @@
             FAILURE_EJECTION_FIRST_S * 2**self._failures, FAILURE_EJECTION_LONGEST_S
         )
         self._failures += 1
-        self.out_until = max(self.out_until, now + wait)
-        self.warm_since = self.out_until
+        self.ejected_until = max(self.ejected_until, now + wait)
+        self.slow_start_at = self.ejected_until
 
     def shed(self, now: float) -> None:
         """Record that the target shed a request; its reports don't end the pause."""
         wait = min(SHED_EJECTION_FIRST_S * 2**self._sheds, SHED_EJECTION_LONGEST_S)
         self._sheds += 1
-        self.out_until = max(self.out_until, now + wait)
+        self.ejected_until = max(self.ejected_until, now + wait)
 
-    def said_that_it_leaves(self, now: float) -> None:
+    def record_leaving(self, now: float) -> None:
         """Record an answer that said that the target leaves."""
         self.leaving = True
-        self._left_at = now
+        self._leaving_recorded_at = now
 
     def report(self, probe: Probe) -> None:
         """Take a report; it can end an ejection by failure but not by shedding."""
         self._probe = probe
-        self._take_leaving(probe)
+        self._update_leaving(probe)
         if probe.ok and self._failures and not self._sheds:
             self._failures = 0
         if not probe.ok:
             self.failed(probe.taken_at)
 
-    def _take_leaving(self, probe: Probe) -> None:
+    def _update_leaving(self, probe: Probe) -> None:
         """Take whether the target leaves; what an older answer said of it may end."""
-        newer = probe.taken_at - self._left_at > PROBE_LAG_S
+        newer = probe.taken_at - self._leaving_recorded_at > MAX_PROBE_LAG_S
         if probe.leaving:
             self.leaving = True
         elif not probe.ok:
-            self._ended = True
-        elif self._ended or (probe.reports and newer):
+            self._process_ended = True
+        elif self._process_ended or (probe.reports and newer):
             self.leaving = False
         if probe.ok:
-            self._ended = False
+            self._process_ended = False
 
     def usable(self, now: float) -> bool:
         """Return whether new work may go to the target."""
-        return not self.leaving and now >= self.out_until
+        return not self.leaving and now >= self.ejected_until
 
     def allowance(self, held: int, warmup_s: float, now: float) -> int:
         """Return how many slots may be in use from here: slow start.
@@ -131,7 +131,7 @@
         """
         if warmup_s <= 0:
             return held
-        share = (now - self.warm_since) / warmup_s
+        share = (now - self.slow_start_at) / warmup_s
         return max(1, min(held, int(share * held)))
 
     def score(self, now: float) -> float:
@@ -141,13 +141,13 @@
         """
         load = float(self.in_flight)
         probe = self._probe
-        if probe is not None and now - probe.taken_at <= REPORT_TRUST_S:
-            trust = 1 - (now - probe.taken_at) / REPORT_TRUST_S
+        if probe is not None and now - probe.taken_at <= MAX_REPORT_AGE_S:
+            trust = 1 - (now - probe.taken_at) / MAX_REPORT_AGE_S
             load += trust * max(probe.in_flight - self.in_flight, 0) / 2
         return self.mean_ms * (1 + load)
 
 
-class TargetBook:
+class TargetHealthTable:
     """The health of all targets that this gate knows, by address."""
 
     def __init__(self) -> None:
--- a/leverdoor/gate/workload.py
+++ b/leverdoor/gate/workload.py
@@ -10,7 +10,7 @@
 
 __all__ = ["Workload", "Workloads", "queue_wait_ms"]
 
-RUN_WEIGHT = 0.1
+RUN_TIME_EWMA_WEIGHT = 0.1
 """Weight of one run in the mean run time of a service.
 
 The last ten runs. A greater one lets single slow runs turn requests away; a smaller one
@@ -47,7 +47,7 @@
             self.bulk_running -= 1
         elif ok:
             mean = took_ms if self.mean_ms is None else self.mean_ms
-            self.mean_ms = mean + RUN_WEIGHT * (took_ms - mean)
+            self.mean_ms = mean + RUN_TIME_EWMA_WEIGHT * (took_ms - mean)
 
 
 class Workloads:
--- a/leverdoor/membership/ownership.py
+++ b/leverdoor/membership/ownership.py
@@ -10,13 +10,13 @@
 
 The rules of docs/DESIGN.md and where they stand: *hold* `assign`, *release* `_release`,
 *acknowledge* `_end_releases`, *grant* `_grant`, *proof of death* `_remove_gone` and
-`_admit`; *ripen* and *cool* are the holder's (`gate/holdings.py`). Owns no state: the
+`_admit`; *ripen* and *cool* are the holder's (`gate/row_units.py`). Owns no state: the
 table is kept in the store and written by compare-and-swap (`agent/planning.py`).
 
 The units of a VM that died can be used again after: two readings of the VM list without
 it, further apart than the list's lag (`vm_list_lag_ms`, `agent/vm_watch.py`); the next
 round of a planner (PLAN_INTERVAL_S, `agent/planning.py`); and their ripening for the
-service's `linger_ms` or the cap's window (`gate/holdings.py`).
+service's `linger_ms` or the cap's window (`gate/row_units.py`).
 """
 
 from collections.abc import Iterable, Mapping
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -14,7 +14,7 @@
 from leverdoor.client.caller import Reply
 from leverdoor.client.operator import Operator
 from leverdoor.errors import Code, Refusal, Run
-from leverdoor.gate.relay import Answer
+from leverdoor.gate.hop_client import HopResponse
 from leverdoor.model.resources import (
     Drain,
 )
@@ -93,7 +93,7 @@
 async def test_without_the_check_of_its_end_a_cut_answer_looks_whole(
     bench: Bench, session: aiohttp.ClientSession, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Answer, "delimited", True)
+    monkeypatch.setattr(HopResponse, "delimited", True)
     server = await _serve_without_an_end(bench)
     async with session.get(f"http://{bench.listen()}/s/look/x") as answer:
         assert (answer.status, await answer.read()) == (200, b"part")
@@ -112,8 +112,8 @@
     await operator.close()
     await until(
         lambda: any(
-            f"t:{address}" in g._holdings.rows
-            and g._holdings.free(f"t:{address}", asyncio.get_running_loop().time())
+            f"t:{address}" in g._held_units.rows
+            and g._held_units.free(f"t:{address}", asyncio.get_running_loop().time())
             for g in bench.gates.values()
         )
     )
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -106,7 +106,7 @@
     peers = bench.gates["vm01"]._scheduler
 
     def known() -> bool:
-        heartbeat = peers.neighbours.get("vm00")
+        heartbeat = peers.peer_gates.get("vm00")
         return heartbeat is not None and heartbeat.incarnation > old
 
     await until(known)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -13,10 +13,10 @@
 )
 
 from leverdoor.errors import Code, Refusal
-from leverdoor.gate.keys import (
-    KEPT_BODY_BYTES,
+from leverdoor.gate.idempotency_keys import (
     KEY_TTL_S,
-    KeyRing,
+    MAX_KEPT_BODY_BYTES,
+    KeyRegistry,
     KeyState,
     Outcome,
     parse_key,
@@ -24,8 +24,8 @@
 )
 
 
-def ring(vm: str = "vm0", incarnation: int = 1, started: float = 0.0) -> KeyRing:
-    return KeyRing(vm, f"{vm}:1", incarnation, b"secret%d" % incarnation, started)
+def ring(vm: str = "vm0", incarnation: int = 1, started: float = 0.0) -> KeyRegistry:
+    return KeyRegistry(vm, f"{vm}:1", incarnation, b"secret%d" % incarnation, started)
 
 
 class KeyMachine(RuleBasedStateMachine):
@@ -54,7 +54,7 @@
             return
         text = self.keys[pick % len(self.keys)]
         key = parse_key(text)
-        issuer = next((r for r in self.rings if r.mine(key)), None)
+        issuer = next((r for r in self.rings if r.issued_here(key)), None)
         if issuer is None:
             return
         try:
@@ -65,7 +65,7 @@
         if state is not KeyState.NEW:
             return
         if end == "not run":
-            issuer.not_run(key)
+            issuer.forget_unrun(key)
             return
         self.runs[text] = self.runs.get(text, 0) + 1
         if end == "answer":
@@ -95,7 +95,9 @@
 
 
 def test_a_ring_that_forgets_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(KeyRing, "finish", lambda ring, key, outcome: ring.not_run(key))
+    monkeypatch.setattr(
+        KeyRegistry, "finish", lambda ring, key, outcome: ring.forget_unrun(key)
+    )
     machine = KeyMachine()
     machine.issue(0)
     machine.ask(0, "answer")
@@ -118,7 +120,7 @@
     r = ring()
     key = parse_key(r.issue(b"n", 0.0))
     r.begin(key, 0.0)
-    r.finish(key, Outcome(200, [], b"x" * (KEPT_BODY_BYTES + 1)))
+    r.finish(key, Outcome(200, [], b"x" * (MAX_KEPT_BODY_BYTES + 1)))
     outcome = r.outcome(key)
     assert outcome is not None
     assert (outcome.code, outcome.body) == (Code.ALREADY_RAN, b"")
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -56,7 +56,7 @@
         lambda: all(
             g._scheduler.targets._health[address].leaving
             for g in bench.gates.values()
-            if g._holdings.held(f"t:{address}")
+            if g._held_units.held(f"t:{address}")
             and address in g._scheduler.targets._health
         )
     )
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -27,7 +27,7 @@
     debug_logs: None,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    bench.gates["vm00"]._holdings.rows.clear()
+    bench.gates["vm00"]._held_units.rows.clear()
     head = {h.REQUEST_ID: "followed", "Authorization": "secret-key"}
     url = f"http://{bench.listen()}/s/look/x"
     async with session.post(url, data=b"secret-body", headers=head) as answer:
--- a/tests/test_ownership_machine.py
+++ b/tests/test_ownership_machine.py
@@ -16,7 +16,7 @@
     run_state_machine_as_test,
 )
 
-from leverdoor.gate.holdings import Holdings
+from leverdoor.gate.row_units import HeldUnits
 from leverdoor.membership import ownership
 from leverdoor.membership.ownership import (
     Ack,
@@ -53,7 +53,7 @@
         self.member = GateProcess(
             f"vm{number}", f"gate{number}", incarnation, f"d{number % 2}"
         )
-        self.holdings = Holdings(f"gate{number}", incarnation)
+        self.holdings = HeldUnits(f"gate{number}", incarnation)
         self.work: list[str] = []
 
 
@@ -123,8 +123,8 @@
         gate = self.gates[i]
         if self.alive[i] and gate.holdings.acquire("c:x", self.now):
             self.arrivals.append(self.now)
-            cool_s = WINDOW_S if self.window_cools else 0.0
-            gate.holdings.release("c:x", self.now, cool_s)
+            cooldown_s = WINDOW_S if self.window_cools else 0.0
+            gate.holdings.release("c:x", self.now, cooldown_s)
 
     @rule(i=gate_numbers, lost=st.booleans())
     def end_work(self, i: int, lost: bool) -> None:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -8,10 +8,10 @@
 import pytest
 
 from leverdoor.errors import Code, Rejection
-from leverdoor.gate.holdings import Holdings
+from leverdoor.gate.cap_ramp import Ramp
 from leverdoor.gate.placement import Dispatch, Forward
 from leverdoor.gate.queueing import QueuedRequest, WaitQueue
-from leverdoor.gate.ramp import Ramp
+from leverdoor.gate.row_units import HeldUnits
 from leverdoor.gate.scheduler import Scheduler
 from leverdoor.gate.target_health import TargetHealth
 from leverdoor.membership.ownership import GateProcess, Table, plan
@@ -64,18 +64,20 @@
 def scheduler(v: View) -> Scheduler:
     member = GateProcess("vm0", "g0", 1)
     table = plan(Table("home"), v.specs("home"), [member]) or Table("home")
-    holdings = Holdings("g0", 1)
+    holdings = HeldUnits("g0", 1)
     holdings.apply(table, {}, -100.0)
     return Scheduler("vm0", "home", holdings, v, Random(1))
 
 
-def job(
+def queued_request(
     tier: Tier = FREE, deadline: float = 100.0, home: str = "home", bulk: bool = False
 ) -> QueuedRequest:
     return QueuedRequest("s", tier, home, 0.0, deadline, bulk=bulk)
 
 
-def neighbour(region: str, free: int, seq: int = 1, caps: int = 0) -> AgentHeartbeat:
+def peer_heartbeat(
+    region: str, free: int, seq: int = 1, caps: int = 0
+) -> AgentHeartbeat:
     return AgentHeartbeat(
         f"vm-{region}",
         region,
@@ -97,7 +99,7 @@
     """Take every slot."""
     made = []
     while True:
-        j = job(tier)
+        j = queued_request(tier)
         decision = s.offer(j, 0.0)
         if not isinstance(decision, Dispatch):
             s.withdraw(j)
@@ -113,7 +115,7 @@
 def test_a_paid_tier_below_its_reserve_goes_first() -> None:
     s = scheduler(view(target(0), queue=9))
     running = fill(s)
-    waiting = [job(FREE), job(FREE), job(PAID)]
+    waiting = [queued_request(FREE), queued_request(FREE), queued_request(PAID)]
     assert [s.offer(j, 0.0) for j in waiting] == [None] * 3
     s.done(*running[0], 0.1, 5.0, True, 0.0)
     assert [j.tier.name for j, _ in s.poll(0.1)] == ["paid"]
@@ -122,8 +124,8 @@
 def test_tiers_above_their_reserve_share_by_weight() -> None:
     queue = WaitQueue()
     for _ in range(30):
-        queue.push(job(HALF))
-        queue.push(job(FREE))
+        queue.push(queued_request(HALF))
+        queue.push(queued_request(FREE))
     served = []
     for _ in range(30):
         head = queue.order({}, 4)[0]
@@ -135,20 +137,20 @@
 def test_a_full_queue_sheds_the_lowest_tier_first() -> None:
     s = scheduler(view(target(0, 1), queue=2))
     fill(s)
-    low = [job(FREE), job(FREE)]
+    low = [queued_request(FREE), queued_request(FREE)]
     assert [s.offer(j, 0.0) for j in low] == [None, None]
-    paid = job(PAID)
+    paid = queued_request(PAID)
     refused = s.offer(paid, 0.0)
     assert isinstance(refused, Rejection)
     assert refused.code is Code.QUEUE_FULL
-    victim = s.evictable(paid)
+    victim = s.eviction_candidate(paid)
     assert victim is low[1]
-    shed = s.evict(victim, 0.0)
+    shed = s.shed_waiting(victim, 0.0)
     assert shed is not None
     assert shed.code is Code.SHED_BY_TIER
     assert shed.retry_after_ms > 0
     assert s.offer(paid, 0.0) is None
-    assert s.evictable(job(FREE)) is None
+    assert s.eviction_candidate(queued_request(FREE)) is None
 
 
 def test_refused_at_once_when_the_wait_would_pass_the_deadline() -> None:
@@ -156,8 +158,8 @@
     running = fill(s)
     s.done(*running[0], 1.0, 500.0, True, 0.0)
     fill(s)
-    assert s.offer(job(deadline=2.0), 0.0) is None
-    refused = s.offer(job(deadline=0.3), 0.0)
+    assert s.offer(queued_request(deadline=2.0), 0.0) is None
+    refused = s.offer(queued_request(deadline=0.3), 0.0)
     assert isinstance(refused, Rejection)
     assert refused.code is Code.DEADLINE_TOO_SHORT
     assert refused.retry_after_ms > 0
@@ -166,7 +168,7 @@
 def test_waiting_past_the_deadline_is_refused() -> None:
     s = scheduler(view(target(0, 1)))
     fill(s)
-    j = job(deadline=1.0)
+    j = queued_request(deadline=1.0)
     assert s.offer(j, 0.0) is None
     made = s.poll(1.0)
     assert made[0][0] is j
@@ -178,7 +180,7 @@
     fill(s)
     hints = set()
     for _ in range(20):
-        refused = s.offer(job(), 0.0)
+        refused = s.offer(queued_request(), 0.0)
         assert isinstance(refused, Rejection)
         hints.add(refused.retry_after_ms)
     assert len(hints) > 5
@@ -186,10 +188,10 @@
 
 def test_bulk_gives_way_to_people() -> None:
     s = scheduler(view(target(0, 4), work=WorkClass.ONCE, queue=20))
-    bulk = [job(bulk=True) for _ in range(4)]
+    bulk = [queued_request(bulk=True) for _ in range(4)]
     taken = [s.offer(j, 0.0) for j in bulk]
     assert [isinstance(d, Dispatch) for d in taken] == [True, True, False, False]
-    people = [job() for _ in range(3)]
+    people = [queued_request() for _ in range(3)]
     decisions = [s.offer(j, 0.0) for j in people]
     assert [isinstance(d, Dispatch) for d in decisions] == [True, True, False]
     assert isinstance(taken[0], Dispatch)
@@ -199,19 +201,19 @@
 
 def test_work_stays_at_home_while_the_wait_is_short() -> None:
     s = scheduler(view(target(0)))
-    s.neighbours.receive([neighbour("near", 4)], 0.0)
+    s.peer_gates.receive([peer_heartbeat("near", 4)], 0.0)
     fill(s)
-    assert s.offer(job(), 0.0) is None
+    assert s.offer(queued_request(), 0.0) is None
 
 
 def test_work_goes_to_the_nearest_region_with_room_when_home_is_out() -> None:
     s = scheduler(view(target(0), Drain(name="d", region="home")))
-    s.neighbours.receive([neighbour("near", 0), neighbour("far", 4)], 0.0)
-    made = s.offer(job(), 0.0)
+    s.peer_gates.receive([peer_heartbeat("near", 0), peer_heartbeat("far", 4)], 0.0)
+    made = s.offer(queued_request(), 0.0)
     assert isinstance(made, Forward)
     assert made.region == "far"
-    s.neighbours.receive([neighbour("near", 4, seq=2)], 0.0)
-    made = s.offer(job(), 0.0)
+    s.peer_gates.receive([peer_heartbeat("near", 4, seq=2)], 0.0)
+    made = s.offer(queued_request(), 0.0)
     assert isinstance(made, Forward)
     assert made.region == "near"
 
@@ -228,9 +230,9 @@
         slots=2,
     )
     s.view = view(target(0), away, Drain(name="d", region="home"), cap)
-    s.neighbours.receive([neighbour("near", 4, caps=1)], 0.0)
-    assert isinstance(s.offer(job(), 0.0), Forward)
-    assert s.offer(job(), 0.0) is None
+    s.peer_gates.receive([peer_heartbeat("near", 4, caps=1)], 0.0)
+    assert isinstance(s.offer(queued_request(), 0.0), Forward)
+    assert s.offer(queued_request(), 0.0) is None
 
 
 def test_foreign_work_takes_a_cap_unit_until_a_window_after() -> None:
@@ -250,7 +252,7 @@
 
 def test_a_silent_gate_is_not_used() -> None:
     s = scheduler(view(target(0), Drain(name="d", region="home")))
-    s.neighbours.receive([neighbour("near", 4)], 0.0)
+    s.peer_gates.receive([peer_heartbeat("near", 4)], 0.0)
     assert s.usable_gates(1.0)
     assert not s.usable_gates(2.0)
 
@@ -276,7 +278,7 @@
 def test_a_probe_older_than_an_answer_does_not_undo_that_its_target_leaves() -> None:
     """The agent's probe may have been answered before the target said so."""
     health = TargetHealth(0.0)
-    health.said_that_it_leaves(10.0)
+    health.record_leaving(10.0)
     for taken_at in (9.9, 10.05):
         health.report(Probe(True, False, 0, taken_at))
         assert not health.usable(10.1)
@@ -287,7 +289,7 @@
 def test_a_probe_without_a_report_does_not_undo_that_its_target_leaves() -> None:
     """Targets need not have a path for probes; a new start comes after an end."""
     health = TargetHealth(0.0)
-    health.said_that_it_leaves(10.0)
+    health.record_leaving(10.0)
     health.report(Probe(True, taken_at=20.0, reports=False))
     assert not health.usable(20.0)
     health.report(Probe(False, taken_at=30.0))
@@ -308,7 +310,7 @@
     s = scheduler(view(target(0, 4, warmup_ms=1000)))
     assert len(fill(s)) == 1
     s.targets.of(target(0), 0.0)
-    later = s.offer(job(), 0.6)
+    later = s.offer(queued_request(), 0.6)
     assert isinstance(later, Dispatch)
 
 
@@ -330,9 +332,9 @@
     s = scheduler(view(target(0, 2), queue=50))
     fill(s)
     for _ in range(10):
-        s.offer(job(FREE), 0.0)
-    crowded = neighbour("home", 0)
+        s.offer(queued_request(FREE), 0.0)
+    crowded = peer_heartbeat("home", 0)
     loads = {"s": Load(2, 0, 300, 20.0)}
-    s.neighbours.receive([msgspec.structs.replace(crowded, loads=loads)], 0.0)
-    assert isinstance(s.offer(job(FREE, deadline=1.0), 0.0), Rejection)
-    assert s.offer(job(PAID, deadline=1.0), 0.0) is None
+    s.peer_gates.receive([msgspec.structs.replace(crowded, loads=loads)], 0.0)
+    assert isinstance(s.offer(queued_request(FREE, deadline=1.0), 0.0), Rejection)
+    assert s.offer(queued_request(PAID, deadline=1.0), 0.0) is None
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -23,7 +23,7 @@
 from leverdoor.entry.exchange.target_counts import TargetLists
 from leverdoor.entry.exchange.use_lists import UseLists
 from leverdoor.entry.membership.member import link_rank, member_id
-from leverdoor.gate.keys import KeyRing, parse_key, serialize_key
+from leverdoor.gate.idempotency_keys import KeyRegistry, parse_key, serialize_key
 from leverdoor.membership.gossip import GossipSocket
 from leverdoor.membership.ownership import parse_table, serialize_table
 from leverdoor.model.resources import (
@@ -544,7 +544,7 @@
 
 
 def test_issued_key() -> None:
-    ring = KeyRing("vm1", "10.0.0.1:81", 17, b"secret", 100.0)
+    ring = KeyRegistry("vm1", "10.0.0.1:81", 17, b"secret", 100.0)
     text = "lqN2bTGrMTAuMC4wLjE6ODERzRGUxAgBAQEBAQEBAcQMAOhyGGfmgW3X7QCx"
     assert ring.issue(b"\x01" * 8, 104.5) == text
     assert ring.mine(parse_key(text))
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -23,7 +23,7 @@
 from leverdoor.entry.exchange import messages
 from leverdoor.entry.membership.member import LEAVING, SERVING, Member, MemberRow
 from leverdoor.errors import Code, Problem, Run
-from leverdoor.gate.keys import Key
+from leverdoor.gate.idempotency_keys import Key
 from leverdoor.gate.lookups import LookupAnswer, LookupEntry
 from leverdoor.limits.named import LimitWord
 from leverdoor.limits.rows import serialize_words
