--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -547,7 +547,7 @@
     ring = KeyRegistry("vm1", "10.0.0.1:81", 17, b"secret", 100.0)
     text = "lqN2bTGrMTAuMC4wLjE6ODERzRGUxAgBAQEBAQEBAcQMAOhyGGfmgW3X7QCx"
     assert ring.issue(b"\x01" * 8, 104.5) == text
-    assert ring.mine(parse_key(text))
+    assert ring.issued_here(parse_key(text))
 
 
 # JSON towards people, callers and the platform.
