--- a/leverdoor/gate/daemon.py
+++ b/leverdoor/gate/daemon.py
@@ -2,9 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """The gate daemon: the data path of one VM of a plain site.
 
-Owns the parts of the gate and their wiring, its incarnation and its last snapshot of
-the configuration; all is lost with the process. Relies on its agent for configuration
-and hints: without it the gate serves on from the last ones. Never calls the store.
+Owns the components of the gate, its incarnation and its latest configuration snapshot,
+all of which are lost when the process ends. Relies on the agent for configuration and
+hints. While the agent is unreachable, the gate keeps serving with the latest ones. The
+gate never calls the store.
 """
 
 import asyncio
@@ -37,33 +38,33 @@
 __all__ = ["Gate"]
 
 REPORT_INTERVAL_S = 0.1
-"""Seconds between two reports of a gate to its agent.
+"""Interval of the gate's reports to its agent, in seconds.
 
-Half the interval of heartbeats, so that each carries a report that is not older than
-that. More often costs both processes time and changes little.
+Half the heartbeat interval, so that a heartbeat never carries a report older than half
+an interval. A shorter one costs both processes CPU time for little gain.
 """
 STOP_POLL_S = 0.05
-"""Seconds between two looks at the requests in flight at a stop: short."""
+"""Polling interval for requests in flight during shutdown, in seconds."""
 CLOSE_TIMEOUT_S = 1.0
-"""Longest time that closing the servers may take, in seconds; all is drained then."""
+"""Timeout for closing the servers after all requests have drained, in seconds."""
 
 
 class Gate:
     """One gate process."""
 
     def __init__(self, settings: GateSettings) -> None:
-        """Create a gate; nothing is opened yet."""
+        """Create a gate without opening sockets or connections."""
         self._settings = settings
         self._incarnation = time.time_ns() // 1_000
         self._stop = asyncio.Event()
         self._runners: list[web.AppRunner] = []
 
     def stop(self) -> None:
-        """Begin to leave: finish all in flight, then end."""
+        """Start a graceful shutdown that completes the requests in flight."""
         self._stop.set()
 
     async def run(self) -> None:
-        """Serve until stopped and everything in flight has ended."""
+        """Serve until the gate is stopped and no request is in flight."""
         s = self._settings
         self._build()
         await self._listen(self._handler.relay_app(), s.relay)
@@ -128,10 +129,10 @@
         self._link = GateLink(s.agent)
 
     async def _listen(self, app: web.Application, address: Address) -> None:
-        """Bind an address for this process alone.
+        """Bind an address exclusively.
 
-        The ownership table takes a bound address as proof that the process
-        that had it before has ended, so it must never be shared.
+        The ownership table relies on a bound address as proof that its previous
+        process has ended, so two processes must never share it.
         """
         runner = web.AppRunner(
             app,
@@ -148,10 +149,10 @@
         await site.start()
         self._runners.append(runner)
 
-    # The link to the agent.
+    # Communication with the agent.
 
     async def _report(self) -> None:
-        """Report this gate's state, load and acknowledgement to the agent."""
+        """Send state, load and the table acknowledgement to the agent periodically."""
         loop = asyncio.get_running_loop()
         s = self._settings
         while True:
@@ -173,7 +174,7 @@
             await asyncio.sleep(REPORT_INTERVAL_S)
 
     async def _receive(self) -> None:
-        """Take configuration and hints from the agent."""
+        """Receive configuration and hints from the agent."""
         while True:
             try:
                 message = await self._link.receive()
@@ -187,7 +188,7 @@
             self._dispatcher.wake_scheduler()
 
     def _apply_delta(self, delta: Delta) -> None:
-        """Put a change of configuration or ownership into force; serve from then on."""
+        """Apply a configuration or ownership delta; the first one starts serving."""
         if not self._state.apply(delta):
             return
         now = asyncio.get_running_loop().time()
@@ -202,7 +203,7 @@
             logger.info("gate ready", revision=self._state.revision)
 
     def _apply_hints(self, hints: Hints) -> None:
-        """Take what is no part of the configuration: load, VMs that leave, probes."""
+        """Apply heartbeats, leaving VMs, probe results and the incarnation floor."""
         now = asyncio.get_running_loop().time()
         self._scheduler.peer_gates.receive(hints.heartbeats, now)
         self._scheduler.pool.leaving_vms = frozenset(hints.leaving_vms)
@@ -212,7 +213,10 @@
             self._raise_incarnation(hints.incarnation_floor + 1)
 
     def _raise_incarnation(self, incarnation: int) -> None:
-        """Take a later incarnation, since an earlier clock gave too early a one."""
+        """Replace an incarnation that a clock set back made too low.
+
+        Does nothing while this process holds units.
+        """
         if self._held_units.rows:
             return
         logger.warning("later incarnation", incarnation=incarnation)
@@ -221,13 +225,14 @@
         self._held_units.version = 0
         self._key_registry.incarnation = incarnation
 
-    # Leaving.
+    # Shutdown.
 
     async def _leave(self) -> None:
-        """Stop being named, serve cached look-ups for a while, finish, end.
+        """Drain the gate: withdraw it from look-ups, then complete its requests.
 
-        The addresses stay bound to the end: that another process can bind
-        them is taken as proof that this one has nothing in flight.
+        Callers with a cached look-up are served until it expires. The addresses
+        stay bound until the end, because a process that can bind them concludes
+        that this one has no request in flight.
         """
         s = self._settings
         self._handler.state = GateState.LEAVING
--- a/leverdoor/gate/dispatch.py
+++ b/leverdoor/gate/dispatch.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Runs the scheduler on the loop: requests wait here until the scheduler decides.
+"""Runs the scheduler on the event loop and holds requests until it decides.
 
-Owns a future for each waiting request; they end with the process. Relies on `wake_scheduler`
-being called whenever units, configuration or heartbeats changed.
+Owns one future per waiting request, which is lost when the process ends. Relies on
+calls of `wake_scheduler` after each change of units, configuration or heartbeats.
 """
 
 import asyncio
@@ -17,35 +17,38 @@
 __all__ = ["Dispatcher"]
 
 TICK_S = 0.02
-"""Seconds between two rounds of decisions while requests wait.
+"""Interval between scheduling rounds while requests wait, in seconds.
 
-How late a deadline, a ripened unit or the end of an ejection is seen. A greater one
-adds to the wait; a smaller one costs processor time.
+Bounds the delay in detecting an expired deadline, a settled unit or the end of an
+ejection. A greater value adds to the wait; a smaller one costs CPU time.
 """
 IDLE_TICK_S = 0.25
-"""The same while none waits, in seconds: nothing depends on it."""
+"""Interval between scheduling rounds while no request waits, in seconds.
+
+Nothing depends on its value.
+"""
 
 
 class Dispatcher:
-    """Places requests, after a wait if the scheduler lets them wait."""
+    """Places requests and queues those that the scheduler cannot place at once."""
 
     def __init__(self, scheduler: Scheduler) -> None:
-        """Create it around a scheduler."""
+        """Create a dispatcher for a scheduler."""
         self.scheduler = scheduler
         self._waiting: dict[int, tuple[QueuedRequest, asyncio.Future[Decision]]] = {}
         self._wake = asyncio.Event()
 
     @property
     def waiting(self) -> int:
-        """Count the requests that wait."""
+        """Return the number of waiting requests."""
         return len(self._waiting)
 
     def wake_scheduler(self) -> None:
-        """Have `run` decide again on waiting requests; call after anything changed."""
+        """Make `run` reconsider the waiting requests after a change."""
         self._wake.set()
 
     async def place(self, request: QueuedRequest) -> Decision:
-        """Decide on a request, after a wait if need be."""
+        """Return the decision on a request, waiting until there is one."""
         loop = asyncio.get_running_loop()
         decision = self._offer(request, loop.time())
         if decision is not None:
@@ -76,7 +79,7 @@
     def _abandon(
         self, request: QueuedRequest, future: asyncio.Future[Decision], now: float
     ) -> None:
-        """Give back what was taken for a caller that went away."""
+        """Release the units of a request whose caller disconnected."""
         self.scheduler.withdraw(request)
         if future.done() and not future.cancelled():
             decision = future.result()
@@ -93,7 +96,7 @@
             self.scheduler.done(request, decision, now, 0.0, False, 0.0)
 
     async def run(self) -> None:
-        """Look at waiting requests whenever something changed, until cancelled."""
+        """Schedule waiting requests after each wake-up or interval, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             tick = TICK_S if self._waiting else IDLE_TICK_S
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The HTTP handlers of a gate: look-ups, requests and their answers.
+"""HTTP handlers of a gate for look-ups, requests and internal messages.
 
-Owns the gate's state (starting, serving, leaving, closed) and the count of requests in
-flight, which the daemon waits for at a stop. Relies on `intake.py` to read a request,
-on `serving.py` and `keyed.py` to serve it, and on `lookups.py` for whom to name.
+Owns the lifecycle state (starting, serving, leaving, closed) and the number of requests
+in flight, which must reach zero before the daemon stops; both are lost with the
+process. Relies on `request_reader.py` to read requests, on `serving.py` and
+`keyed_server.py` to serve them, and on `lookups.py` to select gates.
 """
 
 import asyncio
@@ -38,11 +39,11 @@
 __all__ = ["MAX_HEADER_BYTES", "GateHandler"]
 
 MAX_HEADER_BYTES = 8_190
-"""Longest line and field of a request's head, in bytes; the HTTP library's default."""
+"""Maximum length of a request line or header, in bytes: the HTTP library's default."""
 
 
 class GateHandler:
-    """Request handlers of one gate."""
+    """Handles the HTTP requests of one gate."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
         burn: BurnMeter,
         metrics: GateMetrics,
     ) -> None:
-        """Create it from the gate's parts."""
+        """Create the handlers from the gate's components."""
         self.state = GateState.STARTING
         self.address = ""
         self.active = 0
@@ -72,7 +73,7 @@
         self._metrics = metrics
 
     def caller_app(self) -> web.Application:
-        """Return the application that callers talk to."""
+        """Return the application that serves callers."""
         app = web.Application(client_max_size=0)
         app.router.add_get("/v1/lookup/{service}", self._lookup)
         app.router.add_get("/healthz", self._healthz)
@@ -87,7 +88,7 @@
         return app
 
     def relay_app(self) -> web.Application:
-        """Return the application that other gates and agents talk to."""
+        """Return the application that serves other gates and agents."""
         app = web.Application(client_max_size=0)
         app.router.add_get("/v1/burn", self._burn_series)
         app.router.add_post(NOTICES_PATH, self._receive_notices)
@@ -102,7 +103,7 @@
     # Look-ups.
 
     async def _lookup(self, request: web.Request) -> web.StreamResponse:
-        """Name the gates to use, with a key where the service needs one."""
+        """Return the gates to use and, where the service needs one, a key."""
         if self.state is GateState.STARTING:
             return _not_ready(Code.NOT_READY)
         view = self._scheduler.view
@@ -123,12 +124,12 @@
         return json_answer(answer)
 
     def _issue_key(self, service: Service, now: float) -> str:
-        """Return a key for one request; none while this gate may end soon."""
+        """Return a key for one request, or "" for look-ups and unless serving."""
         if service.work is WorkClass.LOOKUP or self.state is not GateState.SERVING:
             return ""
         return self._key_registry.issue(secrets.token_bytes(8), now)
 
-    # What other gates tell.
+    # Notices from other gates.
 
     async def _receive_notices(self, request: web.Request) -> web.StreamResponse:
         self._quarantine.receive(await request.read())
@@ -145,7 +146,7 @@
         return await self._handle(request, origin)
 
     async def _handle(self, request: web.Request, origin: Origin) -> web.StreamResponse:
-        """Serve one request and account for it."""
+        """Serve one request and record its result."""
         arrived = asyncio.get_running_loop().time()
         service = request.match_info["service"]
         answered = False
@@ -178,7 +179,7 @@
         return response
 
     def _open_service(self, request: web.Request) -> Service:
-        """Return the service called, if this gate takes requests now."""
+        """Return the requested service if this gate accepts requests."""
         if self.state is GateState.STARTING:
             raise Refusal(Code.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
         if self.closed:
@@ -201,7 +202,7 @@
     def _refusal_response(
         self, e: Refusal, service: str, origin: Origin
     ) -> web.Response:
-        """Log and count a refusal; one that may have run is a warning."""
+        """Log and count a refusal, as a warning if the request may have run."""
         log = logger.info if e.run is Run.NO else logger.warning
         log(
             "refused",
@@ -216,7 +217,7 @@
     def _record_request(
         self, service: str, tier: Tier, arrived: float, ok: bool
     ) -> None:
-        """Count a request of a caller for the service levels and the metrics."""
+        """Record a caller's request in the service levels and the metrics."""
         now = asyncio.get_running_loop().time()
         took_ms = (now - arrived) * 1000
         levels = [
@@ -227,7 +228,7 @@
         self._burn.record(service, tier.name, took_ms, ok, levels, now)
         self._metrics.served(service, tier.name, took_ms / 1000, ok)
 
-    # Others.
+    # Health and internal endpoints.
 
     async def _burn_series(self, request: web.Request) -> web.StreamResponse:
         series = self._burn.series(asyncio.get_running_loop().time())
@@ -237,7 +238,7 @@
         return web.Response(text="ok\n")
 
     async def _readyz(self, request: web.Request) -> web.StreamResponse:
-        """Return whether this gate serves; not while it has no configuration."""
+        """Report readiness: the gate has a configuration and is not leaving."""
         if self.state is GateState.SERVING:
             return web.Response(text="ready\n")
         code = Code.LEAVING if self.state is GateState.LEAVING else Code.NOT_READY
@@ -251,7 +252,11 @@
 async def _stream(
     request: web.Request, inbound: GateRequest, served: ServedResponse
 ) -> web.StreamResponse:
-    """Pass an answer on; one that is cut short is never ended as if whole."""
+    """Stream a response to the caller.
+
+    Aborts the connection if the response is truncated, so that the caller cannot
+    take it for a complete one.
+    """
     response = web.StreamResponse(status=served.status)
     for name, value in served.headers:
         response.headers.add(name, value)
