--- a/leverdoor/gate/request_reader.py
+++ b/leverdoor/gate/request_reader.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Reads a request from HTTP: who sends it, its deadline, its key and its body.
+"""Reads the origin, deadline, key and body of an HTTP request.
 
-Owns no state. Relies on the snapshot of the configuration for tier, home region and
-service; what a gate says of a request that it passes on is taken as it is.
+Owns no state. Relies on the configuration snapshot for tier, home region and service.
+Trusts the headers with which another gate describes a forwarded request.
 """
 
 import asyncio
@@ -24,14 +24,14 @@
 __all__ = ["caller_origin", "gate_origin", "defer_continue", "read_request"]
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024
-"""Longest body kept in memory for a retry, in bytes; longer ones are streamed.
+"""Maximum length of a body buffered for retries, in bytes; longer bodies are streamed.
 
-Holds queries and corrections; a greater one costs memory for each request.
+Large enough for queries and corrections. A greater value costs memory per request.
 """
 
 
 def caller_origin(request: web.Request, view: View, region: str) -> Origin:
-    """Find out who calls: the tier by name, the home region by address."""
+    """Return a caller's origin: its tier by name, its home region by address."""
     caller = request.headers.get(h.CALLER, "")
     return Origin(
         request_id=request.headers.get(h.REQUEST_ID, "") or secrets.token_hex(8),
@@ -42,7 +42,7 @@
 
 
 def gate_origin(request: web.Request, view: View, region: str) -> Origin:
-    """Read what another gate says of a request that it passes on."""
+    """Return the origin that another gate gives for a forwarded request."""
     head = request.headers
     return Origin(
         request_id=head.get(h.REQUEST_ID, ""),
@@ -56,15 +56,15 @@
 async def read_request(
     request: web.Request, service: Service, origin: Origin, arrived: float
 ) -> GateRequest:
-    """Read a request; a short body is read whole before it can hold a slot.
+    """Read a request; a short body is buffered before the request can hold a slot.
 
     Args:
       request: the request, its body unread.
-      service: the service called.
-      origin: who sends it.
-      arrived: loop time in seconds.
+      service: the requested service.
+      origin: the sender of the request.
+      arrived: loop time of its arrival, in seconds.
     Raises:
-      Refusal: KEY_REQUIRED, BAD_REQUEST or BODY_TOO_SLOW; it did not run.
+      Refusal: KEY_REQUIRED, BAD_REQUEST or BODY_TOO_SLOW; the request did not run.
     """
     queued = _queued(request, service, origin, arrived)
     key = "" if origin.forwarded else request.headers.get(h.KEY, "")
@@ -91,7 +91,7 @@
 def _fingerprint(
     method: str, service: Service, tail: str, caller: str, body: Body
 ) -> int:
-    """Return the fingerprint of a request; 0 if its body is streamed."""
+    """Return the fingerprint of a request, or 0 if its body is streamed."""
     if body.whole is None:
         return 0
     size = len(body.whole)
@@ -101,7 +101,7 @@
 def _queued(
     request: web.Request, service: Service, origin: Origin, arrived: float
 ) -> QueuedRequest:
-    """Return what decisions need; the service bounds the deadline a caller sends."""
+    """Return the scheduling data; the service limits the requested deadline."""
     path = request.match_info["tail"]
     prefixes = [p.lstrip("/") for p in service.bulk_prefixes]
     limit_ms = service.deadline_ms
@@ -118,7 +118,7 @@
 
 
 async def _read_body(request: web.Request, service: Service) -> Body:
-    """Read a short body whole, so that it can be sent again; stream others."""
+    """Buffer a short body so that it can be sent again; stream a longer one."""
     idle_timeout_s = service.deadline_ms / 1000
     if not request.body_exists:
         return Body(b"", None, 0, idle_timeout_s)
@@ -134,14 +134,18 @@
     except TimeoutError:
         raise Refusal(Code.BODY_TOO_SLOW) from None
     except (aiohttp.ClientError, OSError) as e:
-        raise Refusal(Code.BAD_REQUEST, f"the body was cut: {e!r}") from None
+        raise Refusal(
+            Code.BAD_REQUEST, f"reading the request body failed: {e!r}"
+        ) from None
     if len(data) != length:
-        raise Refusal(Code.BAD_REQUEST, "the body was cut short")
+        raise Refusal(
+            Code.BAD_REQUEST, "the request body ended before its Content-Length"
+        )
     return Body(data, None, length, idle_timeout_s)
 
 
 async def defer_continue(request: web.Request) -> None:
-    """Leave the answer to `Expect: 100-continue` until the request is placed."""
+    """Defer the reply to `Expect: 100-continue` until the body is read."""
 
 
 async def _send_continue(request: web.Request) -> None:
--- a/leverdoor/gate/row_units.py
+++ b/leverdoor/gate/row_units.py
@@ -1,11 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A gate's own units: exact counting of what the ownership table grants it.
+"""Exact accounting of the units that the ownership table grants to this gate.
 
-Owns the units in use, ripening and cooling of this process, by row; a new process
-starts without any, under a new incarnation. With `membership/ownership.py` it is the
-safety argument of docs/DESIGN.md: this side ripens, cools and acknowledges. Relies on
-the table alone, never on heartbeats.
+Owns the units in use, settling and in cooldown of this process, by row. They are lost
+when the process ends; a new process starts without units under a new incarnation.
+Together with `membership/ownership.py` this module implements the safety argument of
+docs/DESIGN.md: it delays new units, keeps released ones counted and acknowledges the
+table. Relies on the table alone, never on heartbeats.
 """
 
 import heapq
@@ -19,16 +20,16 @@
 class Units:
     """Units of one row held by this process.
 
-    Units gained ripen for `settle_s` before they can be used: work that an
-    earlier holder left at a target ends meanwhile, and a cap's window passes.
-    Units given back may cool: they stay counted until a given time.
+    Newly granted units settle for `settle_s` before they can be used, so that the
+    previous holder's work at the target ends and a cap's window passes. Released
+    units may have a cooldown, during which they still count as used.
     """
 
     def __init__(self, settle_s: float) -> None:
-        """Create an empty holding.
+        """Create the accounting of a row without units.
 
         Args:
-          settle_s: how long gained units stay unusable, in seconds.
+          settle_s: time before newly granted units become usable, in seconds.
         """
         self.settle_s = settle_s
         self.held = 0
@@ -37,7 +38,7 @@
         self._cooldowns: list[float] = []
 
     def set_held(self, held: int, now: float) -> None:
-        """Take a new grant from the table."""
+        """Set the number of units that the table grants."""
         change = held - self.held
         self.held = held
         if change > 0:
@@ -49,40 +50,40 @@
             change += units
 
     def used(self, now: float) -> int:
-        """Units in use or cooling."""
+        """Return the number of units in use or in cooldown."""
         while self._cooldowns and self._cooldowns[0] <= now:
             heapq.heappop(self._cooldowns)
         return self.in_use + len(self._cooldowns)
 
     def free(self, now: float) -> int:
-        """Units that can be taken now; negative when over the grant."""
+        """Return the number of available units; negative when over the grant."""
         self._settling = [r for r in self._settling if r[0] > now]
         unripe = sum(units for _, units in self._settling)
         return self.held - unripe - self.used(now)
 
     def acquire(self, now: float) -> bool:
-        """Take one unit if one is free."""
+        """Acquire one unit if one is available."""
         if self.free(now) <= 0:
             return False
         self.in_use += 1
         return True
 
     def release(self, now: float, cooldown_s: float = 0.0) -> None:
-        """Give one unit back, which stays counted for `cooldown_s` seconds."""
+        """Release one unit, which still counts as used for `cooldown_s` seconds."""
         self.in_use -= 1
         if cooldown_s > 0:
             heapq.heappush(self._cooldowns, now + cooldown_s)
 
 
 class HeldUnits:
-    """All units of one process, by row."""
+    """The units of one process, by row."""
 
     def __init__(self, gate: str, incarnation: int) -> None:
-        """Create empty holdings.
+        """Create an accounting without units.
 
         Args:
           gate: the process's address in the table.
-          incarnation: distinguishes it from earlier processes there.
+          incarnation: distinguishes it from earlier processes at that address.
         """
         self.gate = gate
         self.incarnation = incarnation
@@ -90,13 +91,13 @@
         self.rows: dict[str, Units] = {}
 
     def apply(self, table: Table, settle_s: Mapping[str, float], now: float) -> bool:
-        """Take a newer table.
+        """Apply a table if it is newer than the current one.
 
         Args:
           table: the region's table.
-          settle_s: for each row, how long gained units stay unusable.
+          settle_s: time before newly granted units become usable, in seconds, by row.
           now: monotonic time in seconds.
-        Returns: whether it was newer.
+        Returns: whether the table was newer.
         """
         if table.version <= self.version:
             return False
@@ -121,26 +122,26 @@
             del self.rows[name]
 
     def free(self, row: str, now: float) -> int:
-        """Units of a row that can be taken now."""
+        """Return the number of available units of a row."""
         units = self.rows.get(row)
         return units.free(now) if units else 0
 
     def held(self, row: str) -> int:
-        """Units of a row that the table grants."""
+        """Return the number of units of a row that the table grants."""
         units = self.rows.get(row)
         return units.held if units else 0
 
     def acquire(self, row: str, now: float) -> bool:
-        """Take one unit of a row if one is free."""
+        """Acquire one unit of a row if one is available."""
         units = self.rows.get(row)
         return units.acquire(now) if units else False
 
     def release(self, row: str, now: float, cooldown_s: float = 0.0) -> None:
-        """Give one unit of a row back."""
+        """Release one unit of a row, with a cooldown of `cooldown_s` seconds."""
         self.rows[row].release(now, cooldown_s)
         self._forget(now)
 
     def ack(self, now: float) -> Ack:
-        """Return which table is applied, and the rows on which too much is in use."""
+        """Return the applied table version and the rows used beyond their grant."""
         over = sorted(n for n, u in self.rows.items() if u.used(now) > u.held)
         return Ack(self.version, over)
