--- a/leverdoor/gate/idempotency_keys.py
+++ b/leverdoor/gate/idempotency_keys.py
@@ -1,12 +1,12 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Idempotency keys that one gate process issues, and the outcomes it keeps.
+"""Issues idempotency keys and keeps the outcomes of their requests.
 
-A key is good only at the process that issued it, so one memory decides
-whether the request ran: no clock, store or hand-over is involved. When that
-process is gone the key can never run again, and whether it ran is not known.
+A key is valid only at the process that issued it. The memory of that process alone
+decides whether the request ran, without a clock, store or hand-over. After the process
+has ended, the request can never run again, and whether it ran is unknown.
 
-Owns the secret that signs keys and the outcomes; both are lost with the process.
+Owns the signing secret and the outcomes; both are lost when the process ends.
 """
 
 import base64
@@ -22,17 +22,17 @@
 __all__ = ["Key", "KeyRegistry", "KeyState", "Outcome", "parse_key", "serialize_key"]
 
 KEY_TTL_S = 900.0
-"""How long a key can be used, in seconds; docs/API.md promises 15 minutes."""
+"""Lifetime of a key, in seconds; docs/API.md promises 15 minutes."""
 MAX_KEPT_BODY_BYTES = 64 * 1024
-"""Longest answer kept for a retry with its key, in bytes; docs/ERRORS.md says so."""
+"""Maximum length of a response body kept for retries, in bytes; see docs/ERRORS.md."""
 MAX_KEPT_TOTAL_BYTES = 32 * 1024 * 1024
-"""Most bytes of all kept answers."""
+"""Maximum total length of the kept response bodies, in bytes."""
 MAC_BYTES = 12
-"""Bytes of a key's check; a guess succeeds once in 2**96."""
+"""Length of a key's MAC, in bytes; a guess succeeds with probability 2**-96."""
 
 
 class Key(msgspec.Struct, frozen=True, array_like=True):
-    """What an issued key says."""
+    """Decoded contents of an idempotency key."""
 
     vm: str
     relay: str
@@ -43,7 +43,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What became of a request: an answer, or a problem without one."""
+    """Result of a request: a response, or the error code of a missing one."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -52,7 +52,7 @@
 
 
 class KeyState(Enum):
-    """Whether the request of a key has run."""
+    """Execution state of the request of a key."""
 
     NEW = "new"
     RUNNING = "running"
@@ -65,12 +65,12 @@
 
 
 def serialize_key(key: Key) -> str:
-    """Serialize a key as callers send it."""
+    """Serialize a key to the header value that callers send."""
     return base64.urlsafe_b64encode(msgspec.msgpack.encode(key)).decode().rstrip("=")
 
 
 def parse_key(text: str) -> Key:
-    """Parse a key that a caller sent.
+    """Parse the header value that a caller sent.
 
     Raises:
       Refusal: KEY_INVALID.
@@ -83,19 +83,19 @@
 
 
 class KeyRegistry:
-    """Issues keys and keeps outcomes for one gate process."""
+    """Issues keys and stores outcomes for one gate process."""
 
     def __init__(
         self, vm: str, relay: str, incarnation: int, secret: bytes, started: float
     ) -> None:
-        """Create an empty ring.
+        """Create a registry without outcomes.
 
         Args:
           vm: this VM.
           relay: address at which other gates reach this process.
-          incarnation: distinguishes it from earlier processes there.
+          incarnation: distinguishes it from earlier processes at that address.
           secret: random bytes that never leave the process.
-          started: monotonic time in seconds.
+          started: monotonic start time, in seconds.
         """
         self._vm = vm
         self._relay = relay
@@ -106,7 +106,7 @@
         self._bytes = 0
 
     def __len__(self) -> int:
-        """Count the keys that were used and are still kept."""
+        """Return the number of keys with a stored state."""
         return len(self._records)
 
     def issue(self, nonce: bytes, now: float) -> str:
@@ -129,14 +129,14 @@
         )
 
     def issued_by_predecessor(self, key: Key) -> bool:
-        """Return whether an earlier process at this one's address issued a key."""
+        """Return whether an earlier process at this address issued a key."""
         same = (key.vm, key.relay) == (self._vm, self._relay)
         return same and key.incarnation < self.incarnation
 
     def begin(self, key: Key, now: float) -> KeyState:
-        """Begin the run of a key, if it may run.
+        """Start the request of a key unless it has started before.
 
-        Returns: NEW if it may run, now and only now; else its state.
+        Returns: NEW if the caller must run the request now; else its state.
         Raises:
           Refusal: KEY_INVALID or KEY_EXPIRED.
         """
@@ -152,11 +152,14 @@
         return KeyState.RUNNING if record.outcome is None else KeyState.DONE
 
     def forget_unrun(self, key: Key) -> None:
-        """Make a key new again, since it is certain that nothing ran."""
+        """Discard the state of a key whose request is known not to have run."""
         self._records.pop(key.nonce, None)
 
     def finish(self, key: Key, outcome: Outcome) -> None:
-        """Keep the outcome of a key; a large body is not kept."""
+        """Store the outcome of a key.
+
+        A body above the limits is replaced by ALREADY_RAN.
+        """
         record = self._records.get(key.nonce)
         if record is None:
             return
@@ -167,7 +170,7 @@
         record.outcome = outcome
 
     def outcome(self, key: Key) -> Outcome | None:
-        """Return the outcome of a key, None while it runs."""
+        """Return the outcome of a key, or None while its request runs."""
         record = self._records.get(key.nonce)
         return record.outcome if record else None
 
@@ -181,7 +184,7 @@
         return now - self._started - key.issued_ms / 1000
 
     def _purge(self, now: float) -> None:
-        """Forget keys that are refused as expired anyway, oldest first."""
+        """Remove expired keys, oldest first, up to the first that must be kept."""
         while self._records:
             nonce, record = next(iter(self._records.items()))
             if record.outcome is None or self._age_s(record.key, now) <= KEY_TTL_S:
--- a/leverdoor/gate/keyed_server.py
+++ b/leverdoor/gate/keyed_server.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Serves requests that run at most once, at the gate that issued their key.
+"""Serves requests with idempotency keys at the gate that issued the key.
 
-Owns the runs under way, by key: they go on when their caller leaves, and end with the
-process. Relies on `keys.py` for what a key allows and on heartbeats for the proof that
-an issuer is gone.
+Owns the running requests by key nonce. They continue when their caller disconnects and
+are lost when the process ends. Relies on `idempotency_keys.py` for the state of a key
+and on heartbeats as proof that the issuing process has ended.
 """
 
 import asyncio
@@ -30,22 +30,22 @@
 __all__ = ["KeyedServer"]
 
 OUTCOME_RETRY_MS = 500
-"""Retry-After in ms while an outcome is not known yet.
+"""Retry-After while the outcome of a request is unknown, in ms.
 
-Some runs, and some heartbeats of an issuer that can't be reached. A smaller one loads
-the issuer for nothing; a greater one keeps a caller waiting for an outcome.
+Covers several runs, or several heartbeats of an unreachable issuer. A smaller value
+loads the issuer without benefit; a greater one delays the caller's outcome.
 """
 MAX_OUTCOME_BYTES = 8 * 1024 * 1024
-"""Longest answer read whole, in bytes: bounds the memory of a gate."""
+"""Maximum length of a buffered response, in bytes; bounds the gate's memory."""
 
 
 class KeyedServer:
-    """Runs a key's request here, or passes it to the gate that issued the key."""
+    """Runs requests with a key of this gate and forwards others to the issuer."""
 
     def __init__(
         self, ring: KeyRegistry, server: Server, scheduler: Scheduler, client: HopClient
     ) -> None:
-        """Create it from the gate's parts."""
+        """Create the server from the gate's components."""
         self._key_registry = ring
         self._server = server
         self._scheduler = scheduler
@@ -54,14 +54,14 @@
 
     @property
     def running(self) -> int:
-        """Count the requests that run, their callers still there or not."""
+        """Return the number of running requests, including those without a caller."""
         return len(self._running)
 
     async def serve(self, inbound: GateRequest) -> Outcome:
-        """Return the one outcome of a key.
+        """Return the outcome of the request that a key identifies.
 
         Raises:
-          Refusal: there is none; the code says whether it may have run.
+          Refusal: there is no outcome; the code says whether the request may have run.
         """
         key = parse_key(inbound.key)
         if not self._key_registry.issued_here(key):
@@ -77,7 +77,7 @@
         return await self._wait(inbound, key)
 
     def _start(self, inbound: GateRequest, key: Key) -> None:
-        """Run apart from the caller, whose leaving must not lose the outcome."""
+        """Run the request in its own task, so that a disconnect keeps the outcome."""
         task = asyncio.create_task(self._run(inbound, key))
         self._running[key.nonce] = task
         task.add_done_callback(lambda _: self._running.pop(key.nonce, None))
@@ -99,7 +99,7 @@
         return outcome
 
     async def _collect(self, served: ServedResponse) -> Outcome:
-        """Read an answer whole; an answer too large to keep is an error."""
+        """Buffer a response; one above MAX_OUTCOME_BYTES becomes ALREADY_RAN."""
         parts = []
         size = 0
         async with ensure_finished(served):
@@ -113,7 +113,10 @@
         return Outcome(served.status, head, b"".join(parts))
 
     async def _wait(self, inbound: GateRequest, key: Key) -> Outcome:
-        """Wait for a run that is under way, until this caller's deadline."""
+        """Wait for a running request until this caller's deadline.
+
+        A bulk upload waits without a limit.
+        """
         task = self._running.get(key.nonce)
         if task is None:
             raise Refusal(Code.STILL_RUNNING, retry_after_ms=OUTCOME_RETRY_MS)
@@ -125,7 +128,7 @@
         return task.result()
 
     async def _from_issuer(self, inbound: GateRequest, key: Key) -> Outcome:
-        """Pass the request to the gate that issued its key."""
+        """Forward the request to the gate that issued its key."""
         issuer = self._scheduler.peer_gates.get(key.vm)
         if self._issuer_ended(key, issuer):
             raise Refusal(Code.ISSUER_GONE)
@@ -151,7 +154,7 @@
         )
 
     def _issuer_ended(self, key: Key, issuer: AgentHeartbeat | None) -> bool:
-        """Return whether the process that issued a key is proved to be gone."""
+        """Return whether the process that issued a key is known to have ended."""
         if self._key_registry.issued_by_predecessor(key):
             return True
         if issuer is None or issuer.relay != key.relay:
@@ -164,13 +167,13 @@
 
 
 def _failed(e: Refusal) -> Outcome:
-    """Keep a refusal as an outcome, so that a retry gets the same answer."""
+    """Convert a refusal to an outcome, so that a retry gets the same response."""
     body = msgspec.json.encode(e.problem())
     head = [("Content-Type", "application/json"), (h.RUN, e.run.value)]
     return Outcome(502, head, body, e.code)
 
 
 def _consume(task: asyncio.Task[Outcome]) -> None:
-    """Read a task's error, which its callers got, so that none is left unread."""
+    """Retrieve a task's exception, so that asyncio does not log it as unhandled."""
     if not task.cancelled():
         task.exception()
--- a/leverdoor/gate/lookups.py
+++ b/leverdoor/gate/lookups.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Look-ups: which gates a caller should use, and for how long.
+"""Selects the gates that a look-up returns.
 
-Owns no state. Relies on the scheduler for this gate's own load and for the heartbeats
-of the others: silent and leaving ones are left out there.
+Owns no state. Relies on the scheduler for this gate's load and for the heartbeats of
+the usable gates; the scheduler excludes silent and leaving ones.
 """
 
 import msgspec
@@ -14,15 +14,15 @@
 __all__ = ["LookupAnswer", "LookupEntry", "named_entries"]
 
 MAX_ENTRIES = 4
-"""Most entries named in a look-up's answer.
+"""Maximum number of entries in a look-up response.
 
-One to use and three to fail over to. More spread callers over gates with fewer slots;
-fewer leave a caller without one when a failure domain dies.
+One to use and three for failover. More entries spread callers over gates with fewer
+slots; with fewer, a caller may have none left when a failure domain fails.
 """
 
 
 class LookupEntry(msgspec.Struct, frozen=True):
-    """One gate that a caller may use; callers choose by weight within a region."""
+    """A gate that a caller may use; callers select by weight within a region."""
 
     address: str
     region: str
@@ -30,9 +30,9 @@
 
 
 class LookupAnswer(msgspec.Struct, frozen=True):
-    """Which gates to use for a service, and for how long.
+    """Gates to use for a service, valid for `ttl_ms`.
 
-    `key` is for one request of a service that runs at most once; else it is "".
+    `key` is valid for one request; it is "" if the service needs no key.
     """
 
     service: str
@@ -45,13 +45,13 @@
 def named_entries(
     scheduler: Scheduler, service: str, home: str, own_address: str, now: float
 ) -> list[LookupEntry]:
-    """Choose the gates to name: the home region first, then by slots held.
+    """Select gates by distance from the home region, then by slots held.
 
     Args:
-      scheduler: whose heartbeats and loads count.
+      scheduler: source of heartbeats and loads.
       service: the service looked up.
       home: the caller's region.
-      own_address: this gate's address, "" while it is not to be used.
+      own_address: this gate's address, or "" to exclude it.
       now: monotonic time in seconds.
     """
     found = []
@@ -67,5 +67,5 @@
 
 
 def _entry(address: str, region: str, load: Load | None) -> LookupEntry:
-    """Name a gate; its weight is one more than its slots, so that none has weight 0."""
+    """Create an entry; its weight is slots + 1, so that no weight is 0."""
     return LookupEntry(address, region, (load.held if load else 0) + 1)
