--- a/leverdoor/gate/peers.py
+++ b/leverdoor/gate/peers.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What one gate knows of the load of the other gates, and which of them it uses.
+"""Load estimates of the other gates and the selection of a gate to forward to.
 
-Owns the last heartbeat of each gate, less what was sent there since; it starts empty
-with the process and is filled within some hints. Relies on the agent's hints: the
-heartbeats in them are 0.1 s old and more, so what they say is an estimate, and a gate
-that has no free slot after all refuses.
+Owns the latest heartbeat of each gate, adjusted by the requests forwarded since. This
+state is lost when the process ends and rebuilt from a few hints. Relies on the agent's
+hints, whose heartbeats are at least 0.1 s old: loads are estimates, and a gate without
+a free slot refuses a forwarded request.
 """
 
 from collections.abc import Callable, Iterable
@@ -20,25 +20,26 @@
 __all__ = ["PeerGate", "PeerGates", "RegionLoad"]
 
 PEER_BACKOFF_S = 1.0
-"""How long a gate that failed is not forwarded to, in seconds.
+"""Time without forwarding to a gate after a failed connection, in seconds.
 
-Five heartbeats. A longer time leaves its slots idle after one lost connection; a
-shorter one costs more attempts while it is dead and not yet silent.
+Five heartbeat intervals. A longer time leaves its slots idle after one lost connection;
+a shorter one costs more attempts until its heartbeats expire.
 """
 FORWARD_MARGIN_MS = 2.0
-"""What forwarding to a shorter queue must save, in ms: two hops of 1 ms.
+"""Minimum wait saved by forwarding to a shorter queue, in ms: two hops of 1 ms.
 
-A smaller margin forwards for nothing; a greater one leaves queues uneven.
+A smaller margin forwards without benefit; a greater one leaves queues uneven.
 """
 SAMPLED_GATES = 2
-"""Gates drawn at random, of which the better is used.
+"""Number of randomly sampled gates from which the best is selected.
 
-The best of all would draw every gate to the same one until its next heartbeat.
+Selecting the best of all gates would send every gate's requests to the same one until
+its next heartbeat.
 """
 
 
 class RegionLoad(msgspec.Struct, frozen=True):
-    """Slots held and requests waiting at the other gates of a region."""
+    """Total load of the usable gates of a region, with their greatest mean run time."""
 
     held: int
     waiting: int
@@ -47,9 +48,10 @@
 
 
 class PeerGate(msgspec.Struct):
-    """Another gate, and its load less what was sent there since its last heartbeat.
+    """Another gate and its load, adjusted by requests sent since its last heartbeat.
 
-    `free` and `sent` count slots and requests by service, `caps` free cap units by row.
+    `free` holds free slots and `sent` forwarded requests, both by service; `caps` holds
+    free cap units by row.
     """
 
     peer: Peer
@@ -64,13 +66,13 @@
         return self.peer.heartbeat
 
     def refresh(self) -> None:
-        """Start from the latest heartbeat again."""
+        """Reset the estimates to the latest heartbeat."""
         self.free = {s: v.free - v.waiting for s, v in self.heartbeat.loads.items()}
         self.sent = {}
         self.caps = dict(self.heartbeat.caps)
 
     def wait_ms(self, service: str) -> float | None:
-        """Estimate the wait of one more request there; None if it holds nothing."""
+        """Estimate the wait of one more request in ms; None without slots."""
         load = self.heartbeat.loads.get(service)
         if load is None or not load.held:
             return None
@@ -80,15 +82,15 @@
 
 
 class PeerGates:
-    """The other gates, by VM."""
+    """The other gates by VM."""
 
     def __init__(self, vm: str, leaving: Callable[[str], bool], rng: Random) -> None:
-        """Create an empty book.
+        """Create an empty table.
 
         Args:
-          vm: this VM, whose own heartbeats are left out.
-          leaving: returns whether a VM leaves.
-          rng: where all chance comes from.
+          vm: this VM, whose heartbeats are ignored.
+          leaving: returns whether a VM is leaving.
+          rng: source of randomness.
         """
         self._vm = vm
         self._leaving = leaving
@@ -96,7 +98,7 @@
         self._known: dict[str, PeerGate] = {}
 
     def receive(self, heartbeats: Iterable[AgentHeartbeat], now: float) -> None:
-        """Take heartbeats that are newer than those known."""
+        """Store heartbeats that are newer than the stored ones."""
         for heartbeat in heartbeats:
             if heartbeat.vm == self._vm or not heartbeat.gate:
                 continue
@@ -112,29 +114,29 @@
             n.refresh()
 
     def vms(self) -> list[str]:
-        """Return the VMs of all other gates that are known."""
+        """Return the VMs of all known other gates."""
         return list(self._known)
 
     def get(self, vm: str) -> AgentHeartbeat | None:
-        """Return the latest heartbeat of a VM, however old."""
+        """Return the latest heartbeat of a VM regardless of its age."""
         found = self._known.get(vm)
         return found.heartbeat if found else None
 
     def lost(self, vm: str, now: float) -> None:
-        """Forward nothing to a gate for PEER_BACKOFF_S after a failed connection."""
+        """Back off from a gate for PEER_BACKOFF_S after a failed connection."""
         if vm in self._known:
             self._known[vm].backoff_until = now + PEER_BACKOFF_S
 
     def refused(self, vm: str, service: str) -> None:
-        """Assume no free slot at a gate that refused, until its next heartbeat."""
+        """Assume no free slot at a gate that refused until its next heartbeat."""
         if vm in self._known:
             self._known[vm].free[service] = 0
 
     def usable(self, now: float, region: str = "") -> list[PeerGate]:
-        """Return the gates that can be used now, of one region or of all.
+        """Return the usable gates of one region, or of all regions.
 
-        They are serving, not silent, not on a VM that leaves, and had no failed
-        connection lately.
+        A usable gate is serving, has a recent heartbeat, is not on a leaving VM and
+        is not in backoff after a failed connection.
         """
         return [
             n
@@ -147,7 +149,7 @@
         ]
 
     def load(self, service: str, region: str, now: float) -> RegionLoad:
-        """Add up the loads of the other gates of a region."""
+        """Return the total load of the other usable gates of a region."""
         loads = [
             n.heartbeat.loads[service]
             for n in self.usable(now, region)
@@ -163,12 +165,12 @@
     def with_free_slot(
         self, service: str, region: str, cap: str, now: float
     ) -> PeerGate | None:
-        """Choose a gate with a free slot: the better of two at random.
+        """Select the gate with more free slots out of two random ones.
 
         Args:
-          service: the service called.
-          region: where to look.
-          cap: the row of a shift cap of which a unit must be free, or "".
+          service: the requested service.
+          region: the region to search.
+          cap: row of the shift cap that must have a free unit, or "".
           now: monotonic time in seconds.
         """
         found = [
@@ -188,10 +190,10 @@
     def with_shorter_queue(
         self, service: str, region: str, own_ms: float, now: float
     ) -> PeerGate | None:
-        """Choose a gate where the wait is shorter than here by more than the hop.
+        """Select a gate whose wait is shorter by more than FORWARD_MARGIN_MS.
 
-        Under load a slot is free for a shorter time than a heartbeat is old, so
-        the lengths of queues say more than free slots do.
+        Under load a slot stays free for less time than the age of a heartbeat, so
+        queue lengths predict the wait better than free slots.
         """
         found = [
             (wait_ms, n)
--- a/leverdoor/gate/placement.py
+++ b/leverdoor/gate/placement.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Where a request goes: to which region, to a target here or to another gate.
+"""Selects a region and a local target or another gate for each request.
 
-Owns no state of its own: it takes units from this gate's holdings and shift caps and
-counts what it takes. Relies on the snapshot of the configuration, on this gate's own
-counts (exact) and on the heartbeats of other gates (0.1 s old and more).
+Owns the shift limiter of this region, whose state is lost when the process ends;
+acquires units of this gate's rows and shift caps. Relies on the configuration snapshot,
+on the exact counts of this gate and on heartbeats of other gates, which are at least
+0.1 s old.
 """
 
 from random import Random
@@ -27,27 +28,27 @@
 __all__ = ["Decision", "Dispatch", "Forward", "Placement", "bulk_limit"]
 
 BULK_SHARE = 0.5
-"""Part of the slots that bulk uploads may take in a service that is not all bulk.
+"""Share of slots available to bulk uploads in a service with other requests.
 
-An upload holds a slot for minutes, so without a bound uploads would take all of them. A
-greater part lengthens the wait of other requests, a smaller one the uploads.
+An upload holds a slot for minutes; without a limit uploads would take all slots. A
+greater share lengthens the wait of other requests, a smaller one the uploads.
 """
 SPILL_MARGIN_MS = 5.0
-"""What leaving the home region must save beyond the round trip, in ms.
+"""Minimum wait saved by leaving the home region, beyond the round trip, in ms.
 
-Waits of other gates are estimated from old heartbeats. A smaller margin moves requests
-back and forth between regions; a greater one lets them wait at home.
+Waits of other gates are estimated from old heartbeats. A smaller margin makes requests
+oscillate between regions; a greater one makes them wait in the home region.
 """
 
 NO_SLOT_WAIT_MS = 30_000.0
-"""Expected wait at a gate that holds no slot, in ms; longer than any deadline allows.
+"""Expected wait at a gate that holds no slot, in ms; longer than any deadline.
 
-Any other gate of the region with a slot is then the better one.
+Any other gate of the region with a slot is therefore preferred.
 """
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """Send it to a target here; the units of its rows are taken already."""
+    """Send the request to a local target; its units are already acquired."""
 
     target: Target
     slot: str
@@ -55,7 +56,7 @@
 
 
 class Forward(msgspec.Struct, frozen=True):
-    """Pass it to another gate, at the address `relay`."""
+    """Forward the request to the gate with the address `relay`."""
 
     vm: str
     relay: str
@@ -66,7 +67,10 @@
 
 
 def bulk_limit(held: int, work: WorkClass) -> int:
-    """Return how many of the slots held bulk uploads may use; at least one."""
+    """Return how many of the held slots bulk uploads may use.
+
+    At least one for a service with other requests.
+    """
     if work is WorkClass.BULK:
         return held
     return max(1, int(held * BULK_SHARE))
@@ -75,12 +79,12 @@
 def should_leave_home(load: RegionLoad, nearest_ms: float) -> bool:
     """Return whether a request should leave its home region.
 
-    It should if the expected wait there is longer than the round trip to the nearest
-    other region, or if nothing there takes requests.
+    True if the home region holds no slot, or if the expected wait there exceeds the
+    round trip to the nearest other region by more than SPILL_MARGIN_MS.
 
     Args:
-      load: slots held and requests waiting in the home region.
-      nearest_ms: one-way distance of the nearest other region.
+      load: load of the home region.
+      nearest_ms: one-way latency to the nearest other region.
     """
     if load.held == 0:
         return True
@@ -89,7 +93,7 @@
 
 
 class Placement:
-    """Finds a target or a gate with a free slot for a request."""
+    """Finds a target or gate with a free slot for a request."""
 
     def __init__(
         self,
@@ -100,15 +104,15 @@
         workloads: Workloads,
         rng: Random,
     ) -> None:
-        """Create it.
+        """Create a placement.
 
         Args:
           region: this gate's region.
           holdings: the units of this process.
-          pool: the targets here.
+          pool: the targets of this region.
           neighbours: the other gates.
-          workloads: what waits and runs here.
-          rng: where all chance comes from.
+          workloads: the requests waiting and running at this gate.
+          rng: source of randomness.
         """
         self._region = region
         self._held_units = held_units
@@ -129,9 +133,9 @@
     def place(
         self, request: QueuedRequest, service: Service, now: float
     ) -> Dispatch | Forward | None:
-        """Find a free slot: at home first, then region by region by distance.
+        """Find a free slot in the home region, then in others by distance.
 
-        A forwarded request gets a slot here or none.
+        A forwarded request is only placed on a target of this gate.
         """
         for region in self._regions(request):
             decision: Dispatch | Forward | None = None
@@ -153,7 +157,7 @@
         return sorted(names, key=lambda r: (distance_ms(request.home, r), r))
 
     def _may_try_farther(self, request: QueuedRequest, region: str, now: float) -> bool:
-        """Return whether regions after this one may be tried."""
+        """Return whether regions farther than this one may be tried."""
         if region != request.home:
             return True
         others = [r for r in self._view.regions if r != region]
@@ -165,7 +169,7 @@
         )
 
     def _region_load(self, service: str, region: str, now: float) -> RegionLoad:
-        """Add up a region's load, this gate's own included."""
+        """Return the load of a region, including this gate."""
         others = self._peer_gates.load(service, region, now)
         if region != self._region:
             return others
@@ -180,7 +184,7 @@
     def _dispatch(
         self, request: QueuedRequest, service: Service, now: float
     ) -> Dispatch | None:
-        """Take a slot that this gate holds, and a cap unit for a foreign request."""
+        """Acquire a slot of this gate and, for another region's request, a cap unit."""
         if request.bulk and not self._takes_bulk(service, now):
             return None
         best = self._pool.best(request.service, request.tried, self._rng, now)
@@ -198,7 +202,10 @@
         return Dispatch(best, slot, cap)
 
     def _takes_bulk(self, service: Service, now: float) -> bool:
-        """Return whether a bulk upload may take a slot: none while others wait."""
+        """Return whether a bulk upload may take a slot.
+
+        It may not while other requests wait.
+        """
         limit = bulk_limit(self._pool.slots(service.name, now), service.work)
         workload = self._workloads.of(service.name)
         return not workload.queue.interactive() and workload.bulk_running < limit
@@ -206,7 +213,7 @@
     def _forward(
         self, request: QueuedRequest, region: str, now: float
     ) -> Forward | None:
-        """Pass a request on to a gate with a free slot in a region."""
+        """Select a gate with a free slot in a region."""
         cap = ""
         if region != request.home and (request.service, region) in self._view.caps:
             cap = cap_row(request.service, region)
@@ -216,9 +223,9 @@
     def forward_to_shorter_queue(
         self, request: QueuedRequest, now: float
     ) -> Forward | None:
-        """Pass a request on to a gate of this region where the wait is shorter.
+        """Select a gate of this region with a shorter wait.
 
-        Bulk uploads and requests that were passed on already wait here.
+        Bulk uploads and forwarded requests are never forwarded to a shorter queue.
         """
         if request.forwarded or request.bulk:
             return None
@@ -229,7 +236,7 @@
         return _forward_to(found, self._region)
 
     def _local_wait_ms(self, service: str, now: float) -> float:
-        """Return the expected wait at this gate alone; endless without a slot."""
+        """Return the expected wait at this gate alone, in ms."""
         held = self._pool.slots(service, now)
         if not held:
             return NO_SLOT_WAIT_MS
@@ -240,7 +247,7 @@
     def release_units(
         self, request: QueuedRequest, made: Dispatch, now: float, cooldown_s: float
     ) -> None:
-        """Give back the units that a dispatch took, counted for `cooldown_s` more."""
+        """Release the units of a dispatch after a cooldown of `cooldown_s` seconds."""
         self._held_units.release(made.slot, now, cooldown_s)
         if made.cap:
             self._shifts.release_units(
--- a/leverdoor/gate/pool.py
+++ b/leverdoor/gate/pool.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The targets of which one gate holds slots: which is free, which is best.
+"""Selects among the targets of which this gate holds slots.
 
-Owns the health of targets (`target_health.py`) and a list of held targets by service,
-computed again when the table or the configuration changes. Relies on the holdings for
-units (exact) and on the agent for VMs that leave.
+Owns the health of targets (`target_health.py`) and a cache of held targets by service,
+which is recomputed when the table or the configuration changes. Both are lost when the
+process ends. Relies on `row_units.py` for exact unit counts and on the agent for
+leaving VMs.
 """
 
 from collections.abc import Collection
@@ -19,23 +20,23 @@
 __all__ = ["TargetPool"]
 
 SCORE_JITTER = 0.1
-"""Random part of a target's score.
+"""Maximum random increase of a target's score, as a share of the score.
 
-Without it gates with the same reports send to the same target; a greater one hides
-differences of latency that are real.
+Without it, gates with the same reports select the same target. A greater value hides
+real latency differences.
 """
 
 
 class TargetPool:
-    """Targets of this gate's region, by units held and health."""
+    """The targets of this gate's region with their units and health."""
 
     def __init__(self, region: str, held_units: HeldUnits, view: View) -> None:
-        """Create it.
+        """Create a pool.
 
         Args:
           region: this gate's region.
           holdings: the units of this process.
-          view: the configuration in force; set anew when it changes.
+          view: the configuration in force; replaced when it changes.
         """
         self.view = view
         self.health = TargetHealthTable()
@@ -46,7 +47,7 @@
         self._held_of: tuple[View, int] = (view, -1)
 
     def targets(self, service: str) -> list[Target]:
-        """Targets of a service of which slots are held here."""
+        """Return the targets of a service of which this gate holds slots."""
         basis = (self.view, self._held_units.version)
         if self._held_of != basis:
             self._held_of = basis
@@ -60,15 +61,15 @@
         return found
 
     def in_service(self, target: Target) -> bool:
-        """Return whether a target is neither drained nor on a VM that leaves."""
+        """Return whether a target is neither drained nor on a leaving VM."""
         return target.vm not in self.leaving_vms and not self.view.drained(target)
 
     def open(self, target: Target, now: float) -> bool:
-        """Return whether a target takes new work now."""
+        """Return whether a target accepts new requests."""
         return self.in_service(target) and self.health.of(target, now).usable(now)
 
     def free_at(self, target: Target, now: float) -> int:
-        """Return how many slots of a target can be taken now; fewer in slow start."""
+        """Return the number of free slots of a target, limited by slow start."""
         row = slot_row(target.address)
         free = self._held_units.free(row, now)
         if free <= 0 or not target.warmup_ms:
@@ -81,7 +82,7 @@
     def best(
         self, service: str, tried: Collection[str], rng: Random, now: float
     ) -> Target | None:
-        """Choose the target of least expected latency that has a free slot."""
+        """Select the target with a free slot and the least expected latency."""
         best: Target | None = None
         best_score = 0.0
         for t in self.targets(service):
@@ -95,7 +96,7 @@
         return best
 
     def slots(self, service: str, now: float) -> int:
-        """Slots held of targets that take new work."""
+        """Return the number of slots held at targets that accept new requests."""
         return sum(
             self._held_units.held(slot_row(t.address))
             for t in self.targets(service)
@@ -103,7 +104,7 @@
         )
 
     def free(self, service: str, now: float) -> int:
-        """Slots that can be taken now."""
+        """Return the number of free slots at targets that accept new requests."""
         return sum(
             max(self.free_at(t, now), 0)
             for t in self.targets(service)
@@ -111,7 +112,7 @@
         )
 
     def slots_in_service(self, service: str) -> int:
-        """Slots held, also of targets that are ejected for the moment."""
+        """Return the number of slots held, including those at ejected targets."""
         return sum(
             self._held_units.held(slot_row(t.address))
             for t in self.targets(service)
@@ -119,7 +120,7 @@
         )
 
     def first_ejection_end_ms(self, service: str, now: float) -> float:
-        """Return the time until the first ejection of a target here ends, in ms."""
+        """Return the time until the first ejection of a held target ends, in ms."""
         pauses = [
             self.health.of(t, now).ejected_until - now
             for t in self.targets(service)
@@ -128,7 +129,7 @@
         return 1000 * max(min(pauses, default=0.0), 0.0)
 
     def any_in_service(self, service: str) -> bool:
-        """Return whether any region has a target in service, ejected or not."""
+        """Return whether any region has a target in service, even an ejected one."""
         return any(
             self.in_service(t)
             for region in {*self.view.regions, self._region}
@@ -136,7 +137,7 @@
         )
 
     def draining(self, now: float) -> dict[str, int]:
-        """Requests still in flight at targets here that are being drained."""
+        """Return the requests in flight at drained targets of this region, by name."""
         drained = (
             t
             for t in self.view.targets.values()
