--- a/leverdoor/gate/cap_ramp.py
+++ b/leverdoor/gate/cap_ramp.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The ramp of a shift cap: how much of it may be used, rising with use.
+"""Ramps the usable share of a shift cap up with use, to protect cold caches.
 
-Owns the level of one cap and the use of the present window; both start anew with the
-process, since the caches it protects are as likely to be cold then.
+Owns the level of one cap and its use in the current window. Both are lost when the
+process ends and start again from the first level, since the receiving caches are likely
+to be cold by then.
 """
 
 import math
@@ -11,19 +12,19 @@
 __all__ = ["Ramp"]
 
 RAISE_USE_SHARE = 0.5
-"""Part of what was allowed that a window must use for the level to rise.
+"""Minimum share of the allowed units that a window must use to raise the level.
 
-Half. A smaller part raises the level before the receiving caches are warm; a greater
-one keeps it low when requests come unevenly.
+A smaller share raises the level before the receiving caches are warm; a greater one
+keeps it low when requests arrive unevenly.
 """
 
 
 class Ramp:
-    """One (service, receiving region) ramp within its cap.
+    """Ramp of the shift cap of one service into one region.
 
-    The level starts at `start` of the cap, doubles after a window that used
-    at least half of what was allowed, and halves after one that used nothing,
-    since the receiving caches go cold again.
+    The level is a share of the cap. It starts at `start`, doubles after a window that
+    used at least half of the allowed units, and halves after an unused window, in
+    which the receiving caches cool down.
     """
 
     def __init__(self, start: float, window_s: float, now: float) -> None:
@@ -41,7 +42,7 @@
         self._used = 0
 
     def allowed(self, units: int, now: float) -> int:
-        """Return how many of `units` may be in use now; at least one."""
+        """Return how many of `units` may be in use; at least one of them."""
         self._advance_window(units, now)
         return min(units, max(1, math.ceil(self._level * units)))
 
--- a/leverdoor/gate/quarantining.py
+++ b/leverdoor/gate/quarantining.py
@@ -1,14 +1,14 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Requests that end targets, at a gate: what it sees, and what gates tell each other.
+"""Quarantines requests that crash targets, and gossips about them with other gates.
 
-Each round a gate judges what it knows and tells some other gates, which pass on what is
-new to them; so all know within a few rounds, at bytes that do not grow with their
-number.
+Each round a gate evaluates the crashes it knows and sends notices to a few other gates,
+which pass on those new to them. All gates learn of a notice within a few rounds, and
+the traffic per gate does not grow with their number.
 
-Owns the gate's quarantine and the checks of targets under way; lost with the process,
-and told again by the other gates. Relies on `PeerGates` for who there is, and on the
-gates' addresses for each other.
+Owns the gate's quarantine and the running target checks. Both are lost when the process
+ends; the other gates send their notices again. Relies on `PeerGates` for the usable
+gates and on their relay addresses.
 """
 
 import asyncio
@@ -35,29 +35,32 @@
 __all__ = ["NOTICES_PATH", "GateQuarantine"]
 
 NOTICES_PATH = "/v1/internal/notices"
-"""Path at which gates tell each other, on the address for other gates."""
+"""Path for notices between gates, served at the relay address."""
 NOTICE_INTERVAL_S = 0.2
-"""Time between two rounds, in seconds: as heartbeats are sent."""
+"""Interval between gossip rounds, in seconds: the heartbeat interval."""
 NOTICE_FANOUT = 8
-"""Gates that are told in one round: with three rounds for each news 195 gates have it
-after three rounds. Fewer: some have it later. More: more connections."""
+"""Number of gates that receive notices in one round.
+
+Each notice is sent for three rounds, so that 195 gates have it after three rounds. With
+fewer, some gates receive it later; more cost more connections.
+"""
 NOTICE_TIMEOUT_S = 1.0
-"""Longest time to tell one gate, in seconds: another round follows."""
+"""Timeout for sending notices to one gate, in seconds; another round follows."""
 
 
 class GateQuarantine:
-    """The requests that one gate holds back."""
+    """The quarantine of one gate."""
 
     def __init__(
         self, vm: str, peer_gates: PeerGates, metrics: GateMetrics, rng: Random
     ) -> None:
-        """Create it; must be called on the loop.
+        """Create a quarantine; must be called on the event loop.
 
         Args:
           vm: this gate's VM.
           neighbours: the other gates.
-          metrics: shows how many requests are held back.
-          rng: chooses whom to tell.
+          metrics: exports the number of quarantined requests.
+          rng: selects the gates that receive notices.
         """
         self._vm = vm
         self._peer_gates = peer_gates
@@ -74,10 +77,10 @@
     # Requests.
 
     def check(self, fingerprint: int) -> None:
-        """Check that no target is known to end under a request; 0 is none's.
+        """Refuse a request that is quarantined; fingerprint 0 never is.
 
         Raises:
-          Refusal: it is held back.
+          Refusal: the request is quarantined.
         """
         now = asyncio.get_running_loop().time()
         hold = self._quarantine.hold(fingerprint, now)
@@ -89,18 +92,18 @@
         logger.info("quarantine try", fingerprint=fingerprint_text(fingerprint))
 
     def may_retry(self, fingerprint: int) -> bool:
-        """Return whether a request may go to another target after a lost answer."""
+        """Return whether a request may be sent to another target after a failure."""
         now = asyncio.get_running_loop().time()
         return not fingerprint or self._quarantine.may_retry(fingerprint, now)
 
     def lost(self, target: Target, fingerprint: int, began: float) -> None:
-        """Take a lost answer; the target is looked at, since it may have ended."""
+        """Record a lost response and check whether the target has ended."""
         if fingerprint:
             now = asyncio.get_running_loop().time()
             self._ended.check(target, LostRun(fingerprint, began, now))
 
     def answered(self, fingerprint: int) -> None:
-        """Take a whole answer: its request is harmless."""
+        """Record a complete response, which shows that the request is harmless."""
         if fingerprint:
             now = asyncio.get_running_loop().time()
             self._quarantine.answered(fingerprint, now)
@@ -108,7 +111,7 @@
     def _record_check(
         self, target: Target, found: TargetCheck, runs: list[LostRun], took_s: float
     ) -> None:
-        """Note the runs that ended with a target; a drained one ended as planned."""
+        """Record the runs lost in a crash; a drained target ended as planned."""
         logger.info("target checked", target=target.name, found=found.value)
         if found is not TargetCheck.ENDED or target.draining:
             return
@@ -116,15 +119,15 @@
         for run in runs:
             self._quarantine.crashed(target_id(target.name), run, now)
 
-    # Other gates.
+    # Gossip with other gates.
 
     def receive(self, notices: bytes) -> None:
-        """Take what another gate tells."""
+        """Process the notices of another gate."""
         now = asyncio.get_running_loop().time()
         self._quarantine.receive(parse_notices(notices), now)
 
     async def run(self) -> None:
-        """Judge and tell other gates, round after round, until cancelled."""
+        """Evaluate crashes and send notices periodically, until cancelled."""
         while True:
             await asyncio.sleep(NOTICE_INTERVAL_S)
             now = asyncio.get_running_loop().time()
@@ -143,7 +146,7 @@
             )
 
     async def _send_notices(self, notices: bytes, now: float) -> None:
-        """Tell some gates at once; one that is not reached is told by others."""
+        """Send notices to random gates; others inform an unreachable one later."""
         if not notices:
             return
         relays = sorted(n.heartbeat.relay for n in self._peer_gates.usable(now))
@@ -160,7 +163,7 @@
 
 
 async def _check_target(target: Target) -> TargetCheck:
-    """Find out by a new connection whether a target still serves."""
+    """Check with a new connection whether a target still serves."""
     address = parse_address(target.address)
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/leverdoor/gate/queueing.py
+++ b/leverdoor/gate/queueing.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Who is served next: tiers below their reserve, then by weight, bulk uploads last.
+"""Queue of waiting requests with reserves and weighted sharing between tiers.
 
-Owns the requests of one service that wait at this gate, and each tier's turn among
-them (stride scheduling); both end with the process. Relies on the caller for the
-slots in use: nothing is counted here.
+Owns the waiting requests of one service at this gate and the stride-scheduling state of
+its tiers; both are lost when the process ends. Relies on its caller to count the slots
+in use.
 """
 
 from collections import deque
@@ -17,11 +17,11 @@
 
 
 class QueuedRequest(msgspec.Struct, eq=False):
-    """One request as the decisions of a gate need it.
+    """Scheduling data of one request.
 
     `home` is the caller's region. `arrived` and `deadline` are loop times in seconds.
-    `forwarded` is set when another gate passed the request on: it isn't passed on
-    again. `tried` holds the addresses of targets where an attempt failed.
+    `forwarded` marks a request from another gate, which is not forwarded again.
+    `tried` holds the addresses of targets where an attempt failed.
     """
 
     service: str
@@ -35,10 +35,10 @@
 
 
 class WaitQueue:
-    """Requests of one service that wait at one gate.
+    """Waiting requests of one service at one gate.
 
-    A tier below its reserved share of the slots in use goes first; the rest
-    share by weight (stride scheduling). Bulk uploads go after all others.
+    Tiers that use fewer slots than their reserve come first. The others share the
+    slots by weight (stride scheduling). Bulk uploads come last.
     """
 
     def __init__(self) -> None:
@@ -50,15 +50,15 @@
         self._virtual_time = 0.0
 
     def __len__(self) -> int:
-        """Count the waiting requests, bulk uploads included."""
+        """Return the number of waiting requests, including bulk uploads."""
         return self.interactive() + len(self._bulk)
 
     def interactive(self) -> int:
-        """Count the waiting requests, bulk uploads left out."""
+        """Return the number of waiting requests, excluding bulk uploads."""
         return sum(len(q) for q in self._waiting.values())
 
     def push(self, request: QueuedRequest) -> None:
-        """Add a request at the end of its tier."""
+        """Append a request to the queue of its tier."""
         if request.bulk:
             self._bulk.append(request)
             return
@@ -70,7 +70,7 @@
         queue.append(request)
 
     def remove(self, request: QueuedRequest) -> bool:
-        """Take a request out; return whether it was waiting."""
+        """Remove a request; return whether it was waiting."""
         queue = self._bulk if request.bulk else self._waiting.get(request.tier.name)
         if queue is None or request not in queue:
             return False
@@ -78,11 +78,11 @@
         return True
 
     def order(self, in_use: dict[str, int], held: int) -> list[QueuedRequest]:
-        """Return the head of each tier, the one to serve first in front.
+        """Return the first request of each tier in the order of service.
 
         Args:
-          in_use: slots that each tier uses now.
-          held: all slots that the gate holds for the service.
+          in_use: slots in use by tier.
+          held: slots that the gate holds for the service.
         """
         tiers = [self._tiers[n] for n, q in self._waiting.items() if q]
         tiers.sort(key=lambda t: self._rank(t, in_use, held))
@@ -92,7 +92,11 @@
     def _rank(
         self, tier: Tier, in_use: dict[str, int], held: int
     ) -> tuple[bool, float, str]:
-        """Order tiers: those below their reserve, the least served of it first."""
+        """Return the sort key of a tier.
+
+        Tiers below their reserve come first, by the used part of it; the others follow
+        by stride-scheduling pass.
+        """
         reserved = tier.reserve_percent * held / 100
         used = in_use.get(tier.name, 0)
         if used < reserved:
@@ -100,7 +104,7 @@
         return (True, self._passes.get(tier.name, 0.0), tier.name)
 
     def pop(self, request: QueuedRequest) -> None:
-        """Take out the head of a tier that is being served, and charge its tier."""
+        """Remove a request that is being served and advance the pass of its tier."""
         self.remove(request)
         if request.bulk:
             return
@@ -109,7 +113,7 @@
         self._passes[name] = self._passes.get(name, 0.0) + 1 / request.tier.weight
 
     def ahead(self, tier: Tier) -> float:
-        """Estimate how many requests are served before a new one of a tier."""
+        """Estimate how many requests precede a new one of a tier."""
         total = 0.0
         for name, queue in self._waiting.items():
             other = self._tiers[name]
@@ -120,7 +124,7 @@
         return total
 
     def lowest(self, than: Tier) -> QueuedRequest | None:
-        """Return the newest request of the lowest tier below a tier."""
+        """Return the newest request of the lowest tier below `than`, if any."""
         below = [
             t
             for n, t in self._tiers.items()
@@ -131,7 +135,7 @@
         return self._waiting[min(below, key=_priority).name][-1]
 
     def expired(self, now: float) -> list[QueuedRequest]:
-        """Take out and return the requests whose deadline has passed."""
+        """Remove and return the requests whose deadline has passed."""
         queues = [*self._waiting.values(), self._bulk]
         late = [r for q in queues for r in q if r.deadline <= now]
         for request in late:
@@ -140,5 +144,5 @@
 
 
 def _priority(tier: Tier) -> tuple[int, int]:
-    """Order tiers for load shedding: by reserve, then by weight."""
+    """Return the load-shedding priority: the reserve, then the weight."""
     return (tier.reserve_percent, tier.weight)
--- a/leverdoor/gate/retry_after.py
+++ b/leverdoor/gate/retry_after.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""When a refused caller should return: every Retry-After that a gate chooses.
+"""Computes the Retry-After of the requests that a gate refuses.
 
-Pure, with chance passed in; owns no state. The expected wait comes from
-`scheduler.expected_wait_ms`, the code's own least time from `errors.SOON_MS`.
+Pure functions that receive their source of randomness; owns no state. Relies on
+`scheduler.expected_wait_ms` for the expected wait; `errors.SOON_MS` holds the minimum
+of each code.
 """
 
 from random import Random
@@ -13,38 +14,38 @@
 __all__ = ["LEAVING_RETRY_MS", "NOT_READY_RETRY_MS", "retry_after_ms"]
 
 MIN_RETRY_MS = 50
-"""Least Retry-After of a refused request, in ms, and the width of its random part.
+"""Minimum Retry-After of a refused request and width of its jitter, in ms.
 
-About two runs of 20 ms. A smaller one brings callers back before a slot is free; a
+About two runs of 20 ms. With a smaller value callers retry before a slot is free; a
 greater one leaves slots idle after a short peak.
 """
 MAX_RETRY_MS = 30_000
-"""Greatest such Retry-After, in ms.
+"""Maximum Retry-After of a refused request, in ms.
 
-Bounds what an estimate from old heartbeats can do; a greater one keeps callers away
-long after the load has gone.
+Limits the effect of estimates from old heartbeats. A greater value keeps callers away
+long after the load has dropped.
 """
 NO_TARGET_RETRY_MS = 1_000.0
-"""Least wait that a NO_TARGET answer assumes, in ms, before its random part.
+"""Minimum wait assumed for NO_TARGET, in ms, before jitter.
 
-Drains and leaving VMs end in seconds, and nothing says when; a smaller one brings all
-callers back for nothing.
+Drains and departures of VMs end within seconds, at an unknown time. With a smaller
+value all callers retry in vain.
 """
 CAP_WINDOW_SHARE = 0.25
-"""Part of a shift cap's window that a CAP_REACHED answer assumes as least wait.
+"""Minimum wait assumed for CAP_REACHED, as a share of the shift cap's window.
 
-Units come back evenly over a window, so one is likely to be free after a quarter of it;
-the whole window would leave units unused.
+Units are released evenly over a window, so that one is likely to be free after a
+quarter of it. The whole window would leave units unused.
 """
 NOT_READY_RETRY_MS = 500
-"""Retry-After in ms while a gate has no configuration, or serves no longer.
+"""Retry-After of a gate that has no configuration or is leaving, in ms.
 
-A start takes longer than that, and a caller has other gates meanwhile.
+Startup takes longer, and the caller can use other gates in the meantime.
 """
 LEAVING_RETRY_MS = MIN_RETRY_MS
-"""Retry-After in ms of a gate that has closed.
+"""Retry-After of a gate that has closed, in ms.
 
-Another gate can serve the request now, so the caller need not wait longer.
+Another gate can serve the request at once, so the caller need not wait longer.
 """
 
 
@@ -53,13 +54,13 @@
 ) -> int:
     """Return the Retry-After of a refused request, in ms.
 
-    One to two times the expected wait, so that callers don't return together.
+    One to two times the expected wait, so that callers do not retry simultaneously.
 
     Args:
-      code: why it is refused.
-      wait_ms: expected wait of a request that came now.
-      cap_window_ms: window of the shift cap into this region, 0 without one.
-      rng: where the random part comes from.
+      code: the reason of the refusal.
+      wait_ms: expected wait of a new request, in ms.
+      cap_window_ms: window of the shift cap into this region, in ms; 0 without one.
+      rng: source of the jitter.
     """
     if code is Code.CAP_REACHED:
         wait_ms = max(wait_ms, cap_window_ms * CAP_WINDOW_SHARE)
