--- a/leverdoor/gate/hop_client.py
+++ b/leverdoor/gate/hop_client.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""One hop of a request: to a target, or to a gate that holds its slots.
+"""HTTP client for one hop of a request, to a target or to another gate.
 
-Owns the HTTP connections to targets and gates: kept ones for look-ups, a new one each
-time for what must run at most once. Never retries by itself. Relies on the deadline of
-the hop and on deadlines of the sockets; no other timer ends a hop.
+Owns the HTTP connections to targets and gates, which are closed with the process. It
+pools connections for look-ups and opens a new one for each request that must run at
+most once. It never retries. Relies on the deadline of the hop and on socket timeouts;
+no other timer ends a hop.
 """
 
 import asyncio
@@ -22,27 +23,27 @@
 __all__ = ["HopResponse", "Body", "Hop", "HopClient"]
 
 CONNECT_TIMEOUT_S = 1.0
-"""Longest time to connect to a target or gate, in seconds.
+"""Connect timeout for targets and gates, in seconds.
 
-Far above the 55 ms between regions. A longer one spends the deadline on a dead
-VM; a shorter one takes a busy target for a dead one.
+Far above the 55 ms between regions. A longer one spends the request's deadline on a
+failed VM; a shorter one mistakes a busy target for a failed one.
 """
 READ_AHEAD_BYTES = 256 * 1024
-"""Bytes of an answer read ahead of a slow caller.
+"""Bytes of a response read ahead of a slow caller.
 
-Most answers are shorter, so that their slot is free at once; it bounds the memory of
-each request.
+Most responses are shorter, so that their slot is released at once. The limit bounds the
+memory of each request.
 """
 RELAY_GRACE_S = 0.1
-"""Seconds past the deadline for which the answer of another gate is awaited.
+"""Time to wait past the deadline for another gate's response, in seconds.
 
-A gate that refuses at the deadline says whether the request ran, which a time-out here
-doesn't.
+A gate that refuses at the deadline reports whether the request ran; a timeout at this
+gate does not.
 """
 
 
 class Body:
-    """A request's body: whole in memory, or a stream that is read once."""
+    """A request body, either buffered or a stream that is read once."""
 
     def __init__(
         self,
@@ -54,10 +55,10 @@
         """Create a body.
 
         Args:
-          whole: all of it, if it is in memory.
-          stream: where it comes from otherwise.
-          length: its length in bytes, if it was announced.
-          idle_timeout_s: longest pause of the stream, in seconds.
+          whole: the buffered body, if any.
+          stream: the source of an unbuffered body.
+          length: the declared length in bytes, if any.
+          idle_timeout_s: maximum time between two chunks of the stream, in seconds.
         """
         self.whole = whole
         self.length = length
@@ -72,7 +73,7 @@
         return self.whole is not None or not self.consumed
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the stream; any fault ends the hop without a whole body."""
+        """Yield the stream; any error aborts the hop before the body is complete."""
         assert self._stream is not None
         self.consumed = True
         if self.on_start is not None:
@@ -86,11 +87,13 @@
             sent += len(chunk)
             yield chunk
         if self.length is not None and sent != self.length:
-            raise aiohttp.ClientPayloadError("the body was cut short")
+            raise aiohttp.ClientPayloadError(
+                "the request body ended before its Content-Length"
+            )
 
 
 class Hop(msgspec.Struct):
-    """What is sent to the next process."""
+    """A request to the next process."""
 
     method: str
     url: str
@@ -103,14 +106,14 @@
 
 
 class HopResponse:
-    """An answer whose head has come and whose body is still to be read."""
+    """A response whose head is received and whose body is unread."""
 
     def __init__(self, response: aiohttp.ClientResponse, relay: bool) -> None:
         """Wrap a response.
 
         Args:
           response: the response, its body unread.
-          relay: whether it comes from a gate rather than a target.
+          relay: whether the response comes from a gate rather than a target.
         """
         self._response = response
         self.status = response.status
@@ -125,13 +128,13 @@
 
     @property
     def delimited(self) -> bool:
-        """Return whether the end of the body can be distinguished from a cut."""
+        """Return whether a truncated body can be detected."""
         head = self._response.headers
         bodyless = self.status in (204, 304) or self._response.method == "HEAD"
         return bodyless or "Content-Length" in head or "Transfer-Encoding" in head
 
     async def problem(self) -> Problem | None:
-        """Return the refusal that a gate sent in place of an answer, if any."""
+        """Return the refusal that a gate sent instead of a response, if any."""
         code = self._response.headers.get(h.CODE, "0")
         if not self.relay or code == "0":
             return None
@@ -142,30 +145,32 @@
         """Yield the body.
 
         Raises:
-          Refusal: ANSWER_LOST when it is cut short.
+          Refusal: ANSWER_LOST if the body is truncated; DEADLINE_PASSED on timeout.
         """
         try:
             async for chunk in self._response.content.iter_any():
                 yield chunk
         except TimeoutError:
-            raise Refusal(Code.DEADLINE_PASSED, "the answer came too late") from None
+            raise Refusal(Code.DEADLINE_PASSED, "the response body timed out") from None
         except (aiohttp.ClientError, OSError) as e:
-            raise Refusal(Code.ANSWER_LOST, f"cut short: {e!r}") from None
+            raise Refusal(
+                Code.ANSWER_LOST, f"the response body was truncated: {e!r}"
+            ) from None
 
     def close(self) -> None:
-        """Close the connection, which cancels the request if it still runs."""
+        """Close the connection, which cancels a request that is still running."""
         self._response.close()
 
     def release(self) -> None:
-        """Give the connection back after the body was read whole."""
+        """Return the connection to the pool after the complete body was read."""
         self._response.release()
 
 
 class HopClient:
-    """Sends hops; it never retries one by itself."""
+    """Sends requests to targets and gates without retries."""
 
     def __init__(self) -> None:
-        """Create the client; must be called on the loop."""
+        """Create a client; must be called on the event loop."""
         self._pooled_session = new_session()
         self._unpooled_session = new_session(keep_connections=False)
 
@@ -175,24 +180,27 @@
         await self._unpooled_session.close()
 
     async def send(self, hop: Hop, now: float) -> HopResponse:
-        """Send a request and wait for the answer's head.
+        """Send a request and wait for the response head.
 
         Args:
-          hop: what to send.
+          hop: the request.
           now: loop time in seconds.
         Raises:
           Refusal: CONNECT_FAILED if nothing was sent; ANSWER_LOST or
-            DEADLINE_PASSED if it may have run.
+            DEADLINE_PASSED if the request may have run.
         """
         response = await self._send_request(hop, now)
         answer = HopResponse(response, hop.relay)
         if not answer.delimited:
             answer.close()
-            raise Refusal(Code.ANSWER_LOST, "the answer's end cannot be told")
+            raise Refusal(
+                Code.ANSWER_LOST,
+                "the response has neither Content-Length nor Transfer-Encoding",
+            )
         return answer
 
     async def _send_request(self, hop: Hop, now: float) -> aiohttp.ClientResponse:
-        """Send the request and wait for the head, with faults as refusals."""
+        """Send a request and wait for the head; convert errors to refusals."""
         session = self._unpooled_session if hop.once else self._pooled_session
         streamed = hop.body.whole is None
         head = CIMultiDict(hop.headers)
@@ -217,7 +225,7 @@
 
 
 def _timeout(hop: Hop, now: float) -> aiohttp.ClientTimeout:
-    """Return the bounds of a hop: its deadline, or the longest pause of a stream."""
+    """Return the timeouts of a hop: its deadline, or the idle timeout of a stream."""
     streamed = hop.body.whole is None
     grace_s = RELAY_GRACE_S if hop.relay else 0.0
     return aiohttp.ClientTimeout(
@@ -228,7 +236,7 @@
 
 
 def refusal_from_problem(problem: Problem) -> Refusal:
-    """Turn a problem that a gate sent back into the error it was."""
+    """Convert a problem that a gate sent to a refusal."""
     try:
         code = Code(problem.code)
     except ValueError:
--- a/leverdoor/gate/requests.py
+++ b/leverdoor/gate/requests.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""One request as a gate takes it in, and what it sends on for it.
+"""Requests that a gate receives and the hops that it derives from them.
 
-`GateRequest` is read once from HTTP; `target_hop`, `gate_hop` and `issuer_hop` say
-what goes to the next process. Owns no state.
+`GateRequest` is read once from HTTP; `target_hop`, `gate_hop` and `issuer_hop` build
+the request to the next process. Owns no state.
 """
 
 import msgspec
@@ -17,10 +17,10 @@
 
 
 class Origin(msgspec.Struct, frozen=True):
-    """Where a request comes from.
+    """The sender of a request.
 
-    `home` is the caller's region. `forwarded` is set when another gate passed it on
-    for a slot here: that gate accounts for it.
+    `home` is the caller's region. `forwarded` marks a request that another gate sent
+    to use a slot of this one; the other gate records it in its metrics.
     """
 
     request_id: str
@@ -31,7 +31,7 @@
 
 
 class GateRequest(msgspec.Struct):
-    """One request as a gate takes it in; `key` is its idempotency key, if any."""
+    """A request that a gate received; `key` is its idempotency key, if any."""
 
     request_id: str
     service: Service
@@ -43,22 +43,22 @@
     caller: str
     key: str = ""
     fingerprint: int = 0
-    """By which it is known when it comes again; 0 with a body that is streamed."""
+    """Identifies repetitions of the request; 0 if its body is streamed."""
 
     @property
     def once(self) -> bool:
-        """Return whether running it twice could do harm."""
+        """Return whether the request must run at most once."""
         return self.service.work is not WorkClass.LOOKUP or bool(self.key)
 
 
 def target_hop(inbound: GateRequest, address: str, now: float) -> Hop:
-    """Return what goes to a target, at loop time `now`."""
+    """Return the request to a target, sent at loop time `now`."""
     head = [_request_id(inbound), *_deadline(inbound, now)]
     return _hop(inbound, f"http://{address}/{inbound.tail}", head)
 
 
 def gate_hop(inbound: GateRequest, relay: str, now: float) -> Hop:
-    """Return what goes to another gate that holds a slot, at loop time `now`."""
+    """Return the request to a gate with a free slot, sent at loop time `now`."""
     head = [
         _request_id(inbound),
         *_deadline(inbound, now),
@@ -71,9 +71,9 @@
 
 
 def issuer_hop(inbound: GateRequest, relay: str, now: float) -> Hop:
-    """Return what goes to the gate that issued the request's key.
+    """Return the request to the gate that issued the key.
 
-    Its deadline goes along also for a bulk upload.
+    It carries the deadline even for a bulk upload.
     """
     head = [
         _request_id(inbound),
@@ -107,7 +107,7 @@
 
 
 def _deadline(inbound: GateRequest, now: float) -> list[tuple[str, str]]:
-    """Return the time left; a bulk upload has none."""
+    """Return the deadline header; a bulk upload has none."""
     if inbound.queued.bulk:
         return []
     return [(h.DEADLINE, str(_remaining_ms(inbound, now)))]
--- a/leverdoor/gate/retries.py
+++ b/leverdoor/gate/retries.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Whether a gate sends a request again: the retry rule and its budget.
+"""Retry policy and retry budget of a gate.
 
-Owns the retry budget of the gate, which starts full with each process. Relies on the
-code of a refusal for whether the request may have run (docs/ERRORS.md).
+Owns the retry budget, which is lost when the process ends and starts full. Relies on
+the code of a refusal to tell whether the request may have run (docs/ERRORS.md).
 """
 
 from leverdoor.errors import Code, Refusal, Run
@@ -13,43 +13,43 @@
 __all__ = ["RetryPolicy"]
 
 MAX_ATTEMPTS = 4
-"""Most attempts of one request, the first included.
+"""Maximum number of attempts of one request, including the first.
 
-What did not run is placed again outside the budget, so something must bound it. More
+Attempts that did not run are retried outside the budget and need this limit. More
 attempts lengthen the wait for a refusal; fewer give up while targets are left.
 """
 BUDGET_RATIO = 0.1
-"""Retries earned with each request: the common tenth.
+"""Retries of lost responses that each request adds to the budget.
 
-Of lost answers only: a fault that loses every answer adds a tenth to the load.
+A fault that loses every response increases the load by a tenth.
 """
 BUDGET_LIMIT = 10.0
-"""Most retries saved up, and those that a process starts with.
+"""Maximum and initial retry budget.
 
-A target that dies loses some requests at once. A greater limit lets a burst of retries
-hit the targets that are left.
+A target that crashes loses several requests at once. A greater limit lets a burst of
+retries hit the remaining targets.
 """
 BUDGET_KEY = ""
-"""The budget's only key: a gate has one budget for all services."""
+"""The only key of the budget, which all services of a gate share."""
 
 
 class RetryPolicy:
-    """Decides whether a refused attempt of a request is followed by another."""
+    """Decides whether to retry a refused attempt."""
 
     def __init__(self) -> None:
-        """Create it with a full budget."""
+        """Create a policy with a full budget."""
         self._budget = RetryBudget(BUDGET_RATIO, BUDGET_LIMIT, BUDGET_LIMIT)
 
     def count(self) -> None:
-        """Count a request, which earns a part of a retry."""
+        """Add a request's share to the budget."""
         self._budget.earn(BUDGET_KEY)
 
     def allows(self, inbound: GateRequest, refusal: Refusal, attempt: int) -> bool:
-        """Return whether another attempt is safe and within the bounds.
+        """Return whether another attempt is safe and within the limits.
 
-        What certainly did not run is sent again. A lost answer is so only for a
-        look-up, within the budget. A forwarded request is left to the gate that sent
-        it; a body that has been streamed can't be sent twice.
+        An attempt known not to have run is retried. After a lost response only a
+        look-up is retried, within the budget. A forwarded request is left to the gate
+        that sent it. A partly streamed body cannot be sent twice.
         """
         if attempt >= MAX_ATTEMPTS:
             return False
