--- a/leverdoor/gate/shift_limiter.py
+++ b/leverdoor/gate/shift_limiter.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Shift caps as one gate keeps them: units for requests of other regions, in a ramp.
+"""Limits requests from other regions by the shift caps into this region.
 
-Owns the ramps of the caps into this region. Relies on the holdings for units: a unit
-stays counted for a window after its request ended.
+Owns the ramps of these caps, which are lost when the process ends. Relies on
+`row_units.py` for units; a unit counts as used until a window after its request ended.
 """
 
 import math
@@ -17,13 +17,13 @@
 
 
 class ShiftLimiter:
-    """Takes and gives back the cap units of requests from other regions."""
+    """Acquires and releases the cap units of requests from other regions."""
 
     def __init__(self, region: str, held_units: HeldUnits) -> None:
-        """Create it.
+        """Create a limiter.
 
         Args:
-          region: this gate's region, into which the work is shifted.
+          region: this gate's region, which receives the requests.
           holdings: the units of this process.
         """
         self._region = region
@@ -31,10 +31,10 @@
         self._ramps: dict[str, Ramp] = {}
 
     def take(self, view: View, service: str, now: float) -> str | None:
-        """Take a unit for one request of another region.
+        """Acquire a unit for one request of another region.
 
-        Returns: the row that it is of, "" if no cap binds the service here, or
-          None if there is no unit.
+        Returns: the row of the unit, "" if no cap limits the service here, or None
+          if no unit is available.
         """
         cap = view.caps.get((service, self._region))
         if cap is None:
@@ -54,14 +54,15 @@
     def release_units(
         self, view: View, service: str, row: str, now: float, cooldown_s: float
     ) -> None:
-        """Give a unit back, which counts for a window more.
+        """Release a unit, which counts as used for another window.
 
         Args:
           view: the configuration in force.
           service: the service of the request.
           row: what `take` returned.
           now: monotonic time in seconds.
-          cooldown_s: how long the target may go on with the request besides.
+          cooldown_s: time in which the target may still run the request, in
+            seconds; added to the window.
         """
         cap = view.caps.get((service, self._region))
         window_s = cap.window_ms / 1000 if cap else 0.0
@@ -77,7 +78,7 @@
 
 
 def shift_rate_per_s(view: View, service: str, home: str, mean_ms: float) -> float:
-    """Return how many requests a second the caps let out of a region."""
+    """Return the rate at which caps admit requests out of a region, per second."""
     total = 0.0
     for region in view.regions:
         if region == home or (service, region) not in view.by_place:
--- a/leverdoor/gate/target_health.py
+++ b/leverdoor/gate/target_health.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The health of each target as one gate sees it: ejection, slow start, latency.
+"""Target health at one gate: ejection, slow start and latency.
 
-Owns mean latency, requests in flight, ejections and the last report of each target;
-all of it starts anew with the process. Answers count first: a target that sheds is
-ejected whatever it reports. Reports come from the agent's probes, seconds old.
+Owns mean latency, requests in flight, ejections and the latest report of each target;
+all are lost when the process ends. Responses take precedence over reports: a target
+that sheds requests is ejected regardless of its report. Relies on the agent's probes
+for reports, which may be seconds old.
 """
 
 from leverdoor.model.probe import Probe
@@ -13,60 +14,62 @@
 __all__ = ["INITIAL_RUN_MS", "TargetHealthTable", "TargetHealth"]
 
 FAILURE_EJECTION_FIRST_S = 0.25
-"""First ejection of a target that failed, in seconds; it doubles with each failure.
+"""First ejection after a failure, in seconds; doubles with each further failure.
 
-One failure says little. A longer one idles a good target after one lost connection; a
-shorter one sends retry after retry to a dead one.
+One failure is weak evidence. A longer ejection idles a healthy target after one lost
+connection; a shorter one sends repeated retries to a failed target.
 """
 FAILURE_EJECTION_LONGEST_S = 10.0
-"""Longest ejection after failures, in seconds.
+"""Maximum ejection after failures, in seconds.
 
-A target that is back waits that long at most for its next request; a shorter one loses
-a request more often while it stays dead.
+Bounds the time until a recovered target receives its next request. A shorter ejection
+loses a request more often while the target is down.
 """
 SHED_EJECTION_FIRST_S = 0.1
-"""First ejection of a target that shed a request, in seconds; it doubles.
+"""First ejection after a shed request, in seconds; doubles with each further one.
 
-Some runs of 20 ms, in which a slot of the target is likely to become free.
+Covers several runs of 20 ms, in which a slot of the target is likely to become free.
 """
 SHED_EJECTION_LONGEST_S = 1.0
-"""Longest ejection after shed requests, in seconds.
+"""Maximum ejection after shed requests, in seconds.
 
-Far below that of failures: a target that sheds works, and does so less than a
-dead one keeps its slots idle.
+Far below the maximum after failures: a target that sheds requests still works, so its
+slots should not stay idle as long as those of a failed target.
 """
 LATENCY_EWMA_WEIGHT = 0.2
-"""Weight of one answer in the mean latency of a target.
+"""Weight of one response in the moving average of a target's latency.
 
-The last five answers. A greater one lets single answers decide; a smaller one sends
-requests to a target that has become slow.
+Averages about five responses. With a greater weight single responses dominate; with a
+smaller one requests still go to a target that has become slow.
 """
 INITIAL_RUN_MS = 20.0
-"""Run time assumed before any answer, in ms: the run of a look-up."""
+"""Run time assumed before the first response, in ms: that of a look-up."""
 MAX_REPORT_AGE_S = 5.0
-"""Age in seconds at which a target's own report counts for nothing.
+"""Age at which a target's report is ignored, in seconds.
 
-Some intervals of the probes, so that one lost probe changes little; a longer one orders
-targets by load that has gone.
+Several probe intervals, so that one lost probe has little effect. A greater age ranks
+targets by outdated load.
 """
 
 MAX_PROBE_LAG_S = 1.0
-"""Time after an answer that said that the target leaves in which a probe that says
-otherwise counts as older, in seconds. A new start at the address takes longer."""
+"""Time after a leaving response in which contradicting probes are ignored, in seconds.
+
+Such a probe may predate the response. A restart at the address takes longer.
+"""
 
 
 class TargetHealth:
-    """One target's health; times are loop times in seconds."""
+    """Health of one target; all times are loop times in seconds."""
 
     def __init__(self, now: float) -> None:
-        """Create it, cold, in service since `now`."""
+        """Create the health of a target whose slow start begins at `now`."""
         self.mean_ms = INITIAL_RUN_MS
         self.in_flight = 0
         self.leaving = False
         self._leaving_recorded_at = -MAX_PROBE_LAG_S
-        """When an answer last said that it leaves."""
+        """Time of the latest response that announced leaving."""
         self._process_ended = False
-        """The newest probe did not reach it: what comes next is a new start."""
+        """The latest probe failed, so the next successful one reaches a new process."""
         self.ejected_until = 0.0
         self.slow_start_at = now
         self._failures = 0
@@ -74,13 +77,13 @@
         self._probe: Probe | None = None
 
     def served(self, took_ms: float) -> None:
-        """Record a whole answer."""
+        """Record a complete response."""
         self._failures = 0
         self._sheds = 0
         self.mean_ms += LATENCY_EWMA_WEIGHT * (took_ms - self.mean_ms)
 
     def failed(self, now: float) -> None:
-        """Record a failed connection or a lost answer."""
+        """Record a failed connection or a lost response."""
         wait = min(
             FAILURE_EJECTION_FIRST_S * 2**self._failures, FAILURE_EJECTION_LONGEST_S
         )
@@ -89,18 +92,21 @@
         self.slow_start_at = self.ejected_until
 
     def shed(self, now: float) -> None:
-        """Record that the target shed a request; its reports don't end the pause."""
+        """Record a shed request; a report does not end this ejection."""
         wait = min(SHED_EJECTION_FIRST_S * 2**self._sheds, SHED_EJECTION_LONGEST_S)
         self._sheds += 1
         self.ejected_until = max(self.ejected_until, now + wait)
 
     def record_leaving(self, now: float) -> None:
-        """Record an answer that said that the target leaves."""
+        """Record a response that announced that the target is leaving."""
         self.leaving = True
         self._leaving_recorded_at = now
 
     def report(self, probe: Probe) -> None:
-        """Take a report; it can end an ejection by failure but not by shedding."""
+        """Record a probe result.
+
+        A good one resets the failures of a target that did not shed requests.
+        """
         self._probe = probe
         self._update_leaving(probe)
         if probe.ok and self._failures and not self._sheds:
@@ -109,7 +115,7 @@
             self.failed(probe.taken_at)
 
     def _update_leaving(self, probe: Probe) -> None:
-        """Take whether the target leaves; what an older answer said of it may end."""
+        """Update the leaving state; a newer probe may clear that of a response."""
         newer = probe.taken_at - self._leaving_recorded_at > MAX_PROBE_LAG_S
         if probe.leaving:
             self.leaving = True
@@ -121,13 +127,14 @@
             self._process_ended = False
 
     def usable(self, now: float) -> bool:
-        """Return whether new work may go to the target."""
+        """Return whether the target accepts new requests."""
         return not self.leaving and now >= self.ejected_until
 
     def allowance(self, held: int, warmup_s: float, now: float) -> int:
-        """Return how many slots may be in use from here: slow start.
+        """Return how many slots this gate may use during slow start.
 
-        They rise evenly over `warmup_s` from the time the target was in service again.
+        The number rises linearly over `warmup_s` seconds from the end of the latest
+        ejection by failure.
         """
         if warmup_s <= 0:
             return held
@@ -135,9 +142,9 @@
         return max(1, min(held, int(share * held)))
 
     def score(self, now: float) -> float:
-        """Return the expected latency in ms, the smaller the better.
+        """Return the expected latency in ms; smaller is better.
 
-        Requests of other gates, from the target's report, count less the older it is.
+        The weight of other gates' requests declines with the age of the report.
         """
         load = float(self.in_flight)
         probe = self._probe
@@ -148,21 +155,24 @@
 
 
 class TargetHealthTable:
-    """The health of all targets that this gate knows, by address."""
+    """The health of the known targets, by address."""
 
     def __init__(self) -> None:
-        """Create an empty book."""
+        """Create an empty table."""
         self._health: dict[str, TargetHealth] = {}
 
     def of(self, target: Target, now: float) -> TargetHealth:
-        """Return the health of a target, new if unknown."""
+        """Return the health of a target, creating it if unknown."""
         found = self._health.get(target.address)
         if found is None:
             found = self._health[target.address] = TargetHealth(now)
         return found
 
     def report(self, address: str, probe: Probe) -> None:
-        """Take a report of a target by address."""
+        """Record the probe result of an address.
+
+        Probes of unknown targets count only if they report leaving.
+        """
         found = self._health.get(address)
         if found is not None:
             found.report(probe)
