--- a/leverdoor/gate/placement.py
+++ b/leverdoor/gate/placement.py
@@ -245,15 +245,15 @@
         return queue_wait_ms(workload.queue.interactive() + 1, mean, held)
 
     def release_units(
-        self, request: QueuedRequest, made: Dispatch, now: float, cooldown_s: float
+        self, request: QueuedRequest, dispatch: Dispatch, now: float, cooldown_s: float
     ) -> None:
         """Release the units of a dispatch after a cooldown of `cooldown_s` seconds."""
-        self._held_units.release(made.slot, now, cooldown_s)
-        if made.cap:
+        self._held_units.release(dispatch.slot, now, cooldown_s)
+        if dispatch.cap:
             self._shifts.release_units(
-                self._view, request.service, made.cap, now, cooldown_s
+                self._view, request.service, dispatch.cap, now, cooldown_s
             )
-        self._pool.health.of(made.target, now).in_flight -= 1
+        self._pool.health.of(dispatch.target, now).in_flight -= 1
 
 
 def _forward_to(gate: PeerGate | None, region: str) -> Forward | None:
--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -1,12 +1,13 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""When each request goes: at once, after a wait, or not at all; without I/O.
-
-A request is placed (`placement.py`) if none waits before it, else passed on to a gate
-with a shorter queue, else it waits or is refused. Owns nothing that outlasts the
-process: what waits and runs here is in `workload.py`, units are in `held_units.py`.
-Relies on the snapshot of the configuration and on heartbeats of other gates, 0.1 s
-old and more; without them it decides from its own counts alone.
+"""Decides whether a request is placed, forwarded, queued or refused; without I/O.
+
+A request is placed (`placement.py`) if no other waits before it. Otherwise it is
+forwarded to a gate with a shorter queue, queued or refused. Owns the target pool, the
+load estimates of other gates and the workloads (`workload.py`); all are lost when the
+process ends. Relies on `row_units.py` for units, on the configuration snapshot and on
+heartbeats of other gates, which are at least 0.1 s old. Without heartbeats it decides
+from its own counts alone.
 """
 
 from random import Random
@@ -29,19 +30,19 @@
 
 
 class Scheduler:
-    """Places requests on targets and gates, lets them wait, or refuses them."""
+    """Places, forwards, queues or refuses requests."""
 
     def __init__(
         self, vm: str, region: str, held_units: HeldUnits, view: View, rng: Random
     ) -> None:
-        """Create it.
+        """Create a scheduler.
 
         Args:
           vm: this VM.
           region: this VM's region.
           holdings: the units of this process.
           view: the configuration in force.
-          rng: where all chance comes from.
+          rng: source of randomness.
         """
         self.vm = vm
         self.region = region
@@ -70,15 +71,15 @@
         return self.pool.health
 
     def vm_leaving(self, vm: str) -> bool:
-        """Return whether a VM leaves by the VM list or by a drain."""
+        """Return whether a VM is leaving by the VM list or by a drain."""
         return vm in self.pool.leaving_vms or self.view.vm_drained(vm)
 
     def usable_gates(self, now: float) -> list[AgentHeartbeat]:
-        """Heartbeats of the other gates that can be used now."""
+        """Return the heartbeats of the usable other gates."""
         return [n.heartbeat for n in self.peer_gates.usable(now)]
 
     def loads(self, now: float) -> dict[str, Load]:
-        """Return this gate's own load by service, as its heartbeats carry it."""
+        """Return this gate's load by service for its heartbeats."""
         found: dict[str, Load] = {}
         for name in self.view.services:
             workload = self._workloads.of(name)
@@ -98,7 +99,7 @@
     def offer(self, request: QueuedRequest, now: float) -> Decision | None:
         """Decide on a new request.
 
-        Returns: the decision, or None if the request waits: `poll` then decides.
+        Returns: the decision, or None if the request is queued until `poll` decides.
         """
         service = self.view.services.get(request.service)
         if service is None:
@@ -116,16 +117,16 @@
         return self._wait(request, service, queue, now)
 
     def _is_shifted_here(self, request: QueuedRequest) -> bool:
-        """Return whether another region passed it here: it never waits here."""
+        """Return whether another region forwarded the request, which is not queued."""
         return request.forwarded and request.home != self.region
 
     def _wait(
         self, request: QueuedRequest, service: Service, queue: WaitQueue, now: float
     ) -> Decision | None:
-        """Queue a request, or refuse one that would wait in vain.
+        """Queue a request, or refuse it if the wait would be futile.
 
-        CAP_REACHED answers a request of another region that found no cap unit or no
-        slot: the sending gate then tries elsewhere.
+        CAP_REACHED refuses a request of another region that found no cap unit or no
+        slot; the sending gate then tries another gate.
         """
         if self._is_shifted_here(request):
             return self._refuse(Code.CAP_REACHED, request, now)
@@ -139,7 +140,7 @@
         return self._refuse(Code.QUEUE_FULL, request, now)
 
     def _would_be_late(self, request: QueuedRequest, now: float) -> bool:
-        """Return whether the expected wait and run end after the deadline."""
+        """Return whether the expected wait and run time exceed the deadline."""
         wait_ms = self.expected_wait_ms(request, now)
         run_ms = self._workloads.of(request.service).mean_ms or 0.0
         return now + (wait_ms + run_ms) / 1000 > request.deadline
@@ -147,13 +148,14 @@
     def expected_wait_ms(self, request: QueuedRequest, now: float) -> float:
         """Estimate how long a new request would wait in this region, in ms.
 
-        What is ahead of it at all gates, over the slots held there. Without a slot in
-        the region, what is ahead over the rate at which shift caps let requests out.
+        Divides the preceding requests at all gates by the slots held there. Without a
+        slot in the region, divides them by the rate at which shift caps admit requests
+        to other regions.
         """
         workload = self._workloads.of(request.service)
         ahead = workload.queue.ahead(request.tier)
         own = workload.queue.interactive()
-        # Heartbeats don't say of which tier others' requests are: assume as here.
+        # Heartbeats do not carry tiers: assume this gate's share for other gates.
         share = ahead / own if own else 1.0
         others = self.peer_gates.load(request.service, self.region, now)
         held = self.pool.slots_in_service(request.service) + others.held
@@ -166,7 +168,7 @@
         return first_ejection_end_ms + queue_wait_ms(waiting + 1, mean, held)
 
     def _refuse(self, code: Code, request: QueuedRequest, now: float) -> Rejection:
-        """Refuse a request, with when its caller should return."""
+        """Return a rejection with its Retry-After."""
         wait_ms = self.expected_wait_ms(request, now)
         cap = self.view.caps.get((request.service, self.region))
         window_ms = cap.window_ms if cap else 0.0
@@ -175,36 +177,38 @@
     # Waiting requests.
 
     def eviction_candidate(self, request: QueuedRequest) -> QueuedRequest | None:
-        """Return a waiting request to shed in favour of one of a higher tier."""
+        """Return a waiting request of a lower tier to shed for this one, if any."""
         if request.bulk:
             return None
         return self._workloads.of(request.service).queue.lowest(request.tier)
 
     def shed_waiting(self, request: QueuedRequest, now: float) -> Rejection | None:
-        """Shed a waiting request; None if it waits no longer."""
+        """Shed a waiting request; return None if it no longer waits."""
         if not self._workloads.of(request.service).queue.remove(request):
             return None
         return self._refuse(Code.SHED_BY_TIER, request, now)
 
     def poll(self, now: float) -> list[tuple[QueuedRequest, Decision]]:
-        """Decide on waiting requests, after anything changed."""
-        made: list[tuple[QueuedRequest, Decision]] = []
+        """Return new decisions on waiting requests after a change."""
+        decisions: list[tuple[QueuedRequest, Decision]] = []
         for name, queue in self._workloads.waiting():
             for late in queue.expired(now):
-                made.append((late, self._refuse(Code.DEADLINE_TOO_SHORT, late, now)))
+                decisions.append(
+                    (late, self._refuse(Code.DEADLINE_TOO_SHORT, late, now))
+                )
             service = self.view.services.get(name)
             if service is not None:
-                made.extend(self._serve(queue, service, now))
-        return made
+                decisions.extend(self._serve(queue, service, now))
+        return decisions
 
     def _serve(
         self, queue: WaitQueue, service: Service, now: float
     ) -> list[tuple[QueuedRequest, Decision]]:
-        """Place waiting requests, by `WaitQueue.order`, until none can be placed."""
-        made: list[tuple[QueuedRequest, Decision]] = []
-        while (next_made := self._serve_one(queue, service, now)) is not None:
-            made.append(next_made)
-        return made
+        """Place waiting requests in `WaitQueue.order` until none can be placed."""
+        decisions: list[tuple[QueuedRequest, Decision]] = []
+        while (next_decision := self._serve_one(queue, service, now)) is not None:
+            decisions.append(next_decision)
+        return decisions
 
     def _serve_one(
         self, queue: WaitQueue, service: Service, now: float
@@ -218,27 +222,28 @@
         return None
 
     def withdraw(self, request: QueuedRequest) -> None:
-        """Forget a waiting request whose caller went away."""
+        """Remove a waiting request whose caller disconnected."""
         self._workloads.of(request.service).queue.remove(request)
 
     def done(
         self,
         request: QueuedRequest,
-        made: Dispatch,
+        dispatch: Dispatch,
         now: float,
         took_ms: float,
         ok: bool,
         cooldown_s: float,
     ) -> None:
-        """Give back what a dispatch took.
+        """Release the units of a dispatch and record its run.
 
         Args:
           request: the request that was dispatched.
-          made: the decision that took the units.
+          dispatch: the decision that acquired the units.
           now: monotonic time in seconds.
-          took_ms: time at the target, in milliseconds.
-          ok: whether a whole answer came.
-          cooldown_s: how long the units stay counted since the target may go on.
+          took_ms: time at the target, in ms.
+          ok: whether the response was complete.
+          cooldown_s: time in which the units still count as used, in seconds, since
+            the target may still be running the request.
         """
-        self._placement.release_units(request, made, now, cooldown_s)
+        self._placement.release_units(request, dispatch, now, cooldown_s)
         self._workloads.of(request.service).end(request, took_ms, ok)
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Serves one request: places it, sends it on, and retries where that is safe.
+"""Serves a request: places it, sends it and retries where that is safe.
 
-Owns what an answer on its way back holds (`ServedResponse`): the slot and cap unit of its
-target, given back when it ends, however it ends. Relies on the dispatcher for places
-and on `retries.py` for whether to try again.
+Owns the slot and cap unit of each response in transfer (`ServedResponse`). They are
+released when the transfer ends, by success, error or cancellation, and are lost with
+the process. Relies on the dispatcher for placement and on `retries.py` for retries.
 """
 
 import asyncio
@@ -29,43 +29,43 @@
 __all__ = ["ServedResponse", "Server", "ensure_finished"]
 
 OVERLOAD_STATUSES = (429, 503)
-"""HTTP statuses by which a target says that it has too much to do."""
+"""HTTP status codes with which a target reports overload."""
 
 
 class ServedResponse:
-    """An answer on its way back, which holds units until it is finished."""
+    """A response in transfer, which holds units until it is finished."""
 
     def __init__(
         self,
         server: "Server",
         inbound: GateRequest,
         answer: HopResponse,
-        made: Dispatch | None,
+        decision: Dispatch | None,
         began: float,
     ) -> None:
-        """Wrap an answer.
+        """Wrap a response.
 
         Args:
-          server: who gets the units back.
+          server: releases the units.
           inbound: the request.
-          answer: the answer, its body unread.
-          made: the decision that took units, None for a forwarded request.
-          began: loop time at which the request was sent, in seconds.
+          answer: the response, its body unread.
+          made: the decision that acquired units; None for a forwarded request.
+          began: loop time of sending the request, in seconds.
         """
         self._server = server
         self._inbound = inbound
         self._answer = answer
-        self._made = made
+        self._decision = decision
         self._began = began
         self._finished = False
         self.status = answer.status
         self.headers = answer.headers
         self.served_by = answer.served_by
-        if made is not None:
-            self.served_by = f"{made.target.region}/{made.target.name}"
+        if decision is not None:
+            self.served_by = f"{decision.target.region}/{decision.target.name}"
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; a small one is read whole, and its slot freed, first."""
+        """Yield the body; the slot of a short one is released before the first chunk."""
         head: list[bytes] = []
         size = 0
         whole = False
@@ -90,7 +90,7 @@
             self.finish(False)
 
     def finish(self, whole: bool) -> None:
-        """Give units back; an answer not read whole is cancelled."""
+        """Release the units; cancel a response that was not read completely."""
         if self._finished:
             return
         self._finished = True
@@ -98,22 +98,24 @@
             self._answer.release()
         else:
             self._answer.close()
-        if self._made is not None:
-            self._server.release_units(self._inbound, self._made, self._began, whole)
+        if self._decision is not None:
+            self._server.release_units(
+                self._inbound, self._decision, self._began, whole
+            )
 
 
 class Server:
-    """Serves requests of one gate."""
+    """Serves the requests of one gate."""
 
     def __init__(
         self, dispatcher: Dispatcher, client: HopClient, quarantine: GateQuarantine
     ) -> None:
-        """Create it.
+        """Create a server.
 
         Args:
-          dispatcher: where requests are placed.
-          client: how they are sent on.
-          quarantine: which are held back.
+          dispatcher: places requests.
+          client: sends requests.
+          quarantine: refuses quarantined requests.
         """
         self._quarantine = quarantine
         self._dispatcher = dispatcher
@@ -121,10 +123,10 @@
         self._retries = RetryPolicy()
 
     async def serve(self, inbound: GateRequest) -> ServedResponse:
-        """Get the head of an answer, after some attempts if need be.
+        """Send a request until a response head arrives or no retry is allowed.
 
         Raises:
-          Refusal: it was given up; the code says whether it may have run.
+          Refusal: no attempt succeeded; the code says whether the request may have run.
         """
         self._quarantine.check(inbound.fingerprint)
         self._retries.count()
@@ -150,98 +152,100 @@
                 )
 
     def _may_retry(self, inbound: GateRequest, refusal: Refusal, attempt: int) -> bool:
-        """Return whether another attempt follows; never of what is held back."""
+        """Return whether to retry a request; a quarantined one is never retried."""
         held = refusal.code is Code.QUARANTINED
         if held or not self._quarantine.may_retry(inbound.fingerprint):
             return False
         return self._retries.allows(inbound, refusal, attempt)
 
     async def _send(
-        self, inbound: GateRequest, made: Dispatch | Forward
+        self, inbound: GateRequest, decision: Dispatch | Forward
     ) -> ServedResponse:
-        if isinstance(made, Dispatch):
-            return await self._to_target(inbound, made)
-        return await self._to_gate(inbound, made)
+        if isinstance(decision, Dispatch):
+            return await self._to_target(inbound, decision)
+        return await self._to_gate(inbound, decision)
 
-    async def _to_target(self, inbound: GateRequest, made: Dispatch) -> ServedResponse:
-        """Send it to a target, whose health learns from what comes of it."""
+    async def _to_target(
+        self, inbound: GateRequest, decision: Dispatch
+    ) -> ServedResponse:
+        """Send a request to a target and record the result in the target's health."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        health = self._dispatcher.scheduler.targets.of(made.target, began)
-        hop = target_hop(inbound, made.target.address, loop.time())
+        health = self._dispatcher.scheduler.targets.of(decision.target, began)
+        hop = target_hop(inbound, decision.target.address, loop.time())
         try:
             answer = await self._client.send(hop, began)
         except Refusal as e:
-            inbound.queued.tried.add(made.target.address)
+            inbound.queued.tried.add(decision.target.address)
             if e.code is not Code.DEADLINE_PASSED:
                 health.failed(loop.time())
             if e.code is Code.ANSWER_LOST:
-                self._quarantine.lost(made.target, inbound.fingerprint, began)
-            self._release_dispatch(inbound, made, began, False, e.run is not Run.NO)
+                self._quarantine.lost(decision.target, inbound.fingerprint, began)
+            self._release_dispatch(inbound, decision, began, False, e.run is not Run.NO)
             raise
         except BaseException:
-            self._release_dispatch(inbound, made, began, False, True)
+            self._release_dispatch(inbound, decision, began, False, True)
             raise
         if answer.leaving:
             health.record_leaving(loop.time())
         if answer.shed:
             answer.close()
             health.shed(loop.time())
-            self._release_dispatch(inbound, made, began, False, False)
-            inbound.queued.tried.add(made.target.address)
-            raise Refusal(Code.CONNECT_FAILED, "the target shed it")
+            self._release_dispatch(inbound, decision, began, False, False)
+            inbound.queued.tried.add(decision.target.address)
+            raise Refusal(Code.CONNECT_FAILED, "the target shed the request")
         if answer.status in OVERLOAD_STATUSES:
             health.shed(loop.time())
-        return ServedResponse(self, inbound, answer, made, began)
+        return ServedResponse(self, inbound, answer, decision, began)
 
-    async def _to_gate(self, inbound: GateRequest, made: Forward) -> ServedResponse:
-        """Send it to a gate with a free slot; its refusal is passed on as raised."""
+    async def _to_gate(self, inbound: GateRequest, decision: Forward) -> ServedResponse:
+        """Send a request to another gate; re-raise its refusal."""
         loop = asyncio.get_running_loop()
         peer_gates = self._dispatcher.scheduler.peer_gates
-        hop = gate_hop(inbound, made.relay, loop.time())
+        hop = gate_hop(inbound, decision.relay, loop.time())
         try:
             answer = await self._client.send(hop, loop.time())
             problem = await answer.problem()
         except Refusal:
-            peer_gates.lost(made.vm, loop.time())
+            peer_gates.lost(decision.vm, loop.time())
             raise
         if problem is not None:
             answer.close()
             if problem.run is Run.NO:
-                peer_gates.refused(made.vm, inbound.service.name)
+                peer_gates.refused(decision.vm, inbound.service.name)
             raise refusal_from_problem(problem)
         return ServedResponse(self, inbound, answer, None, 0.0)
 
     def release_units(
-        self, inbound: GateRequest, made: Dispatch, began: float, whole: bool
+        self, inbound: GateRequest, decision: Dispatch, began: float, whole: bool
     ) -> None:
-        """Give back the units of a dispatch whose answer has ended."""
+        """Release the units of a dispatch whose response has ended."""
         if whole:
             self._quarantine.answered(inbound.fingerprint)
-        self._release_dispatch(inbound, made, began, whole, not whole)
+        self._release_dispatch(inbound, decision, began, whole, not whole)
 
     def _release_dispatch(
         self,
         inbound: GateRequest,
-        made: Dispatch,
+        decision: Dispatch,
         began: float,
         ok: bool,
         may_run: bool,
     ) -> None:
-        """Give back units; they cool for the service's linger if it may still run."""
+        """Release units; the cooldown is the linger if the request may still run."""
         now = asyncio.get_running_loop().time()
         took_ms = (now - began) * 1000
         scheduler = self._dispatcher.scheduler
         if ok:
-            scheduler.targets.of(made.target, now).served(took_ms)
+            scheduler.targets.of(decision.target, now).served(took_ms)
         cooldown_s = inbound.service.linger_ms / 1000 if may_run else 0.0
-        scheduler.done(inbound.queued, made, now, took_ms, ok, cooldown_s)
+        scheduler.done(inbound.queued, decision, now, took_ms, ok, cooldown_s)
         self._dispatcher.wake_scheduler()
 
 
 @contextlib.asynccontextmanager
 async def ensure_finished(served: ServedResponse) -> AsyncIterator[ServedResponse]:
-    """Finish an answer whatever happens to its reader."""
+    """Finish a response even if its reader fails."""
     try:
         yield served
     finally:
