--- a/leverdoor/gate/placement.py
+++ b/leverdoor/gate/placement.py
@@ -108,7 +108,7 @@
 
         Args:
           region: this gate's region.
-          holdings: the units of this process.
+          held_units: the units of this process.
           pool: the targets of this region.
           neighbours: the other gates.
           workloads: the requests waiting and running at this gate.
--- a/leverdoor/gate/pool.py
+++ b/leverdoor/gate/pool.py
@@ -35,7 +35,7 @@
 
         Args:
           region: this gate's region.
-          holdings: the units of this process.
+          held_units: the units of this process.
           view: the configuration in force; replaced when it changes.
         """
         self.view = view
--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -40,7 +40,7 @@
         Args:
           vm: this VM.
           region: this VM's region.
-          holdings: the units of this process.
+          held_units: the units of this process.
           view: the configuration in force.
           rng: source of randomness.
         """
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -49,7 +49,7 @@
           server: releases the units.
           inbound: the request.
           answer: the response, its body unread.
-          made: the decision that acquired units; None for a forwarded request.
+          decision: the one that acquired units; None for a forwarded request.
           began: loop time of sending the request, in seconds.
         """
         self._server = server
@@ -65,7 +65,7 @@
             self.served_by = f"{decision.target.region}/{decision.target.name}"
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; the slot of a short one is released before the first chunk."""
+        """Yield the body; release the slot of a short one before the first chunk."""
         head: list[bytes] = []
         size = 0
         whole = False
--- a/leverdoor/gate/shift_limiter.py
+++ b/leverdoor/gate/shift_limiter.py
@@ -24,7 +24,7 @@
 
         Args:
           region: this gate's region, which receives the requests.
-          holdings: the units of this process.
+          held_units: the units of this process.
         """
         self._region = region
         self._held_units = held_units
