--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A gate and its neighbours, over real sockets on one loop."""
+"""Tests of gates and their peers over real sockets on one event loop."""
 
 import asyncio
 import json
@@ -25,7 +25,7 @@
     async with calling(bench.listen(), bench.listen("vm01")) as caller:
 
         async def answered(path: str) -> Reply:
-            """Ask until it is answered: a busy machine may be late for a deadline."""
+            """Retry until a response arrives; a busy machine may miss deadlines."""
             while True:
                 try:
                     return await caller.request("look", path)
@@ -41,7 +41,7 @@
         assert len(body["pad"]) == i * 997
 
 
-async def test_no_target_is_past_its_slots(bench: Bench) -> None:
+async def test_no_target_exceeds_its_slots(bench: Bench) -> None:
     async with calling(bench.listen(), bench.listen("vm01")) as caller:
         asked = [caller.request("look", "x") for _ in range(200)]
         replies = await asyncio.gather(*asked, return_exceptions=True)
@@ -50,7 +50,7 @@
         assert target.log.most_in_flight <= target.log.slots
 
 
-async def test_an_answer_cut_short_is_an_error(
+async def test_a_truncated_response_is_an_error(
     bench: Bench, session: aiohttp.ClientSession
 ) -> None:
     for target in bench.targets.values():
@@ -61,10 +61,10 @@
             await answer.read()
 
 
-async def _serve_without_an_end(bench: Bench) -> asyncio.Server:
-    """Leave a service one target, whose answers end when it closes."""
+async def _serve_undelimited_responses(bench: Bench) -> asyncio.Server:
+    """Replace the look-up targets by one that ends responses by closing."""
 
-    async def endless(
+    async def serve_undelimited(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -74,34 +74,34 @@
             writer.write(b"HTTP/1.0 200 OK\r\n\r\npart")
         writer.close()
 
-    server = await asyncio.start_server(endless, "127.0.0.1", 0)
+    server = await asyncio.start_server(serve_undelimited, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    await _move_targets(bench, "look", f"127.0.0.1:{port}")
+    await _replace_targets(bench, "look", f"127.0.0.1:{port}")
     return server
 
 
-async def test_an_answer_without_an_end_is_an_error(
+async def test_a_response_without_a_delimiter_is_an_error(
     bench: Bench, session: aiohttp.ClientSession
 ) -> None:
-    server = await _serve_without_an_end(bench)
+    server = await _serve_undelimited_responses(bench)
     async with session.get(f"http://{bench.listen()}/s/look/x") as answer:
         assert answer.status == 502
         assert answer.headers[h.RUN] == Run.MAYBE
     server.close()
 
 
-async def test_without_the_check_of_its_end_a_cut_answer_looks_whole(
+async def test_without_the_delimiter_check_a_truncated_response_looks_complete(
     bench: Bench, session: aiohttp.ClientSession, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(HopResponse, "delimited", True)
-    server = await _serve_without_an_end(bench)
+    server = await _serve_undelimited_responses(bench)
     async with session.get(f"http://{bench.listen()}/s/look/x") as answer:
         assert (answer.status, await answer.read()) == (200, b"part")
     server.close()
 
 
-async def _move_targets(bench: Bench, service: str, address: str) -> None:
-    """Leave a service one target, at an address."""
+async def _replace_targets(bench: Bench, service: str, address: str) -> None:
+    """Replace the targets of a service by one at an address."""
     operator = Operator([bench.api("vm00")])
     for name in bench.targets:
         if name.startswith(service):
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("size", [1000, 300_000])
-async def test_an_upload_cut_short_never_looks_whole(bench: Bench, size: int) -> None:
+async def test_a_truncated_upload_never_runs(bench: Bench, size: int) -> None:
     reader, writer = await asyncio.open_connection(*bench.listen().split(":"))
     path = "/s/once/bulk/x"
     head = f"POST {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {size}\r\n\r\n"
@@ -164,7 +164,7 @@
     writer.close()
 
 
-async def test_hop_by_hop_headers_stop_here(
+async def test_hop_by_hop_headers_are_not_forwarded(
     bench: Bench, session: aiohttp.ClientSession
 ) -> None:
     found: list[str] = []
@@ -180,7 +180,7 @@
 
     server = await asyncio.start_server(show, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    await _move_targets(bench, "look", f"127.0.0.1:{port}")
+    await _replace_targets(bench, "look", f"127.0.0.1:{port}")
     sent = {"Connection": "X-Mine", "X-Mine": "1", "TE": "x", "X-Passes": "1"}
     sent |= {h.HOP: "1", h.TIER: "t"}
     url = f"http://{bench.listen()}/s/look/x"
@@ -196,44 +196,44 @@
     server.close()
 
 
-# Told not run means not run.
+# Refusals and overload.
 
 
-async def test_told_not_run_means_not_run(
+async def test_a_request_reported_as_not_run_did_not_run(
     bench: Bench, session: aiohttp.ClientSession
 ) -> None:
-    """Far more work than fits; callers' answers joined with targets' logs."""
+    """Overloads the targets and compares the callers' responses with target logs."""
     for target in bench.targets.values():
         target.faults.mean_ms = 30.0
-    told: dict[str, str] = {}
+    reported_run: dict[str, str] = {}
 
     async def one(i: int) -> None:
         head = {h.REQUEST_ID: f"id{i}", h.DEADLINE: "150"}
         url = f"http://{bench.listen(f'vm0{i % 2}')}/s/look/x"
         async with session.get(url, headers=head) as answer:
-            told[f"id{i}"] = answer.headers[h.RUN]
+            reported_run[f"id{i}"] = answer.headers[h.RUN]
             if answer.headers[h.RUN] == Run.NO:
                 assert int(answer.headers[h.RETRY_AFTER_MS]) > 0
 
     await asyncio.gather(*(one(i) for i in range(400)))
     ran = set(runs(bench, "look"))
-    refused = {i for i, run in told.items() if run == Run.NO}
+    refused = {i for i, run in reported_run.items() if run == Run.NO}
     assert refused
     assert not refused & ran
 
 
-async def test_a_shedding_target_that_reports_idle_is_left_alone(
+async def test_a_shedding_target_that_reports_idle_serves_no_request(
     bench: Bench,
 ) -> None:
-    liar = bench.targets["look-00"]
-    liar.faults.shed = liar.faults.lie_idle = True
+    shedding = bench.targets["look-00"]
+    shedding.faults.shed = shedding.faults.lie_idle = True
     async with calling(bench.listen(), bench.listen("vm01")) as caller:
         for _ in range(40):
             reply = await caller.request("look", "x")
             assert reply.served_by == "r0/look-01"
 
 
-async def test_no_target_at_all_is_refused_with_when_to_come_back(
+async def test_a_service_without_targets_is_refused_with_retry_after(
     bench: Bench,
 ) -> None:
     operator = Operator([bench.api("vm00")])
@@ -249,7 +249,7 @@
     assert e.value.retry_after_ms > 0
 
 
-# Shifts.
+# Shift caps.
 
 
 async def test_a_shift_never_exceeds_its_cap() -> None:
--- a/tests/test_gate_fatal.py
+++ b/tests/test_gate_fatal.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""A look-up that ends each target that runs it, on a plain site.
+"""Quarantine of a look-up that crashes each target that runs it, on a plain site.
 
-The same cause as at entries (test_fatal_requests.py): a gate knows nothing of a request
-beyond its last attempt, and gates tell each other nothing of requests.
+Guards against a gate that remembers nothing of a request after its last attempt, and
+against gates that do not exchange quarantine notices. test_fatal_requests.py tests the
+same failure at entries.
 """
 
 import asyncio
@@ -15,21 +16,21 @@
 from leverdoor.standins.targets import TargetStandin
 
 FATAL = "fatal"
-ENOUGH = 3
-"""Targets that may end before a request counts as the cause."""
-MOST_MORE = 3
-"""How often it may be sent on once that was to be known everywhere."""
-KNOWN_S = 4.0
-"""Within which time all gates in touch are to know it, in seconds."""
+CRASHES_BEFORE_QUARANTINE = 3
+"""Crashes of targets before the request is quarantined."""
+MAX_FURTHER_CRASHES = 3
+"""Maximum number of crashes after all gates should know the quarantine."""
+PROPAGATION_S = 4.0
+"""Time in which all connected gates should learn of the quarantine, in seconds."""
 DOWN_S = 0.1
-"""How long a target that ended is away, in seconds."""
+"""Downtime of a crashed target, in seconds."""
 PAUSE_S = 0.3
-"""Pause between two attempts of callers, in seconds: ejected targets are back."""
-ROUNDS = 10
+"""Pause between attempts, in seconds; ejections of targets end meanwhile."""
+ROUNDS_AFTER_QUARANTINE = 10
 
 
 class Crashes:
-    """Targets that end as they begin to run the fatal request."""
+    """Makes targets crash when they start to run the fatal request."""
 
     def __init__(self, bench: Bench) -> None:
         self.count = 0
@@ -68,7 +69,7 @@
         await asyncio.gather(*self._tasks)
 
 
-async def test_a_look_up_that_ends_its_targets_is_held_back_at_all_gates() -> None:
+async def test_a_look_up_that_crashes_its_targets_is_quarantined_at_all_gates() -> None:
     async with running(deployment(targets=4)) as bench, aiohttp.ClientSession() as s:
         crashes = Crashes(bench)
         gates = [bench.listen(), bench.listen("vm01")]
@@ -77,14 +78,14 @@
             async with s.get(f"http://{gate}/s/{LOOKUP.name}/{FATAL}") as answer:
                 await answer.read()
 
-        while crashes.count < ENOUGH:
+        while crashes.count < CRASHES_BEFORE_QUARANTINE:
             await send(gates[0])
             await asyncio.sleep(PAUSE_S)
-        await asyncio.sleep(KNOWN_S)
+        await asyncio.sleep(PROPAGATION_S)
         before = crashes.count
-        for _ in range(ROUNDS):
+        for _ in range(ROUNDS_AFTER_QUARANTINE):
             for gate in gates:
                 await send(gate)
             await asyncio.sleep(PAUSE_S)
         await crashes.end()
-        assert crashes.count - before <= MOST_MORE
+        assert crashes.count - before <= MAX_FURTHER_CRASHES
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""At most once across gates, and links cut in one direction."""
+"""Tests of at-most-once execution across gates and of one-way partitions."""
 
 import asyncio
 import json
@@ -61,10 +61,10 @@
     assert len(runs(bench, "once")) == 1
 
 
-async def test_a_put_on_a_broken_kept_connection_is_not_repeated(
+async def test_a_put_whose_response_is_lost_is_not_repeated(
     bench: Bench, session: aiohttp.ClientSession
 ) -> None:
-    """The HTTP library would send PUT and DELETE again by itself."""
+    """Guards against the HTTP library's own retries of PUT and DELETE."""
     for target in bench.targets.values():
         target.faults.drop_answers = 1000
     async with calling(bench.listen()) as caller:
@@ -75,7 +75,7 @@
     assert len(runs(bench, "once")) == 1
 
 
-async def test_a_caller_that_leaves_finds_its_outcome(
+async def test_a_caller_that_disconnects_can_fetch_its_outcome(
     bench: Bench, session: aiohttp.ClientSession
 ) -> None:
     for target in bench.targets.values():
@@ -91,7 +91,7 @@
     assert len(runs(bench, "once")) == 1
 
 
-async def test_after_its_issuer_died_a_key_never_runs(
+async def test_a_key_never_runs_after_its_issuer_ended(
     bench: Bench, session: aiohttp.ClientSession
 ) -> None:
     async with calling(bench.listen("vm00")) as caller:
@@ -133,17 +133,17 @@
 
 
 @pytest.mark.parametrize("direction", [LinkFault.HOLD_REQUESTS, LinkFault.HOLD_ANSWERS])
-async def test_a_link_cut_in_one_direction_breaks_no_promise(
+async def test_a_one_way_partition_keeps_at_most_once_and_run_reports(
     direction: LinkFault,
 ) -> None:
-    """Forwards to a gate hang; what callers are told agrees with the targets."""
+    """Forwarded requests hang, and run reports still agree with the target logs."""
     async with running(deployment(), linked=True) as bench:
-        await _cut(bench, direction)
+        await _check_one_way_partition(bench, direction)
 
 
-async def _cut(bench: Bench, direction: LinkFault) -> None:
+async def _check_one_way_partition(bench: Bench, direction: LinkFault) -> None:
     bench.links["vm01"].set_fault(direction)
-    told: dict[str, Run] = {}
+    reported_run: dict[str, Run] = {}
 
     async def one(i: int, service: str) -> Reply | None:
         request_id = f"{service}{i}"
@@ -153,7 +153,7 @@
                     service, "x", "POST", b"x", 2000, 1, request_id
                 )
             except Refusal as e:
-                told[request_id] = e.run
+                reported_run[request_id] = e.run
                 return None
         assert json.loads(reply.body)["request_id"] == request_id
         return reply
@@ -166,7 +166,7 @@
     assert replies
     await asyncio.sleep(0.1)
     ran = runs(bench, "look") + runs(bench, "once")
-    assert not {i for i, run in told.items() if run is Run.NO} & set(ran)
+    assert not {i for i, run in reported_run.items() if run is Run.NO} & set(ran)
     once = runs(bench, "once")
     assert len(once) == len(set(once))
     for target in bench.targets.values():
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Keys: at most once under repeats, deaths and lost answers."""
+"""Tests of keys: at most once under repeats, crashes and lost responses."""
 
 import pytest
 from hypothesis import HealthCheck, settings
@@ -24,20 +24,22 @@
 )
 
 
-def ring(vm: str = "vm0", incarnation: int = 1, started: float = 0.0) -> KeyRegistry:
+def registry(
+    vm: str = "vm0", incarnation: int = 1, started: float = 0.0
+) -> KeyRegistry:
     return KeyRegistry(vm, f"{vm}:1", incarnation, b"secret%d" % incarnation, started)
 
 
 class KeyMachine(RuleBasedStateMachine):
-    """Callers repeat keys through any entry while issuers die and come back."""
+    """Callers repeat keys while issuers restart."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.rings = [ring("vm0"), ring("vm1")]
+        self.registries = [registry("vm0"), registry("vm1")]
         self.keys: list[str] = []
         self.runs: dict[str, int] = {}
-        self.told_not_run: set[str] = set()
+        self.reported_not_run: set[str] = set()
 
     @rule(seconds=st.sampled_from([1.0, KEY_TTL_S / 2, KEY_TTL_S * 2]))
     def wait(self, seconds: float) -> None:
@@ -46,15 +48,15 @@
     @rule(i=st.integers(0, 1))
     def issue(self, i: int) -> None:
         nonce = len(self.keys).to_bytes(8, "big")
-        self.keys.append(self.rings[i].issue(nonce, self.now))
+        self.keys.append(self.registries[i].issue(nonce, self.now))
 
     @rule(pick=st.integers(0, 9), end=st.sampled_from(["answer", "lost", "not run"]))
-    def ask(self, pick: int, end: str) -> None:
+    def use(self, pick: int, end: str) -> None:
         if not self.keys:
             return
         text = self.keys[pick % len(self.keys)]
         key = parse_key(text)
-        issuer = next((r for r in self.rings if r.issued_here(key)), None)
+        issuer = next((r for r in self.registries if r.issued_here(key)), None)
         if issuer is None:
             return
         try:
@@ -72,16 +74,16 @@
             issuer.finish(key, Outcome(200, [], b"done"))
 
     @rule(i=st.integers(0, 1))
-    def die_and_start_again(self, i: int) -> None:
-        old = self.rings[i]
-        self.rings[i] = ring(f"vm{i}", old.incarnation + 1, self.now)
+    def restart(self, i: int) -> None:
+        old = self.registries[i]
+        self.registries[i] = registry(f"vm{i}", old.incarnation + 1, self.now)
 
     @invariant()
     def at_most_once(self) -> None:
         assert all(n <= 1 for n in self.runs.values())
 
 
-def test_at_most_once_in_random_orders() -> None:
+def test_random_operations_run_each_key_at_most_once() -> None:
     run_state_machine_as_test(
         KeyMachine,
         settings=settings(
@@ -94,20 +96,22 @@
     )
 
 
-def test_a_ring_that_forgets_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_registry_that_discards_outcomes_runs_a_key_twice(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(
-        KeyRegistry, "finish", lambda ring, key, outcome: ring.forget_unrun(key)
+        KeyRegistry, "finish", lambda registry, key, outcome: registry.forget_unrun(key)
     )
     machine = KeyMachine()
     machine.issue(0)
-    machine.ask(0, "answer")
-    machine.ask(0, "answer")
+    machine.use(0, "answer")
+    machine.use(0, "answer")
     with pytest.raises(AssertionError):
         machine.at_most_once()
 
 
 def test_a_finished_key_keeps_its_answer() -> None:
-    r = ring()
+    r = registry()
     key = parse_key(r.issue(b"n", 0.0))
     assert r.begin(key, 0.0) is KeyState.NEW
     assert r.begin(key, 0.0) is KeyState.RUNNING
@@ -116,8 +120,8 @@
     assert r.outcome(key) == Outcome(201, [("A", "b")], b"body")
 
 
-def test_a_large_answer_is_remembered_without_its_body() -> None:
-    r = ring()
+def test_a_large_outcome_is_kept_without_its_body() -> None:
+    r = registry()
     key = parse_key(r.issue(b"n", 0.0))
     r.begin(key, 0.0)
     r.finish(key, Outcome(200, [], b"x" * (MAX_KEPT_BODY_BYTES + 1)))
@@ -134,7 +138,7 @@
 
 
 def test_a_forged_key_is_refused() -> None:
-    r = ring()
+    r = registry()
     key = parse_key(r.issue(b"n", 0.0))
     forged = parse_key(serialize_key(type(key)(*_fields(key)[:4], b"m", key.mac)))
     with pytest.raises(Refusal) as e:
@@ -146,8 +150,8 @@
     return [getattr(key, f) for f in key.__struct_fields__]  # type: ignore[attr-defined]
 
 
-def test_expired_keys_are_forgotten_and_refused() -> None:
-    r = ring()
+def test_expired_keys_are_removed_and_refused() -> None:
+    r = registry()
     key = parse_key(r.issue(b"n", 0.0))
     r.begin(key, 0.0)
     r.finish(key, Outcome(200, [], b"x"))
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Targets, VMs and gates that leave, over real sockets on one loop."""
+"""Tests of leaving targets, VMs and gates over real sockets on one event loop."""
 
 import asyncio
 import json
@@ -27,15 +27,15 @@
 from leverdoor.storage.vmlist import Vm, VmState
 
 
-async def test_a_drained_target_gets_nothing_new(bench: Bench) -> None:
+async def test_a_drained_target_receives_no_new_request(bench: Bench) -> None:
     operator = Operator([bench.api("vm01")])
     done = await operator.apply([Drain(name="d", target="look-00")])
     await operator.wait(done.revision, 2, 5)
     await operator.close()
-    await _gets_nothing_new(bench, "look-00")
+    await _check_no_new_request(bench, "look-00")
 
 
-async def _gets_nothing_new(bench: Bench, name: str) -> None:
+async def _check_no_new_request(bench: Bench, name: str) -> None:
     before = len(bench.targets[name].log.arrivals)
     async with calling(bench.listen(), bench.listen("vm01")) as caller:
         asked = [caller.request("look", "x") for _ in range(50)]
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("store_down", [False, True])
-async def test_a_target_that_says_it_leaves_gets_nothing_new(
+async def test_a_target_that_announces_leaving_receives_no_new_request(
     bench: Bench, store_down: bool
 ) -> None:
     bench.kv.store.down = store_down
@@ -60,11 +60,11 @@
             and address in g._scheduler.targets._health
         )
     )
-    await _gets_nothing_new(bench, "look-00")
+    await _check_no_new_request(bench, "look-00")
 
 
 @pytest.mark.parametrize("store_down", [False, True])
-async def test_a_target_on_a_vm_that_leaves_gets_nothing_new(
+async def test_a_target_on_a_leaving_vm_receives_no_new_request(
     bench: Bench, store_down: bool
 ) -> None:
     operator = Operator([bench.api("vm00")])
@@ -88,11 +88,11 @@
             "host" in g._scheduler.pool.leaving_vms for g in bench.gates.values()
         )
     )
-    await _gets_nothing_new(bench, "look-00")
+    await _check_no_new_request(bench, "look-00")
 
 
 class _Listed:
-    """A VM list that names one VM, which leaves."""
+    """A VM list with one leaving VM."""
 
     async def fetch(self) -> list[Vm]:
         return [Vm("host", VmState.LEAVING)]
@@ -101,8 +101,11 @@
         pass
 
 
-async def test_vms_that_leave_are_known_while_the_reading_changes_hands() -> None:
-    """One that the store does not answer hands it on; the next has not read yet."""
+async def test_leaving_vms_stay_known_while_the_vm_list_reader_changes() -> None:
+    """The reader hands over when the store does not answer it.
+
+    Its successor has not read the list yet, so the leaving VMs must stay known.
+    """
     here = Address("127.0.0.1", 1)
     settings = AgentSettings("vm00", "r0", "r0-0", here, here, here, (), "http://h")
     watch = VmWatch(settings)
@@ -117,7 +120,9 @@
     assert watch.leaving == frozenset()
 
 
-async def test_a_vm_that_leaves_by_the_list_is_not_named(bench: Bench) -> None:
+async def test_a_look_up_excludes_a_vm_that_the_vm_list_marks_leaving(
+    bench: Bench,
+) -> None:
     bench.vms._shown = [Vm("vm00", VmState.LEAVING), Vm("vm01")]
     named = {bench.listen("vm00")}
     async with calling(bench.listen("vm01")) as caller:
@@ -130,18 +135,18 @@
     assert reply.status == 200
 
 
-async def test_without_leaving_out_drained_targets_new_work_reaches_them(
+async def test_without_the_drain_check_a_drained_target_receives_requests(
     bench: Bench, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(TargetPool, "in_service", lambda pool, target: True)
     with pytest.raises(AssertionError):
-        await test_a_drained_target_gets_nothing_new(bench)
+        await test_a_drained_target_receives_no_new_request(bench)
 
 
-async def test_a_caller_that_leaves_cancels_its_look_up(
+async def test_a_caller_that_disconnects_cancels_its_look_up(
     bench: Bench, session: aiohttp.ClientSession
 ) -> None:
-    """The targets would run for minutes if they were not told."""
+    """Without cancellation the targets would run for minutes."""
     for target in bench.targets.values():
         target.faults.fixed, target.faults.mean_ms = True, 300_000.0
     url = f"http://{bench.listen()}/s/look/x"
@@ -152,8 +157,8 @@
     await until(lambda: not any(t._in_flight for t in bench.targets.values()))
 
 
-async def _upload_across_a_stop(bench: Bench, leaving: bool = True) -> None:
-    """Stop a gate while an upload passes through it, and lose an agent too."""
+async def _upload_during_shutdown(bench: Bench, leaving: bool = True) -> None:
+    """Stop a gate during an upload and end another VM's agent."""
 
     async def slow() -> AsyncIterator[bytes]:
         for _ in range(20):
@@ -171,14 +176,17 @@
         await bench.end("agent-vm01")
         if leaving:
             await asyncio.sleep(0.5)
-            await _still_bound_but_closed(vm)
+            await _check_bound_but_closed(vm)
         reply = await upload
         await bench.stopped("gate-vm00")
     assert json.loads(reply.body)["bytes"] == 1_000_000
 
 
-async def _still_bound_but_closed(address: str) -> None:
-    """A bound address proves that the process before has ended."""
+async def _check_bound_but_closed(address: str) -> None:
+    """Check that the address stays bound and new requests are refused.
+
+    Binding an address proves that its previous process has ended.
+    """
     host, port = address.split(":")
     with pytest.raises(OSError):
         await asyncio.start_server(lambda r, w: None, host, int(port))
@@ -187,11 +195,11 @@
         assert answer.headers[h.CODE] == str(int(Code.LEAVING))
 
 
-async def test_a_planned_stop_of_a_gate_cuts_nothing(bench: Bench) -> None:
-    await _upload_across_a_stop(bench)
+async def test_a_graceful_shutdown_of_a_gate_completes_an_upload(bench: Bench) -> None:
+    await _upload_during_shutdown(bench)
 
 
-async def test_without_waiting_a_planned_stop_cuts_an_upload(
+async def test_without_draining_a_shutdown_aborts_an_upload(
     bench: Bench, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def at_once(gate: Gate) -> None:
@@ -199,4 +207,4 @@
 
     monkeypatch.setattr(Gate, "_leave", at_once)
     with pytest.raises(Refusal):
-        await _upload_across_a_stop(bench, leaving=False)
+        await _upload_during_shutdown(bench, leaving=False)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tests of the decisions: tiers, queues, ramps, regions, stale numbers."""
+"""Tests of scheduling: tiers, queues, ramps, regions and outdated reports."""
 
 from random import Random
 
@@ -96,7 +96,7 @@
 
 
 def fill(s: Scheduler, tier: Tier = FREE) -> list[tuple[QueuedRequest, Dispatch]]:
-    """Take every slot."""
+    """Dispatch requests until no slot is free."""
     made = []
     while True:
         j = queued_request(tier)
@@ -107,7 +107,7 @@
         made.append((j, decision))
 
 
-def test_slots_are_filled_and_never_more() -> None:
+def test_all_slots_are_used_but_not_exceeded() -> None:
     s = scheduler(view(target(0), target(1)))
     assert len(fill(s)) == 4
 
@@ -153,7 +153,7 @@
     assert s.eviction_candidate(queued_request(FREE)) is None
 
 
-def test_refused_at_once_when_the_wait_would_pass_the_deadline() -> None:
+def test_a_request_whose_wait_exceeds_its_deadline_is_refused_at_once() -> None:
     s = scheduler(view(target(0, 1), queue=9))
     running = fill(s)
     s.done(*running[0], 1.0, 500.0, True, 0.0)
@@ -165,7 +165,7 @@
     assert refused.retry_after_ms > 0
 
 
-def test_waiting_past_the_deadline_is_refused() -> None:
+def test_a_request_that_waits_past_its_deadline_is_refused() -> None:
     s = scheduler(view(target(0, 1)))
     fill(s)
     j = queued_request(deadline=1.0)
@@ -175,7 +175,7 @@
     assert isinstance(made[0][1], Rejection)
 
 
-def test_hints_to_come_back_are_spread() -> None:
+def test_retry_after_is_jittered() -> None:
     s = scheduler(view(target(0, 1), queue=0))
     fill(s)
     hints = set()
@@ -186,27 +186,27 @@
     assert len(hints) > 5
 
 
-def test_bulk_gives_way_to_people() -> None:
+def test_bulk_uploads_yield_to_other_requests() -> None:
     s = scheduler(view(target(0, 4), work=WorkClass.ONCE, queue=20))
     bulk = [queued_request(bulk=True) for _ in range(4)]
     taken = [s.offer(j, 0.0) for j in bulk]
     assert [isinstance(d, Dispatch) for d in taken] == [True, True, False, False]
-    people = [queued_request() for _ in range(3)]
-    decisions = [s.offer(j, 0.0) for j in people]
+    interactive = [queued_request() for _ in range(3)]
+    decisions = [s.offer(j, 0.0) for j in interactive]
     assert [isinstance(d, Dispatch) for d in decisions] == [True, True, False]
     assert isinstance(taken[0], Dispatch)
     s.done(bulk[0], taken[0], 1.0, 5.0, True, 0.0)
-    assert [j for j, _ in s.poll(1.0)] == [people[2]]
+    assert [j for j, _ in s.poll(1.0)] == [interactive[2]]
 
 
-def test_work_stays_at_home_while_the_wait_is_short() -> None:
+def test_a_request_stays_in_its_home_region_while_the_wait_is_short() -> None:
     s = scheduler(view(target(0)))
     s.peer_gates.receive([peer_heartbeat("near", 4)], 0.0)
     fill(s)
     assert s.offer(queued_request(), 0.0) is None
 
 
-def test_work_goes_to_the_nearest_region_with_room_when_home_is_out() -> None:
+def test_a_request_goes_to_the_nearest_free_region_when_home_is_drained() -> None:
     s = scheduler(view(target(0), Drain(name="d", region="home")))
     s.peer_gates.receive([peer_heartbeat("near", 0), peer_heartbeat("far", 4)], 0.0)
     made = s.offer(queued_request(), 0.0)
@@ -218,7 +218,7 @@
     assert made.region == "near"
 
 
-def test_no_shift_without_a_cap_unit() -> None:
+def test_no_request_is_shifted_without_a_cap_unit() -> None:
     cap = ShiftCap(name="c", service="s", region="near", units=5, window_ms=1000)
     s = scheduler(view(target(0), Drain(name="d", region="home"), cap))
     away = Target(
@@ -235,7 +235,7 @@
     assert s.offer(queued_request(), 0.0) is None
 
 
-def test_foreign_work_takes_a_cap_unit_until_a_window_after() -> None:
+def test_a_cap_unit_of_a_shifted_request_is_used_until_a_window_later() -> None:
     cap = ShiftCap(
         name="c", service="s", region="home", units=1, window_ms=1000, ramp_percent=100
     )
@@ -258,7 +258,7 @@
 
 
 @pytest.mark.parametrize("fault", ["failed", "shed"])
-def test_a_target_that_fails_is_left_alone_for_a_while(fault: str) -> None:
+def test_a_failed_target_is_ejected_for_a_time(fault: str) -> None:
     health = TargetHealth(0.0)
     getattr(health, fault)(0.0)
     assert not health.usable(0.05)
@@ -267,7 +267,7 @@
     assert not health.usable(0.45)
 
 
-def test_a_report_does_not_undo_what_answers_show() -> None:
+def test_a_report_does_not_end_an_ejection_after_shed_requests() -> None:
     health = TargetHealth(0.0)
     for _ in range(8):
         health.shed(0.0)
@@ -275,8 +275,8 @@
     assert not health.usable(0.9)
 
 
-def test_a_probe_older_than_an_answer_does_not_undo_that_its_target_leaves() -> None:
-    """The agent's probe may have been answered before the target said so."""
+def test_a_probe_older_than_a_leaving_response_does_not_clear_leaving() -> None:
+    """The target may have answered the probe before it announced leaving."""
     health = TargetHealth(0.0)
     health.record_leaving(10.0)
     for taken_at in (9.9, 10.05):
@@ -286,8 +286,8 @@
     assert health.usable(12.0)
 
 
-def test_a_probe_without_a_report_does_not_undo_that_its_target_leaves() -> None:
-    """Targets need not have a path for probes; a new start comes after an end."""
+def test_a_probe_without_a_report_does_not_clear_leaving() -> None:
+    """Without a probe path, leaving ends after a failed probe shows a restart."""
     health = TargetHealth(0.0)
     health.record_leaving(10.0)
     health.report(Probe(True, taken_at=20.0, reports=False))
@@ -298,7 +298,7 @@
     assert health.usable(32.0)
 
 
-def test_reports_lose_trust_with_age() -> None:
+def test_the_weight_of_a_report_declines_with_its_age() -> None:
     health = TargetHealth(0.0)
     idle = health.score(0.0)
     health.report(Probe(True, False, 10, 0.0))
@@ -306,7 +306,7 @@
     assert health.score(10.0) == idle
 
 
-def test_a_cold_target_warms_up() -> None:
+def test_a_new_target_starts_slowly() -> None:
     s = scheduler(view(target(0, 4, warmup_ms=1000)))
     assert len(fill(s)) == 1
     s.targets.of(target(0), 0.0)
@@ -314,7 +314,7 @@
     assert isinstance(later, Dispatch)
 
 
-def test_a_ramp_rises_with_use_and_falls_without() -> None:
+def test_a_ramp_rises_with_use_and_falls_without_use() -> None:
     ramp = Ramp(0.25, 1.0, 0.0)
     assert ramp.allowed(8, 0.0) == 2
     ramp.use()
@@ -328,7 +328,7 @@
     assert Ramp(0.1, 1.0, 0.0).allowed(1, 0.0) == 1
 
 
-def test_others_waiting_of_a_low_tier_do_not_turn_paid_work_away() -> None:
+def test_low_tier_queues_at_other_gates_do_not_refuse_paid_requests() -> None:
     s = scheduler(view(target(0, 2), queue=50))
     fill(s)
     for _ in range(10):
