--- a/leverdoor/gate/dispatch.py
+++ b/leverdoor/gate/dispatch.py
@@ -50,7 +50,7 @@
     async def place(self, request: QueuedRequest) -> Decision:
         """Return the decision on a request, waiting until there is one."""
         loop = asyncio.get_running_loop()
-        decision = self._offer(request, loop.time())
+        decision = self._offer_or_shed(request, loop.time())
         if decision is not None:
             return decision
         future: asyncio.Future[Decision] = loop.create_future()
@@ -64,7 +64,7 @@
         finally:
             self._waiting.pop(id(request), None)
 
-    def _offer(self, request: QueuedRequest, now: float) -> Decision | None:
+    def _offer_or_shed(self, request: QueuedRequest, now: float) -> Decision | None:
         decision = self.scheduler.offer(request, now)
         if not isinstance(decision, Rejection) or decision.code is not Code.QUEUE_FULL:
             return decision
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -82,7 +82,7 @@
         app.router.add_route(
             "*",
             "/s/{service}/{tail:.*}",
-            self._from_caller,
+            self._handle_caller,
             expect_handler=defer_continue,
         )
         return app
@@ -95,7 +95,7 @@
         app.router.add_route(
             "*",
             "/s/{service}/{tail:.*}",
-            self._from_gate,
+            self._handle_gate,
             expect_handler=defer_continue,
         )
         return app
@@ -137,11 +137,11 @@
 
     # Requests.
 
-    async def _from_caller(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_caller(self, request: web.Request) -> web.StreamResponse:
         origin = caller_origin(request, self._scheduler.view, self._region)
         return await self._handle(request, origin)
 
-    async def _from_gate(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_gate(self, request: web.Request) -> web.StreamResponse:
         origin = gate_origin(request, self._scheduler.view, self._region)
         return await self._handle(request, origin)
 
@@ -165,7 +165,7 @@
     async def _serve(
         self, request: web.Request, origin: Origin, arrived: float
     ) -> web.StreamResponse:
-        service = self._open_service(request)
+        service = self._requested_service(request)
         inbound = await read_request(request, service, origin, arrived)
         response = await self._answer(request, inbound)
         logger.debug(
@@ -178,7 +178,7 @@
         )
         return response
 
-    def _open_service(self, request: web.Request) -> Service:
+    def _requested_service(self, request: web.Request) -> Service:
         """Return the requested service if this gate accepts requests."""
         if self.state is GateState.STARTING:
             raise Refusal(Code.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
@@ -197,7 +197,7 @@
             return _outcome_response(outcome, inbound)
         served = await self._server.serve(inbound)
         async with ensure_finished(served):
-            return await _stream(request, inbound, served)
+            return await _stream_response(request, inbound, served)
 
     def _refusal_response(
         self, e: Refusal, service: str, origin: Origin
@@ -249,7 +249,7 @@
     return problem_answer(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
 
 
-async def _stream(
+async def _stream_response(
     request: web.Request, inbound: GateRequest, served: ServedResponse
 ) -> web.StreamResponse:
     """Stream a response to the caller.
--- a/leverdoor/gate/hop_client.py
+++ b/leverdoor/gate/hop_client.py
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        whole: bytes | None,
+        buffered: bytes | None,
         stream: aiohttp.StreamReader | None,
         length: int | None,
         idle_timeout_s: float,
@@ -60,7 +60,7 @@
           length: the declared length in bytes, if any.
           idle_timeout_s: maximum time between two chunks of the stream, in seconds.
         """
-        self.whole = whole
+        self.buffered = buffered
         self.length = length
         self.consumed = False
         self.on_start: Callable[[], Awaitable[None]] | None = None
@@ -70,7 +70,7 @@
     @property
     def replayable(self) -> bool:
         """Return whether the body can be sent again."""
-        return self.whole is not None or not self.consumed
+        return self.buffered is not None or not self.consumed
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the stream; any error aborts the hop before the body is complete."""
@@ -202,7 +202,7 @@
     async def _send_request(self, hop: Hop, now: float) -> aiohttp.ClientResponse:
         """Send a request and wait for the head; convert errors to refusals."""
         session = self._unpooled_session if hop.once else self._pooled_session
-        streamed = hop.body.whole is None
+        streamed = hop.body.buffered is None
         head = CIMultiDict(hop.headers)
         if streamed and hop.body.length is not None:
             head["Content-Length"] = str(hop.body.length)
@@ -211,7 +211,7 @@
                 hop.method,
                 URL(hop.url, encoded=True),
                 headers=head,
-                data=hop.body.chunks() if streamed else (hop.body.whole or None),
+                data=hop.body.chunks() if streamed else (hop.body.buffered or None),
                 timeout=_timeout(hop, now),
                 allow_redirects=False,
                 expect100=streamed and hop.relay,
@@ -226,7 +226,7 @@
 
 def _timeout(hop: Hop, now: float) -> aiohttp.ClientTimeout:
     """Return the timeouts of a hop: its deadline, or the idle timeout of a stream."""
-    streamed = hop.body.whole is None
+    streamed = hop.body.buffered is None
     grace_s = RELAY_GRACE_S if hop.relay else 0.0
     return aiohttp.ClientTimeout(
         total=None if streamed else max(hop.deadline - now, 0.001) + grace_s,
--- a/leverdoor/gate/keyed_server.py
+++ b/leverdoor/gate/keyed_server.py
@@ -65,7 +65,7 @@
         """
         key = parse_key(inbound.key)
         if not self._key_registry.issued_here(key):
-            return await self._from_issuer(inbound, key)
+            return await self._forward_to_issuer(inbound, key)
         now = asyncio.get_running_loop().time()
         state = self._key_registry.begin(key, now)
         if state is KeyState.NEW:
@@ -74,31 +74,31 @@
             outcome = self._key_registry.outcome(key)
             assert outcome is not None
             return outcome
-        return await self._wait(inbound, key)
+        return await self._await_outcome(inbound, key)
 
     def _start(self, inbound: GateRequest, key: Key) -> None:
         """Run the request in its own task, so that a disconnect keeps the outcome."""
         task = asyncio.create_task(self._run(inbound, key))
         self._running[key.nonce] = task
         task.add_done_callback(lambda _: self._running.pop(key.nonce, None))
-        task.add_done_callback(_consume)
+        task.add_done_callback(_retrieve_exception)
 
     async def _run(self, inbound: GateRequest, key: Key) -> Outcome:
         try:
-            outcome = await self._collect(await self._server.serve(inbound))
+            outcome = await self._buffer_outcome(await self._server.serve(inbound))
         except Refusal as e:
             if e.run is Run.NO:
                 self._key_registry.forget_unrun(key)
                 raise
-            outcome = _failed(e)
+            outcome = _failure_outcome(e)
         except BaseException as e:
-            outcome = _failed(Refusal(Code.ANSWER_LOST, repr(e)))
+            outcome = _failure_outcome(Refusal(Code.ANSWER_LOST, repr(e)))
             self._key_registry.finish(key, outcome)
             raise
         self._key_registry.finish(key, outcome)
         return outcome
 
-    async def _collect(self, served: ServedResponse) -> Outcome:
+    async def _buffer_outcome(self, served: ServedResponse) -> Outcome:
         """Buffer a response; one above MAX_OUTCOME_BYTES becomes ALREADY_RAN."""
         parts = []
         size = 0
@@ -112,7 +112,7 @@
         head = [*served.headers, (h.SERVED_BY, served.served_by)]
         return Outcome(served.status, head, b"".join(parts))
 
-    async def _wait(self, inbound: GateRequest, key: Key) -> Outcome:
+    async def _await_outcome(self, inbound: GateRequest, key: Key) -> Outcome:
         """Wait for a running request until this caller's deadline.
 
         A bulk upload waits without a limit.
@@ -127,7 +127,7 @@
             raise Refusal(Code.STILL_RUNNING, retry_after_ms=OUTCOME_RETRY_MS)
         return task.result()
 
-    async def _from_issuer(self, inbound: GateRequest, key: Key) -> Outcome:
+    async def _forward_to_issuer(self, inbound: GateRequest, key: Key) -> Outcome:
         """Forward the request to the gate that issued its key."""
         issuer = self._scheduler.peer_gates.get(key.vm)
         if self._issuer_ended(key, issuer):
@@ -149,7 +149,7 @@
             answer.close()
             logger.info("issuer refused", request_id=inbound.request_id)
             raise refusal_from_problem(problem)
-        return await self._collect(
+        return await self._buffer_outcome(
             ServedResponse(self._server, inbound, answer, None, 0.0)
         )
 
@@ -166,14 +166,14 @@
     return asyncio.get_running_loop().time()
 
 
-def _failed(e: Refusal) -> Outcome:
+def _failure_outcome(e: Refusal) -> Outcome:
     """Convert a refusal to an outcome, so that a retry gets the same response."""
     body = msgspec.json.encode(e.problem())
     head = [("Content-Type", "application/json"), (h.RUN, e.run.value)]
     return Outcome(502, head, body, e.code)
 
 
-def _consume(task: asyncio.Task[Outcome]) -> None:
+def _retrieve_exception(task: asyncio.Task[Outcome]) -> None:
     """Retrieve a task's exception, so that asyncio does not log it as unhandled."""
     if not task.cancelled():
         task.exception()
--- a/leverdoor/gate/placement.py
+++ b/leverdoor/gate/placement.py
@@ -185,14 +185,14 @@
         self, request: QueuedRequest, service: Service, now: float
     ) -> Dispatch | None:
         """Acquire a slot of this gate and, for another region's request, a cap unit."""
-        if request.bulk and not self._takes_bulk(service, now):
+        if request.bulk and not self._accepts_bulk(service, now):
             return None
         best = self._pool.best(request.service, request.tried, self._rng, now)
         if best is None:
             return None
         cap: str | None = ""
         if request.home != self._region:
-            cap = self._shifts.take(self._view, request.service, now)
+            cap = self._shifts.acquire(self._view, request.service, now)
         if cap is None:
             return None
         slot = slot_row(best.address)
@@ -201,7 +201,7 @@
         self._workloads.add(request.service).begin(request)
         return Dispatch(best, slot, cap)
 
-    def _takes_bulk(self, service: Service, now: float) -> bool:
+    def _accepts_bulk(self, service: Service, now: float) -> bool:
         """Return whether a bulk upload may take a slot.
 
         It may not while other requests wait.
--- a/leverdoor/gate/pool.py
+++ b/leverdoor/gate/pool.py
@@ -44,13 +44,13 @@
         self._region = region
         self._held_units = held_units
         self._held_targets: dict[str, list[Target]] = {}
-        self._held_of: tuple[View, int] = (view, -1)
+        self._cache_key: tuple[View, int] = (view, -1)
 
     def targets(self, service: str) -> list[Target]:
         """Return the targets of a service of which this gate holds slots."""
         basis = (self.view, self._held_units.version)
-        if self._held_of != basis:
-            self._held_of = basis
+        if self._cache_key != basis:
+            self._cache_key = basis
             self._held_targets = {}
         found = self._held_targets.get(service)
         if found is None:
@@ -64,7 +64,7 @@
         """Return whether a target is neither drained nor on a leaving VM."""
         return target.vm not in self.leaving_vms and not self.view.drained(target)
 
-    def open(self, target: Target, now: float) -> bool:
+    def accepts_requests(self, target: Target, now: float) -> bool:
         """Return whether a target accepts new requests."""
         return self.in_service(target) and self.health.of(target, now).usable(now)
 
@@ -86,7 +86,11 @@
         best: Target | None = None
         best_score = 0.0
         for t in self.targets(service):
-            if t.address in tried or not self.open(t, now) or self.free_at(t, now) <= 0:
+            if (
+                t.address in tried
+                or not self.accepts_requests(t, now)
+                or self.free_at(t, now) <= 0
+            ):
                 continue
             score = self.health.of(t, now).score(now) * (
                 1 + SCORE_JITTER * rng.random()
@@ -100,7 +104,7 @@
         return sum(
             self._held_units.held(slot_row(t.address))
             for t in self.targets(service)
-            if self.open(t, now)
+            if self.accepts_requests(t, now)
         )
 
     def free(self, service: str, now: float) -> int:
@@ -108,7 +112,7 @@
         return sum(
             max(self.free_at(t, now), 0)
             for t in self.targets(service)
-            if self.open(t, now)
+            if self.accepts_requests(t, now)
         )
 
     def slots_in_service(self, service: str) -> int:
--- a/leverdoor/gate/quarantining.py
+++ b/leverdoor/gate/quarantining.py
@@ -86,8 +86,8 @@
         hold = self._quarantine.hold(fingerprint, now)
         if hold is None:
             return
-        mine = tries_for_all(self._vm, self._peer_gates.vms(), fingerprint)
-        if not mine or not self._quarantine.try_once_more(hold, now):
+        is_tester = tries_for_all(self._vm, self._peer_gates.vms(), fingerprint)
+        if not is_tester or not self._quarantine.try_once_more(hold, now):
             raise held_refusal(hold, now)
         logger.info("quarantine try", fingerprint=fingerprint_text(fingerprint))
 
--- a/leverdoor/gate/queueing.py
+++ b/leverdoor/gate/queueing.py
@@ -45,7 +45,7 @@
         """Create an empty queue."""
         self._waiting: dict[str, deque[QueuedRequest]] = {}
         self._tiers: dict[str, Tier] = {}
-        self._passes: dict[str, float] = {}
+        self._stride_passes: dict[str, float] = {}
         self._bulk: deque[QueuedRequest] = deque()
         self._virtual_time = 0.0
 
@@ -65,7 +65,9 @@
         name = request.tier.name
         queue = self._waiting.setdefault(name, deque())
         if not queue:
-            self._passes[name] = max(self._passes.get(name, 0.0), self._virtual_time)
+            self._stride_passes[name] = max(
+                self._stride_passes.get(name, 0.0), self._virtual_time
+            )
         self._tiers[name] = request.tier
         queue.append(request)
 
@@ -101,7 +103,7 @@
         used = in_use.get(tier.name, 0)
         if used < reserved:
             return (False, used / reserved, tier.name)
-        return (True, self._passes.get(tier.name, 0.0), tier.name)
+        return (True, self._stride_passes.get(tier.name, 0.0), tier.name)
 
     def pop(self, request: QueuedRequest) -> None:
         """Remove a request that is being served and advance the pass of its tier."""
@@ -109,8 +111,10 @@
         if request.bulk:
             return
         name = request.tier.name
-        self._virtual_time = max(self._virtual_time, self._passes.get(name, 0.0))
-        self._passes[name] = self._passes.get(name, 0.0) + 1 / request.tier.weight
+        self._virtual_time = max(self._virtual_time, self._stride_passes.get(name, 0.0))
+        self._stride_passes[name] = (
+            self._stride_passes.get(name, 0.0) + 1 / request.tier.weight
+        )
 
     def ahead(self, tier: Tier) -> float:
         """Estimate how many requests precede a new one of a tier."""
@@ -123,7 +127,7 @@
                 total += len(queue) * other.weight / (other.weight + tier.weight)
         return total
 
-    def lowest(self, than: Tier) -> QueuedRequest | None:
+    def newest_below(self, than: Tier) -> QueuedRequest | None:
         """Return the newest request of the lowest tier below `than`, if any."""
         below = [
             t
@@ -134,7 +138,7 @@
             return None
         return self._waiting[min(below, key=_priority).name][-1]
 
-    def expired(self, now: float) -> list[QueuedRequest]:
+    def remove_expired(self, now: float) -> list[QueuedRequest]:
         """Remove and return the requests whose deadline has passed."""
         queues = [*self._waiting.values(), self._bulk]
         late = [r for q in queues for r in q if r.deadline <= now]
--- a/leverdoor/gate/request_reader.py
+++ b/leverdoor/gate/request_reader.py
@@ -92,10 +92,10 @@
     method: str, service: Service, tail: str, caller: str, body: Body
 ) -> int:
     """Return the fingerprint of a request, or 0 if its body is streamed."""
-    if body.whole is None:
+    if body.buffered is None:
         return 0
-    size = len(body.whole)
-    return request_fingerprint(method, service.name, tail, caller, body.whole, size)
+    size = len(body.buffered)
+    return request_fingerprint(method, service.name, tail, caller, body.buffered, size)
 
 
 def _queued(
--- a/leverdoor/gate/requests.py
+++ b/leverdoor/gate/requests.py
@@ -53,17 +53,17 @@
 
 def target_hop(inbound: GateRequest, address: str, now: float) -> Hop:
     """Return the request to a target, sent at loop time `now`."""
-    head = [_request_id(inbound), *_deadline(inbound, now)]
+    head = [_request_id_header(inbound), *_deadline_headers(inbound, now)]
     return _hop(inbound, f"http://{address}/{inbound.tail}", head)
 
 
 def gate_hop(inbound: GateRequest, relay: str, now: float) -> Hop:
     """Return the request to a gate with a free slot, sent at loop time `now`."""
     head = [
-        _request_id(inbound),
-        *_deadline(inbound, now),
+        _request_id_header(inbound),
+        *_deadline_headers(inbound, now),
         (h.HOP, "1"),
-        *_origin(inbound),
+        *_origin_headers(inbound),
     ]
     hop = _hop(inbound, _gate_url(inbound, relay), head)
     hop.relay = True
@@ -76,8 +76,8 @@
     It carries the deadline even for a bulk upload.
     """
     head = [
-        _request_id(inbound),
-        *_origin(inbound),
+        _request_id_header(inbound),
+        *_origin_headers(inbound),
         (h.DEADLINE, str(_remaining_ms(inbound, now))),
     ]
     hop = _hop(inbound, _gate_url(inbound, relay), head)
@@ -90,11 +90,11 @@
     return f"http://{relay}/s/{inbound.service.name}/{inbound.tail}"
 
 
-def _request_id(inbound: GateRequest) -> tuple[str, str]:
+def _request_id_header(inbound: GateRequest) -> tuple[str, str]:
     return (h.REQUEST_ID, inbound.request_id)
 
 
-def _origin(inbound: GateRequest) -> list[tuple[str, str]]:
+def _origin_headers(inbound: GateRequest) -> list[tuple[str, str]]:
     return [
         (h.HOME, inbound.queued.home),
         (h.TIER, inbound.queued.tier.name),
@@ -106,7 +106,7 @@
     return max(int((inbound.queued.deadline - now) * 1000), 1)
 
 
-def _deadline(inbound: GateRequest, now: float) -> list[tuple[str, str]]:
+def _deadline_headers(inbound: GateRequest, now: float) -> list[tuple[str, str]]:
     """Return the deadline header; a bulk upload has none."""
     if inbound.queued.bulk:
         return []
--- a/leverdoor/gate/retries.py
+++ b/leverdoor/gate/retries.py
@@ -21,7 +21,7 @@
 BUDGET_RATIO = 0.1
 """Retries of lost responses that each request adds to the budget.
 
-A fault that loses every response increases the load by a tenth.
+A tenth is the usual ratio: a fault that loses every response adds a tenth to the load.
 """
 BUDGET_LIMIT = 10.0
 """Maximum and initial retry budget.
--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -107,20 +107,20 @@
         if now >= request.deadline:
             return self._refuse(Code.DEADLINE_TOO_SHORT, request, now)
         queue = self._workloads.add(request.service).queue
-        if not queue.interactive() or self._is_shifted_here(request):
+        if not queue.interactive() or self._is_shifted_in(request):
             decision = self._placement.place(request, service, now)
             if decision is not None:
                 return decision
         shorter = self._placement.forward_to_shorter_queue(request, now)
         if shorter is not None:
             return shorter
-        return self._wait(request, service, queue, now)
+        return self._queue_or_refuse(request, service, queue, now)
 
-    def _is_shifted_here(self, request: QueuedRequest) -> bool:
+    def _is_shifted_in(self, request: QueuedRequest) -> bool:
         """Return whether another region forwarded the request, which is not queued."""
         return request.forwarded and request.home != self.region
 
-    def _wait(
+    def _queue_or_refuse(
         self, request: QueuedRequest, service: Service, queue: WaitQueue, now: float
     ) -> Decision | None:
         """Queue a request, or refuse it if the wait would be futile.
@@ -128,18 +128,18 @@
         CAP_REACHED refuses a request of another region that found no cap unit or no
         slot; the sending gate then tries another gate.
         """
-        if self._is_shifted_here(request):
+        if self._is_shifted_in(request):
             return self._refuse(Code.CAP_REACHED, request, now)
         if not self.pool.any_in_service(service.name):
             return self._refuse(Code.NO_TARGET, request, now)
-        if not request.bulk and self._would_be_late(request, now):
+        if not request.bulk and self._would_miss_deadline(request, now):
             return self._refuse(Code.DEADLINE_TOO_SHORT, request, now)
         if len(queue) < service.queue:
             queue.push(request)
             return None
         return self._refuse(Code.QUEUE_FULL, request, now)
 
-    def _would_be_late(self, request: QueuedRequest, now: float) -> bool:
+    def _would_miss_deadline(self, request: QueuedRequest, now: float) -> bool:
         """Return whether the expected wait and run time exceed the deadline."""
         wait_ms = self.expected_wait_ms(request, now)
         run_ms = self._workloads.of(request.service).mean_ms or 0.0
@@ -180,7 +180,7 @@
         """Return a waiting request of a lower tier to shed for this one, if any."""
         if request.bulk:
             return None
-        return self._workloads.of(request.service).queue.lowest(request.tier)
+        return self._workloads.of(request.service).queue.newest_below(request.tier)
 
     def shed_waiting(self, request: QueuedRequest, now: float) -> Rejection | None:
         """Shed a waiting request; return None if it no longer waits."""
@@ -192,25 +192,25 @@
         """Return new decisions on waiting requests after a change."""
         decisions: list[tuple[QueuedRequest, Decision]] = []
         for name, queue in self._workloads.waiting():
-            for late in queue.expired(now):
+            for late in queue.remove_expired(now):
                 decisions.append(
                     (late, self._refuse(Code.DEADLINE_TOO_SHORT, late, now))
                 )
             service = self.view.services.get(name)
             if service is not None:
-                decisions.extend(self._serve(queue, service, now))
+                decisions.extend(self._place_waiting(queue, service, now))
         return decisions
 
-    def _serve(
+    def _place_waiting(
         self, queue: WaitQueue, service: Service, now: float
     ) -> list[tuple[QueuedRequest, Decision]]:
         """Place waiting requests in `WaitQueue.order` until none can be placed."""
         decisions: list[tuple[QueuedRequest, Decision]] = []
-        while (next_decision := self._serve_one(queue, service, now)) is not None:
+        while (next_decision := self._place_next(queue, service, now)) is not None:
             decisions.append(next_decision)
         return decisions
 
-    def _serve_one(
+    def _place_next(
         self, queue: WaitQueue, service: Service, now: float
     ) -> tuple[QueuedRequest, Decision] | None:
         running = self._workloads.of(service.name).running
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -68,39 +68,39 @@
         """Yield the body; release the slot of a short one before the first chunk."""
         head: list[bytes] = []
         size = 0
-        whole = False
+        complete = False
         source = self._answer.chunks()
         try:
             while size < READ_AHEAD_BYTES:
                 chunk = await anext(source, None)
                 if chunk is None:
-                    whole = True
+                    complete = True
                     break
                 head.append(chunk)
                 size += len(chunk)
-            if whole:
+            if complete:
                 self.finish(True)
             for chunk in head:
                 yield chunk
-            if not whole:
+            if not complete:
                 async for chunk in source:
                     yield chunk
                 self.finish(True)
         finally:
             self.finish(False)
 
-    def finish(self, whole: bool) -> None:
+    def finish(self, complete: bool) -> None:
         """Release the units; cancel a response that was not read completely."""
         if self._finished:
             return
         self._finished = True
-        if whole:
+        if complete:
             self._answer.release()
         else:
             self._answer.close()
         if self._decision is not None:
             self._server.release_units(
-                self._inbound, self._decision, self._began, whole
+                self._inbound, self._decision, self._began, complete
             )
 
 
@@ -162,10 +162,10 @@
         self, inbound: GateRequest, decision: Dispatch | Forward
     ) -> ServedResponse:
         if isinstance(decision, Dispatch):
-            return await self._to_target(inbound, decision)
-        return await self._to_gate(inbound, decision)
+            return await self._send_to_target(inbound, decision)
+        return await self._send_to_gate(inbound, decision)
 
-    async def _to_target(
+    async def _send_to_target(
         self, inbound: GateRequest, decision: Dispatch
     ) -> ServedResponse:
         """Send a request to a target and record the result in the target's health."""
@@ -198,7 +198,9 @@
             health.shed(loop.time())
         return ServedResponse(self, inbound, answer, decision, began)
 
-    async def _to_gate(self, inbound: GateRequest, decision: Forward) -> ServedResponse:
+    async def _send_to_gate(
+        self, inbound: GateRequest, decision: Forward
+    ) -> ServedResponse:
         """Send a request to another gate; re-raise its refusal."""
         loop = asyncio.get_running_loop()
         peer_gates = self._dispatcher.scheduler.peer_gates
@@ -217,12 +219,12 @@
         return ServedResponse(self, inbound, answer, None, 0.0)
 
     def release_units(
-        self, inbound: GateRequest, decision: Dispatch, began: float, whole: bool
+        self, inbound: GateRequest, decision: Dispatch, began: float, complete: bool
     ) -> None:
         """Release the units of a dispatch whose response has ended."""
-        if whole:
+        if complete:
             self._quarantine.answered(inbound.fingerprint)
-        self._release_dispatch(inbound, decision, began, whole, not whole)
+        self._release_dispatch(inbound, decision, began, complete, not complete)
 
     def _release_dispatch(
         self,
