--- a/leverdoor/gate/cap_ramp.py
+++ b/leverdoor/gate/cap_ramp.py
@@ -12,7 +12,7 @@
 __all__ = ["Ramp"]
 
 RAISE_USE_SHARE = 0.5
-"""Minimum share of the allowed units that a window must use to raise the level.
+"""The level rises if at least this share of the allowed units was used in a window.
 
 A smaller share raises the level before the receiving caches are warm; a greater one
 keeps it low when requests arrive unevenly.
--- a/leverdoor/gate/daemon.py
+++ b/leverdoor/gate/daemon.py
@@ -40,8 +40,8 @@
 REPORT_INTERVAL_S = 0.1
 """Interval of the gate's reports to its agent, in seconds.
 
-Half the heartbeat interval, so that a heartbeat never carries a report older than half
-an interval. A shorter one costs both processes CPU time for little gain.
+Half the heartbeat interval, so that the report in a heartbeat is at most half an
+interval old. A shorter interval costs both processes CPU time for little gain.
 """
 STOP_POLL_S = 0.05
 """Polling interval for requests in flight during shutdown, in seconds."""
@@ -213,9 +213,10 @@
             self._raise_incarnation(hints.incarnation_floor + 1)
 
     def _raise_incarnation(self, incarnation: int) -> None:
-        """Replace an incarnation that a clock set back made too low.
+        """Raise the incarnation above that of an earlier process.
 
-        Does nothing while this process holds units.
+        It is too low after the clock was set back. Does nothing while this process
+        holds units, which are granted to its current incarnation.
         """
         if self._held_units.rows:
             return
@@ -230,9 +231,9 @@
     async def _leave(self) -> None:
         """Drain the gate: withdraw it from look-ups, then complete its requests.
 
-        Callers with a cached look-up are served until it expires. The addresses
-        stay bound until the end, because a process that can bind them concludes
-        that this one has no request in flight.
+        Callers with a cached look-up are served until it expires. The addresses stay
+        bound until the end, because another process takes a free address as proof that
+        no request is in flight here.
         """
         s = self._settings
         self._handler.state = GateState.LEAVING
--- a/leverdoor/gate/dispatch.py
+++ b/leverdoor/gate/dispatch.py
@@ -19,13 +19,13 @@
 TICK_S = 0.02
 """Interval between scheduling rounds while requests wait, in seconds.
 
-Bounds the delay in detecting an expired deadline, a settled unit or the end of an
+Bounds the delay in detecting an expired deadline, a newly usable unit or the end of an
 ejection. A greater value adds to the wait; a smaller one costs CPU time.
 """
 IDLE_TICK_S = 0.25
 """Interval between scheduling rounds while no request waits, in seconds.
 
-Nothing depends on its value.
+An idle round has nothing to decide.
 """
 
 
@@ -68,18 +68,18 @@
         decision = self.scheduler.offer(request, now)
         if not isinstance(decision, Rejection) or decision.code is not Code.QUEUE_FULL:
             return decision
-        victim = self.scheduler.eviction_candidate(request)
-        if victim is None:
+        shed = self.scheduler.eviction_candidate(request)
+        if shed is None:
             return decision
-        refuse = self.scheduler.shed_waiting(victim, now)
-        if refuse is not None:
-            self._resolve(victim, refuse)
+        rejection = self.scheduler.shed_waiting(shed, now)
+        if rejection is not None:
+            self._resolve(shed, rejection)
         return self.scheduler.offer(request, now)
 
     def _abandon(
         self, request: QueuedRequest, future: asyncio.Future[Decision], now: float
     ) -> None:
-        """Release the units of a request whose caller disconnected."""
+        """Withdraw a request whose caller disconnected; release units it acquired."""
         self.scheduler.withdraw(request)
         if future.done() and not future.cancelled():
             decision = future.result()
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """HTTP handlers of a gate for look-ups, requests and internal messages.
 
-Owns the lifecycle state (starting, serving, leaving, closed) and the number of requests
-in flight, which must reach zero before the daemon stops; both are lost with the
-process. Relies on `request_reader.py` to read requests, on `serving.py` and
-`keyed_server.py` to serve them, and on `lookups.py` to select gates.
+Owns the lifecycle state, the flag `closed`, set when new requests are refused, and the
+number of requests in flight, which must reach zero before the daemon stops; both are
+lost with the process. Relies on `request_reader.py` to read requests, on `serving.py`
+and `keyed_server.py` to serve them, and on `lookups.py` to select gates.
 """
 
 import asyncio
@@ -52,7 +52,7 @@
         scheduler: Scheduler,
         server: Server,
         keyed: KeyedServer,
-        ring: KeyRegistry,
+        key_registry: KeyRegistry,
         quarantine: GateQuarantine,
         burn: BurnMeter,
         metrics: GateMetrics,
@@ -67,7 +67,7 @@
         self._scheduler = scheduler
         self._server = server
         self._keyed = keyed
-        self._key_registry = ring
+        self._key_registry = key_registry
         self._quarantine = quarantine
         self._burn = burn
         self._metrics = metrics
@@ -124,7 +124,7 @@
         return json_answer(answer)
 
     def _issue_key(self, service: Service, now: float) -> str:
-        """Return a key for one request, or "" for look-ups and unless serving."""
+        """Return a key for one request; "" for class LOOKUP or unless serving."""
         if service.work is WorkClass.LOOKUP or self.state is not GateState.SERVING:
             return ""
         return self._key_registry.issue(secrets.token_bytes(8), now)
@@ -149,18 +149,18 @@
         """Serve one request and record its result."""
         arrived = asyncio.get_running_loop().time()
         service = request.match_info["service"]
-        answered = False
+        succeeded = False
         self.active += 1
         try:
             response = await self._serve(request, origin, arrived)
-            answered = response.status < 500
+            succeeded = response.status < 500
             return response
         except Refusal as e:
             return self._refusal_response(e, service, origin)
         finally:
             self.active -= 1
             if not origin.forwarded and service in self._scheduler.view.services:
-                self._record_request(service, origin.tier, arrived, answered)
+                self._record_request(service, origin.tier, arrived, succeeded)
 
     async def _serve(
         self, request: web.Request, origin: Origin, arrived: float
@@ -202,7 +202,10 @@
     def _refusal_response(
         self, e: Refusal, service: str, origin: Origin
     ) -> web.Response:
-        """Log and count a refusal, as a warning if the request may have run."""
+        """Count and log a refusal and return its response.
+
+        The log level is warning if the request may have run.
+        """
         log = logger.info if e.run is Run.NO else logger.warning
         log(
             "refused",
--- a/leverdoor/gate/hop_client.py
+++ b/leverdoor/gate/hop_client.py
@@ -4,8 +4,8 @@
 
 Owns the HTTP connections to targets and gates, which are closed with the process. It
 pools connections for look-ups and opens a new one for each request that must run at
-most once. It never retries. Relies on the deadline of the hop and on socket timeouts;
-no other timer ends a hop.
+most once. It never retries. Relies on the hop's deadline for buffered requests and on
+connect and idle timeouts; no other timer ends a hop.
 """
 
 import asyncio
@@ -65,7 +65,7 @@
         self.consumed = False
         self.on_start: Callable[[], Awaitable[None]] | None = None
         self._stream = stream
-        self._stall_s = idle_timeout_s
+        self._idle_timeout_s = idle_timeout_s
 
     @property
     def replayable(self) -> bool:
@@ -73,14 +73,14 @@
         return self.buffered is not None or not self.consumed
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the stream; any error aborts the hop before the body is complete."""
+        """Yield the stream; an exception closes the connection to the receiver."""
         assert self._stream is not None
         self.consumed = True
         if self.on_start is not None:
             await self.on_start()
         sent = 0
         while True:
-            async with asyncio.timeout(self._stall_s):
+            async with asyncio.timeout(self._idle_timeout_s):
                 chunk = await self._stream.readany()
             if not chunk:
                 break
@@ -93,7 +93,11 @@
 
 
 class Hop(msgspec.Struct):
-    """A request to the next process."""
+    """A request to the next process.
+
+    `deadline` is a loop time in seconds. `once` requires a new connection; `relay`
+    marks a gate as the receiver.
+    """
 
     method: str
     url: str
--- a/leverdoor/gate/idempotency_keys.py
+++ b/leverdoor/gate/idempotency_keys.py
@@ -2,9 +2,9 @@
 # SPDX-License-Identifier: Apache-2.0
 """Issues idempotency keys and keeps the outcomes of their requests.
 
-A key is valid only at the process that issued it. The memory of that process alone
-decides whether the request ran, without a clock, store or hand-over. After the process
-has ended, the request can never run again, and whether it ran is unknown.
+A key is valid only at the process that issued it. That process alone records whether
+the request ran, without a wall clock, store or hand-over. After the process has ended,
+the request can never run again, and whether it ran is unknown.
 
 Owns the signing secret and the outcomes; both are lost when the process ends.
 """
@@ -32,7 +32,7 @@
 
 
 class Key(msgspec.Struct, frozen=True, array_like=True):
-    """Decoded contents of an idempotency key."""
+    """Decoded idempotency key; `issued_ms` counts from the start of the issuer."""
 
     vm: str
     relay: str
@@ -43,7 +43,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """Result of a request: a response, or the error code of a missing one."""
+    """Result of a request; `code` is OK unless the response is lost or discarded."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -134,9 +134,9 @@
         return same and key.incarnation < self.incarnation
 
     def begin(self, key: Key, now: float) -> KeyState:
-        """Start the request of a key unless it has started before.
+        """Record the start of the request of a key unless it has started before.
 
-        Returns: NEW if the caller must run the request now; else its state.
+        Returns: NEW if the request must be run now; else its state.
         Raises:
           Refusal: KEY_INVALID or KEY_EXPIRED.
         """
@@ -158,7 +158,8 @@
     def finish(self, key: Key, outcome: Outcome) -> None:
         """Store the outcome of a key.
 
-        A body above the limits is replaced by ALREADY_RAN.
+        An outcome whose body exceeds a limit is stored as ALREADY_RAN, without headers
+        and body.
         """
         record = self._records.get(key.nonce)
         if record is None:
@@ -170,7 +171,7 @@
         record.outcome = outcome
 
     def outcome(self, key: Key) -> Outcome | None:
-        """Return the outcome of a key, or None while its request runs."""
+        """Return the outcome of a key; None if it is unknown or still running."""
         record = self._records.get(key.nonce)
         return record.outcome if record else None
 
--- a/leverdoor/gate/keyed_server.py
+++ b/leverdoor/gate/keyed_server.py
@@ -32,21 +32,26 @@
 OUTCOME_RETRY_MS = 500
 """Retry-After while the outcome of a request is unknown, in ms.
 
-Covers several runs, or several heartbeats of an unreachable issuer. A smaller value
-loads the issuer without benefit; a greater one delays the caller's outcome.
+Several run times and heartbeat intervals, after which the outcome or the end of an
+unreachable issuer is likely to be known. A smaller value loads the issuer without
+benefit; a greater one delays the caller's outcome.
 """
 MAX_OUTCOME_BYTES = 8 * 1024 * 1024
 """Maximum length of a buffered response, in bytes; bounds the gate's memory."""
 
 
 class KeyedServer:
-    """Runs requests with a key of this gate and forwards others to the issuer."""
+    """Runs requests with a key of this gate; forwards those of other issuers."""
 
     def __init__(
-        self, ring: KeyRegistry, server: Server, scheduler: Scheduler, client: HopClient
+        self,
+        key_registry: KeyRegistry,
+        server: Server,
+        scheduler: Scheduler,
+        client: HopClient,
     ) -> None:
         """Create the server from the gate's components."""
-        self._key_registry = ring
+        self._key_registry = key_registry
         self._server = server
         self._scheduler = scheduler
         self._client = client
@@ -58,7 +63,7 @@
         return len(self._running)
 
     async def serve(self, inbound: GateRequest) -> Outcome:
-        """Return the outcome of the request that a key identifies.
+        """Run the request at the issuer of its key unless it ran; return its outcome.
 
         Raises:
           Refusal: there is no outcome; the code says whether the request may have run.
@@ -77,7 +82,7 @@
         return await self._await_outcome(inbound, key)
 
     def _start(self, inbound: GateRequest, key: Key) -> None:
-        """Run the request in its own task, so that a disconnect keeps the outcome."""
+        """Run the request in its own task, which outlives the caller's connection."""
         task = asyncio.create_task(self._run(inbound, key))
         self._running[key.nonce] = task
         task.add_done_callback(lambda _: self._running.pop(key.nonce, None))
--- a/leverdoor/gate/peers.py
+++ b/leverdoor/gate/peers.py
@@ -3,9 +3,9 @@
 """Load estimates of the other gates and the selection of a gate to forward to.
 
 Owns the latest heartbeat of each gate, adjusted by the requests forwarded since. This
-state is lost when the process ends and rebuilt from a few hints. Relies on the agent's
-hints, whose heartbeats are at least 0.1 s old: loads are estimates, and a gate without
-a free slot refuses a forwarded request.
+state is lost when the process ends and rebuilt from a few messages of the agent. Relies
+on the agent's hints, whose heartbeats are at least 0.1 s old: loads are estimates, and
+a gate without a free slot refuses a forwarded request.
 """
 
 from collections.abc import Callable, Iterable
@@ -23,7 +23,7 @@
 """Time without forwarding to a gate after a failed connection, in seconds.
 
 Five heartbeat intervals. A longer time leaves its slots idle after one lost connection;
-a shorter one costs more attempts until its heartbeats expire.
+a shorter one costs more attempts until the failed gate's heartbeat expires.
 """
 FORWARD_MARGIN_MS = 2.0
 """Minimum wait saved by forwarding to a shorter queue, in ms: two hops of 1 ms.
@@ -50,8 +50,8 @@
 class PeerGate(msgspec.Struct):
     """Another gate and its load, adjusted by requests sent since its last heartbeat.
 
-    `free` holds free slots and `sent` forwarded requests, both by service; `caps` holds
-    free cap units by row.
+    `free` holds free slots less waiting requests and `sent` forwarded requests, both by
+    service; `caps` holds free cap units by row.
     """
 
     peer: Peer
@@ -84,7 +84,7 @@
 class PeerGates:
     """The other gates by VM."""
 
-    def __init__(self, vm: str, leaving: Callable[[str], bool], rng: Random) -> None:
+    def __init__(self, vm: str, is_leaving: Callable[[str], bool], rng: Random) -> None:
         """Create an empty table.
 
         Args:
@@ -93,7 +93,7 @@
           rng: source of randomness.
         """
         self._vm = vm
-        self._leaving = leaving
+        self._is_leaving = is_leaving
         self._rng = rng
         self._known: dict[str, PeerGate] = {}
 
@@ -128,7 +128,7 @@
             self._known[vm].backoff_until = now + PEER_BACKOFF_S
 
     def refused(self, vm: str, service: str) -> None:
-        """Assume no free slot at a gate that refused until its next heartbeat."""
+        """Until a gate's next heartbeat, assume that it has no free slot."""
         if vm in self._known:
             self._known[vm].free[service] = 0
 
@@ -145,7 +145,7 @@
             and n.heartbeat.state is GateState.SERVING
             and now >= n.backoff_until
             and not n.peer.silent(now)
-            and not self._leaving(n.heartbeat.vm)
+            and not self._is_leaving(n.heartbeat.vm)
         ]
 
     def load(self, service: str, region: str, now: float) -> RegionLoad:
@@ -165,7 +165,7 @@
     def with_free_slot(
         self, service: str, region: str, cap: str, now: float
     ) -> PeerGate | None:
-        """Select the gate with more free slots out of two random ones.
+        """Select the better of two random gates and deduct the slot from its estimate.
 
         Args:
           service: the requested service.
@@ -192,8 +192,8 @@
     ) -> PeerGate | None:
         """Select a gate whose wait is shorter by more than FORWARD_MARGIN_MS.
 
-        Under load a slot stays free for less time than the age of a heartbeat, so
-        queue lengths predict the wait better than free slots.
+        Under load a slot stays free for less time than the age of a heartbeat, so the
+        queue length is the better predictor.
         """
         found = [
             (wait_ms, n)
--- a/leverdoor/gate/placement.py
+++ b/leverdoor/gate/placement.py
@@ -28,10 +28,10 @@
 __all__ = ["Decision", "Dispatch", "Forward", "Placement", "bulk_limit"]
 
 BULK_SHARE = 0.5
-"""Share of slots available to bulk uploads in a service with other requests.
+"""Share of slots available to bulk uploads in a service that is not of class BULK.
 
 An upload holds a slot for minutes; without a limit uploads would take all slots. A
-greater share lengthens the wait of other requests, a smaller one the uploads.
+greater share lengthens the wait of other requests, a smaller one that of uploads.
 """
 SPILL_MARGIN_MS = 5.0
 """Minimum wait saved by leaving the home region, beyond the round trip, in ms.
@@ -41,14 +41,17 @@
 """
 
 NO_SLOT_WAIT_MS = 30_000.0
-"""Expected wait at a gate that holds no slot, in ms; longer than any deadline.
+"""Wait assumed at a gate without slots, in ms; longer than any deadline.
 
-Any other gate of the region with a slot is therefore preferred.
+Every other gate of the region with a slot is therefore preferred.
 """
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """Send the request to a local target; its units are already acquired."""
+    """Decision to use a local target, whose units are acquired.
+
+    `slot` and `cap` are rows of the ownership table; `cap` is "" without a cap unit.
+    """
 
     target: Target
     slot: str
@@ -56,7 +59,7 @@
 
 
 class Forward(msgspec.Struct, frozen=True):
-    """Forward the request to the gate with the address `relay`."""
+    """Decision to forward the request to the gate with the address `relay`."""
 
     vm: str
     relay: str
@@ -79,8 +82,9 @@
 def should_leave_home(load: RegionLoad, nearest_ms: float) -> bool:
     """Return whether a request should leave its home region.
 
-    True if the home region holds no slot, or if the expected wait there exceeds the
-    round trip to the nearest other region by more than SPILL_MARGIN_MS.
+    True if no usable gate of the home region holds a slot, or if the expected wait
+    there exceeds the round trip to the nearest other region by more than
+    SPILL_MARGIN_MS.
 
     Args:
       load: load of the home region.
@@ -110,7 +114,7 @@
           region: this gate's region.
           held_units: the units of this process.
           pool: the targets of this region.
-          neighbours: the other gates.
+          peer_gates: the other gates.
           workloads: the requests waiting and running at this gate.
           rng: source of randomness.
         """
@@ -133,9 +137,10 @@
     def place(
         self, request: QueuedRequest, service: Service, now: float
     ) -> Dispatch | Forward | None:
-        """Find a free slot in the home region, then in others by distance.
+        """Acquire a local slot or select a gate to forward to.
 
-        A forwarded request is only placed on a target of this gate.
+        Tries the home region first, then the others by distance. A forwarded request
+        is only placed on a target of this gate.
         """
         for region in self._regions(request):
             decision: Dispatch | Forward | None = None
@@ -204,7 +209,7 @@
     def _accepts_bulk(self, service: Service, now: float) -> bool:
         """Return whether a bulk upload may take a slot.
 
-        It may not while other requests wait.
+        False while other requests wait or the bulk limit is reached.
         """
         limit = bulk_limit(self._pool.slots(service.name, now), service.work)
         workload = self._workloads.of(service.name)
@@ -247,7 +252,7 @@
     def release_units(
         self, request: QueuedRequest, dispatch: Dispatch, now: float, cooldown_s: float
     ) -> None:
-        """Release the units of a dispatch after a cooldown of `cooldown_s` seconds."""
+        """Release the units, which count as used for `cooldown_s` more seconds."""
         self._held_units.release(dispatch.slot, now, cooldown_s)
         if dispatch.cap:
             self._shifts.release_units(
--- a/leverdoor/gate/pool.py
+++ b/leverdoor/gate/pool.py
@@ -22,13 +22,13 @@
 SCORE_JITTER = 0.1
 """Maximum random increase of a target's score, as a share of the score.
 
-Without it, gates with the same reports select the same target. A greater value hides
-real latency differences.
+Without it, gates with the same probe results select the same target. A greater value
+hides real latency differences.
 """
 
 
 class TargetPool:
-    """The targets of this gate's region with their units and health."""
+    """The targets of which this gate holds slots, with their health."""
 
     def __init__(self, region: str, held_units: HeldUnits, view: View) -> None:
         """Create a pool.
@@ -48,9 +48,9 @@
 
     def targets(self, service: str) -> list[Target]:
         """Return the targets of a service of which this gate holds slots."""
-        basis = (self.view, self._held_units.version)
-        if self._cache_key != basis:
-            self._cache_key = basis
+        cache_key = (self.view, self._held_units.version)
+        if self._cache_key != cache_key:
+            self._cache_key = cache_key
             self._held_targets = {}
         found = self._held_targets.get(service)
         if found is None:
@@ -116,7 +116,7 @@
         )
 
     def slots_in_service(self, service: str) -> int:
-        """Return the number of slots held, including those at ejected targets."""
+        """Return the number of slots held at targets in service, ejected or not."""
         return sum(
             self._held_units.held(slot_row(t.address))
             for t in self.targets(service)
@@ -124,13 +124,13 @@
         )
 
     def first_ejection_end_ms(self, service: str, now: float) -> float:
-        """Return the time until the first ejection of a held target ends, in ms."""
-        pauses = [
+        """Return the time until a held target is no longer ejected, in ms."""
+        remaining = [
             self.health.of(t, now).ejected_until - now
             for t in self.targets(service)
             if self.in_service(t)
         ]
-        return 1000 * max(min(pauses, default=0.0), 0.0)
+        return 1000 * max(min(remaining, default=0.0), 0.0)
 
     def any_in_service(self, service: str) -> bool:
         """Return whether any region has a target in service, even an ejected one."""
--- a/leverdoor/gate/quarantining.py
+++ b/leverdoor/gate/quarantining.py
@@ -42,7 +42,7 @@
 """Number of gates that receive notices in one round.
 
 Each notice is sent for three rounds, so that 195 gates have it after three rounds. With
-fewer, some gates receive it later; more cost more connections.
+a smaller number, some gates receive it later; a greater one costs more connections.
 """
 NOTICE_TIMEOUT_S = 1.0
 """Timeout for sending notices to one gate, in seconds; another round follows."""
@@ -58,7 +58,7 @@
 
         Args:
           vm: this gate's VM.
-          neighbours: the other gates.
+          peer_gates: the other gates.
           metrics: exports the number of quarantined requests.
           rng: selects the gates that receive notices.
         """
@@ -77,7 +77,9 @@
     # Requests.
 
     def check(self, fingerprint: int) -> None:
-        """Refuse a request that is quarantined; fingerprint 0 never is.
+        """Refuse a quarantined request unless this gate may run it as a test.
+
+        One gate tests for all; fingerprint 0 is never quarantined.
 
         Raises:
           Refusal: the request is quarantined.
@@ -111,7 +113,7 @@
     def _record_check(
         self, target: Target, found: TargetCheck, runs: list[LostRun], took_s: float
     ) -> None:
-        """Record the runs lost in a crash; a drained target ended as planned."""
+        """Record the runs lost in a crash; ignore the end of a draining target."""
         logger.info("target checked", target=target.name, found=found.value)
         if found is not TargetCheck.ENDED or target.draining:
             return
@@ -146,7 +148,7 @@
             )
 
     async def _send_notices(self, notices: bytes, now: float) -> None:
-        """Send notices to random gates; others inform an unreachable one later."""
+        """Send notices to random gates; an unreachable gate gets them from others."""
         if not notices:
             return
         relays = sorted(n.heartbeat.relay for n in self._peer_gates.usable(now))
--- a/leverdoor/gate/queueing.py
+++ b/leverdoor/gate/queueing.py
@@ -3,8 +3,8 @@
 """Queue of waiting requests with reserves and weighted sharing between tiers.
 
 Owns the waiting requests of one service at this gate and the stride-scheduling state of
-its tiers; both are lost when the process ends. Relies on its caller to count the slots
-in use.
+its tiers; both are lost when the process ends. Relies on `workload.py` to count the
+slots in use.
 """
 
 from collections import deque
@@ -96,8 +96,8 @@
     ) -> tuple[bool, float, str]:
         """Return the sort key of a tier.
 
-        Tiers below their reserve come first, by the used part of it; the others follow
-        by stride-scheduling pass.
+        Tiers below their reserve come first, lowest used share of it first; the others
+        follow by lowest stride-scheduling pass.
         """
         reserved = tier.reserve_percent * held / 100
         used = in_use.get(tier.name, 0)
--- a/leverdoor/gate/request_reader.py
+++ b/leverdoor/gate/request_reader.py
@@ -31,7 +31,7 @@
 
 
 def caller_origin(request: web.Request, view: View, region: str) -> Origin:
-    """Return a caller's origin: its tier by name, its home region by address."""
+    """Return a caller's origin: tier by caller name, home region by IP address."""
     caller = request.headers.get(h.CALLER, "")
     return Origin(
         request_id=request.headers.get(h.REQUEST_ID, "") or secrets.token_hex(8),
@@ -42,7 +42,7 @@
 
 
 def gate_origin(request: web.Request, view: View, region: str) -> Origin:
-    """Return the origin that another gate gives for a forwarded request."""
+    """Return the origin that another gate states in its headers."""
     head = request.headers
     return Origin(
         request_id=head.get(h.REQUEST_ID, ""),
@@ -66,7 +66,7 @@
     Raises:
       Refusal: KEY_REQUIRED, BAD_REQUEST or BODY_TOO_SLOW; the request did not run.
     """
-    queued = _queued(request, service, origin, arrived)
+    queued = _scheduling_data(request, service, origin, arrived)
     key = "" if origin.forwarded else request.headers.get(h.KEY, "")
     needs_key = service.work is WorkClass.ONCE and not queued.bulk
     if needs_key and not key and not origin.forwarded:
@@ -98,7 +98,7 @@
     return request_fingerprint(method, service.name, tail, caller, body.buffered, size)
 
 
-def _queued(
+def _scheduling_data(
     request: web.Request, service: Service, origin: Origin, arrived: float
 ) -> QueuedRequest:
     """Return the scheduling data; the service limits the requested deadline."""
@@ -145,7 +145,7 @@
 
 
 async def defer_continue(request: web.Request) -> None:
-    """Defer the reply to `Expect: 100-continue` until the body is read."""
+    """Replace the library's immediate reply to `Expect: 100-continue`."""
 
 
 async def _send_continue(request: web.Request) -> None:
--- a/leverdoor/gate/requests.py
+++ b/leverdoor/gate/requests.py
@@ -17,10 +17,11 @@
 
 
 class Origin(msgspec.Struct, frozen=True):
-    """The sender of a request.
+    """The caller of a request.
 
-    `home` is the caller's region. `forwarded` marks a request that another gate sent
-    to use a slot of this one; the other gate records it in its metrics.
+    `home` is the caller's region. `forwarded` marks a request that another gate sent to
+    use a slot of this one; the other gate records it in its metrics. A request that a
+    gate sent to the issuer of its key is not marked.
     """
 
     request_id: str
--- a/leverdoor/gate/retries.py
+++ b/leverdoor/gate/retries.py
@@ -3,7 +3,7 @@
 """Retry policy and retry budget of a gate.
 
 Owns the retry budget, which is lost when the process ends and starts full. Relies on
-the code of a refusal to tell whether the request may have run (docs/ERRORS.md).
+`Refusal.run`, which states whether the request may have run (docs/ERRORS.md).
 """
 
 from leverdoor.errors import Code, Refusal, Run
@@ -15,7 +15,7 @@
 MAX_ATTEMPTS = 4
 """Maximum number of attempts of one request, including the first.
 
-Attempts that did not run are retried outside the budget and need this limit. More
+Attempts that did not run are retried outside the budget; this limit bounds them. More
 attempts lengthen the wait for a refusal; fewer give up while targets are left.
 """
 BUDGET_RATIO = 0.1
--- a/leverdoor/gate/retry_after.py
+++ b/leverdoor/gate/retry_after.py
@@ -3,8 +3,8 @@
 """Computes the Retry-After of the requests that a gate refuses.
 
 Pure functions that receive their source of randomness; owns no state. Relies on
-`scheduler.expected_wait_ms` for the expected wait; `errors.SOON_MS` holds the minimum
-of each code.
+`scheduler.expected_wait_ms` for the expected wait; `errors.SOON_MS` holds the least
+time of each code.
 """
 
 from random import Random
@@ -28,8 +28,8 @@
 NO_TARGET_RETRY_MS = 1_000.0
 """Minimum wait assumed for NO_TARGET, in ms, before jitter.
 
-Drains and departures of VMs end within seconds, at an unknown time. With a smaller
-value all callers retry in vain.
+A drain or the leaving of a VM takes seconds and ends at an unknown time. With a smaller
+value callers retry without success.
 """
 CAP_WINDOW_SHARE = 0.25
 """Minimum wait assumed for CAP_REACHED, as a share of the shift cap's window.
@@ -38,12 +38,12 @@
 quarter of it. The whole window would leave units unused.
 """
 NOT_READY_RETRY_MS = 500
-"""Retry-After of a gate that has no configuration or is leaving, in ms.
+"""Retry-After of NOT_READY and of failed readiness checks, in ms.
 
 Startup takes longer, and the caller can use other gates in the meantime.
 """
 LEAVING_RETRY_MS = MIN_RETRY_MS
-"""Retry-After of a gate that has closed, in ms.
+"""Retry-After of requests refused after the gate has closed, in ms.
 
 Another gate can serve the request at once, so the caller need not wait longer.
 """
@@ -54,7 +54,8 @@
 ) -> int:
     """Return the Retry-After of a refused request, in ms.
 
-    One to two times the expected wait, so that callers do not retry simultaneously.
+    One to two times the expected wait plus jitter up to MIN_RETRY_MS, within the
+    limits, so that callers do not retry simultaneously.
 
     Args:
       code: the reason of the refusal.
--- a/leverdoor/gate/row_units.py
+++ b/leverdoor/gate/row_units.py
@@ -58,8 +58,8 @@
     def free(self, now: float) -> int:
         """Return the number of available units; negative when over the grant."""
         self._settling = [r for r in self._settling if r[0] > now]
-        unripe = sum(units for _, units in self._settling)
-        return self.held - unripe - self.used(now)
+        settling = sum(units for _, units in self._settling)
+        return self.held - settling - self.used(now)
 
     def acquire(self, now: float) -> bool:
         """Acquire one unit if one is available."""
@@ -102,21 +102,21 @@
         if table.version <= self.version:
             return False
         self.version = table.version
-        number = table.member_id(self.gate, self.incarnation)
+        member = table.member_id(self.gate, self.incarnation)
         granted = {
-            name: row.held[number]
+            name: row.held[member]
             for name, row in table.rows.items()
-            if number and number in row.held
+            if member and member in row.held
         }
         for name in granted.keys() - self.rows.keys():
             self.rows[name] = Units(settle_s.get(name, 0.0))
         for name, units in self.rows.items():
             units.settle_s = max(settle_s.get(name, units.settle_s), 0.0)
             units.set_held(granted.get(name, 0), now)
-        self._forget(now)
+        self._remove_idle_rows(now)
         return True
 
-    def _forget(self, now: float) -> None:
+    def _remove_idle_rows(self, now: float) -> None:
         idle = [n for n, u in self.rows.items() if not u.held and not u.used(now)]
         for name in idle:
             del self.rows[name]
@@ -139,9 +139,9 @@
     def release(self, row: str, now: float, cooldown_s: float = 0.0) -> None:
         """Release one unit of a row, with a cooldown of `cooldown_s` seconds."""
         self.rows[row].release(now, cooldown_s)
-        self._forget(now)
+        self._remove_idle_rows(now)
 
     def ack(self, now: float) -> Ack:
-        """Return the applied table version and the rows used beyond their grant."""
+        """Return the table version and the rows with more units used than granted."""
         over = sorted(n for n, u in self.rows.items() if u.used(now) > u.held)
         return Ack(self.version, over)
--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -2,12 +2,12 @@
 # SPDX-License-Identifier: Apache-2.0
 """Decides whether a request is placed, forwarded, queued or refused; without I/O.
 
-A request is placed (`placement.py`) if no other waits before it. Otherwise it is
-forwarded to a gate with a shorter queue, queued or refused. Owns the target pool, the
-load estimates of other gates and the workloads (`workload.py`); all are lost when the
-process ends. Relies on `row_units.py` for units, on the configuration snapshot and on
-heartbeats of other gates, which are at least 0.1 s old. Without heartbeats it decides
-from its own counts alone.
+A request is placed (`placement.py`) if no interactive request waits or if another
+region forwarded it. Otherwise it is forwarded to a gate with a shorter queue, queued or
+refused. Owns the target pool, the load estimates of other gates and the workloads
+(`workload.py`); all are lost when the process ends. Relies on `row_units.py` for units,
+on the configuration snapshot and on heartbeats of other gates, which are at least 0.1 s
+old. Without heartbeats it decides from its own counts alone.
 """
 
 from random import Random
@@ -71,7 +71,7 @@
         return self.pool.health
 
     def vm_leaving(self, vm: str) -> bool:
-        """Return whether a VM is leaving by the VM list or by a drain."""
+        """Return whether the VM list marks a VM as leaving or a drain covers it."""
         return vm in self.pool.leaving_vms or self.view.vm_drained(vm)
 
     def usable_gates(self, now: float) -> list[AgentHeartbeat]:
@@ -91,7 +91,7 @@
         return found
 
     def caps(self, now: float) -> dict[str, int]:
-        """Return this gate's free units of each shift cap into its region."""
+        """Return this gate's free units of each shift cap into its region, by row."""
         return self._placement.free_caps(now)
 
     # Decisions on one request.
@@ -107,7 +107,7 @@
         if now >= request.deadline:
             return self._refuse(Code.DEADLINE_TOO_SHORT, request, now)
         queue = self._workloads.add(request.service).queue
-        if not queue.interactive() or self._is_shifted_in(request):
+        if not queue.interactive() or self._from_other_region(request):
             decision = self._placement.place(request, service, now)
             if decision is not None:
                 return decision
@@ -116,19 +116,19 @@
             return shorter
         return self._queue_or_refuse(request, service, queue, now)
 
-    def _is_shifted_in(self, request: QueuedRequest) -> bool:
-        """Return whether another region forwarded the request, which is not queued."""
+    def _from_other_region(self, request: QueuedRequest) -> bool:
+        """Return whether another region forwarded the request to this gate."""
         return request.forwarded and request.home != self.region
 
     def _queue_or_refuse(
         self, request: QueuedRequest, service: Service, queue: WaitQueue, now: float
     ) -> Decision | None:
-        """Queue a request, or refuse it if the wait would be futile.
+        """Queue a request unless it cannot be served in time or the queue is full.
 
         CAP_REACHED refuses a request of another region that found no cap unit or no
         slot; the sending gate then tries another gate.
         """
-        if self._is_shifted_in(request):
+        if self._from_other_region(request):
             return self._refuse(Code.CAP_REACHED, request, now)
         if not self.pool.any_in_service(service.name):
             return self._refuse(Code.NO_TARGET, request, now)
@@ -148,14 +148,16 @@
     def expected_wait_ms(self, request: QueuedRequest, now: float) -> float:
         """Estimate how long a new request would wait in this region, in ms.
 
-        Divides the preceding requests at all gates by the slots held there. Without a
-        slot in the region, divides them by the rate at which shift caps admit requests
-        to other regions.
+        The wait is the mean run time of this and all preceding requests of the region
+        over its slots, plus the time until the first ejection ends. Without a slot in
+        the region, the preceding requests, with queues of the same length assumed at
+        its other gates, are divided by the rate at which shift caps admit requests to
+        other regions.
         """
         workload = self._workloads.of(request.service)
         ahead = workload.queue.ahead(request.tier)
         own = workload.queue.interactive()
-        # Heartbeats do not carry tiers: assume this gate's share for other gates.
+        # Heartbeats carry no tiers: assume the same share precedes at other gates.
         share = ahead / own if own else 1.0
         others = self.peer_gates.load(request.service, self.region, now)
         held = self.pool.slots_in_service(request.service) + others.held
@@ -189,7 +191,7 @@
         return self._refuse(Code.SHED_BY_TIER, request, now)
 
     def poll(self, now: float) -> list[tuple[QueuedRequest, Decision]]:
-        """Return new decisions on waiting requests after a change."""
+        """Expire and place waiting requests; return the decisions."""
         decisions: list[tuple[QueuedRequest, Decision]] = []
         for name, queue in self._workloads.waiting():
             for late in queue.remove_expired(now):
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -49,7 +49,7 @@
           server: releases the units.
           inbound: the request.
           answer: the response, its body unread.
-          decision: the one that acquired units; None for a forwarded request.
+          decision: holds the units to release; None if another gate serves it.
           began: loop time of sending the request, in seconds.
         """
         self._server = server
@@ -65,7 +65,7 @@
             self.served_by = f"{decision.target.region}/{decision.target.name}"
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; release the slot of a short one before the first chunk."""
+        """Yield the body; if it fits the read-ahead, release the slot first."""
         head: list[bytes] = []
         size = 0
         complete = False
@@ -153,8 +153,8 @@
 
     def _may_retry(self, inbound: GateRequest, refusal: Refusal, attempt: int) -> bool:
         """Return whether to retry a request; a quarantined one is never retried."""
-        held = refusal.code is Code.QUARANTINED
-        if held or not self._quarantine.may_retry(inbound.fingerprint):
+        quarantined = refusal.code is Code.QUARANTINED
+        if quarantined or not self._quarantine.may_retry(inbound.fingerprint):
             return False
         return self._retries.allows(inbound, refusal, attempt)
 
@@ -201,7 +201,7 @@
     async def _send_to_gate(
         self, inbound: GateRequest, decision: Forward
     ) -> ServedResponse:
-        """Send a request to another gate; re-raise its refusal."""
+        """Send a request to another gate; raise the refusal that it returns."""
         loop = asyncio.get_running_loop()
         peer_gates = self._dispatcher.scheduler.peer_gates
         hop = gate_hop(inbound, decision.relay, loop.time())
@@ -234,7 +234,7 @@
         ok: bool,
         may_run: bool,
     ) -> None:
-        """Release units; the cooldown is the linger if the request may still run."""
+        """Release units, with the service's linger as cooldown if `may_run`."""
         now = asyncio.get_running_loop().time()
         took_ms = (now - began) * 1000
         scheduler = self._dispatcher.scheduler
--- a/leverdoor/gate/shift_limiter.py
+++ b/leverdoor/gate/shift_limiter.py
@@ -3,7 +3,7 @@
 """Limits requests from other regions by the shift caps into this region.
 
 Owns the ramps of these caps, which are lost when the process ends. Relies on
-`row_units.py` for units; a unit counts as used until a window after its request ended.
+`row_units.py` for units; a unit counts as used for one window after its request ended.
 """
 
 import math
@@ -59,7 +59,7 @@
         Args:
           view: the configuration in force.
           service: the service of the request.
-          row: what `acquire` returned.
+          row: row of the unit, as returned by `acquire`; not "".
           now: monotonic time in seconds.
           cooldown_s: time in which the target may still run the request, in
             seconds; added to the window.
@@ -78,7 +78,10 @@
 
 
 def shift_rate_per_s(view: View, service: str, home: str, mean_ms: float) -> float:
-    """Return the rate at which caps admit requests out of a region, per second."""
+    """Return the rate at which caps admit requests out of a region, per second.
+
+    Infinite if another region with targets has no cap, or if no other has targets.
+    """
     total = 0.0
     for region in view.regions:
         if region == home or (service, region) not in view.by_place:
--- a/leverdoor/gate/target_health.py
+++ b/leverdoor/gate/target_health.py
@@ -22,8 +22,8 @@
 FAILURE_EJECTION_LONGEST_S = 10.0
 """Maximum ejection after failures, in seconds.
 
-Bounds the time until a recovered target receives its next request. A shorter ejection
-loses a request more often while the target is down.
+Bounds the time until a recovered target receives its next request. A lower maximum
+sends more requests to a target that is down.
 """
 SHED_EJECTION_FIRST_S = 0.1
 """First ejection after a shed request, in seconds; doubles with each further one.
@@ -52,9 +52,10 @@
 """
 
 MAX_PROBE_LAG_S = 1.0
-"""Time after a leaving response in which contradicting probes are ignored, in seconds.
+"""Maximum age of probe results compared with responses, in seconds.
 
-Such a probe may predate the response. A restart at the address takes longer.
+A probe taken within this time after a response that announced leaving does not clear
+that state. A restart at the address takes longer, so its probes are not affected.
 """
 
 
@@ -68,8 +69,8 @@
         self.leaving = False
         self._leaving_recorded_at = -MAX_PROBE_LAG_S
         """Time of the latest response that announced leaving."""
-        self._process_ended = False
-        """The latest probe failed, so the next successful one reaches a new process."""
+        self._latest_probe_failed = False
+        """The latest probe failed; the next successful one clears `leaving`."""
         self.ejected_until = 0.0
         self.slow_start_at = now
         self._failures = 0
@@ -92,7 +93,7 @@
         self.slow_start_at = self.ejected_until
 
     def shed(self, now: float) -> None:
-        """Record a shed request; a report does not end this ejection."""
+        """Record a shed request and eject the target; probes do not reset its count."""
         wait = min(SHED_EJECTION_FIRST_S * 2**self._sheds, SHED_EJECTION_LONGEST_S)
         self._sheds += 1
         self.ejected_until = max(self.ejected_until, now + wait)
@@ -105,7 +106,8 @@
     def report(self, probe: Probe) -> None:
         """Record a probe result.
 
-        A good one resets the failures of a target that did not shed requests.
+        A successful probe resets the failure count, unless the target shed requests
+        since its latest complete response.
         """
         self._probe = probe
         self._update_leaving(probe)
@@ -115,16 +117,20 @@
             self.failed(probe.taken_at)
 
     def _update_leaving(self, probe: Probe) -> None:
-        """Update the leaving state; a newer probe may clear that of a response."""
+        """Update the leaving state from a probe.
+
+        A successful probe clears it after a failed one, or if it reports state and is
+        newer than the response that set it by MAX_PROBE_LAG_S.
+        """
         newer = probe.taken_at - self._leaving_recorded_at > MAX_PROBE_LAG_S
         if probe.leaving:
             self.leaving = True
         elif not probe.ok:
-            self._process_ended = True
-        elif self._process_ended or (probe.reports and newer):
+            self._latest_probe_failed = True
+        elif self._latest_probe_failed or (probe.reports and newer):
             self.leaving = False
         if probe.ok:
-            self._process_ended = False
+            self._latest_probe_failed = False
 
     def usable(self, now: float) -> bool:
         """Return whether the target accepts new requests."""
@@ -149,8 +155,8 @@
         load = float(self.in_flight)
         probe = self._probe
         if probe is not None and now - probe.taken_at <= MAX_REPORT_AGE_S:
-            trust = 1 - (now - probe.taken_at) / MAX_REPORT_AGE_S
-            load += trust * max(probe.in_flight - self.in_flight, 0) / 2
+            weight = 1 - (now - probe.taken_at) / MAX_REPORT_AGE_S
+            load += weight * max(probe.in_flight - self.in_flight, 0) / 2
         return self.mean_ms * (1 + load)
 
 
@@ -171,7 +177,7 @@
     def report(self, address: str, probe: Probe) -> None:
         """Record the probe result of an address.
 
-        Probes of unknown targets count only if they report leaving.
+        Probes of targets without an entry are ignored unless they report leaving.
         """
         found = self._health.get(address)
         if found is not None:
--- a/leverdoor/gate/workload.py
+++ b/leverdoor/gate/workload.py
@@ -75,5 +75,5 @@
 
 
 def queue_wait_ms(requests: float, mean_ms: float, slots: int) -> float:
-    """Return the time in which `slots` serve `requests`, in ms."""
+    """Return the expected time to serve `requests` with `slots`, in ms."""
     return requests * mean_ms / slots
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -252,7 +252,7 @@
 # Shift caps.
 
 
-async def test_a_shift_never_exceeds_its_cap() -> None:
+async def test_shifted_requests_do_not_exceed_the_shift_cap() -> None:
     async with running(deployment(vms=2, regions=2)) as bench:
         for target in bench.targets.values():
             target.faults.mean_ms = 5.0
--- a/tests/test_gate_fatal.py
+++ b/tests/test_gate_fatal.py
@@ -2,8 +2,8 @@
 # SPDX-License-Identifier: Apache-2.0
 """Quarantine of a look-up that crashes each target that runs it, on a plain site.
 
-Guards against a gate that remembers nothing of a request after its last attempt, and
-against gates that do not exchange quarantine notices. test_fatal_requests.py tests the
+Guards against gates that do not record crashes across requests or do not exchange
+quarantine notices. test_fatal_requests.py tests the
 same failure at entries.
 """
 
@@ -19,7 +19,7 @@
 CRASHES_BEFORE_QUARANTINE = 3
 """Crashes of targets before the request is quarantined."""
 MAX_FURTHER_CRASHES = 3
-"""Maximum number of crashes after all gates should know the quarantine."""
+"""Maximum number of crashes after PROPAGATION_S."""
 PROPAGATION_S = 4.0
 """Time in which all connected gates should learn of the quarantine, in seconds."""
 DOWN_S = 0.1
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -46,7 +46,7 @@
     assert len(runs(bench, "once")) == 1
 
 
-async def test_a_lost_answer_is_never_run_again(
+async def test_a_request_whose_response_is_lost_is_not_run_again(
     bench: Bench, session: aiohttp.ClientSession
 ) -> None:
     for target in bench.targets.values():
@@ -91,7 +91,7 @@
     assert len(runs(bench, "once")) == 1
 
 
-async def test_a_key_never_runs_after_its_issuer_ended(
+async def test_a_request_does_not_run_after_the_issuer_of_its_key_ended(
     bench: Bench, session: aiohttp.ClientSession
 ) -> None:
     async with calling(bench.listen("vm00")) as caller:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -31,7 +31,7 @@
 
 
 class KeyMachine(RuleBasedStateMachine):
-    """Callers repeat keys while issuers restart."""
+    """Random sequences of issuing, using and expiring keys and of restarts."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -146,7 +146,7 @@
 async def test_a_caller_that_disconnects_cancels_its_look_up(
     bench: Bench, session: aiohttp.ClientSession
 ) -> None:
-    """Without cancellation the targets would run for minutes."""
+    """Without cancellation the requests would run for minutes."""
     for target in bench.targets.values():
         target.faults.fixed, target.faults.mean_ms = True, 300_000.0
     url = f"http://{bench.listen()}/s/look/x"
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -306,7 +306,7 @@
     assert health.score(10.0) == idle
 
 
-def test_a_new_target_starts_slowly() -> None:
+def test_a_new_target_receives_few_requests_during_slow_start() -> None:
     s = scheduler(view(target(0, 4, warmup_ms=1000)))
     assert len(fill(s)) == 1
     s.targets.of(target(0), 0.0)
@@ -328,7 +328,7 @@
     assert Ramp(0.1, 1.0, 0.0).allowed(1, 0.0) == 1
 
 
-def test_low_tier_queues_at_other_gates_do_not_refuse_paid_requests() -> None:
+def test_paid_requests_are_accepted_while_low_tiers_wait_at_other_gates() -> None:
     s = scheduler(view(target(0, 2), queue=50))
     fill(s)
     for _ in range(10):
