--- a/leverdoor/gate/daemon.py
+++ b/leverdoor/gate/daemon.py
@@ -19,11 +19,11 @@
 
 from leverdoor.agent.link import GateLink, GateReport, Hints
 from leverdoor.gate.dispatch import Dispatcher
+from leverdoor.gate.gate_quarantine import GateQuarantine
 from leverdoor.gate.handler import MAX_HEADER_BYTES, GateHandler
 from leverdoor.gate.hop_client import HopClient
 from leverdoor.gate.idempotency_keys import KeyRegistry
 from leverdoor.gate.keyed_server import KeyedServer
-from leverdoor.gate.quarantining import GateQuarantine
 from leverdoor.gate.row_units import HeldUnits
 from leverdoor.gate.scheduler import Scheduler
 from leverdoor.gate.serving import Server
--- a/leverdoor/gate/quarantining.py
+++ b/leverdoor/gate/gate_quarantine.py
@@ -67,7 +67,7 @@
         self._metrics = metrics
         self._rng = rng
         self._quarantine = Quarantine()
-        self._ended = EndedTargets(_check_target, self._record_check)
+        self._target_checks = EndedTargets(_check_target, self._record_check)
         self._session = new_session(NOTICE_TIMEOUT_S)
 
     async def close(self) -> None:
@@ -102,7 +102,7 @@
         """Record a lost response and check whether the target has ended."""
         if fingerprint:
             now = asyncio.get_running_loop().time()
-            self._ended.check(target, LostRun(fingerprint, began, now))
+            self._target_checks.check(target, LostRun(fingerprint, began, now))
 
     def answered(self, fingerprint: int) -> None:
         """Record a complete response, which shows that the request is harmless."""
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -17,10 +17,10 @@
 from leverdoor import headers as h
 from leverdoor.answers import json_answer, problem_answer
 from leverdoor.errors import Code, Refusal, Run
+from leverdoor.gate.gate_quarantine import NOTICES_PATH, GateQuarantine
 from leverdoor.gate.idempotency_keys import KeyRegistry, Outcome
 from leverdoor.gate.keyed_server import KeyedServer
-from leverdoor.gate.lookups import LookupAnswer, named_entries
-from leverdoor.gate.quarantining import NOTICES_PATH, GateQuarantine
+from leverdoor.gate.lookups import LookupAnswer, select_entries
 from leverdoor.gate.request_reader import (
     caller_origin,
     defer_continue,
@@ -117,7 +117,7 @@
         answer = LookupAnswer(
             service.name,
             home,
-            named_entries(self._scheduler, service.name, home, address, now),
+            select_entries(self._scheduler, service.name, home, address, now),
             self._lookup_ttl_ms,
             self._issue_key(service, now),
         )
--- a/leverdoor/gate/hop_client.py
+++ b/leverdoor/gate/hop_client.py
@@ -63,7 +63,7 @@
         self.buffered = buffered
         self.length = length
         self.consumed = False
-        self.on_start: Callable[[], Awaitable[None]] | None = None
+        self.before_read: Callable[[], Awaitable[None]] | None = None
         self._stream = stream
         self._idle_timeout_s = idle_timeout_s
 
@@ -76,8 +76,8 @@
         """Yield the stream; an exception closes the connection to the receiver."""
         assert self._stream is not None
         self.consumed = True
-        if self.on_start is not None:
-            await self.on_start()
+        if self.before_read is not None:
+            await self.before_read()
         sent = 0
         while True:
             async with asyncio.timeout(self._idle_timeout_s):
@@ -95,8 +95,8 @@
 class Hop(msgspec.Struct):
     """A request to the next process.
 
-    `deadline` is a loop time in seconds. `once` requires a new connection; `relay`
-    marks a gate as the receiver.
+    `deadline` is a loop time in seconds. `at_most_once` requires a new connection;
+    `relay` marks a gate as the receiver.
     """
 
     method: str
@@ -105,7 +105,7 @@
     body: Body
     deadline: float
     idle_timeout_s: float
-    once: bool
+    at_most_once: bool
     relay: bool
 
 
@@ -205,7 +205,7 @@
 
     async def _send_request(self, hop: Hop, now: float) -> aiohttp.ClientResponse:
         """Send a request and wait for the head; convert errors to refusals."""
-        session = self._unpooled_session if hop.once else self._pooled_session
+        session = self._unpooled_session if hop.at_most_once else self._pooled_session
         streamed = hop.body.buffered is None
         head = CIMultiDict(hop.headers)
         if streamed and hop.body.length is not None:
--- a/leverdoor/gate/idempotency_keys.py
+++ b/leverdoor/gate/idempotency_keys.py
@@ -151,7 +151,7 @@
             return KeyState.NEW
         return KeyState.RUNNING if record.outcome is None else KeyState.DONE
 
-    def forget_unrun(self, key: Key) -> None:
+    def discard_not_run(self, key: Key) -> None:
         """Discard the state of a key whose request is known not to have run."""
         self._records.pop(key.nonce, None)
 
--- a/leverdoor/gate/keyed_server.py
+++ b/leverdoor/gate/keyed_server.py
@@ -93,7 +93,7 @@
             outcome = await self._buffer_outcome(await self._server.serve(inbound))
         except Refusal as e:
             if e.run is Run.NO:
-                self._key_registry.forget_unrun(key)
+                self._key_registry.discard_not_run(key)
                 raise
             outcome = _failure_outcome(e)
         except BaseException as e:
--- a/leverdoor/gate/lookups.py
+++ b/leverdoor/gate/lookups.py
@@ -11,7 +11,7 @@
 from leverdoor.gate.scheduler import Scheduler
 from leverdoor.membership.peers import Load
 
-__all__ = ["LookupAnswer", "LookupEntry", "named_entries"]
+__all__ = ["LookupAnswer", "LookupEntry", "select_entries"]
 
 MAX_ENTRIES = 4
 """Maximum number of entries in a look-up response.
@@ -43,7 +43,7 @@
     key: str = ""
 
 
-def named_entries(
+def select_entries(
     scheduler: Scheduler, service: str, home: str, own_address: str, now: float
 ) -> list[LookupEntry]:
     """Select gates by distance from the home region, then by slots held.
--- a/leverdoor/gate/peers.py
+++ b/leverdoor/gate/peers.py
@@ -102,16 +102,16 @@
         for heartbeat in heartbeats:
             if heartbeat.vm == self._vm or not heartbeat.gate:
                 continue
-            n = self._known.get(heartbeat.vm)
-            if n is None:
-                n = self._known[heartbeat.vm] = PeerGate(Peer(heartbeat, now))
-            elif n.peer.supersedes(heartbeat, now):
-                if heartbeat.incarnation != n.heartbeat.incarnation:
-                    n.backoff_until = 0.0
-                n.peer.receive(heartbeat, now)
+            peer_gate = self._known.get(heartbeat.vm)
+            if peer_gate is None:
+                peer_gate = self._known[heartbeat.vm] = PeerGate(Peer(heartbeat, now))
+            elif peer_gate.peer.supersedes(heartbeat, now):
+                if heartbeat.incarnation != peer_gate.heartbeat.incarnation:
+                    peer_gate.backoff_until = 0.0
+                peer_gate.peer.receive(heartbeat, now)
             else:
                 continue
-            n.refresh()
+            peer_gate.refresh()
 
     def vms(self) -> list[str]:
         """Return the VMs of all known other gates."""
@@ -139,21 +139,21 @@
         is not in backoff after a failed connection.
         """
         return [
-            n
-            for n in self._known.values()
-            if region in ("", n.heartbeat.region)
-            and n.heartbeat.state is GateState.SERVING
-            and now >= n.backoff_until
-            and not n.peer.silent(now)
-            and not self._is_leaving(n.heartbeat.vm)
+            peer_gate
+            for peer_gate in self._known.values()
+            if region in ("", peer_gate.heartbeat.region)
+            and peer_gate.heartbeat.state is GateState.SERVING
+            and now >= peer_gate.backoff_until
+            and not peer_gate.peer.silent(now)
+            and not self._is_leaving(peer_gate.heartbeat.vm)
         ]
 
     def load(self, service: str, region: str, now: float) -> RegionLoad:
         """Return the total load of the other usable gates of a region."""
         loads = [
-            n.heartbeat.loads[service]
-            for n in self.usable(now, region)
-            if service in n.heartbeat.loads
+            peer_gate.heartbeat.loads[service]
+            for peer_gate in self.usable(now, region)
+            if service in peer_gate.heartbeat.loads
         ]
         return RegionLoad(
             sum(v.held for v in loads),
@@ -174,14 +174,15 @@
           now: monotonic time in seconds.
         """
         found = [
-            n
-            for n in self.usable(now, region)
-            if n.free.get(service, 0) > 0 and (not cap or n.caps.get(cap, 0) > 0)
+            peer_gate
+            for peer_gate in self.usable(now, region)
+            if peer_gate.free.get(service, 0) > 0
+            and (not cap or peer_gate.caps.get(cap, 0) > 0)
         ]
         if not found:
             return None
         picked = self._rng.sample(found, min(SAMPLED_GATES, len(found)))
-        best = max(picked, key=lambda n: n.free[service])
+        best = max(picked, key=lambda peer_gate: peer_gate.free[service])
         best.free[service] -= 1
         if cap:
             best.caps[cap] -= 1
@@ -196,9 +197,9 @@
         queue length is the better predictor.
         """
         found = [
-            (wait_ms, n)
-            for n in self.usable(now, region)
-            if (wait_ms := n.wait_ms(service)) is not None
+            (wait_ms, peer_gate)
+            for peer_gate in self.usable(now, region)
+            if (wait_ms := peer_gate.wait_ms(service)) is not None
         ]
         if not found:
             return None
--- a/leverdoor/gate/placement.py
+++ b/leverdoor/gate/placement.py
@@ -33,7 +33,7 @@
 An upload holds a slot for minutes; without a limit uploads would take all slots. A
 greater share lengthens the wait of other requests, a smaller one that of uploads.
 """
-SPILL_MARGIN_MS = 5.0
+LEAVE_HOME_MARGIN_MS = 5.0
 """Minimum wait saved by leaving the home region, beyond the round trip, in ms.
 
 Waits of other gates are estimated from old heartbeats. A smaller margin makes requests
@@ -84,7 +84,7 @@
 
     True if no usable gate of the home region holds a slot, or if the expected wait
     there exceeds the round trip to the nearest other region by more than
-    SPILL_MARGIN_MS.
+    LEAVE_HOME_MARGIN_MS.
 
     Args:
       load: load of the home region.
@@ -93,7 +93,7 @@
     if load.held == 0:
         return True
     wait_ms = queue_wait_ms(load.waiting + 1, load.mean_ms or INITIAL_RUN_MS, load.held)
-    return wait_ms > 2 * nearest_ms + SPILL_MARGIN_MS
+    return wait_ms > 2 * nearest_ms + LEAVE_HOME_MARGIN_MS
 
 
 class Placement:
@@ -181,7 +181,7 @@
         own = self._workloads.of(service)
         return RegionLoad(
             others.held + self._pool.slots(service, now),
-            others.waiting + own.queue.interactive(),
+            others.waiting + own.queue.interactive_count(),
             max(others.mean_ms, own.mean_ms or 0.0),
             others.gates + 1,
         )
@@ -197,7 +197,7 @@
             return None
         cap: str | None = ""
         if request.home != self._region:
-            cap = self._shifts.acquire(self._view, request.service, now)
+            cap = self._shifts.acquire_unit(self._view, request.service, now)
         if cap is None:
             return None
         slot = slot_row(best.address)
@@ -213,7 +213,7 @@
         """
         limit = bulk_limit(self._pool.slots(service.name, now), service.work)
         workload = self._workloads.of(service.name)
-        return not workload.queue.interactive() and workload.bulk_running < limit
+        return not workload.queue.interactive_count() and workload.bulk_running < limit
 
     def _forward(
         self, request: QueuedRequest, region: str, now: float
@@ -247,7 +247,7 @@
             return NO_SLOT_WAIT_MS
         workload = self._workloads.of(service)
         mean = INITIAL_RUN_MS if workload.mean_ms is None else workload.mean_ms
-        return queue_wait_ms(workload.queue.interactive() + 1, mean, held)
+        return queue_wait_ms(workload.queue.interactive_count() + 1, mean, held)
 
     def release_units(
         self, request: QueuedRequest, dispatch: Dispatch, now: float, cooldown_s: float
--- a/leverdoor/gate/pool.py
+++ b/leverdoor/gate/pool.py
@@ -76,7 +76,7 @@
             return free
         health = self.health.of(target, now)
         held = self._held_units.held(row)
-        allowed = health.allowance(held, target.warmup_ms / 1000, now)
+        allowed = health.slow_start_slots(held, target.warmup_ms / 1000, now)
         return min(free, allowed - health.in_flight)
 
     def best(
--- a/leverdoor/gate/queueing.py
+++ b/leverdoor/gate/queueing.py
@@ -51,9 +51,9 @@
 
     def __len__(self) -> int:
         """Return the number of waiting requests, including bulk uploads."""
-        return self.interactive() + len(self._bulk)
+        return self.interactive_count() + len(self._bulk)
 
-    def interactive(self) -> int:
+    def interactive_count(self) -> int:
         """Return the number of waiting requests, excluding bulk uploads."""
         return sum(len(q) for q in self._waiting.values())
 
@@ -116,7 +116,7 @@
             self._stride_passes.get(name, 0.0) + 1 / request.tier.weight
         )
 
-    def ahead(self, tier: Tier) -> float:
+    def preceding_requests(self, tier: Tier) -> float:
         """Estimate how many requests precede a new one of a tier."""
         total = 0.0
         for name, queue in self._waiting.items():
--- a/leverdoor/gate/request_reader.py
+++ b/leverdoor/gate/request_reader.py
@@ -78,7 +78,7 @@
         request_id=origin.request_id,
         service=service,
         method=request.method,
-        tail=tail,
+        path_and_query=tail,
         headers=h.passing(request.headers.items(), connection),
         body=body,
         queued=queued,
@@ -125,7 +125,7 @@
     length = request.content_length
     if length is None or length > MAX_BUFFERED_BODY_BYTES:
         body = Body(None, request.content, length, idle_timeout_s)
-        body.on_start = lambda: _send_continue(request)
+        body.before_read = lambda: _send_continue(request)
         return body
     await _send_continue(request)
     try:
--- a/leverdoor/gate/requests.py
+++ b/leverdoor/gate/requests.py
@@ -37,7 +37,7 @@
     request_id: str
     service: Service
     method: str
-    tail: str
+    path_and_query: str
     headers: list[tuple[str, str]]
     body: Body
     queued: QueuedRequest
@@ -47,7 +47,7 @@
     """Identifies repetitions of the request; 0 if its body is streamed."""
 
     @property
-    def once(self) -> bool:
+    def at_most_once(self) -> bool:
         """Return whether the request must run at most once."""
         return self.service.work is not WorkClass.LOOKUP or bool(self.key)
 
@@ -55,7 +55,7 @@
 def target_hop(inbound: GateRequest, address: str, now: float) -> Hop:
     """Return the request to a target, sent at loop time `now`."""
     head = [_request_id_header(inbound), *_deadline_headers(inbound, now)]
-    return _hop(inbound, f"http://{address}/{inbound.tail}", head)
+    return _hop(inbound, f"http://{address}/{inbound.path_and_query}", head)
 
 
 def gate_hop(inbound: GateRequest, relay: str, now: float) -> Hop:
@@ -83,12 +83,12 @@
     ]
     hop = _hop(inbound, _gate_url(inbound, relay), head)
     hop.relay = True
-    hop.once = True
+    hop.at_most_once = True
     return hop
 
 
 def _gate_url(inbound: GateRequest, relay: str) -> str:
-    return f"http://{relay}/s/{inbound.service.name}/{inbound.tail}"
+    return f"http://{relay}/s/{inbound.service.name}/{inbound.path_and_query}"
 
 
 def _request_id_header(inbound: GateRequest) -> tuple[str, str]:
@@ -122,6 +122,6 @@
         body=inbound.body,
         deadline=inbound.queued.deadline,
         idle_timeout_s=inbound.service.deadline_ms / 1000,
-        once=inbound.once,
+        at_most_once=inbound.at_most_once,
         relay=False,
     )
--- a/leverdoor/gate/retries.py
+++ b/leverdoor/gate/retries.py
@@ -58,4 +58,4 @@
         if refusal.run is Run.NO:
             return True
         lost = refusal.code is Code.ANSWER_LOST
-        return lost and not inbound.once and self._budget.spend(BUDGET_KEY)
+        return lost and not inbound.at_most_once and self._budget.spend(BUDGET_KEY)
--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -84,7 +84,7 @@
         for name in self.view.services:
             workload = self._workloads.of(name)
             held = self.pool.slots(name, now)
-            waiting = workload.queue.interactive()
+            waiting = workload.queue.interactive_count()
             if held or waiting:
                 mean = round(workload.mean_ms or 0.0, 1)
                 found[name] = Load(held, self.pool.free(name, now), waiting, mean)
@@ -107,7 +107,7 @@
         if now >= request.deadline:
             return self._refuse(Code.DEADLINE_TOO_SHORT, request, now)
         queue = self._workloads.add(request.service).queue
-        if not queue.interactive() or self._from_other_region(request):
+        if not queue.interactive_count() or self._from_other_region(request):
             decision = self._placement.place(request, service, now)
             if decision is not None:
                 return decision
@@ -155,17 +155,17 @@
         other regions.
         """
         workload = self._workloads.of(request.service)
-        ahead = workload.queue.ahead(request.tier)
-        own = workload.queue.interactive()
+        ahead = workload.queue.preceding_requests(request.tier)
+        own = workload.queue.interactive_count()
         # Heartbeats carry no tiers: assume the same share precedes at other gates.
-        share = ahead / own if own else 1.0
+        preceding_share = ahead / own if own else 1.0
         others = self.peer_gates.load(request.service, self.region, now)
         held = self.pool.slots_in_service(request.service) + others.held
         mean = INITIAL_RUN_MS if workload.mean_ms is None else workload.mean_ms
         if not held:
             rate = shift_rate_per_s(self.view, request.service, request.home, mean)
             return 1000 * (ahead + 1) * (1 + others.gates) / rate
-        waiting = ahead + share * others.waiting
+        waiting = ahead + preceding_share * others.waiting
         first_ejection_end_ms = self.pool.first_ejection_end_ms(request.service, now)
         return first_ejection_end_ms + queue_wait_ms(waiting + 1, mean, held)
 
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -15,6 +15,7 @@
 
 from leverdoor.errors import Code, Refusal, Rejection, Run
 from leverdoor.gate.dispatch import Dispatcher
+from leverdoor.gate.gate_quarantine import GateQuarantine
 from leverdoor.gate.hop_client import (
     READ_AHEAD_BYTES,
     HopClient,
@@ -22,7 +23,6 @@
     refusal_from_problem,
 )
 from leverdoor.gate.placement import Dispatch, Forward
-from leverdoor.gate.quarantining import GateQuarantine
 from leverdoor.gate.requests import GateRequest, gate_hop, target_hop
 from leverdoor.gate.retries import RetryPolicy
 
--- a/leverdoor/gate/shift_limiter.py
+++ b/leverdoor/gate/shift_limiter.py
@@ -30,7 +30,7 @@
         self._held_units = held_units
         self._ramps: dict[str, Ramp] = {}
 
-    def acquire(self, view: View, service: str, now: float) -> str | None:
+    def acquire_unit(self, view: View, service: str, now: float) -> str | None:
         """Acquire a unit for one request of another region.
 
         Returns: the row of the unit, "" if no cap limits the service here, or None
@@ -59,7 +59,7 @@
         Args:
           view: the configuration in force.
           service: the service of the request.
-          row: row of the unit, as returned by `acquire`; not "".
+          row: row of the unit, as returned by `acquire_unit`; not "".
           now: monotonic time in seconds.
           cooldown_s: time in which the target may still run the request, in
             seconds; added to the window.
--- a/leverdoor/gate/target_health.py
+++ b/leverdoor/gate/target_health.py
@@ -13,24 +13,24 @@
 
 __all__ = ["INITIAL_RUN_MS", "TargetHealthTable", "TargetHealth"]
 
-FAILURE_EJECTION_FIRST_S = 0.25
+FAILURE_EJECTION_INITIAL_S = 0.25
 """First ejection after a failure, in seconds; doubles with each further failure.
 
 One failure is weak evidence. A longer ejection idles a healthy target after one lost
 connection; a shorter one sends repeated retries to a failed target.
 """
-FAILURE_EJECTION_LONGEST_S = 10.0
+FAILURE_EJECTION_MAX_S = 10.0
 """Maximum ejection after failures, in seconds.
 
 Bounds the time until a recovered target receives its next request. A lower maximum
 sends more requests to a target that is down.
 """
-SHED_EJECTION_FIRST_S = 0.1
+SHED_EJECTION_INITIAL_S = 0.1
 """First ejection after a shed request, in seconds; doubles with each further one.
 
 Covers several runs of 20 ms, in which a slot of the target is likely to become free.
 """
-SHED_EJECTION_LONGEST_S = 1.0
+SHED_EJECTION_MAX_S = 1.0
 """Maximum ejection after shed requests, in seconds.
 
 Far below the maximum after failures: a target that sheds requests still works, so its
@@ -85,18 +85,18 @@
 
     def failed(self, now: float) -> None:
         """Record a failed connection or a lost response."""
-        wait = min(
-            FAILURE_EJECTION_FIRST_S * 2**self._failures, FAILURE_EJECTION_LONGEST_S
+        ejection_s = min(
+            FAILURE_EJECTION_INITIAL_S * 2**self._failures, FAILURE_EJECTION_MAX_S
         )
         self._failures += 1
-        self.ejected_until = max(self.ejected_until, now + wait)
+        self.ejected_until = max(self.ejected_until, now + ejection_s)
         self.slow_start_at = self.ejected_until
 
     def shed(self, now: float) -> None:
         """Record a shed request and eject the target; probes do not reset its count."""
-        wait = min(SHED_EJECTION_FIRST_S * 2**self._sheds, SHED_EJECTION_LONGEST_S)
+        ejection_s = min(SHED_EJECTION_INITIAL_S * 2**self._sheds, SHED_EJECTION_MAX_S)
         self._sheds += 1
-        self.ejected_until = max(self.ejected_until, now + wait)
+        self.ejected_until = max(self.ejected_until, now + ejection_s)
 
     def record_leaving(self, now: float) -> None:
         """Record a response that announced that the target is leaving."""
@@ -136,7 +136,7 @@
         """Return whether the target accepts new requests."""
         return not self.leaving and now >= self.ejected_until
 
-    def allowance(self, held: int, warmup_s: float, now: float) -> int:
+    def slow_start_slots(self, held: int, warmup_s: float, now: float) -> int:
         """Return how many slots this gate may use during slow start.
 
         The number rises linearly over `warmup_s` seconds from the end of the latest
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -67,7 +67,7 @@
         if state is not KeyState.NEW:
             return
         if end == "not run":
-            issuer.forget_unrun(key)
+            issuer.discard_not_run(key)
             return
         self.runs[text] = self.runs.get(text, 0) + 1
         if end == "answer":
@@ -100,7 +100,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
-        KeyRegistry, "finish", lambda registry, key, outcome: registry.forget_unrun(key)
+        KeyRegistry,
+        "finish",
+        lambda registry, key, outcome: registry.discard_not_run(key),
     )
     machine = KeyMachine()
     machine.issue(0)
