--- a/leverdoor/gate/row_units.py
+++ b/leverdoor/gate/row_units.py
@@ -20,6 +20,9 @@
 class Units:
     """Units of one row held by this process.
 
+    A row stands for the slots of one target or for one shift cap; its units are the
+    slots or the units of the cap.
+
     Newly granted units settle for `settle_s` before they can be used, so that the
     previous holder's work at the target ends and a cap's window passes. Released
     units may have a cooldown, during which they still count as used.
