--- a/leverdoor/gate/daemon.py
+++ b/leverdoor/gate/daemon.py
@@ -2,9 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """The gate daemon: the data path of one VM of a plain site.
 
-Owns the parts of the gate and their wiring, its incarnation and its last snapshot of
-the configuration; all is lost with the process. Relies on its agent for configuration
-and hints: without it the gate serves on from the last ones. Never calls the store.
+Owns the components of the gate, its incarnation and its latest configuration snapshot,
+all of which are lost when the process ends. Relies on the agent for configuration and
+hints. While the agent is unreachable, the gate keeps serving with the latest ones. The
+gate never calls the store.
 """
 
 import asyncio
@@ -18,12 +19,12 @@
 
 from leverdoor.agent.link import GateLink, GateReport, Hints
 from leverdoor.gate.dispatch import Dispatcher
+from leverdoor.gate.gate_quarantine import GateQuarantine
 from leverdoor.gate.handler import MAX_HEADER_BYTES, GateHandler
-from leverdoor.gate.holdings import Holdings
-from leverdoor.gate.keyed import KeyedServer
-from leverdoor.gate.keys import KeyRing
-from leverdoor.gate.quarantining import GateQuarantine
-from leverdoor.gate.relay import HopClient
+from leverdoor.gate.hop_client import HopClient
+from leverdoor.gate.idempotency_keys import KeyRegistry
+from leverdoor.gate.keyed_server import KeyedServer
+from leverdoor.gate.row_units import HeldUnits
 from leverdoor.gate.scheduler import Scheduler
 from leverdoor.gate.serving import Server
 from leverdoor.lifecycle import keep_running
@@ -37,33 +38,33 @@
 __all__ = ["Gate"]
 
 REPORT_INTERVAL_S = 0.1
-"""Seconds between two reports of a gate to its agent.
+"""Interval of the gate's reports to its agent, in seconds.
 
-Half the interval of heartbeats, so that each carries a report that is not older than
-that. More often costs both processes time and changes little.
+Half the heartbeat interval, so that the report in a heartbeat is at most half an
+interval old. A shorter interval costs both processes CPU time for little gain.
 """
 STOP_POLL_S = 0.05
-"""Seconds between two looks at the requests in flight at a stop: short."""
+"""Polling interval for requests in flight during shutdown, in seconds."""
 CLOSE_TIMEOUT_S = 1.0
-"""Longest time that closing the servers may take, in seconds; all is drained then."""
+"""Timeout for closing the servers after all requests have drained, in seconds."""
 
 
 class Gate:
     """One gate process."""
 
     def __init__(self, settings: GateSettings) -> None:
-        """Create a gate; nothing is opened yet."""
+        """Create a gate without opening sockets or connections."""
         self._settings = settings
         self._incarnation = time.time_ns() // 1_000
         self._stop = asyncio.Event()
         self._runners: list[web.AppRunner] = []
 
     def stop(self) -> None:
-        """Begin to leave: finish all in flight, then end."""
+        """Start a graceful shutdown that completes the requests in flight."""
         self._stop.set()
 
     async def run(self) -> None:
-        """Serve until stopped and everything in flight has ended."""
+        """Serve until the gate is stopped and no request is in flight."""
         s = self._settings
         self._build()
         await self._listen(self._handler.relay_app(), s.relay)
@@ -96,22 +97,22 @@
         now = asyncio.get_running_loop().time()
         self._state = State()
         self._cache = ViewCache(self._state)
-        self._holdings = Holdings(str(s.listen), self._incarnation)
+        self._held_units = HeldUnits(str(s.listen), self._incarnation)
         self._scheduler = Scheduler(
-            s.vm, s.region, self._holdings, self._cache.view, rng
+            s.vm, s.region, self._held_units, self._cache.view, rng
         )
         self._dispatcher = Dispatcher(self._scheduler)
         self._client = HopClient()
         self._metrics = GateMetrics()
         self._quarantine = GateQuarantine(
-            s.vm, self._scheduler.neighbours, self._metrics, rng
+            s.vm, self._scheduler.peer_gates, self._metrics, rng
         )
         self._server = Server(self._dispatcher, self._client, self._quarantine)
-        self._ring = KeyRing(
+        self._key_registry = KeyRegistry(
             s.vm, s.relay_address, self._incarnation, secrets.token_bytes(32), now
         )
         self._keyed = KeyedServer(
-            self._ring, self._server, self._scheduler, self._client
+            self._key_registry, self._server, self._scheduler, self._client
         )
         self._handler = GateHandler(
             s.region,
@@ -119,7 +120,7 @@
             self._scheduler,
             self._server,
             self._keyed,
-            self._ring,
+            self._key_registry,
             self._quarantine,
             BurnRateMeter(),
             self._metrics,
@@ -128,10 +129,10 @@
         self._link = GateLink(s.agent)
 
     async def _listen(self, app: web.Application, address: Address) -> None:
-        """Bind an address for this process alone.
+        """Bind an address exclusively.
 
-        The ownership table takes a bound address as proof that the process
-        that had it before has ended, so it must never be shared.
+        The ownership table relies on a bound address as proof that its previous
+        process has ended, so two processes must never share it.
         """
         runner = web.AppRunner(
             app,
@@ -148,10 +149,10 @@
         await site.start()
         self._runners.append(runner)
 
-    # The link to the agent.
+    # Communication with the agent.
 
     async def _report(self) -> None:
-        """Report this gate's state, load and acknowledgement to the agent."""
+        """Send state, load and the table acknowledgement to the agent periodically."""
         loop = asyncio.get_running_loop()
         s = self._settings
         while True:
@@ -162,18 +163,18 @@
                 relay=s.relay_address,
                 incarnation=self._incarnation,
                 revision=self._state.revision,
-                ack=self._holdings.ack(now),
+                ack=self._held_units.ack(now),
                 state=self._handler.state,
                 loads=self._scheduler.loads(now),
                 caps=self._scheduler.caps(now),
-                held=sorted(r for r in self._holdings.rows if r.startswith("t:")),
+                held=sorted(r for r in self._held_units.rows if r.startswith("t:")),
                 draining=self._scheduler.pool.draining(now),
             )
             await self._link.send(report)
             await asyncio.sleep(REPORT_INTERVAL_S)
 
     async def _receive(self) -> None:
-        """Take configuration and hints from the agent."""
+        """Receive configuration and hints from the agent."""
         while True:
             try:
                 message = await self._link.receive()
@@ -181,19 +182,19 @@
                 logger.error("bad message from the agent", error=str(e))
                 continue
             if isinstance(message, Delta):
-                self._take_delta(message)
+                self._apply_delta(message)
             else:
-                self._take_hints(message)
-            self._dispatcher.kick()
+                self._apply_hints(message)
+            self._dispatcher.wake_scheduler()
 
-    def _take_delta(self, delta: Delta) -> None:
-        """Put a change of configuration or ownership into force; serve from then on."""
+    def _apply_delta(self, delta: Delta) -> None:
+        """Apply a configuration or ownership delta; the first one starts serving."""
         if not self._state.apply(delta):
             return
         now = asyncio.get_running_loop().time()
         region = self._settings.region
         self._scheduler.view = self._cache.view
-        self._holdings.apply(
+        self._held_units.apply(
             self._cache.table(region), self._cache.view.settle_s(region), now
         )
         self._metrics.revision.set(self._state.revision)
@@ -201,33 +202,38 @@
             self._handler.state = GateState.SERVING
             logger.info("gate ready", revision=self._state.revision)
 
-    def _take_hints(self, hints: Hints) -> None:
-        """Take what is no part of the configuration: load, VMs that leave, probes."""
+    def _apply_hints(self, hints: Hints) -> None:
+        """Apply heartbeats, leaving VMs, probe results and the incarnation floor."""
         now = asyncio.get_running_loop().time()
-        self._scheduler.neighbours.receive(hints.heartbeats, now)
+        self._scheduler.peer_gates.receive(hints.heartbeats, now)
         self._scheduler.pool.leaving_vms = frozenset(hints.leaving_vms)
         for address, probe in hints.probes.items():
             self._scheduler.targets.report(address, probe)
         if hints.incarnation_floor >= self._incarnation:
-            self._rename(hints.incarnation_floor + 1)
+            self._raise_incarnation(hints.incarnation_floor + 1)
 
-    def _rename(self, incarnation: int) -> None:
-        """Take a later incarnation, since an earlier clock gave too early a one."""
-        if self._holdings.rows:
+    def _raise_incarnation(self, incarnation: int) -> None:
+        """Raise the incarnation above that of an earlier process.
+
+        It is too low after the clock was set back. Does nothing while this process
+        holds units, which are granted to its current incarnation.
+        """
+        if self._held_units.rows:
             return
         logger.warning("later incarnation", incarnation=incarnation)
         self._incarnation = incarnation
-        self._holdings.incarnation = incarnation
-        self._holdings.version = 0
-        self._ring.incarnation = incarnation
+        self._held_units.incarnation = incarnation
+        self._held_units.version = 0
+        self._key_registry.incarnation = incarnation
 
-    # Leaving.
+    # Shutdown.
 
     async def _leave(self) -> None:
-        """Stop being named, serve cached look-ups for a while, finish, end.
+        """Drain the gate: withdraw it from look-ups, then complete its requests.
 
-        The addresses stay bound to the end: that another process can bind
-        them is taken as proof that this one has nothing in flight.
+        Callers with a cached look-up are served until it expires. The addresses stay
+        bound until the end, because another process takes a free address as proof that
+        no request is in flight here.
         """
         s = self._settings
         self._handler.state = GateState.LEAVING
--- a/leverdoor/gate/quarantining.py
+++ b/leverdoor/gate/gate_quarantine.py
@@ -1,14 +1,14 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Requests that end targets, at a gate: what it sees, and what gates tell each other.
+"""Quarantines requests that crash targets, and gossips about them with other gates.
 
-Each round a gate judges what it knows and tells some other gates, which pass on what is
-new to them; so all know within a few rounds, at bytes that do not grow with their
-number.
+Each round a gate evaluates the crashes it knows and sends notices to a few other gates,
+which pass on those new to them. All gates learn of a notice within a few rounds, and
+the traffic per gate does not grow with their number.
 
-Owns the gate's quarantine and the checks of targets under way; lost with the process,
-and told again by the other gates. Relies on `Neighbours` for who there is, and on the
-gates' addresses for each other.
+Owns the gate's quarantine and the running target checks. Both are lost when the process
+ends; the other gates send their notices again. Relies on `PeerGates` for the usable
+gates and on their relay addresses.
 """
 
 import asyncio
@@ -17,8 +17,8 @@
 import aiohttp
 from loguru import logger
 
-from leverdoor.gate.neighbours import Neighbours
-from leverdoor.gate.relay import CONNECT_TIMEOUT_S
+from leverdoor.gate.hop_client import CONNECT_TIMEOUT_S
+from leverdoor.gate.peers import PeerGates
 from leverdoor.metrics import GateMetrics
 from leverdoor.model.resources import Target
 from leverdoor.model.target_id import target_id
@@ -35,37 +35,40 @@
 __all__ = ["NOTICES_PATH", "GateQuarantine"]
 
 NOTICES_PATH = "/v1/internal/notices"
-"""Path at which gates tell each other, on the address for other gates."""
-ROUND_S = 0.2
-"""Time between two rounds, in seconds: as heartbeats are sent."""
-TOLD_GATES = 8
-"""Gates that are told in one round: with three rounds for each news 195 gates have it
-after three rounds. Fewer: some have it later. More: more connections."""
-TELL_TIMEOUT_S = 1.0
-"""Longest time to tell one gate, in seconds: another round follows."""
+"""Path for notices between gates, served at the relay address."""
+NOTICE_INTERVAL_S = 0.2
+"""Interval between gossip rounds, in seconds: the heartbeat interval."""
+NOTICE_FANOUT = 8
+"""Number of gates that receive notices in one round.
+
+Each notice is sent for three rounds, so that 195 gates have it after three rounds. With
+a smaller number, some gates receive it later; a greater one costs more connections.
+"""
+NOTICE_TIMEOUT_S = 1.0
+"""Timeout for sending notices to one gate, in seconds; another round follows."""
 
 
 class GateQuarantine:
-    """The requests that one gate holds back."""
+    """The quarantine of one gate."""
 
     def __init__(
-        self, vm: str, neighbours: Neighbours, metrics: GateMetrics, rng: Random
+        self, vm: str, peer_gates: PeerGates, metrics: GateMetrics, rng: Random
     ) -> None:
-        """Create it; must be called on the loop.
+        """Create a quarantine; must be called on the event loop.
 
         Args:
           vm: this gate's VM.
-          neighbours: the other gates.
-          metrics: shows how many requests are held back.
-          rng: chooses whom to tell.
+          peer_gates: the other gates.
+          metrics: exports the number of quarantined requests.
+          rng: selects the gates that receive notices.
         """
         self._vm = vm
-        self._neighbours = neighbours
+        self._peer_gates = peer_gates
         self._metrics = metrics
         self._rng = rng
         self._quarantine = Quarantine()
-        self._ended = CrashChecker(_check_target, self._take_checked)
-        self._session = new_session(TELL_TIMEOUT_S)
+        self._target_checks = CrashChecker(_check_target, self._record_check)
+        self._session = new_session(NOTICE_TIMEOUT_S)
 
     async def close(self) -> None:
         """Close the connections to other gates."""
@@ -74,45 +77,47 @@
     # Requests.
 
     def check(self, fingerprint: int) -> None:
-        """Check that no target is known to end under a request; 0 is none's.
+        """Refuse a quarantined request unless this gate may run it as a test.
+
+        One gate tests for all; fingerprint 0 is never quarantined.
 
         Raises:
-          Refusal: it is held back.
+          Refusal: the request is quarantined.
         """
         now = asyncio.get_running_loop().time()
         hold = self._quarantine.active_hold(fingerprint, now)
         if hold is None:
             return
-        mine = is_trial_owner(self._vm, self._neighbours.vms(), fingerprint)
-        if not mine or not self._quarantine.start_trial(hold, now):
+        is_tester = is_trial_owner(self._vm, self._peer_gates.vms(), fingerprint)
+        if not is_tester or not self._quarantine.start_trial(hold, now):
             raise quarantine_refusal(hold, now)
         logger.info("quarantine try", fingerprint=fingerprint_text(fingerprint))
 
     def may_retry(self, fingerprint: int) -> bool:
-        """Return whether a request may go to another target after a lost answer."""
+        """Return whether a request may be sent to another target after a failure."""
         now = asyncio.get_running_loop().time()
         return not fingerprint or self._quarantine.may_retry(fingerprint, now)
 
     def lost(self, target: Target, fingerprint: int, began: float) -> None:
-        """Take a lost answer; the target is looked at, since it may have ended."""
+        """Record a lost response and check whether the target has ended."""
         if fingerprint:
             now = asyncio.get_running_loop().time()
-            self._ended.check(target, LostRun(fingerprint, began, now))
+            self._target_checks.check(target, LostRun(fingerprint, began, now))
 
     def answered(self, fingerprint: int) -> None:
-        """Take a whole answer: its request is harmless."""
+        """Record a complete response, which shows that the request is harmless."""
         if fingerprint:
             now = asyncio.get_running_loop().time()
             self._quarantine.answered(fingerprint, now)
 
-    def _take_checked(
+    def _record_check(
         self,
         target: Target,
         found: TargetCheckResult,
         runs: list[LostRun],
         took_s: float,
     ) -> None:
-        """Note the runs that ended with a target; a drained one ended as planned."""
+        """Record the runs lost in a crash; ignore the end of a draining target."""
         logger.info("target checked", target=target.name, found=found.value)
         if found is not TargetCheckResult.ENDED or target.draining:
             return
@@ -120,17 +125,17 @@
         for run in runs:
             self._quarantine.record_crash(target_id(target.name), run, now)
 
-    # Other gates.
+    # Gossip with other gates.
 
     def receive(self, notices: bytes) -> None:
-        """Take what another gate tells."""
+        """Process the notices of another gate."""
         now = asyncio.get_running_loop().time()
         self._quarantine.receive(parse_notices(notices), now)
 
     async def run(self) -> None:
-        """Judge and tell other gates, round after round, until cancelled."""
+        """Evaluate crashes and send notices periodically, until cancelled."""
         while True:
-            await asyncio.sleep(ROUND_S)
+            await asyncio.sleep(NOTICE_INTERVAL_S)
             now = asyncio.get_running_loop().time()
             for change in self._quarantine.judge(now):
                 logger.info(
@@ -142,17 +147,19 @@
                     tries=change.tries,
                 )
             self._metrics.quarantined.set(len(self._quarantine.holds))
-            await self._tell(serialize_notices(self._quarantine.notices(now)), now)
+            await self._send_notices(
+                serialize_notices(self._quarantine.notices(now)), now
+            )
 
-    async def _tell(self, notices: bytes, now: float) -> None:
-        """Tell some gates at once; one that is not reached is told by others."""
+    async def _send_notices(self, notices: bytes, now: float) -> None:
+        """Send notices to random gates; an unreachable gate gets them from others."""
         if not notices:
             return
-        relays = sorted(n.heartbeat.relay for n in self._neighbours.usable(now))
-        chosen = self._rng.sample(relays, min(TOLD_GATES, len(relays)))
-        await asyncio.gather(*(self._tell_one(relay, notices) for relay in chosen))
+        relays = sorted(n.heartbeat.relay for n in self._peer_gates.usable(now))
+        chosen = self._rng.sample(relays, min(NOTICE_FANOUT, len(relays)))
+        await asyncio.gather(*(self._send_to_gate(relay, notices) for relay in chosen))
 
-    async def _tell_one(self, relay: str, notices: bytes) -> None:
+    async def _send_to_gate(self, relay: str, notices: bytes) -> None:
         url = f"http://{relay}{NOTICES_PATH}"
         try:
             async with self._session.post(url, data=notices) as answer:
@@ -162,7 +169,7 @@
 
 
 async def _check_target(target: Target) -> TargetCheckResult:
-    """Find out by a new connection whether a target still serves."""
+    """Check with a new connection whether a target still serves."""
     address = parse_address(target.address)
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The HTTP handlers of a gate: look-ups, requests and their answers.
+"""HTTP handlers of a gate for look-ups, requests and internal messages.
 
-Owns the gate's state (starting, serving, leaving, closed) and the count of requests in
-flight, which the daemon waits for at a stop. Relies on `intake.py` to read a request,
-on `serving.py` and `keyed.py` to serve it, and on `lookups.py` for whom to name.
+Owns the lifecycle state, the flag `closed`, set when new requests are refused, and the
+number of requests in flight, which must reach zero before the daemon stops; both are
+lost with the process. Relies on `request_reader.py` to read requests, on `serving.py`
+and `keyed_server.py` to serve them, and on `lookups.py` to select gates.
 """
 
 import asyncio
@@ -16,20 +17,20 @@
 from leverdoor import headers as h
 from leverdoor.answers import json_answer, problem_answer
 from leverdoor.errors import Code, Refusal, Run
-from leverdoor.gate.intake import (
+from leverdoor.gate.gate_quarantine import NOTICES_PATH, GateQuarantine
+from leverdoor.gate.idempotency_keys import KeyRegistry, Outcome
+from leverdoor.gate.keyed_server import KeyedServer
+from leverdoor.gate.lookups import LookupAnswer, select_entries
+from leverdoor.gate.request_reader import (
     caller_origin,
+    defer_continue,
     gate_origin,
-    leave_expect,
     read_request,
 )
-from leverdoor.gate.keyed import KeyedServer
-from leverdoor.gate.keys import KeyRing, Outcome
-from leverdoor.gate.lookups import LookupAnswer, named_entries
-from leverdoor.gate.quarantining import NOTICES_PATH, GateQuarantine
-from leverdoor.gate.refusals import LEAVING_RETRY_MS, NOT_READY_RETRY_MS
 from leverdoor.gate.requests import GateRequest, Origin
+from leverdoor.gate.retry_after import LEAVING_RETRY_MS, NOT_READY_RETRY_MS
 from leverdoor.gate.scheduler import Scheduler
-from leverdoor.gate.serving import Served, Server, finishing
+from leverdoor.gate.serving import ServedResponse, Server, ensure_finished
 from leverdoor.membership.peers import GateState
 from leverdoor.metrics import GateMetrics
 from leverdoor.model.burn import BurnRateMeter
@@ -38,11 +39,11 @@
 __all__ = ["MAX_HEADER_BYTES", "GateHandler"]
 
 MAX_HEADER_BYTES = 8_190
-"""Longest line and field of a request's head, in bytes; the HTTP library's default."""
+"""Maximum length of a request line or header, in bytes: the HTTP library's default."""
 
 
 class GateHandler:
-    """Request handlers of one gate."""
+    """Handles the HTTP requests of one gate."""
 
     def __init__(
         self,
@@ -51,12 +52,12 @@
         scheduler: Scheduler,
         server: Server,
         keyed: KeyedServer,
-        ring: KeyRing,
+        key_registry: KeyRegistry,
         quarantine: GateQuarantine,
         burn: BurnRateMeter,
         metrics: GateMetrics,
     ) -> None:
-        """Create it from the gate's parts."""
+        """Create the handlers from the gate's components."""
         self.state = GateState.STARTING
         self.address = ""
         self.active = 0
@@ -66,13 +67,13 @@
         self._scheduler = scheduler
         self._server = server
         self._keyed = keyed
-        self._ring = ring
+        self._key_registry = key_registry
         self._quarantine = quarantine
         self._burn = burn
         self._metrics = metrics
 
     def caller_app(self) -> web.Application:
-        """Return the application that callers talk to."""
+        """Return the application that serves callers."""
         app = web.Application(client_max_size=0)
         app.router.add_get("/v1/lookup/{service}", self._lookup)
         app.router.add_get("/healthz", self._healthz)
@@ -81,25 +82,28 @@
         app.router.add_route(
             "*",
             "/s/{service}/{tail:.*}",
-            self._from_caller,
-            expect_handler=leave_expect,
+            self._handle_caller,
+            expect_handler=defer_continue,
         )
         return app
 
     def relay_app(self) -> web.Application:
-        """Return the application that other gates and agents talk to."""
+        """Return the application that serves other gates and agents."""
         app = web.Application(client_max_size=0)
         app.router.add_get("/v1/burn", self._burn_series)
-        app.router.add_post(NOTICES_PATH, self._take_notices)
+        app.router.add_post(NOTICES_PATH, self._receive_notices)
         app.router.add_route(
-            "*", "/s/{service}/{tail:.*}", self._from_gate, expect_handler=leave_expect
+            "*",
+            "/s/{service}/{tail:.*}",
+            self._handle_gate,
+            expect_handler=defer_continue,
         )
         return app
 
     # Look-ups.
 
     async def _lookup(self, request: web.Request) -> web.StreamResponse:
-        """Name the gates to use, with a key where the service needs one."""
+        """Return the gates to use and, where the service needs one, a key."""
         if self.state is GateState.STARTING:
             return _not_ready(Code.NOT_READY)
         view = self._scheduler.view
@@ -113,55 +117,55 @@
         answer = LookupAnswer(
             service.name,
             home,
-            named_entries(self._scheduler, service.name, home, address, now),
+            select_entries(self._scheduler, service.name, home, address, now),
             self._lookup_ttl_ms,
             self._issue_key(service, now),
         )
         return json_answer(answer)
 
     def _issue_key(self, service: Service, now: float) -> str:
-        """Return a key for one request; none while this gate may end soon."""
+        """Return a key for one request; "" for class LOOKUP or unless serving."""
         if service.work is WorkClass.LOOKUP or self.state is not GateState.SERVING:
             return ""
-        return self._ring.issue(secrets.token_bytes(8), now)
+        return self._key_registry.issue(secrets.token_bytes(8), now)
 
-    # What other gates tell.
+    # Notices from other gates.
 
-    async def _take_notices(self, request: web.Request) -> web.StreamResponse:
+    async def _receive_notices(self, request: web.Request) -> web.StreamResponse:
         self._quarantine.receive(await request.read())
         return web.Response()
 
     # Requests.
 
-    async def _from_caller(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_caller(self, request: web.Request) -> web.StreamResponse:
         origin = caller_origin(request, self._scheduler.view, self._region)
         return await self._handle(request, origin)
 
-    async def _from_gate(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_gate(self, request: web.Request) -> web.StreamResponse:
         origin = gate_origin(request, self._scheduler.view, self._region)
         return await self._handle(request, origin)
 
     async def _handle(self, request: web.Request, origin: Origin) -> web.StreamResponse:
-        """Serve one request and account for it."""
+        """Serve one request and record its result."""
         arrived = asyncio.get_running_loop().time()
         service = request.match_info["service"]
-        answered = False
+        succeeded = False
         self.active += 1
         try:
             response = await self._serve(request, origin, arrived)
-            answered = response.status < 500
+            succeeded = response.status < 500
             return response
         except Refusal as e:
-            return self._refused(e, service, origin)
+            return self._refusal_response(e, service, origin)
         finally:
             self.active -= 1
             if not origin.forwarded and service in self._scheduler.view.services:
-                self._account(service, origin.tier, arrived, answered)
+                self._record_request(service, origin.tier, arrived, succeeded)
 
     async def _serve(
         self, request: web.Request, origin: Origin, arrived: float
     ) -> web.StreamResponse:
-        service = self._open_service(request)
+        service = self._requested_service(request)
         inbound = await read_request(request, service, origin, arrived)
         response = await self._answer(request, inbound)
         logger.debug(
@@ -174,8 +178,8 @@
         )
         return response
 
-    def _open_service(self, request: web.Request) -> Service:
-        """Return the service called, if this gate takes requests now."""
+    def _requested_service(self, request: web.Request) -> Service:
+        """Return the requested service if this gate accepts requests."""
         if self.state is GateState.STARTING:
             raise Refusal(Code.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
         if self.closed:
@@ -192,11 +196,16 @@
             outcome = await self._keyed.serve(inbound)
             return _outcome_response(outcome, inbound)
         served = await self._server.serve(inbound)
-        async with finishing(served):
-            return await _stream(request, inbound, served)
+        async with ensure_finished(served):
+            return await _stream_response(request, inbound, served)
+
+    def _refusal_response(
+        self, e: Refusal, service: str, origin: Origin
+    ) -> web.Response:
+        """Count and log a refusal and return its response.
 
-    def _refused(self, e: Refusal, service: str, origin: Origin) -> web.Response:
-        """Log and count a refusal; one that may have run is a warning."""
+        The log level is warning if the request may have run.
+        """
         log = logger.info if e.run is Run.NO else logger.warning
         log(
             "refused",
@@ -208,8 +217,10 @@
         self._metrics.refused(e.code)
         return problem_answer(e, origin.request_id)
 
-    def _account(self, service: str, tier: Tier, arrived: float, ok: bool) -> None:
-        """Count a request of a caller for the service levels and the metrics."""
+    def _record_request(
+        self, service: str, tier: Tier, arrived: float, ok: bool
+    ) -> None:
+        """Record a caller's request in the service levels and the metrics."""
         now = asyncio.get_running_loop().time()
         took_ms = (now - arrived) * 1000
         levels = [
@@ -220,7 +231,7 @@
         self._burn.record(service, tier.name, took_ms, ok, levels, now)
         self._metrics.served(service, tier.name, took_ms / 1000, ok)
 
-    # Others.
+    # Health and internal endpoints.
 
     async def _burn_series(self, request: web.Request) -> web.StreamResponse:
         series = self._burn.series(asyncio.get_running_loop().time())
@@ -230,7 +241,7 @@
         return web.Response(text="ok\n")
 
     async def _readyz(self, request: web.Request) -> web.StreamResponse:
-        """Return whether this gate serves; not while it has no configuration."""
+        """Report readiness: the gate has a configuration and is not leaving."""
         if self.state is GateState.SERVING:
             return web.Response(text="ready\n")
         code = Code.LEAVING if self.state is GateState.LEAVING else Code.NOT_READY
@@ -241,14 +252,18 @@
     return problem_answer(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
 
 
-async def _stream(
-    request: web.Request, inbound: GateRequest, served: Served
+async def _stream_response(
+    request: web.Request, inbound: GateRequest, served: ServedResponse
 ) -> web.StreamResponse:
-    """Pass an answer on; one that is cut short is never ended as if whole."""
+    """Stream a response to the caller.
+
+    Aborts the connection if the response is truncated, so that the caller cannot
+    take it for a complete one.
+    """
     response = web.StreamResponse(status=served.status)
     for name, value in served.headers:
         response.headers.add(name, value)
-    _mark(response, inbound.request_id, served.served_by)
+    _set_gate_headers(response, inbound.request_id, served.served_by)
     try:
         chunks = served.chunks()
         first = await anext(chunks, None)
@@ -273,13 +288,15 @@
         if name.lower() not in ("content-length", "transfer-encoding"):
             response.headers.add(name, value)
     served_by = response.headers.popall(h.SERVED_BY, [""])[0]
-    _mark(response, inbound.request_id, served_by)
+    _set_gate_headers(response, inbound.request_id, served_by)
     if outcome.code is not Code.OK:
         response.headers[h.CODE] = str(int(outcome.code))
     return response
 
 
-def _mark(response: web.StreamResponse, request_id: str, served_by: str) -> None:
+def _set_gate_headers(
+    response: web.StreamResponse, request_id: str, served_by: str
+) -> None:
     response.headers[h.REQUEST_ID] = request_id
     response.headers[h.CODE] = "0"
     response.headers[h.RUN] = Run.YES.value
--- a/leverdoor/gate/relay.py
+++ b/leverdoor/gate/hop_client.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""One hop of a request: to a target, or to a gate that holds its slots.
+"""HTTP client for one hop of a request, to a target or to another gate.
 
-Owns the HTTP connections to targets and gates: kept ones for look-ups, a new one each
-time for what must run at most once. Never retries by itself. Relies on the deadline of
-the hop and on deadlines of the sockets; no other timer ends a hop.
+Owns the HTTP connections to targets and gates, which are closed with the process. It
+pools connections for look-ups and opens a new one for each request that must run at
+most once. It never retries. Relies on the hop's deadline for buffered requests and on
+connect and idle timeouts; no other timer ends a hop.
 """
 
 import asyncio
@@ -19,98 +20,104 @@
 from leverdoor.errors import Code, Problem, Refusal, Run
 from leverdoor.sessions import new_session
 
-__all__ = ["Answer", "Body", "Hop", "HopClient"]
+__all__ = ["HopResponse", "Body", "Hop", "HopClient"]
 
 CONNECT_TIMEOUT_S = 1.0
-"""Longest time to connect to a target or gate, in seconds.
+"""Connect timeout for targets and gates, in seconds.
 
-Far above the 55 ms between regions. A longer one spends the deadline on a dead
-VM; a shorter one takes a busy target for a dead one.
+Far above the 55 ms between regions. A longer one spends the request's deadline on a
+failed VM; a shorter one mistakes a busy target for a failed one.
 """
-BUFFERED_ANSWER = 256 * 1024
-"""Bytes of an answer read ahead of a slow caller.
+READ_AHEAD_BYTES = 256 * 1024
+"""Bytes of a response read ahead of a slow caller.
 
-Most answers are shorter, so that their slot is free at once; it bounds the memory of
-each request.
+Most responses are shorter, so that their slot is released at once. The limit bounds the
+memory of each request.
 """
 RELAY_GRACE_S = 0.1
-"""Seconds past the deadline for which the answer of another gate is awaited.
+"""Time to wait past the deadline for another gate's response, in seconds.
 
-A gate that refuses at the deadline says whether the request ran, which a time-out here
-doesn't.
+A gate that refuses at the deadline reports whether the request ran; a timeout at this
+gate does not.
 """
 
 
 class Body:
-    """A request's body: whole in memory, or a stream that is read once."""
+    """A request body, either buffered or a stream that is read once."""
 
     def __init__(
         self,
-        whole: bytes | None,
+        buffered: bytes | None,
         stream: aiohttp.StreamReader | None,
         length: int | None,
-        stall_s: float,
+        idle_timeout_s: float,
     ) -> None:
         """Create a body.
 
         Args:
-          whole: all of it, if it is in memory.
-          stream: where it comes from otherwise.
-          length: its length in bytes, if it was announced.
-          stall_s: longest pause of the stream, in seconds.
+          whole: the buffered body, if any.
+          stream: the source of an unbuffered body.
+          length: the declared length in bytes, if any.
+          idle_timeout_s: maximum time between two chunks of the stream, in seconds.
         """
-        self.whole = whole
+        self.buffered = buffered
         self.length = length
-        self.touched = False
-        self.on_start: Callable[[], Awaitable[None]] | None = None
+        self.consumed = False
+        self.before_read: Callable[[], Awaitable[None]] | None = None
         self._stream = stream
-        self._stall_s = stall_s
+        self._idle_timeout_s = idle_timeout_s
 
     @property
     def replayable(self) -> bool:
         """Return whether the body can be sent again."""
-        return self.whole is not None or not self.touched
+        return self.buffered is not None or not self.consumed
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the stream; any fault ends the hop without a whole body."""
+        """Yield the stream; an exception closes the connection to the receiver."""
         assert self._stream is not None
-        self.touched = True
-        if self.on_start is not None:
-            await self.on_start()
+        self.consumed = True
+        if self.before_read is not None:
+            await self.before_read()
         sent = 0
         while True:
-            async with asyncio.timeout(self._stall_s):
+            async with asyncio.timeout(self._idle_timeout_s):
                 chunk = await self._stream.readany()
             if not chunk:
                 break
             sent += len(chunk)
             yield chunk
         if self.length is not None and sent != self.length:
-            raise aiohttp.ClientPayloadError("the body was cut short")
+            raise aiohttp.ClientPayloadError(
+                "the request body ended before its Content-Length"
+            )
 
 
 class Hop(msgspec.Struct):
-    """What is sent to the next process."""
+    """A request to the next process.
+
+    `deadline` is a loop time in seconds. `at_most_once` requires a new connection;
+    `relay` marks a gate as the receiver.
+    """
 
     method: str
     url: str
     headers: list[tuple[str, str]]
     body: Body
     deadline: float
-    stall_s: float
-    once: bool
+    idle_timeout_s: float
+    at_most_once: bool
     relay: bool
 
 
-class Answer:
-    """An answer whose head has come and whose body is still to be read."""
+class HopResponse:
+    """A response whose head is received and whose body is unread."""
 
     def __init__(self, response: aiohttp.ClientResponse, relay: bool) -> None:
         """Wrap a response.
 
         Args:
           response: the response, its body unread.
-          relay: whether it comes from a gate rather than a target.
+          relay: whether the response comes from a gate rather than a target.
         """
         self._response = response
         self.status = response.status
@@ -125,13 +132,13 @@
 
     @property
     def delimited(self) -> bool:
-        """Return whether the end of the body can be distinguished from a cut."""
+        """Return whether a truncated body can be detected."""
         head = self._response.headers
         bodyless = self.status in (204, 304) or self._response.method == "HEAD"
         return bodyless or "Content-Length" in head or "Transfer-Encoding" in head
 
     async def problem(self) -> Problem | None:
-        """Return the refusal that a gate sent in place of an answer, if any."""
+        """Return the refusal that a gate sent instead of a response, if any."""
         code = self._response.headers.get(h.CODE, "0")
         if not self.relay or code == "0":
             return None
@@ -142,59 +149,64 @@
         """Yield the body.
 
         Raises:
-          Refusal: ANSWER_LOST when it is cut short.
+          Refusal: ANSWER_LOST if the body is truncated; DEADLINE_PASSED on timeout.
         """
         try:
             async for chunk in self._response.content.iter_any():
                 yield chunk
         except TimeoutError:
-            raise Refusal(Code.DEADLINE_PASSED, "the answer came too late") from None
+            raise Refusal(Code.DEADLINE_PASSED, "the response body timed out") from None
         except (aiohttp.ClientError, OSError) as e:
-            raise Refusal(Code.ANSWER_LOST, f"cut short: {e!r}") from None
+            raise Refusal(
+                Code.ANSWER_LOST, f"the response body was truncated: {e!r}"
+            ) from None
 
     def close(self) -> None:
-        """Close the connection, which cancels the request if it still runs."""
+        """Close the connection, which cancels a request that is still running."""
         self._response.close()
 
     def release(self) -> None:
-        """Give the connection back after the body was read whole."""
+        """Return the connection to the pool after the complete body was read."""
         self._response.release()
 
 
 class HopClient:
-    """Sends hops; it never retries one by itself."""
+    """Sends requests to targets and gates without retries."""
 
     def __init__(self) -> None:
-        """Create the client; must be called on the loop."""
-        self._kept = new_session()
-        self._fresh = new_session(keep_connections=False)
+        """Create a client; must be called on the event loop."""
+        self._pooled_session = new_session()
+        self._unpooled_session = new_session(keep_connections=False)
 
     async def close(self) -> None:
         """Close all connections."""
-        await self._kept.close()
-        await self._fresh.close()
+        await self._pooled_session.close()
+        await self._unpooled_session.close()
 
-    async def send(self, hop: Hop, now: float) -> Answer:
-        """Send a request and wait for the answer's head.
+    async def send(self, hop: Hop, now: float) -> HopResponse:
+        """Send a request and wait for the response head.
 
         Args:
-          hop: what to send.
+          hop: the request.
           now: loop time in seconds.
         Raises:
           Refusal: CONNECT_FAILED if nothing was sent; ANSWER_LOST or
-            DEADLINE_PASSED if it may have run.
+            DEADLINE_PASSED if the request may have run.
         """
-        response = await self._begin(hop, now)
-        answer = Answer(response, hop.relay)
+        response = await self._send_request(hop, now)
+        answer = HopResponse(response, hop.relay)
         if not answer.delimited:
             answer.close()
-            raise Refusal(Code.ANSWER_LOST, "the answer's end cannot be told")
+            raise Refusal(
+                Code.ANSWER_LOST,
+                "the response has neither Content-Length nor Transfer-Encoding",
+            )
         return answer
 
-    async def _begin(self, hop: Hop, now: float) -> aiohttp.ClientResponse:
-        """Send the request and wait for the head, with faults as refusals."""
-        session = self._fresh if hop.once else self._kept
-        streamed = hop.body.whole is None
+    async def _send_request(self, hop: Hop, now: float) -> aiohttp.ClientResponse:
+        """Send a request and wait for the head; convert errors to refusals."""
+        session = self._unpooled_session if hop.at_most_once else self._pooled_session
+        streamed = hop.body.buffered is None
         head = CIMultiDict(hop.headers)
         if streamed and hop.body.length is not None:
             head["Content-Length"] = str(hop.body.length)
@@ -203,7 +215,7 @@
                 hop.method,
                 URL(hop.url, encoded=True),
                 headers=head,
-                data=hop.body.chunks() if streamed else (hop.body.whole or None),
+                data=hop.body.chunks() if streamed else (hop.body.buffered or None),
                 timeout=_timeout(hop, now),
                 allow_redirects=False,
                 expect100=streamed and hop.relay,
@@ -217,18 +229,18 @@
 
 
 def _timeout(hop: Hop, now: float) -> aiohttp.ClientTimeout:
-    """Return the bounds of a hop: its deadline, or the longest pause of a stream."""
-    streamed = hop.body.whole is None
+    """Return the timeouts of a hop: its deadline, or the idle timeout of a stream."""
+    streamed = hop.body.buffered is None
     grace_s = RELAY_GRACE_S if hop.relay else 0.0
     return aiohttp.ClientTimeout(
         total=None if streamed else max(hop.deadline - now, 0.001) + grace_s,
         sock_connect=CONNECT_TIMEOUT_S,
-        sock_read=hop.stall_s if streamed else None,
+        sock_read=hop.idle_timeout_s if streamed else None,
     )
 
 
-def refusal_of(problem: Problem) -> Refusal:
-    """Turn a problem that a gate sent back into the error it was."""
+def refusal_from_problem(problem: Problem) -> Refusal:
+    """Convert a problem that a gate sent to a refusal."""
     try:
         code = Code(problem.code)
     except ValueError:
--- a/leverdoor/gate/keyed.py
+++ b/leverdoor/gate/keyed_server.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Serves requests that run at most once, at the gate that issued their key.
+"""Serves requests with idempotency keys at the gate that issued the key.
 
-Owns the runs under way, by key: they go on when their caller leaves, and end with the
-process. Relies on `keys.py` for what a key allows and on heartbeats for the proof that
-an issuer is gone.
+Owns the running requests by key nonce. They continue when their caller disconnects and
+are lost when the process ends. Relies on `idempotency_keys.py` for the state of a key
+and on heartbeats as proof that the issuing process has ended.
 """
 
 import asyncio
@@ -14,33 +14,44 @@
 
 from leverdoor import headers as h
 from leverdoor.errors import Code, Refusal, Run
-from leverdoor.gate.keys import Key, KeyRing, KeyState, Outcome, parse_key
-from leverdoor.gate.relay import HopClient, refusal_of
+from leverdoor.gate.hop_client import HopClient, refusal_from_problem
+from leverdoor.gate.idempotency_keys import (
+    Key,
+    KeyRegistry,
+    KeyState,
+    Outcome,
+    parse_key,
+)
 from leverdoor.gate.requests import GateRequest, issuer_hop
 from leverdoor.gate.scheduler import Scheduler
-from leverdoor.gate.serving import Served, Server, finishing
+from leverdoor.gate.serving import ServedResponse, Server, ensure_finished
 from leverdoor.membership.peers import AgentHeartbeat
 
 __all__ = ["KeyedServer"]
 
 OUTCOME_RETRY_MS = 500
-"""Retry-After in ms while an outcome is not known yet.
+"""Retry-After while the outcome of a request is unknown, in ms.
 
-Some runs, and some heartbeats of an issuer that can't be reached. A smaller one loads
-the issuer for nothing; a greater one keeps a caller waiting for an outcome.
+Several run times and heartbeat intervals, after which the outcome or the end of an
+unreachable issuer is likely to be known. A smaller value loads the issuer without
+benefit; a greater one delays the caller's outcome.
 """
 MAX_OUTCOME_BYTES = 8 * 1024 * 1024
-"""Longest answer read whole, in bytes: bounds the memory of a gate."""
+"""Maximum length of a buffered response, in bytes; bounds the gate's memory."""
 
 
 class KeyedServer:
-    """Runs a key's request here, or passes it to the gate that issued the key."""
+    """Runs requests with a key of this gate; forwards those of other issuers."""
 
     def __init__(
-        self, ring: KeyRing, server: Server, scheduler: Scheduler, client: HopClient
+        self,
+        key_registry: KeyRegistry,
+        server: Server,
+        scheduler: Scheduler,
+        client: HopClient,
     ) -> None:
-        """Create it from the gate's parts."""
-        self._ring = ring
+        """Create the server from the gate's components."""
+        self._key_registry = key_registry
         self._server = server
         self._scheduler = scheduler
         self._client = client
@@ -48,55 +59,55 @@
 
     @property
     def running(self) -> int:
-        """Count the requests that run, their callers still there or not."""
+        """Return the number of running requests, including those without a caller."""
         return len(self._running)
 
     async def serve(self, inbound: GateRequest) -> Outcome:
-        """Return the one outcome of a key.
+        """Run the request at the issuer of its key unless it ran; return its outcome.
 
         Raises:
-          Refusal: there is none; the code says whether it may have run.
+          Refusal: there is no outcome; the code says whether the request may have run.
         """
         key = parse_key(inbound.key)
-        if not self._ring.mine(key):
-            return await self._from_issuer(inbound, key)
+        if not self._key_registry.issued_here(key):
+            return await self._forward_to_issuer(inbound, key)
         now = asyncio.get_running_loop().time()
-        state = self._ring.begin(key, now)
+        state = self._key_registry.begin(key, now)
         if state is KeyState.NEW:
             self._start(inbound, key)
         if state is KeyState.DONE:
-            outcome = self._ring.outcome(key)
+            outcome = self._key_registry.outcome(key)
             assert outcome is not None
             return outcome
-        return await self._wait(inbound, key)
+        return await self._await_outcome(inbound, key)
 
     def _start(self, inbound: GateRequest, key: Key) -> None:
-        """Run apart from the caller, whose leaving must not lose the outcome."""
+        """Run the request in its own task, which outlives the caller's connection."""
         task = asyncio.create_task(self._run(inbound, key))
         self._running[key.nonce] = task
         task.add_done_callback(lambda _: self._running.pop(key.nonce, None))
-        task.add_done_callback(_consume)
+        task.add_done_callback(_retrieve_exception)
 
     async def _run(self, inbound: GateRequest, key: Key) -> Outcome:
         try:
-            outcome = await self._collect(await self._server.serve(inbound))
+            outcome = await self._buffer_outcome(await self._server.serve(inbound))
         except Refusal as e:
             if e.run is Run.NO:
-                self._ring.not_run(key)
+                self._key_registry.discard_not_run(key)
                 raise
-            outcome = _failed(e)
+            outcome = _failure_outcome(e)
         except BaseException as e:
-            outcome = _failed(Refusal(Code.ANSWER_LOST, repr(e)))
-            self._ring.finish(key, outcome)
+            outcome = _failure_outcome(Refusal(Code.ANSWER_LOST, repr(e)))
+            self._key_registry.finish(key, outcome)
             raise
-        self._ring.finish(key, outcome)
+        self._key_registry.finish(key, outcome)
         return outcome
 
-    async def _collect(self, served: Served) -> Outcome:
-        """Read an answer whole; an answer too large to keep is an error."""
+    async def _buffer_outcome(self, served: ServedResponse) -> Outcome:
+        """Buffer a response; one above MAX_OUTCOME_BYTES becomes ALREADY_RAN."""
         parts = []
         size = 0
-        async with finishing(served):
+        async with ensure_finished(served):
             async for chunk in served.chunks():
                 size += len(chunk)
                 if size <= MAX_OUTCOME_BYTES:
@@ -106,8 +117,11 @@
         head = [*served.headers, (h.SERVED_BY, served.served_by)]
         return Outcome(served.status, head, b"".join(parts))
 
-    async def _wait(self, inbound: GateRequest, key: Key) -> Outcome:
-        """Wait for a run that is under way, until this caller's deadline."""
+    async def _await_outcome(self, inbound: GateRequest, key: Key) -> Outcome:
+        """Wait for a running request until this caller's deadline.
+
+        A bulk upload waits without a limit.
+        """
         task = self._running.get(key.nonce)
         if task is None:
             raise Refusal(Code.STILL_RUNNING, retry_after_ms=OUTCOME_RETRY_MS)
@@ -118,10 +132,10 @@
             raise Refusal(Code.STILL_RUNNING, retry_after_ms=OUTCOME_RETRY_MS)
         return task.result()
 
-    async def _from_issuer(self, inbound: GateRequest, key: Key) -> Outcome:
-        """Pass the request to the gate that issued its key."""
-        issuer = self._scheduler.neighbours.get(key.vm)
-        if self._is_gone(key, issuer):
+    async def _forward_to_issuer(self, inbound: GateRequest, key: Key) -> Outcome:
+        """Forward the request to the gate that issued its key."""
+        issuer = self._scheduler.peer_gates.get(key.vm)
+        if self._issuer_ended(key, issuer):
             raise Refusal(Code.ISSUER_GONE)
         if issuer is None:
             raise Refusal(Code.ISSUER_UNREACHABLE, retry_after_ms=OUTCOME_RETRY_MS)
@@ -139,12 +153,14 @@
         if problem is not None:
             answer.close()
             logger.info("issuer refused", request_id=inbound.request_id)
-            raise refusal_of(problem)
-        return await self._collect(Served(self._server, inbound, answer, None, 0.0))
-
-    def _is_gone(self, key: Key, issuer: AgentHeartbeat | None) -> bool:
-        """Return whether the process that issued a key is proved to be gone."""
-        if self._ring.replaced(key):
+            raise refusal_from_problem(problem)
+        return await self._buffer_outcome(
+            ServedResponse(self._server, inbound, answer, None, 0.0)
+        )
+
+    def _issuer_ended(self, key: Key, issuer: AgentHeartbeat | None) -> bool:
+        """Return whether the process that issued a key is known to have ended."""
+        if self._key_registry.issued_by_predecessor(key):
             return True
         if issuer is None or issuer.relay != key.relay:
             return False
@@ -155,14 +171,14 @@
     return asyncio.get_running_loop().time()
 
 
-def _failed(e: Refusal) -> Outcome:
-    """Keep a refusal as an outcome, so that a retry gets the same answer."""
+def _failure_outcome(e: Refusal) -> Outcome:
+    """Convert a refusal to an outcome, so that a retry gets the same response."""
     body = msgspec.json.encode(e.problem())
     head = [("Content-Type", "application/json"), (h.RUN, e.run.value)]
     return Outcome(502, head, body, e.code)
 
 
-def _consume(task: asyncio.Task[Outcome]) -> None:
-    """Read a task's error, which its callers got, so that none is left unread."""
+def _retrieve_exception(task: asyncio.Task[Outcome]) -> None:
+    """Retrieve a task's exception, so that asyncio does not log it as unhandled."""
     if not task.cancelled():
         task.exception()
--- a/leverdoor/gate/placement.py
+++ b/leverdoor/gate/placement.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Where a request goes: to which region, to a target here or to another gate.
+"""Selects a region and a local target or another gate for each request.
 
-Owns no state of its own: it takes units from this gate's holdings and shift caps and
-counts what it takes. Relies on the snapshot of the configuration, on this gate's own
-counts (exact) and on the heartbeats of other gates (0.1 s old and more).
+Owns the shift limiter of this region, whose state is lost when the process ends;
+acquires units of this gate's rows and shift caps. Relies on the configuration snapshot,
+on the exact counts of this gate and on heartbeats of other gates, which are at least
+0.1 s old.
 """
 
 from random import Random
@@ -13,12 +14,12 @@
 import msgspec
 
 from leverdoor.errors import Rejection
-from leverdoor.gate.holdings import Holdings
-from leverdoor.gate.neighbours import Neighbour, Neighbours, RegionLoad
+from leverdoor.gate.peers import PeerGate, PeerGates, RegionLoad
 from leverdoor.gate.pool import TargetPool
 from leverdoor.gate.queueing import QueuedRequest
-from leverdoor.gate.shifts import ShiftLimiter
-from leverdoor.gate.target_health import ASSUMED_MS
+from leverdoor.gate.row_units import HeldUnits
+from leverdoor.gate.shift_limiter import ShiftLimiter
+from leverdoor.gate.target_health import INITIAL_RUN_MS
 from leverdoor.gate.workload import Workloads, queue_wait_ms
 from leverdoor.membership.ownership import cap_row_name, slot_row_name
 from leverdoor.model.resources import Service, Target, WorkClass
@@ -27,27 +28,30 @@
 __all__ = ["Decision", "Dispatch", "Forward", "Placement", "bulk_limit"]
 
 BULK_SHARE = 0.5
-"""Part of the slots that bulk uploads may take in a service that is not all bulk.
+"""Share of slots available to bulk uploads in a service that is not of class BULK.
 
-An upload holds a slot for minutes, so without a bound uploads would take all of them. A
-greater part lengthens the wait of other requests, a smaller one the uploads.
+An upload holds a slot for minutes; without a limit uploads would take all slots. A
+greater share lengthens the wait of other requests, a smaller one that of uploads.
 """
-SPILL_MARGIN_MS = 5.0
-"""What leaving the home region must save beyond the round trip, in ms.
+LEAVE_HOME_MARGIN_MS = 5.0
+"""Minimum wait saved by leaving the home region, beyond the round trip, in ms.
 
-Waits of other gates are estimated from old heartbeats. A smaller margin moves requests
-back and forth between regions; a greater one lets them wait at home.
+Waits of other gates are estimated from old heartbeats. A smaller margin makes requests
+oscillate between regions; a greater one makes them wait in the home region.
 """
 
 NO_SLOT_WAIT_MS = 30_000.0
-"""Expected wait at a gate that holds no slot, in ms; longer than any deadline allows.
+"""Wait assumed at a gate without slots, in ms; longer than any deadline.
 
-Any other gate of the region with a slot is then the better one.
+Every other gate of the region with a slot is therefore preferred.
 """
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """Send it to a target here; the units of its rows are taken already."""
+    """Decision to use a local target, whose units are acquired.
+
+    `slot` and `cap` are rows of the ownership table; `cap` is "" without a cap unit.
+    """
 
     target: Target
     slot: str
@@ -55,7 +59,7 @@
 
 
 class Forward(msgspec.Struct, frozen=True):
-    """Pass it to another gate, at the address `relay`."""
+    """Decision to forward the request to the gate with the address `relay`."""
 
     vm: str
     relay: str
@@ -66,57 +70,61 @@
 
 
 def bulk_limit(held: int, work: WorkClass) -> int:
-    """Return how many of the slots held bulk uploads may use; at least one."""
+    """Return how many of the held slots bulk uploads may use.
+
+    At least one for a service with other requests.
+    """
     if work is WorkClass.BULK:
         return held
     return max(1, int(held * BULK_SHARE))
 
 
-def is_worth_leaving(load: RegionLoad, nearest_ms: float) -> bool:
+def should_leave_home(load: RegionLoad, nearest_ms: float) -> bool:
     """Return whether a request should leave its home region.
 
-    It should if the expected wait there is longer than the round trip to the nearest
-    other region, or if nothing there takes requests.
+    True if no usable gate of the home region holds a slot, or if the expected wait
+    there exceeds the round trip to the nearest other region by more than
+    LEAVE_HOME_MARGIN_MS.
 
     Args:
-      load: slots held and requests waiting in the home region.
-      nearest_ms: one-way distance of the nearest other region.
+      load: load of the home region.
+      nearest_ms: one-way latency to the nearest other region.
     """
     if load.held == 0:
         return True
-    wait_ms = queue_wait_ms(load.waiting + 1, load.mean_ms or ASSUMED_MS, load.held)
-    return wait_ms > 2 * nearest_ms + SPILL_MARGIN_MS
+    wait_ms = queue_wait_ms(load.waiting + 1, load.mean_ms or INITIAL_RUN_MS, load.held)
+    return wait_ms > 2 * nearest_ms + LEAVE_HOME_MARGIN_MS
 
 
 class Placement:
-    """Finds a target or a gate with a free slot for a request."""
+    """Finds a target or gate with a free slot for a request."""
 
     def __init__(
         self,
         region: str,
-        holdings: Holdings,
+        held_units: HeldUnits,
         pool: TargetPool,
-        neighbours: Neighbours,
+        peer_gates: PeerGates,
         workloads: Workloads,
         rng: Random,
     ) -> None:
-        """Create it.
+        """Create a placement.
 
         Args:
           region: this gate's region.
-          holdings: the units of this process.
-          pool: the targets here.
-          neighbours: the other gates.
-          workloads: what waits and runs here.
-          rng: where all chance comes from.
+          held_units: the units of this process.
+          pool: the targets of this region.
+          peer_gates: the other gates.
+          workloads: the requests waiting and running at this gate.
+          rng: source of randomness.
         """
         self._region = region
-        self._holdings = holdings
+        self._held_units = held_units
         self._pool = pool
-        self._neighbours = neighbours
+        self._peer_gates = peer_gates
         self._workloads = workloads
         self._rng = rng
-        self._shifts = ShiftLimiter(region, holdings)
+        self._shifts = ShiftLimiter(region, held_units)
 
     @property
     def _view(self) -> View:
@@ -129,9 +137,10 @@
     def place(
         self, request: QueuedRequest, service: Service, now: float
     ) -> Dispatch | Forward | None:
-        """Find a free slot: at home first, then region by region by distance.
+        """Acquire a local slot or select a gate to forward to.
 
-        A forwarded request gets a slot here or none.
+        Tries the home region first, then the others by distance. A forwarded request
+        is only placed on a target of this gate.
         """
         for region in self._regions(request):
             decision: Dispatch | Forward | None = None
@@ -143,7 +152,7 @@
                 return decision
             if request.forwarded and region != self._region:
                 continue
-            if not self._may_leave(request, region, now):
+            if not self._may_try_farther(request, region, now):
                 return None
         return None
 
@@ -152,27 +161,27 @@
         distance_ms = self._view.distance_ms
         return sorted(names, key=lambda r: (distance_ms(request.home, r), r))
 
-    def _may_leave(self, request: QueuedRequest, region: str, now: float) -> bool:
-        """Return whether regions after this one may be tried."""
+    def _may_try_farther(self, request: QueuedRequest, region: str, now: float) -> bool:
+        """Return whether regions farther than this one may be tried."""
         if region != request.home:
             return True
         others = [r for r in self._view.regions if r != region]
         nearest_ms = min(
             (self._view.distance_ms(region, r) for r in others), default=0.0
         )
-        return is_worth_leaving(
+        return should_leave_home(
             self._region_load(request.service, region, now), nearest_ms
         )
 
     def _region_load(self, service: str, region: str, now: float) -> RegionLoad:
-        """Add up a region's load, this gate's own included."""
-        others = self._neighbours.load(service, region, now)
+        """Return the load of a region, including this gate."""
+        others = self._peer_gates.load(service, region, now)
         if region != self._region:
             return others
         own = self._workloads.of(service)
         return RegionLoad(
             others.held + self._pool.slots(service, now),
-            others.waiting + own.queue.interactive(),
+            others.waiting + own.queue.interactive_count(),
             max(others.mean_ms, own.mean_ms or 0.0),
             others.gates + 1,
         )
@@ -180,72 +189,79 @@
     def _dispatch(
         self, request: QueuedRequest, service: Service, now: float
     ) -> Dispatch | None:
-        """Take a slot that this gate holds, and a cap unit for a foreign request."""
-        if request.bulk and not self._takes_bulk(service, now):
+        """Acquire a slot of this gate and, for another region's request, a cap unit."""
+        if request.bulk and not self._accepts_bulk(service, now):
             return None
         best = self._pool.best(request.service, request.tried, self._rng, now)
         if best is None:
             return None
         cap: str | None = ""
         if request.home != self._region:
-            cap = self._shifts.take(self._view, request.service, now)
+            cap = self._shifts.acquire_unit(self._view, request.service, now)
         if cap is None:
             return None
         slot = slot_row_name(best.address)
-        self._holdings.acquire(slot, now)
+        self._held_units.acquire(slot, now)
         self._pool.health.of(best, now).in_flight += 1
         self._workloads.add(request.service).begin(request)
         return Dispatch(best, slot, cap)
 
-    def _takes_bulk(self, service: Service, now: float) -> bool:
-        """Return whether a bulk upload may take a slot: none while others wait."""
+    def _accepts_bulk(self, service: Service, now: float) -> bool:
+        """Return whether a bulk upload may take a slot.
+
+        False while other requests wait or the bulk limit is reached.
+        """
         limit = bulk_limit(self._pool.slots(service.name, now), service.work)
         workload = self._workloads.of(service.name)
-        return not workload.queue.interactive() and workload.bulk_running < limit
+        return not workload.queue.interactive_count() and workload.bulk_running < limit
 
     def _forward(
         self, request: QueuedRequest, region: str, now: float
     ) -> Forward | None:
-        """Pass a request on to a gate with a free slot in a region."""
+        """Select a gate with a free slot in a region."""
         cap = ""
         if region != request.home and (request.service, region) in self._view.caps:
             cap = cap_row_name(request.service, region)
-        found = self._neighbours.with_free_slot(request.service, region, cap, now)
+        found = self._peer_gates.with_free_slot(request.service, region, cap, now)
         return _forward_to(found, region)
 
-    def to_shorter_queue(self, request: QueuedRequest, now: float) -> Forward | None:
-        """Pass a request on to a gate of this region where the wait is shorter.
+    def forward_to_shorter_queue(
+        self, request: QueuedRequest, now: float
+    ) -> Forward | None:
+        """Select a gate of this region with a shorter wait.
 
-        Bulk uploads and requests that were passed on already wait here.
+        Bulk uploads and forwarded requests are never forwarded to a shorter queue.
         """
         if request.forwarded or request.bulk:
             return None
-        own_ms = self._own_wait_ms(request.service, now)
-        found = self._neighbours.with_shorter_queue(
+        own_ms = self._local_wait_ms(request.service, now)
+        found = self._peer_gates.with_shorter_queue(
             request.service, self._region, own_ms, now
         )
         return _forward_to(found, self._region)
 
-    def _own_wait_ms(self, service: str, now: float) -> float:
-        """Return the expected wait at this gate alone; endless without a slot."""
+    def _local_wait_ms(self, service: str, now: float) -> float:
+        """Return the expected wait at this gate alone, in ms."""
         held = self._pool.slots(service, now)
         if not held:
             return NO_SLOT_WAIT_MS
         workload = self._workloads.of(service)
-        mean = ASSUMED_MS if workload.mean_ms is None else workload.mean_ms
-        return queue_wait_ms(workload.queue.interactive() + 1, mean, held)
+        mean = INITIAL_RUN_MS if workload.mean_ms is None else workload.mean_ms
+        return queue_wait_ms(workload.queue.interactive_count() + 1, mean, held)
 
-    def give_back(
-        self, request: QueuedRequest, made: Dispatch, now: float, cool_s: float
+    def release_units(
+        self, request: QueuedRequest, dispatch: Dispatch, now: float, cooldown_s: float
     ) -> None:
-        """Give back the units that a dispatch took, counted for `cool_s` more."""
-        self._holdings.release(made.slot, now, cool_s)
-        if made.cap:
-            self._shifts.give_back(self._view, request.service, made.cap, now, cool_s)
-        self._pool.health.of(made.target, now).in_flight -= 1
+        """Release the units, which count as used for `cooldown_s` more seconds."""
+        self._held_units.release(dispatch.slot, now, cooldown_s)
+        if dispatch.cap:
+            self._shifts.release_units(
+                self._view, request.service, dispatch.cap, now, cooldown_s
+            )
+        self._pool.health.of(dispatch.target, now).in_flight -= 1
 
 
-def _forward_to(gate: Neighbour | None, region: str) -> Forward | None:
+def _forward_to(gate: PeerGate | None, region: str) -> Forward | None:
     if gate is None:
         return None
     return Forward(gate.heartbeat.vm, gate.heartbeat.relay, region)
--- a/leverdoor/gate/intake.py
+++ b/leverdoor/gate/request_reader.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Reads a request from HTTP: who sends it, its deadline, its key and its body.
+"""Reads the origin, deadline, key and body of an HTTP request.
 
-Owns no state. Relies on the snapshot of the configuration for tier, home region and
-service; what a gate says of a request that it passes on is taken as it is.
+Owns no state. Relies on the configuration snapshot for tier, home region and service.
+Trusts the headers with which another gate describes a forwarded request.
 """
 
 import asyncio
@@ -14,24 +14,24 @@
 
 from leverdoor import headers as h
 from leverdoor.errors import Code, Refusal
+from leverdoor.gate.hop_client import Body
 from leverdoor.gate.queueing import QueuedRequest
-from leverdoor.gate.relay import Body
 from leverdoor.gate.requests import GateRequest, Origin
 from leverdoor.model.resources import Service, WorkClass
 from leverdoor.quarantine.fingerprint import request_fingerprint
 from leverdoor.storage.view import View
 
-__all__ = ["caller_origin", "gate_origin", "leave_expect", "read_request"]
+__all__ = ["caller_origin", "gate_origin", "defer_continue", "read_request"]
 
-BUFFERED_BODY = 64 * 1024
-"""Longest body kept in memory for a retry, in bytes; longer ones are streamed.
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
+"""Maximum length of a body buffered for retries, in bytes; longer bodies are streamed.
 
-Holds queries and corrections; a greater one costs memory for each request.
+Large enough for queries and corrections. A greater value costs memory per request.
 """
 
 
 def caller_origin(request: web.Request, view: View, region: str) -> Origin:
-    """Find out who calls: the tier by name, the home region by address."""
+    """Return a caller's origin: tier by caller name, home region by IP address."""
     caller = request.headers.get(h.CALLER, "")
     return Origin(
         request_id=request.headers.get(h.REQUEST_ID, "") or secrets.token_hex(8),
@@ -42,7 +42,7 @@
 
 
 def gate_origin(request: web.Request, view: View, region: str) -> Origin:
-    """Read what another gate says of a request that it passes on."""
+    """Return the origin that another gate states in its headers."""
     head = request.headers
     return Origin(
         request_id=head.get(h.REQUEST_ID, ""),
@@ -56,17 +56,17 @@
 async def read_request(
     request: web.Request, service: Service, origin: Origin, arrived: float
 ) -> GateRequest:
-    """Read a request; a short body is read whole before it can hold a slot.
+    """Read a request; a short body is buffered before the request can hold a slot.
 
     Args:
       request: the request, its body unread.
-      service: the service called.
-      origin: who sends it.
-      arrived: loop time in seconds.
+      service: the requested service.
+      origin: the sender of the request.
+      arrived: loop time of its arrival, in seconds.
     Raises:
-      Refusal: KEY_REQUIRED, BAD_REQUEST or BODY_TOO_SLOW; it did not run.
+      Refusal: KEY_REQUIRED, BAD_REQUEST or BODY_TOO_SLOW; the request did not run.
     """
-    queued = _queued(request, service, origin, arrived)
+    queued = _scheduling_data(request, service, origin, arrived)
     key = "" if origin.forwarded else request.headers.get(h.KEY, "")
     needs_key = service.work is WorkClass.ONCE and not queued.bulk
     if needs_key and not key and not origin.forwarded:
@@ -78,7 +78,7 @@
         request_id=origin.request_id,
         service=service,
         method=request.method,
-        tail=tail,
+        path_and_query=tail,
         headers=h.passing(request.headers.items(), connection),
         body=body,
         queued=queued,
@@ -91,17 +91,17 @@
 def _fingerprint(
     method: str, service: Service, tail: str, caller: str, body: Body
 ) -> int:
-    """Return the fingerprint of a request; 0 if its body is streamed."""
-    if body.whole is None:
+    """Return the fingerprint of a request, or 0 if its body is streamed."""
+    if body.buffered is None:
         return 0
-    size = len(body.whole)
-    return request_fingerprint(method, service.name, tail, caller, body.whole, size)
+    size = len(body.buffered)
+    return request_fingerprint(method, service.name, tail, caller, body.buffered, size)
 
 
-def _queued(
+def _scheduling_data(
     request: web.Request, service: Service, origin: Origin, arrived: float
 ) -> QueuedRequest:
-    """Return what decisions need; the service bounds the deadline a caller sends."""
+    """Return the scheduling data; the service limits the requested deadline."""
     path = request.match_info["tail"]
     prefixes = [p.lstrip("/") for p in service.bulk_prefixes]
     limit_ms = service.deadline_ms
@@ -118,33 +118,37 @@
 
 
 async def _read_body(request: web.Request, service: Service) -> Body:
-    """Read a short body whole, so that it can be sent again; stream others."""
-    stall_s = service.deadline_ms / 1000
+    """Buffer a short body so that it can be sent again; stream a longer one."""
+    idle_timeout_s = service.deadline_ms / 1000
     if not request.body_exists:
-        return Body(b"", None, 0, stall_s)
+        return Body(b"", None, 0, idle_timeout_s)
     length = request.content_length
-    if length is None or length > BUFFERED_BODY:
-        body = Body(None, request.content, length, stall_s)
-        body.on_start = lambda: _continue(request)
+    if length is None or length > MAX_BUFFERED_BODY_BYTES:
+        body = Body(None, request.content, length, idle_timeout_s)
+        body.before_read = lambda: _send_continue(request)
         return body
-    await _continue(request)
+    await _send_continue(request)
     try:
-        async with asyncio.timeout(stall_s):
+        async with asyncio.timeout(idle_timeout_s):
             data = await request.content.read(-1)
     except TimeoutError:
         raise Refusal(Code.BODY_TOO_SLOW) from None
     except (aiohttp.ClientError, OSError) as e:
-        raise Refusal(Code.BAD_REQUEST, f"the body was cut: {e!r}") from None
+        raise Refusal(
+            Code.BAD_REQUEST, f"reading the request body failed: {e!r}"
+        ) from None
     if len(data) != length:
-        raise Refusal(Code.BAD_REQUEST, "the body was cut short")
-    return Body(data, None, length, stall_s)
+        raise Refusal(
+            Code.BAD_REQUEST, "the request body ended before its Content-Length"
+        )
+    return Body(data, None, length, idle_timeout_s)
 
 
-async def leave_expect(request: web.Request) -> None:
-    """Leave the answer to `Expect: 100-continue` until the request is placed."""
+async def defer_continue(request: web.Request) -> None:
+    """Replace the library's immediate reply to `Expect: 100-continue`."""
 
 
-async def _continue(request: web.Request) -> None:
+async def _send_continue(request: web.Request) -> None:
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         request.writer.output_size = 0
--- a/leverdoor/gate/requests.py
+++ b/leverdoor/gate/requests.py
@@ -1,26 +1,27 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""One request as a gate takes it in, and what it sends on for it.
+"""Requests that a gate receives and the hops that it derives from them.
 
-`GateRequest` is read once from HTTP; `target_hop`, `gate_hop` and `issuer_hop` say
-what goes to the next process. Owns no state.
+`GateRequest` is read once from HTTP; `target_hop`, `gate_hop` and `issuer_hop` build
+the request to the next process. Owns no state.
 """
 
 import msgspec
 
 from leverdoor import headers as h
+from leverdoor.gate.hop_client import Body, Hop
 from leverdoor.gate.queueing import QueuedRequest
-from leverdoor.gate.relay import Body, Hop
 from leverdoor.model.resources import Service, Tier, WorkClass
 
 __all__ = ["GateRequest", "Origin", "gate_hop", "issuer_hop", "target_hop"]
 
 
 class Origin(msgspec.Struct, frozen=True):
-    """Where a request comes from.
+    """The caller of a request.
 
-    `home` is the caller's region. `forwarded` is set when another gate passed it on
-    for a slot here: that gate accounts for it.
+    `home` is the caller's region. `forwarded` marks a request that another gate sent to
+    use a slot of this one; the other gate records it in its metrics. A request that a
+    gate sent to the issuer of its key is not marked.
     """
 
     request_id: str
@@ -31,39 +32,39 @@
 
 
 class GateRequest(msgspec.Struct):
-    """One request as a gate takes it in; `key` is its idempotency key, if any."""
+    """A request that a gate received; `key` is its idempotency key, if any."""
 
     request_id: str
     service: Service
     method: str
-    tail: str
+    path_and_query: str
     headers: list[tuple[str, str]]
     body: Body
     queued: QueuedRequest
     caller: str
     key: str = ""
     fingerprint: int = 0
-    """By which it is known when it comes again; 0 with a body that is streamed."""
+    """Identifies repetitions of the request; 0 if its body is streamed."""
 
     @property
-    def once(self) -> bool:
-        """Return whether running it twice could do harm."""
+    def at_most_once(self) -> bool:
+        """Return whether the request must run at most once."""
         return self.service.work is not WorkClass.LOOKUP or bool(self.key)
 
 
 def target_hop(inbound: GateRequest, address: str, now: float) -> Hop:
-    """Return what goes to a target, at loop time `now`."""
-    head = [_request_id(inbound), *_deadline(inbound, now)]
-    return _hop(inbound, f"http://{address}/{inbound.tail}", head)
+    """Return the request to a target, sent at loop time `now`."""
+    head = [_request_id_header(inbound), *_deadline_headers(inbound, now)]
+    return _hop(inbound, f"http://{address}/{inbound.path_and_query}", head)
 
 
 def gate_hop(inbound: GateRequest, relay: str, now: float) -> Hop:
-    """Return what goes to another gate that holds a slot, at loop time `now`."""
+    """Return the request to a gate with a free slot, sent at loop time `now`."""
     head = [
-        _request_id(inbound),
-        *_deadline(inbound, now),
+        _request_id_header(inbound),
+        *_deadline_headers(inbound, now),
         (h.HOP, "1"),
-        *_origin(inbound),
+        *_origin_headers(inbound),
     ]
     hop = _hop(inbound, _gate_url(inbound, relay), head)
     hop.relay = True
@@ -71,30 +72,30 @@
 
 
 def issuer_hop(inbound: GateRequest, relay: str, now: float) -> Hop:
-    """Return what goes to the gate that issued the request's key.
+    """Return the request to the gate that issued the key.
 
-    Its deadline goes along also for a bulk upload.
+    It carries the deadline even for a bulk upload.
     """
     head = [
-        _request_id(inbound),
-        *_origin(inbound),
-        (h.DEADLINE, str(_left_ms(inbound, now))),
+        _request_id_header(inbound),
+        *_origin_headers(inbound),
+        (h.DEADLINE, str(_remaining_ms(inbound, now))),
     ]
     hop = _hop(inbound, _gate_url(inbound, relay), head)
     hop.relay = True
-    hop.once = True
+    hop.at_most_once = True
     return hop
 
 
 def _gate_url(inbound: GateRequest, relay: str) -> str:
-    return f"http://{relay}/s/{inbound.service.name}/{inbound.tail}"
+    return f"http://{relay}/s/{inbound.service.name}/{inbound.path_and_query}"
 
 
-def _request_id(inbound: GateRequest) -> tuple[str, str]:
+def _request_id_header(inbound: GateRequest) -> tuple[str, str]:
     return (h.REQUEST_ID, inbound.request_id)
 
 
-def _origin(inbound: GateRequest) -> list[tuple[str, str]]:
+def _origin_headers(inbound: GateRequest) -> list[tuple[str, str]]:
     return [
         (h.HOME, inbound.queued.home),
         (h.TIER, inbound.queued.tier.name),
@@ -102,15 +103,15 @@
     ]
 
 
-def _left_ms(inbound: GateRequest, now: float) -> int:
+def _remaining_ms(inbound: GateRequest, now: float) -> int:
     return max(int((inbound.queued.deadline - now) * 1000), 1)
 
 
-def _deadline(inbound: GateRequest, now: float) -> list[tuple[str, str]]:
-    """Return the time left; a bulk upload has none."""
+def _deadline_headers(inbound: GateRequest, now: float) -> list[tuple[str, str]]:
+    """Return the deadline header; a bulk upload has none."""
     if inbound.queued.bulk:
         return []
-    return [(h.DEADLINE, str(_left_ms(inbound, now)))]
+    return [(h.DEADLINE, str(_remaining_ms(inbound, now)))]
 
 
 def _hop(inbound: GateRequest, url: str, head: list[tuple[str, str]]) -> Hop:
@@ -120,7 +121,7 @@
         headers=inbound.headers + head,
         body=inbound.body,
         deadline=inbound.queued.deadline,
-        stall_s=inbound.service.deadline_ms / 1000,
-        once=inbound.once,
+        idle_timeout_s=inbound.service.deadline_ms / 1000,
+        at_most_once=inbound.at_most_once,
         relay=False,
     )
--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -1,25 +1,26 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""When each request goes: at once, after a wait, or not at all; without I/O.
-
-A request is placed (`placement.py`) if none waits before it, else passed on to a gate
-with a shorter queue, else it waits or is refused. Owns nothing that outlasts the
-process: what waits and runs here is in `workload.py`, units are in `holdings.py`.
-Relies on the snapshot of the configuration and on heartbeats of other gates, 0.1 s
-old and more; without them it decides from its own counts alone.
+"""Decides whether a request is placed, forwarded, queued or refused; without I/O.
+
+A request is placed (`placement.py`) if no interactive request waits or if another
+region forwarded it. Otherwise it is forwarded to a gate with a shorter queue, queued or
+refused. Owns the target pool, the load estimates of other gates and the workloads
+(`workload.py`); all are lost when the process ends. Relies on `row_units.py` for units,
+on the configuration snapshot and on heartbeats of other gates, which are at least 0.1 s
+old. Without heartbeats it decides from its own counts alone.
 """
 
 from random import Random
 
 from leverdoor.errors import Code, Rejection
-from leverdoor.gate.holdings import Holdings
-from leverdoor.gate.neighbours import Neighbours
+from leverdoor.gate.peers import PeerGates
 from leverdoor.gate.placement import Decision, Dispatch, Placement
 from leverdoor.gate.pool import TargetPool
 from leverdoor.gate.queueing import QueuedRequest, WaitQueue
-from leverdoor.gate.refusals import retry_after_ms
-from leverdoor.gate.shifts import rate_out
-from leverdoor.gate.target_health import ASSUMED_MS, TargetBook
+from leverdoor.gate.retry_after import retry_after_ms
+from leverdoor.gate.row_units import HeldUnits
+from leverdoor.gate.shift_limiter import shift_rate_per_s
+from leverdoor.gate.target_health import INITIAL_RUN_MS, TargetHealthTable
 from leverdoor.gate.workload import Workloads, queue_wait_ms
 from leverdoor.membership.peers import AgentHeartbeat, Load
 from leverdoor.model.resources import Service
@@ -29,27 +30,27 @@
 
 
 class Scheduler:
-    """Places requests on targets and gates, lets them wait, or refuses them."""
+    """Places, forwards, queues or refuses requests."""
 
     def __init__(
-        self, vm: str, region: str, holdings: Holdings, view: View, rng: Random
+        self, vm: str, region: str, held_units: HeldUnits, view: View, rng: Random
     ) -> None:
-        """Create it.
+        """Create a scheduler.
 
         Args:
           vm: this VM.
           region: this VM's region.
-          holdings: the units of this process.
+          held_units: the units of this process.
           view: the configuration in force.
-          rng: where all chance comes from.
+          rng: source of randomness.
         """
         self.vm = vm
         self.region = region
-        self.pool = TargetPool(region, holdings, view)
-        self.neighbours = Neighbours(vm, self.vm_leaving, rng)
+        self.pool = TargetPool(region, held_units, view)
+        self.peer_gates = PeerGates(vm, self.vm_leaving, rng)
         self._workloads = Workloads()
         self._placement = Placement(
-            region, holdings, self.pool, self.neighbours, self._workloads, rng
+            region, held_units, self.pool, self.peer_gates, self._workloads, rng
         )
         self._rng = rng
 
@@ -65,32 +66,32 @@
         self.pool.view = view
 
     @property
-    def targets(self) -> TargetBook:
+    def targets(self) -> TargetHealthTable:
         """The health of targets."""
         return self.pool.health
 
     def vm_leaving(self, vm: str) -> bool:
-        """Return whether a VM leaves by the VM list or by a drain."""
+        """Return whether the VM list marks a VM as leaving or a drain covers it."""
         return vm in self.pool.leaving_vms or self.view.vm_drained(vm)
 
     def usable_gates(self, now: float) -> list[AgentHeartbeat]:
-        """Heartbeats of the other gates that can be used now."""
-        return [n.heartbeat for n in self.neighbours.usable(now)]
+        """Return the heartbeats of the usable other gates."""
+        return [n.heartbeat for n in self.peer_gates.usable(now)]
 
     def loads(self, now: float) -> dict[str, Load]:
-        """Return this gate's own load by service, as its heartbeats carry it."""
+        """Return this gate's load by service for its heartbeats."""
         found: dict[str, Load] = {}
         for name in self.view.services:
             workload = self._workloads.of(name)
             held = self.pool.slots(name, now)
-            waiting = workload.queue.interactive()
+            waiting = workload.queue.interactive_count()
             if held or waiting:
                 mean = round(workload.mean_ms or 0.0, 1)
                 found[name] = Load(held, self.pool.free(name, now), waiting, mean)
         return found
 
     def caps(self, now: float) -> dict[str, int]:
-        """Return this gate's free units of each shift cap into its region."""
+        """Return this gate's free units of each shift cap into its region, by row."""
         return self._placement.free_caps(now)
 
     # Decisions on one request.
@@ -98,7 +99,7 @@
     def offer(self, request: QueuedRequest, now: float) -> Decision | None:
         """Decide on a new request.
 
-        Returns: the decision, or None if the request waits: `poll` then decides.
+        Returns: the decision, or None if the request is queued until `poll` decides.
         """
         service = self.view.services.get(request.service)
         if service is None:
@@ -106,40 +107,40 @@
         if now >= request.deadline:
             return self._refuse(Code.DEADLINE_TOO_SHORT, request, now)
         queue = self._workloads.add(request.service).queue
-        if not queue.interactive() or self._is_shifted_here(request):
+        if not queue.interactive_count() or self._from_other_region(request):
             decision = self._placement.place(request, service, now)
             if decision is not None:
                 return decision
-        shorter = self._placement.to_shorter_queue(request, now)
+        shorter = self._placement.forward_to_shorter_queue(request, now)
         if shorter is not None:
             return shorter
-        return self._wait(request, service, queue, now)
+        return self._queue_or_refuse(request, service, queue, now)
 
-    def _is_shifted_here(self, request: QueuedRequest) -> bool:
-        """Return whether another region passed it here: it never waits here."""
+    def _from_other_region(self, request: QueuedRequest) -> bool:
+        """Return whether another region forwarded the request to this gate."""
         return request.forwarded and request.home != self.region
 
-    def _wait(
+    def _queue_or_refuse(
         self, request: QueuedRequest, service: Service, queue: WaitQueue, now: float
     ) -> Decision | None:
-        """Queue a request, or refuse one that would wait in vain.
+        """Queue a request unless it cannot be served in time or the queue is full.
 
-        CAP_REACHED answers a request of another region that found no cap unit or no
-        slot: the sending gate then tries elsewhere.
+        CAP_REACHED refuses a request of another region that found no cap unit or no
+        slot; the sending gate then tries another gate.
         """
-        if self._is_shifted_here(request):
+        if self._from_other_region(request):
             return self._refuse(Code.CAP_REACHED, request, now)
         if not self.pool.any_in_service(service.name):
             return self._refuse(Code.NO_TARGET, request, now)
-        if not request.bulk and self._would_be_late(request, now):
+        if not request.bulk and self._would_miss_deadline(request, now):
             return self._refuse(Code.DEADLINE_TOO_SHORT, request, now)
         if len(queue) < service.queue:
             queue.push(request)
             return None
         return self._refuse(Code.QUEUE_FULL, request, now)
 
-    def _would_be_late(self, request: QueuedRequest, now: float) -> bool:
-        """Return whether the expected wait and run end after the deadline."""
+    def _would_miss_deadline(self, request: QueuedRequest, now: float) -> bool:
+        """Return whether the expected wait and run time exceed the deadline."""
         wait_ms = self.expected_wait_ms(request, now)
         run_ms = self._workloads.of(request.service).mean_ms or 0.0
         return now + (wait_ms + run_ms) / 1000 > request.deadline
@@ -147,26 +148,29 @@
     def expected_wait_ms(self, request: QueuedRequest, now: float) -> float:
         """Estimate how long a new request would wait in this region, in ms.
 
-        What is ahead of it at all gates, over the slots held there. Without a slot in
-        the region, what is ahead over the rate at which shift caps let requests out.
+        The wait is the mean run time of this and all preceding requests of the region
+        over its slots, plus the time until the first ejection ends. Without a slot in
+        the region, the preceding requests, with queues of the same length assumed at
+        its other gates, are divided by the rate at which shift caps admit requests to
+        other regions.
         """
         workload = self._workloads.of(request.service)
-        ahead = workload.queue.ahead(request.tier)
-        own = workload.queue.interactive()
-        # Heartbeats don't say of which tier others' requests are: assume as here.
-        share = ahead / own if own else 1.0
-        others = self.neighbours.load(request.service, self.region, now)
+        ahead = workload.queue.preceding_requests(request.tier)
+        own = workload.queue.interactive_count()
+        # Heartbeats carry no tiers: assume the same share precedes at other gates.
+        preceding_share = ahead / own if own else 1.0
+        others = self.peer_gates.load(request.service, self.region, now)
         held = self.pool.slots_in_service(request.service) + others.held
-        mean = ASSUMED_MS if workload.mean_ms is None else workload.mean_ms
+        mean = INITIAL_RUN_MS if workload.mean_ms is None else workload.mean_ms
         if not held:
-            rate = rate_out(self.view, request.service, request.home, mean)
+            rate = shift_rate_per_s(self.view, request.service, request.home, mean)
             return 1000 * (ahead + 1) * (1 + others.gates) / rate
-        waiting = ahead + share * others.waiting
-        pause_ms = self.pool.pause_ms(request.service, now)
-        return pause_ms + queue_wait_ms(waiting + 1, mean, held)
+        waiting = ahead + preceding_share * others.waiting
+        first_ejection_end_ms = self.pool.first_ejection_end_ms(request.service, now)
+        return first_ejection_end_ms + queue_wait_ms(waiting + 1, mean, held)
 
     def _refuse(self, code: Code, request: QueuedRequest, now: float) -> Rejection:
-        """Refuse a request, with when its caller should return."""
+        """Return a rejection with its Retry-After."""
         wait_ms = self.expected_wait_ms(request, now)
         cap = self.view.caps.get((request.service, self.region))
         window_ms = cap.window_ms if cap else 0.0
@@ -174,39 +178,41 @@
 
     # Waiting requests.
 
-    def evictable(self, request: QueuedRequest) -> QueuedRequest | None:
-        """Return a waiting request to shed in favour of one of a higher tier."""
+    def eviction_candidate(self, request: QueuedRequest) -> QueuedRequest | None:
+        """Return a waiting request of a lower tier to shed for this one, if any."""
         if request.bulk:
             return None
-        return self._workloads.of(request.service).queue.lowest(request.tier)
+        return self._workloads.of(request.service).queue.newest_below(request.tier)
 
-    def evict(self, request: QueuedRequest, now: float) -> Rejection | None:
-        """Shed a waiting request; None if it waits no longer."""
+    def shed_waiting(self, request: QueuedRequest, now: float) -> Rejection | None:
+        """Shed a waiting request; return None if it no longer waits."""
         if not self._workloads.of(request.service).queue.remove(request):
             return None
         return self._refuse(Code.SHED_BY_TIER, request, now)
 
     def poll(self, now: float) -> list[tuple[QueuedRequest, Decision]]:
-        """Decide on waiting requests, after anything changed."""
-        made: list[tuple[QueuedRequest, Decision]] = []
+        """Expire and place waiting requests; return the decisions."""
+        decisions: list[tuple[QueuedRequest, Decision]] = []
         for name, queue in self._workloads.waiting():
-            for late in queue.expired(now):
-                made.append((late, self._refuse(Code.DEADLINE_TOO_SHORT, late, now)))
+            for late in queue.remove_expired(now):
+                decisions.append(
+                    (late, self._refuse(Code.DEADLINE_TOO_SHORT, late, now))
+                )
             service = self.view.services.get(name)
             if service is not None:
-                made.extend(self._serve(queue, service, now))
-        return made
+                decisions.extend(self._place_waiting(queue, service, now))
+        return decisions
 
-    def _serve(
+    def _place_waiting(
         self, queue: WaitQueue, service: Service, now: float
     ) -> list[tuple[QueuedRequest, Decision]]:
-        """Place waiting requests, by `WaitQueue.order`, until none can be placed."""
-        made: list[tuple[QueuedRequest, Decision]] = []
-        while (next_made := self._serve_one(queue, service, now)) is not None:
-            made.append(next_made)
-        return made
+        """Place waiting requests in `WaitQueue.order` until none can be placed."""
+        decisions: list[tuple[QueuedRequest, Decision]] = []
+        while (next_decision := self._place_next(queue, service, now)) is not None:
+            decisions.append(next_decision)
+        return decisions
 
-    def _serve_one(
+    def _place_next(
         self, queue: WaitQueue, service: Service, now: float
     ) -> tuple[QueuedRequest, Decision] | None:
         running = self._workloads.of(service.name).running
@@ -218,27 +224,28 @@
         return None
 
     def withdraw(self, request: QueuedRequest) -> None:
-        """Forget a waiting request whose caller went away."""
+        """Remove a waiting request whose caller disconnected."""
         self._workloads.of(request.service).queue.remove(request)
 
     def done(
         self,
         request: QueuedRequest,
-        made: Dispatch,
+        dispatch: Dispatch,
         now: float,
         took_ms: float,
         ok: bool,
-        cool_s: float,
+        cooldown_s: float,
     ) -> None:
-        """Give back what a dispatch took.
+        """Release the units of a dispatch and record its run.
 
         Args:
           request: the request that was dispatched.
-          made: the decision that took the units.
+          dispatch: the decision that acquired the units.
           now: monotonic time in seconds.
-          took_ms: time at the target, in milliseconds.
-          ok: whether a whole answer came.
-          cool_s: how long the units stay counted since the target may go on.
+          took_ms: time at the target, in ms.
+          ok: whether the response was complete.
+          cooldown_s: time in which the units still count as used, in seconds, since
+            the target may still be running the request.
         """
-        self._placement.give_back(request, made, now, cool_s)
+        self._placement.release_units(request, dispatch, now, cooldown_s)
         self._workloads.of(request.service).end(request, took_ms, ok)
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Serves one request: places it, sends it on, and retries where that is safe.
+"""Serves a request: places it, sends it and retries where that is safe.
 
-Owns what an answer on its way back holds (`Served`): the slot and cap unit of its
-target, given back when it ends, however it ends. Relies on the dispatcher for places
-and on `retries.py` for whether to try again.
+Owns the slot and cap unit of each response in transfer (`ServedResponse`). They are
+released when the transfer ends, by success, error or cancellation, and are lost with
+the process. Relies on the dispatcher for placement and on `retries.py` for retries.
 """
 
 import asyncio
@@ -15,111 +15,118 @@
 
 from leverdoor.errors import Code, Refusal, Rejection, Run
 from leverdoor.gate.dispatch import Dispatcher
+from leverdoor.gate.gate_quarantine import GateQuarantine
+from leverdoor.gate.hop_client import (
+    READ_AHEAD_BYTES,
+    HopClient,
+    HopResponse,
+    refusal_from_problem,
+)
 from leverdoor.gate.placement import Dispatch, Forward
-from leverdoor.gate.quarantining import GateQuarantine
-from leverdoor.gate.relay import BUFFERED_ANSWER, Answer, HopClient, refusal_of
 from leverdoor.gate.requests import GateRequest, gate_hop, target_hop
-from leverdoor.gate.retries import RetryRule
+from leverdoor.gate.retries import RetryPolicy
 
-__all__ = ["Served", "Server", "finishing"]
+__all__ = ["ServedResponse", "Server", "ensure_finished"]
 
-OVERLOADED = (429, 503)
-"""HTTP statuses by which a target says that it has too much to do."""
+OVERLOAD_STATUSES = (429, 503)
+"""HTTP status codes with which a target reports overload."""
 
 
-class Served:
-    """An answer on its way back, which holds units until it is finished."""
+class ServedResponse:
+    """A response in transfer, which holds units until it is finished."""
 
     def __init__(
         self,
         server: "Server",
         inbound: GateRequest,
-        answer: Answer,
-        made: Dispatch | None,
+        answer: HopResponse,
+        decision: Dispatch | None,
         began: float,
     ) -> None:
-        """Wrap an answer.
+        """Wrap a response.
 
         Args:
-          server: who gets the units back.
+          server: releases the units.
           inbound: the request.
-          answer: the answer, its body unread.
-          made: the decision that took units, None for a forwarded request.
-          began: loop time at which the request was sent, in seconds.
+          answer: the response, its body unread.
+          decision: holds the units to release; None if another gate serves it.
+          began: loop time of sending the request, in seconds.
         """
         self._server = server
         self._inbound = inbound
         self._answer = answer
-        self._made = made
+        self._decision = decision
         self._began = began
         self._finished = False
         self.status = answer.status
         self.headers = answer.headers
         self.served_by = answer.served_by
-        if made is not None:
-            self.served_by = f"{made.target.region}/{made.target.name}"
+        if decision is not None:
+            self.served_by = f"{decision.target.region}/{decision.target.name}"
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; a small one is read whole, and its slot freed, first."""
+        """Yield the body; if it fits the read-ahead, release the slot first."""
         head: list[bytes] = []
         size = 0
-        whole = False
+        complete = False
         source = self._answer.chunks()
         try:
-            while size < BUFFERED_ANSWER:
+            while size < READ_AHEAD_BYTES:
                 chunk = await anext(source, None)
                 if chunk is None:
-                    whole = True
+                    complete = True
                     break
                 head.append(chunk)
                 size += len(chunk)
-            if whole:
+            if complete:
                 self.finish(True)
             for chunk in head:
                 yield chunk
-            if not whole:
+            if not complete:
                 async for chunk in source:
                     yield chunk
                 self.finish(True)
         finally:
             self.finish(False)
 
-    def finish(self, whole: bool) -> None:
-        """Give units back; an answer not read whole is cancelled."""
+    def finish(self, complete: bool) -> None:
+        """Release the units; cancel a response that was not read completely."""
         if self._finished:
             return
         self._finished = True
-        if whole:
+        if complete:
             self._answer.release()
         else:
             self._answer.close()
-        if self._made is not None:
-            self._server.give_back(self._inbound, self._made, self._began, whole)
+        if self._decision is not None:
+            self._server.release_units(
+                self._inbound, self._decision, self._began, complete
+            )
 
 
 class Server:
-    """Serves requests of one gate."""
+    """Serves the requests of one gate."""
 
     def __init__(
         self, dispatcher: Dispatcher, client: HopClient, quarantine: GateQuarantine
     ) -> None:
-        """Create it.
+        """Create a server.
 
         Args:
-          dispatcher: where requests are placed.
-          client: how they are sent on.
-          quarantine: which are held back.
+          dispatcher: places requests.
+          client: sends requests.
+          quarantine: refuses quarantined requests.
         """
         self._quarantine = quarantine
         self._dispatcher = dispatcher
         self._client = client
-        self._retries = RetryRule()
+        self._retries = RetryPolicy()
 
-    async def serve(self, inbound: GateRequest) -> Served:
-        """Get the head of an answer, after some attempts if need be.
+    async def serve(self, inbound: GateRequest) -> ServedResponse:
+        """Send a request until a response head arrives or no retry is allowed.
 
         Raises:
-          Refusal: it was given up; the code says whether it may have run.
+          Refusal: no attempt succeeded; the code says whether the request may have run.
         """
         self._quarantine.check(inbound.fingerprint)
         self._retries.count()
@@ -145,96 +152,102 @@
                 )
 
     def _may_retry(self, inbound: GateRequest, refusal: Refusal, attempt: int) -> bool:
-        """Return whether another attempt follows; never of what is held back."""
-        held = refusal.code is Code.QUARANTINED
-        if held or not self._quarantine.may_retry(inbound.fingerprint):
+        """Return whether to retry a request; a quarantined one is never retried."""
+        quarantined = refusal.code is Code.QUARANTINED
+        if quarantined or not self._quarantine.may_retry(inbound.fingerprint):
             return False
         return self._retries.allows(inbound, refusal, attempt)
 
-    async def _send(self, inbound: GateRequest, made: Dispatch | Forward) -> Served:
-        if isinstance(made, Dispatch):
-            return await self._to_target(inbound, made)
-        return await self._to_gate(inbound, made)
-
-    async def _to_target(self, inbound: GateRequest, made: Dispatch) -> Served:
-        """Send it to a target, whose health learns from what comes of it."""
+    async def _send(
+        self, inbound: GateRequest, decision: Dispatch | Forward
+    ) -> ServedResponse:
+        if isinstance(decision, Dispatch):
+            return await self._send_to_target(inbound, decision)
+        return await self._send_to_gate(inbound, decision)
+
+    async def _send_to_target(
+        self, inbound: GateRequest, decision: Dispatch
+    ) -> ServedResponse:
+        """Send a request to a target and record the result in the target's health."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        health = self._dispatcher.scheduler.targets.of(made.target, began)
-        hop = target_hop(inbound, made.target.address, loop.time())
+        health = self._dispatcher.scheduler.targets.of(decision.target, began)
+        hop = target_hop(inbound, decision.target.address, loop.time())
         try:
             answer = await self._client.send(hop, began)
         except Refusal as e:
-            inbound.queued.tried.add(made.target.address)
+            inbound.queued.tried.add(decision.target.address)
             if e.code is not Code.DEADLINE_PASSED:
                 health.failed(loop.time())
             if e.code is Code.ANSWER_LOST:
-                self._quarantine.lost(made.target, inbound.fingerprint, began)
-            self._return(inbound, made, began, False, e.run is not Run.NO)
+                self._quarantine.lost(decision.target, inbound.fingerprint, began)
+            self._release_dispatch(inbound, decision, began, False, e.run is not Run.NO)
             raise
         except BaseException:
-            self._return(inbound, made, began, False, True)
+            self._release_dispatch(inbound, decision, began, False, True)
             raise
         if answer.leaving:
-            health.said_that_it_leaves(loop.time())
+            health.record_leaving(loop.time())
         if answer.shed:
             answer.close()
             health.shed(loop.time())
-            self._return(inbound, made, began, False, False)
-            inbound.queued.tried.add(made.target.address)
-            raise Refusal(Code.CONNECT_FAILED, "the target shed it")
-        if answer.status in OVERLOADED:
+            self._release_dispatch(inbound, decision, began, False, False)
+            inbound.queued.tried.add(decision.target.address)
+            raise Refusal(Code.CONNECT_FAILED, "the target shed the request")
+        if answer.status in OVERLOAD_STATUSES:
             health.shed(loop.time())
-        return Served(self, inbound, answer, made, began)
+        return ServedResponse(self, inbound, answer, decision, began)
 
-    async def _to_gate(self, inbound: GateRequest, made: Forward) -> Served:
-        """Send it to a gate with a free slot; its refusal is passed on as raised."""
+    async def _send_to_gate(
+        self, inbound: GateRequest, decision: Forward
+    ) -> ServedResponse:
+        """Send a request to another gate; raise the refusal that it returns."""
         loop = asyncio.get_running_loop()
-        neighbours = self._dispatcher.scheduler.neighbours
-        hop = gate_hop(inbound, made.relay, loop.time())
+        peer_gates = self._dispatcher.scheduler.peer_gates
+        hop = gate_hop(inbound, decision.relay, loop.time())
         try:
             answer = await self._client.send(hop, loop.time())
             problem = await answer.problem()
         except Refusal:
-            neighbours.lost(made.vm, loop.time())
+            peer_gates.lost(decision.vm, loop.time())
             raise
         if problem is not None:
             answer.close()
             if problem.run is Run.NO:
-                neighbours.refused(made.vm, inbound.service.name)
-            raise refusal_of(problem)
-        return Served(self, inbound, answer, None, 0.0)
+                peer_gates.refused(decision.vm, inbound.service.name)
+            raise refusal_from_problem(problem)
+        return ServedResponse(self, inbound, answer, None, 0.0)
 
-    def give_back(
-        self, inbound: GateRequest, made: Dispatch, began: float, whole: bool
+    def release_units(
+        self, inbound: GateRequest, decision: Dispatch, began: float, complete: bool
     ) -> None:
-        """Give back the units of a dispatch whose answer has ended."""
-        if whole:
+        """Release the units of a dispatch whose response has ended."""
+        if complete:
             self._quarantine.answered(inbound.fingerprint)
-        self._return(inbound, made, began, whole, not whole)
+        self._release_dispatch(inbound, decision, began, complete, not complete)
 
-    def _return(
+    def _release_dispatch(
         self,
         inbound: GateRequest,
-        made: Dispatch,
+        decision: Dispatch,
         began: float,
         ok: bool,
         may_run: bool,
     ) -> None:
-        """Give back units; they cool for the service's linger if it may still run."""
+        """Release units, with the service's linger as cooldown if `may_run`."""
         now = asyncio.get_running_loop().time()
         took_ms = (now - began) * 1000
         scheduler = self._dispatcher.scheduler
         if ok:
-            scheduler.targets.of(made.target, now).served(took_ms)
-        cool_s = inbound.service.linger_ms / 1000 if may_run else 0.0
-        scheduler.done(inbound.queued, made, now, took_ms, ok, cool_s)
-        self._dispatcher.kick()
+            scheduler.targets.of(decision.target, now).served(took_ms)
+        cooldown_s = inbound.service.linger_ms / 1000 if may_run else 0.0
+        scheduler.done(inbound.queued, decision, now, took_ms, ok, cooldown_s)
+        self._dispatcher.wake_scheduler()
 
 
 @contextlib.asynccontextmanager
-async def finishing(served: Served) -> AsyncIterator[Served]:
-    """Finish an answer whatever happens to its reader."""
+async def ensure_finished(served: ServedResponse) -> AsyncIterator[ServedResponse]:
+    """Finish a response even if its reader fails."""
     try:
         yield served
     finally:
--- a/leverdoor/membership/ownership.py
+++ b/leverdoor/membership/ownership.py
@@ -17,7 +17,7 @@
 - *grant*: `_grant`
 - *proof of death*: `_remove_dead` and `_add_members`
 - *ripen* (granted units cannot be used for some time) and *cool* (returned units stay
-  counted for some time): by the holder, in `gate/holdings.py`
+  counted for some time): by the holder, in `gate/row_units.py`
 
 The units of a dead VM can be used again after three steps:
 
