--- a/benchmarks/emulated_store.py
+++ b/benchmarks/emulated_store.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from leverdoor.codec import serialize_json
-from leverdoor.errors import StoreUnknown
+from leverdoor.errors import OutcomeUnknown
 from leverdoor.platform.store import IDLE_S, NoAnswer, PlatformStore
 from leverdoor.storage.store import KeyValue
 
@@ -176,7 +176,7 @@
             raise NoAnswer(f"{call}: {e!r}") from None
         except ConnectionResetError as e:
             self._forget_connection()
-            raise StoreUnknown(f"{call}: {e!r}") from None
+            raise OutcomeUnknown(f"{call}: {e!r}") from None
         except asyncio.CancelledError:
             self._forget_connection()
             raise
--- a/leverdoor/agent/api.py
+++ b/leverdoor/agent/api.py
@@ -15,7 +15,6 @@
 from returns.result import Failure, Result
 
 from leverdoor.agent.reports import Reporter
-from leverdoor.answers import json_answer, problem_answer
 from leverdoor.codec import pack, serialize_json
 from leverdoor.errors import Code, ConfigError, LeverdoorError
 from leverdoor.metrics import AgentMetrics
@@ -26,6 +25,7 @@
     parse_resources,
     resource_key,
 )
+from leverdoor.responses import json_response, problem_response
 from leverdoor.storage.configuration import Applied, Configuration
 from leverdoor.storage.state import RESOURCES, Delta, State
 from leverdoor.storage.store import Event, KeyValue
@@ -144,7 +144,7 @@
         self._need_configuration()
         prefix = RESOURCES + (f"{kind}/" if kind else "")
         items = [self._item(e) for e in self._state.under(prefix)]
-        return json_answer(ItemList(self._state.revision, items))
+        return json_response(ItemList(self._state.revision, items))
 
     async def _get(self, request: web.Request) -> web.StreamResponse:
         key = _key(request)
@@ -152,7 +152,7 @@
         entry = self._state.entries.get(RESOURCES + key)
         if entry is None:
             raise LeverdoorError(Code.NOT_FOUND, f"there is no {key}")
-        response = json_answer(self._item(entry))
+        response = json_response(self._item(entry))
         response.headers["ETag"] = f'"{entry.revision}"'
         return response
 
@@ -162,7 +162,7 @@
 
     async def _status(self, request: web.Request) -> web.StreamResponse:
         revision = _number(request, "revision", self._state.revision)
-        return json_answer(Status(revision, *self._reporter.in_force(revision)))
+        return json_response(Status(revision, *self._reporter.in_force(revision)))
 
     async def _internal_state(self, request: web.Request) -> web.StreamResponse:
         """Give a peer what it lacks."""
@@ -172,7 +172,7 @@
     async def _report(self, request: web.Request) -> web.StreamResponse:
         name = request.match_info["name"]
         if "watch" not in request.query:
-            return json_answer(await self._reporter.report(name))
+            return json_response(await self._reporter.report(name))
         await self._reporter.report(name)
         return await _stream_lines(request, self._report_lines(name))
 
@@ -324,12 +324,12 @@
 def _applied(result: Result[Applied, LeverdoorError]) -> web.Response:
     if isinstance(result, Failure):
         return _problem(result.failure())
-    return json_answer(result.unwrap())
+    return json_response(result.unwrap())
 
 
 def _problem(e: LeverdoorError) -> web.Response:
     logger.info("api refused", code=int(e.code), detail=e.detail)
-    return problem_answer(e)
+    return problem_response(e)
 
 
 async def _stream_lines(
--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -24,7 +24,7 @@
 from leverdoor.agent.reports import Reporter
 from leverdoor.agent.vm_watch import VmWatch
 from leverdoor.errors import LeverdoorError
-from leverdoor.lifecycle import keep_running
+from leverdoor.lifecycle import supervise
 from leverdoor.membership.gossip import GossipSocket
 from leverdoor.membership.peers import AgentHeartbeat, Gossip, Peers
 from leverdoor.metrics import AgentMetrics
@@ -82,7 +82,7 @@
             self._list_loop,
             self._probe_loop,
         )
-        tasks = [asyncio.create_task(keep_running(w.__qualname__, w)) for w in loops]
+        tasks = [asyncio.create_task(supervise(w.__qualname__, w)) for w in loops]
         try:
             await self._stop.wait()
         finally:
--- a/leverdoor/agent/planning.py
+++ b/leverdoor/agent/planning.py
@@ -14,7 +14,7 @@
 
 from loguru import logger
 
-from leverdoor.errors import StoreUnavailable, StoreUnknown
+from leverdoor.errors import OutcomeUnknown, StoreUnavailable
 from leverdoor.membership.ownership import (
     Ack,
     GateProcess,
@@ -97,7 +97,7 @@
                 continue
             try:
                 await self._step()
-            except (StoreUnavailable, StoreUnknown) as e:
+            except (StoreUnavailable, OutcomeUnknown) as e:
                 logger.info("table not written", error=str(e))
                 await asyncio.sleep(1.0)
 
--- a/leverdoor/client/operator.py
+++ b/leverdoor/client/operator.py
@@ -15,7 +15,7 @@
 from leverdoor.agent.api import Change, ItemList, Status
 from leverdoor.agent.reports import Report
 from leverdoor.codec import serialize_json
-from leverdoor.errors import Code, LeverdoorError, Problem, StoreUnknown
+from leverdoor.errors import Code, LeverdoorError, OutcomeUnknown, Problem
 from leverdoor.model.resources import Resource
 from leverdoor.sessions import new_session
 from leverdoor.storage.configuration import Applied
@@ -162,7 +162,9 @@
                 continue
             except (aiohttp.ClientError, OSError, TimeoutError) as e:
                 if not again:
-                    raise StoreUnknown(f"the agent's answer was lost: {e!r}") from None
+                    raise OutcomeUnknown(
+                        f"the agent's answer was lost: {e!r}"
+                    ) from None
                 last = LeverdoorError(Code.STORE_UNAVAILABLE, repr(e))
                 continue
             if answer.status != 200:
--- a/leverdoor/commands/experiment.py
+++ b/leverdoor/commands/experiment.py
@@ -18,7 +18,7 @@
 from leverdoor.emulator.results import Result, compare
 from leverdoor.emulator.series import Vary, ablations, play_all, scaled
 from leverdoor.errors import LeverdoorError, code_info
-from leverdoor.terminal import output_option, show
+from leverdoor.terminal import output_option, print_rows
 
 __all__ = ["experiment"]
 
@@ -97,7 +97,7 @@
     """Play FILE on several seeds, a row for each and one for the mean."""
     results = _play([read_experiment(file)], first_seed, seeds, jobs)[0]
     rows = [{"seed": str(first_seed + i)} | r.row() for i, r in enumerate(results)]
-    show([*rows, {"seed": "mean"} | _mean_row(results)], output)
+    print_rows([*rows, {"seed": "mean"} | _mean_row(results)], output)
 
 
 @experiment.command("compare")
@@ -114,7 +114,7 @@
         _beside(both[0].name, base, base),
         _beside(both[1].name, base, other),
     ]
-    show(rows, output)
+    print_rows(rows, output)
 
 
 @experiment.command("ablate")
@@ -129,7 +129,7 @@
     rows += [
         _beside(name, base, results) for name, results in zip(others, rest, strict=True)
     ]
-    show(rows, output)
+    print_rows(rows, output)
 
 
 @experiment.command("sweep")
@@ -166,4 +166,4 @@
         heartbeats = round(sent / entries / size.seconds)
         row = {vary: number, "entries": entries, "heartbeat_B_s": heartbeats}
         rows.append(row | _mean_row(results))
-    show(rows, output)
+    print_rows(rows, output)
--- a/leverdoor/commands/load.py
+++ b/leverdoor/commands/load.py
@@ -18,7 +18,7 @@
 from leverdoor.errors import LeverdoorError, code_info
 from leverdoor.options import ADDRESS
 from leverdoor.settings import Address
-from leverdoor.terminal import output_option, show
+from leverdoor.terminal import output_option, print_rows
 
 __all__ = ["load"]
 
@@ -40,7 +40,7 @@
         result = await Load([str(e) for e in entries], plan).run()
         if save is not None:
             save.write(msgspec.json.encode(result))
-        show([msgspec.to_builtins(s) for s in result.streams], output)
+        print_rows([msgspec.to_builtins(s) for s in result.streams], output)
 
     try:
         asyncio.run(work())
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -35,7 +35,7 @@
 from leverdoor.entry.settings import EntrySettings, reload_settings
 from leverdoor.entry.shutdown import STOP_POLL_S, finish
 from leverdoor.entry.wire import Configured, Wire
-from leverdoor.lifecycle import keep_running
+from leverdoor.lifecycle import supervise
 from leverdoor.settings import Address
 from leverdoor.storage.state import Delta, State
 from leverdoor.storage.store import LeasingStore
@@ -134,7 +134,7 @@
             self._heartbeat,
             self._keep_records,
         )
-        tasks = [asyncio.create_task(keep_running(w.__qualname__, w)) for w in loops]
+        tasks = [asyncio.create_task(supervise(w.__qualname__, w)) for w in loops]
         try:
             await self._stop.wait()
             await self._leave(front)
--- a/leverdoor/entry/requests/intake.py
+++ b/leverdoor/entry/requests/intake.py
@@ -17,7 +17,7 @@
 from leverdoor.entry.requests.retry_after import NO_CONFIGURATION_MS, UNCONFIRMED_MS
 from leverdoor.entry.wire import Wire
 from leverdoor.errors import Code, Refusal
-from leverdoor.headers import bounded_int, passing
+from leverdoor.headers import bounded_int, forwardable_headers
 from leverdoor.model.resources import Route, Workspace
 
 __all__ = ["Intake"]
@@ -138,7 +138,7 @@
         found = [("Host", request.headers.get("Host", ""))]
         found += [
             (name, value)
-            for name, value in passing(request.headers.items(), connection)
+            for name, value in forwardable_headers(request.headers.items(), connection)
             if name.lower() not in own
         ]
         if workspace is not None:
--- a/leverdoor/entry/requests/responses.py
+++ b/leverdoor/entry/requests/responses.py
@@ -12,7 +12,7 @@
 from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.entry.requests.retry_after import retry_after_value
 from leverdoor.errors import Refusal, code_info
-from leverdoor.headers import passing
+from leverdoor.headers import forwardable_headers
 
 __all__ = ["close_after", "relayed", "refusal_response"]
 
@@ -24,7 +24,7 @@
     """Return the response that passes a target's whole answer on."""
     connection = reply.get("connection")
     headers: CIMultiDict[str] = CIMultiDict()
-    for name, value in passing(reply.headers, connection):
+    for name, value in forwardable_headers(reply.headers, connection):
         if name not in REPLY_HEADERS_DROPPED:
             headers.add(name, value)
     response = web.Response(
--- a/leverdoor/entry/requests/retry_after.py
+++ b/leverdoor/entry/requests/retry_after.py
@@ -3,7 +3,7 @@
 """When a client may come back after a refusal of the request path, in ms.
 
 Refusals of placement (`entry/placement/`), of quotas (`workspaces/quota.py`) and those
-without a rule of their own (`errors.py:SOON_MS`) bring their times with them.
+without a rule of their own (`errors.py:DEFAULT_RETRY_MS`) bring their times with them.
 """
 
 __all__ = [
--- a/leverdoor/errors.py
+++ b/leverdoor/errors.py
@@ -22,7 +22,7 @@
     "Run",
     "SettingsError",
     "StoreUnavailable",
-    "StoreUnknown",
+    "OutcomeUnknown",
     "code_info",
 ]
 
@@ -94,9 +94,9 @@
     meaning: str
 
 
-COME_BACK_STATUSES = frozenset({408, 429, 503})
+RETRYABLE_STATUSES = frozenset({408, 429, 503})
 """HTTP statuses after which the same request may succeed later."""
-SOON_MS = 100
+DEFAULT_RETRY_MS = 100
 """When to come back where the rule that refused gives no time, in ms.
 
 Without any time a caller that was told "not run" would come back at once; longer would
@@ -312,8 +312,8 @@
             code allows it, and else for never.
         """
         info = code_info(code)
-        if info.run is Run.NO and info.status in COME_BACK_STATUSES:
-            retry_after_ms = retry_after_ms or SOON_MS
+        if info.run is Run.NO and info.status in RETRYABLE_STATUSES:
+            retry_after_ms = retry_after_ms or DEFAULT_RETRY_MS
         super().__init__(code, detail, retry_after_ms=retry_after_ms)
 
 
@@ -339,7 +339,7 @@
         super().__init__(Code.STORE_UNAVAILABLE, detail, retry_after_ms=retry_after_ms)
 
 
-class StoreUnknown(LeverdoorError):
+class OutcomeUnknown(LeverdoorError):
     """A write was sent and its answer was lost."""
 
     def __init__(self, detail: str = "", retry_after_ms: int = 2000) -> None:
--- a/leverdoor/gate/daemon.py
+++ b/leverdoor/gate/daemon.py
@@ -26,7 +26,7 @@
 from leverdoor.gate.relay import HopClient
 from leverdoor.gate.scheduler import Scheduler
 from leverdoor.gate.serving import Server
-from leverdoor.lifecycle import keep_running
+from leverdoor.lifecycle import supervise
 from leverdoor.membership.peers import GateState
 from leverdoor.metrics import GateMetrics
 from leverdoor.model.burn import BurnMeter
@@ -75,7 +75,7 @@
             self._receive,
             self._quarantine.run,
         )
-        tasks = [asyncio.create_task(keep_running(w.__qualname__, w)) for w in loops]
+        tasks = [asyncio.create_task(supervise(w.__qualname__, w)) for w in loops]
         try:
             await self._stop.wait()
             await self._leave()
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -14,7 +14,6 @@
 from loguru import logger
 
 from leverdoor import headers as h
-from leverdoor.answers import json_answer, problem_answer
 from leverdoor.errors import Code, Refusal, Run
 from leverdoor.gate.intake import (
     caller_origin,
@@ -34,6 +33,7 @@
 from leverdoor.metrics import GateMetrics
 from leverdoor.model.burn import BurnMeter
 from leverdoor.model.resources import Service, Tier, WorkClass
+from leverdoor.responses import json_response, problem_response
 
 __all__ = ["MAX_HEADER_BYTES", "GateHandler"]
 
@@ -105,7 +105,7 @@
         view = self._scheduler.view
         service = view.services.get(request.match_info["service"])
         if service is None:
-            return problem_answer(Refusal(Code.UNKNOWN_SERVICE))
+            return problem_response(Refusal(Code.UNKNOWN_SERVICE))
         client = request.query.get("client", request.remote or "")
         home = view.blocks.region(client) or self._region
         now = asyncio.get_running_loop().time()
@@ -117,7 +117,7 @@
             self._lookup_ttl_ms,
             self._issue_key(service, now),
         )
-        return json_answer(answer)
+        return json_response(answer)
 
     def _issue_key(self, service: Service, now: float) -> str:
         """Return a key for one request; none while this gate may end soon."""
@@ -205,8 +205,8 @@
             code=int(e.code),
             detail=e.detail,
         )
-        self._metrics.refused(e.code)
-        return problem_answer(e, origin.request_id)
+        self._metrics.count_refusal(e.code)
+        return problem_response(e, origin.request_id)
 
     def _account(self, service: str, tier: Tier, arrived: float, ok: bool) -> None:
         """Count a request of a caller for the service levels and the metrics."""
@@ -218,13 +218,13 @@
             if (v.service, v.tier) == (service, tier.name)
         ]
         self._burn.record(service, tier.name, took_ms, ok, levels, now)
-        self._metrics.served(service, tier.name, took_ms / 1000, ok)
+        self._metrics.observe_request(service, tier.name, took_ms / 1000, ok)
 
     # Others.
 
     async def _burn_series(self, request: web.Request) -> web.StreamResponse:
         series = self._burn.series(asyncio.get_running_loop().time())
-        return json_answer(series)
+        return json_response(series)
 
     async def _healthz(self, request: web.Request) -> web.StreamResponse:
         return web.Response(text="ok\n")
@@ -234,11 +234,11 @@
         if self.state is GateState.SERVING:
             return web.Response(text="ready\n")
         code = Code.LEAVING if self.state is GateState.LEAVING else Code.NOT_READY
-        return problem_answer(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
+        return problem_response(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
 
 
 def _not_ready(code: Code) -> web.Response:
-    return problem_answer(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
+    return problem_response(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
 
 
 async def _stream(
--- a/leverdoor/gate/intake.py
+++ b/leverdoor/gate/intake.py
@@ -79,7 +79,7 @@
         service=service,
         method=request.method,
         tail=tail,
-        headers=h.passing(request.headers.items(), connection),
+        headers=h.forwardable_headers(request.headers.items(), connection),
         body=body,
         queued=queued,
         caller=origin.caller,
--- a/leverdoor/gate/refusals.py
+++ b/leverdoor/gate/refusals.py
@@ -3,7 +3,7 @@
 """When a refused caller should return: every Retry-After that a gate chooses.
 
 Pure, with chance passed in; owns no state. The expected wait comes from
-`scheduler.expected_wait_ms`, the code's own least time from `errors.SOON_MS`.
+`scheduler.expected_wait_ms`, the code's own least time from `errors.DEFAULT_RETRY_MS`.
 """
 
 from random import Random
--- a/leverdoor/gate/relay.py
+++ b/leverdoor/gate/relay.py
@@ -116,7 +116,7 @@
         self.status = response.status
         self.relay = relay
         connection = response.headers.get("Connection", "")
-        self.headers = h.passing(response.headers.items(), connection)
+        self.headers = h.forwardable_headers(response.headers.items(), connection)
         self.served_by = response.headers.get(h.SERVED_BY, "") if relay else ""
         self.leaving = not relay and h.LEAVING in response.headers
         self.shed = (
--- a/leverdoor/headers.py
+++ b/leverdoor/headers.py
@@ -22,7 +22,7 @@
     "RUN",
     "SERVED_BY",
     "TIER",
-    "passing",
+    "forwardable_headers",
 ]
 
 PREFIX = "leverdoor-"
@@ -57,7 +57,7 @@
 )
 
 
-def passing(
+def forwardable_headers(
     headers: Iterable[tuple[str, str]], connection: str = ""
 ) -> list[tuple[str, str]]:
     """Return the headers that may pass to the next hop.
--- a/leverdoor/lifecycle.py
+++ b/leverdoor/lifecycle.py
@@ -17,9 +17,9 @@
 from loguru import logger
 
 from leverdoor.settings import Address
-from leverdoor.signals import EarlyReload
+from leverdoor.signals import SighupRecorder
 
-__all__ = ["Daemon", "call_on_change", "keep_running", "run_daemon", "serve_apps"]
+__all__ = ["Daemon", "watch_file", "supervise", "run_daemon", "serve_apps"]
 
 RESTART_S = 1.0
 """Pause before a loop that failed is run again, in seconds.
@@ -47,7 +47,7 @@
 def run_daemon(
     daemon: Daemon,
     reload: Callable[[], None] | None = None,
-    early: EarlyReload | None = None,
+    early: SighupRecorder | None = None,
     settings: Path | None = None,
 ) -> None:
     """Run a daemon until SIGTERM or SIGINT.
@@ -65,7 +65,7 @@
     """Do nothing at SIGHUP, which by default would end the process."""
 
 
-async def keep_running(name: str, work: Callable[[], Awaitable[None]]) -> None:
+async def supervise(name: str, work: Callable[[], Awaitable[None]]) -> None:
     """Run a daemon's loop, and again after a fault, which must not end the rest.
 
     Args:
@@ -80,7 +80,7 @@
             await asyncio.sleep(RESTART_S)
 
 
-async def call_on_change(path: Path, call: Callable[[], None]) -> None:
+async def watch_file(path: Path, call: Callable[[], None]) -> None:
     """Call whenever a file has changed, until cancelled.
 
     Args:
@@ -108,18 +108,18 @@
 async def _run(
     daemon: Daemon,
     reload: Callable[[], None],
-    early: EarlyReload | None,
+    early: SighupRecorder | None,
     settings: Path | None,
 ) -> None:
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, reload)
-    if early is not None and early.due:
+    if early is not None and early.received:
         loop.call_soon(reload)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, daemon.stop)
     following = None
     if settings is not None:
-        following = asyncio.create_task(call_on_change(settings, reload))
+        following = asyncio.create_task(watch_file(settings, reload))
     try:
         await daemon.run()
     finally:
--- a/leverdoor/metrics.py
+++ b/leverdoor/metrics.py
@@ -71,11 +71,11 @@
             registry=self.registry,
         )
 
-    def served(self, service: str, tier: str, took_s: float, ok: bool) -> None:
+    def observe_request(self, service: str, tier: str, took_s: float, ok: bool) -> None:
         """Count a finished request."""
         self._requests.labels(service, tier, str(ok).lower()).observe(took_s)
 
-    def refused(self, code: Code) -> None:
+    def count_refusal(self, code: Code) -> None:
         """Count a refusal."""
         self._refusals.labels(str(int(code))).inc()
 
--- a/leverdoor/options.py
+++ b/leverdoor/options.py
@@ -13,7 +13,7 @@
 from leverdoor.errors import SettingsError
 from leverdoor.settings import Address, parse_address
 
-__all__ = ["ADDRESS", "setting"]
+__all__ = ["ADDRESS", "setting_option"]
 
 ENVIRONMENT = "LEVERDOOR_"
 
@@ -37,7 +37,7 @@
 ADDRESS = _AddressType()
 
 
-def setting(flag: str, **kwargs: Any) -> Callable[[F], F]:
+def setting_option(flag: str, **kwargs: Any) -> Callable[[F], F]:
     """Declare a daemon's setting: a flag and an environment variable.
 
     Args:
--- a/leverdoor/platform/__main__.py
+++ b/leverdoor/platform/__main__.py
@@ -5,7 +5,7 @@
 import sys
 
 from leverdoor.entry.certificates import read_no_certificates
-from leverdoor.signals import EarlyReload
+from leverdoor.signals import SighupRecorder
 
 
 def main() -> int:
@@ -13,7 +13,7 @@
 
     Returns: the exit status.
     """
-    early = EarlyReload()
+    early = SighupRecorder()
     read_no_certificates()
     from leverdoor.platform.program import run_entry
 
--- a/leverdoor/platform/program.py
+++ b/leverdoor/platform/program.py
@@ -18,7 +18,7 @@
 from leverdoor.platform.names import wire
 from leverdoor.platform.settings import PlatformSettings, parse_settings
 from leverdoor.platform.store import PlatformStore
-from leverdoor.signals import EarlyReload
+from leverdoor.signals import SighupRecorder
 
 __all__ = ["run_entry"]
 
@@ -44,7 +44,7 @@
         raise SettingsError(f"{SETTINGS}={path}: {e.strerror}") from None
 
 
-def run_entry(early: EarlyReload) -> int:
+def run_entry(early: SighupRecorder) -> int:
     """Run until stopped.
 
     Args:
--- a/leverdoor/platform/store.py
+++ b/leverdoor/platform/store.py
@@ -3,7 +3,7 @@
 """The platform's metadata store over HTTP, behind the product's `LeasingStore`.
 
 Tells calls that were not taken (`StoreUnavailable`) from calls whose outcome is unknown
-(`StoreUnknown`); retries are up to the callers. Owns the connections to the store.
+(`OutcomeUnknown`); retries are up to the callers. Owns the connections to the store.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 import aiohttp
 import msgspec
 
-from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
+from leverdoor.errors import Code, LeverdoorError, OutcomeUnknown, StoreUnavailable
 from leverdoor.sessions import new_session
 from leverdoor.storage.store import (
     Commit,
@@ -118,7 +118,7 @@
     lease: int
 
 
-class NoAnswer(StoreUnknown):
+class NoAnswer(OutcomeUnknown):
     """No answer came within the time of a call."""
 
 
@@ -272,7 +272,7 @@
             status, data = await self._call("GET", call, query, None, timeout_s)
         except NoAnswer:
             raise
-        except StoreUnknown as e:
+        except OutcomeUnknown as e:
             raise StoreUnavailable(e.detail) from None
         if status == 410:
             raise LeverdoorError(Code.COMPACTED)
@@ -296,7 +296,7 @@
 
         Raises:
           StoreUnavailable: no connection was opened.
-          StoreUnknown: the answer was lost, or did not come in time.
+          OutcomeUnknown: the answer was lost, or did not come in time.
         """
         self.calls += 1
         headers = {} if body is None else {"Content-Type": "application/json"}
@@ -315,7 +315,7 @@
         except TimeoutError as e:
             raise NoAnswer(f"{call}: {e!r}") from None
         except (aiohttp.ClientError, OSError) as e:
-            raise StoreUnknown(f"{call}: {e!r}") from None
+            raise OutcomeUnknown(f"{call}: {e!r}") from None
 
 
 def _check(status: int, call: str) -> None:
@@ -324,7 +324,7 @@
         return
     if status in (429, 503, 404):
         raise StoreUnavailable(f"{call}: HTTP {status}")
-    raise StoreUnknown(f"{call}: HTTP {status}")
+    raise OutcomeUnknown(f"{call}: HTTP {status}")
 
 
 def _parse(data: bytes, kind: type[T]) -> T:
--- a/leverdoor/queries/get.py
+++ b/leverdoor/queries/get.py
@@ -12,7 +12,7 @@
 
 from leverdoor.client.operator import Operator
 from leverdoor.settings import Address
-from leverdoor.terminal import api_option, output_option, run, show
+from leverdoor.terminal import api_option, output_option, print_rows, run
 
 __all__ = ["get"]
 
@@ -44,6 +44,6 @@
                     "in force": f"{item.in_force}/{item.entries}",
                 }
             )
-        show(rows, output)
+        print_rows(rows, output)
 
     run(agents, work)
--- a/leverdoor/queries/lookup.py
+++ b/leverdoor/queries/lookup.py
@@ -12,7 +12,7 @@
 from leverdoor.errors import Refusal, code_info
 from leverdoor.options import ADDRESS
 from leverdoor.settings import Address
-from leverdoor.terminal import output_option, show
+from leverdoor.terminal import output_option, print_rows
 
 __all__ = ["lookup"]
 
@@ -30,7 +30,7 @@
             answer = await caller.lookup(service)
         finally:
             await caller.close()
-        show([msgspec.to_builtins(e) for e in answer.entries], output)
+        print_rows([msgspec.to_builtins(e) for e in answer.entries], output)
 
     try:
         asyncio.run(work())
--- a/leverdoor/queries/losses.py
+++ b/leverdoor/queries/losses.py
@@ -16,7 +16,7 @@
 from leverdoor.analysis.losses import LossReport, find_losses, summarize
 from leverdoor.analysis.plots import plot_losses
 from leverdoor.errors import LeverdoorError, code_info
-from leverdoor.terminal import output_option, show
+from leverdoor.terminal import output_option, print_rows
 
 __all__ = ["losses"]
 
@@ -56,7 +56,7 @@
     except LeverdoorError as e:
         click.echo(f"error {int(e.code)} {e.code.name}: {e.detail}", err=True)
         sys.exit(code_info(e.code).exit_status)
-    show(summarize(report.losses, by), output)
+    print_rows(summarize(report.losses, by), output)
     _print_bounds(report)
 
 
--- a/leverdoor/queries/report.py
+++ b/leverdoor/queries/report.py
@@ -10,7 +10,7 @@
 from leverdoor.agent.reports import REPORTS
 from leverdoor.client.operator import Operator
 from leverdoor.settings import Address
-from leverdoor.terminal import api_option, output_option, run, show
+from leverdoor.terminal import api_option, output_option, print_rows, run
 
 __all__ = ["report"]
 
@@ -29,7 +29,7 @@
                 click.echo(line.decode())
             return
         found = await operator.report(name)
-        show([msgspec.to_builtins(line) for line in found.lines], output)
+        print_rows([msgspec.to_builtins(line) for line in found.lines], output)
         if found.missing:
             click.echo(f"missing: {', '.join(found.missing)}", err=True)
 
--- a/leverdoor/queries/status.py
+++ b/leverdoor/queries/status.py
@@ -9,7 +9,7 @@
 
 from leverdoor.client.operator import Operator
 from leverdoor.settings import Address
-from leverdoor.terminal import api_option, output_option, run, show
+from leverdoor.terminal import api_option, output_option, print_rows, run
 
 __all__ = ["status"]
 
@@ -27,6 +27,6 @@
             err=output == "json",
         )
         report = await operator.report("entries")
-        show([msgspec.to_builtins(line) for line in report.lines], output)
+        print_rows([msgspec.to_builtins(line) for line in report.lines], output)
 
     run(agents, work)
--- a/leverdoor/signals.py
+++ b/leverdoor/signals.py
@@ -9,17 +9,17 @@
 import signal
 from types import FrameType
 
-__all__ = ["EarlyReload"]
+__all__ = ["SighupRecorder"]
 
 
-class EarlyReload:
+class SighupRecorder:
     """Notes SIGHUPs from the start of a process until its loop takes them over."""
 
     def __init__(self) -> None:
         """Take the signal over."""
-        self.due = False
+        self.received = False
         """Whether one came."""
         signal.signal(signal.SIGHUP, self._note)
 
     def _note(self, _number: int, _frame: FrameType | None) -> None:
-        self.due = True
+        self.received = True
--- a/leverdoor/standins/kv.py
+++ b/leverdoor/standins/kv.py
@@ -11,9 +11,9 @@
 import msgspec
 from aiohttp import web
 
-from leverdoor.answers import json_answer
 from leverdoor.codec import serialize_json
-from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
+from leverdoor.errors import Code, LeverdoorError, OutcomeUnknown, StoreUnavailable
+from leverdoor.responses import json_response
 from leverdoor.storage.etcd import from_base64, key_text, to_base64
 from leverdoor.storage.store import Event, MemoryStore, Write
 
@@ -101,7 +101,7 @@
             }
             for e in listing.entries
         ]
-        return json_answer({"header": _header(listing.revision), "kvs": kvs})
+        return json_response({"header": _header(listing.revision), "kvs": kvs})
 
     async def _txn(self, request: web.Request) -> web.StreamResponse:
         data = await request.read()
@@ -110,11 +110,13 @@
             done = await self.store.commit(_writes(txn))
         except StoreUnavailable:
             return web.Response(status=503)
-        except StoreUnknown:
+        except OutcomeUnknown:
             if request.transport is not None:
                 request.transport.abort()
             return web.Response(status=500)
-        return json_answer({"header": _header(done.revision), "succeeded": done.taken})
+        return json_response(
+            {"header": _header(done.revision), "succeeded": done.taken}
+        )
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
         data = await request.read()
@@ -147,11 +149,11 @@
         self.store.delay_s = faults.delay_s
         self.store.lose_answers = faults.lose_answers
         self.store.wake()
-        return json_answer({})
+        return json_response({})
 
     async def _counts(self, request: web.Request) -> web.StreamResponse:
         s = self.store
-        return json_answer(StoreCounts(s.reads, s.writes, s.waiting, s.revision))
+        return json_response(StoreCounts(s.reads, s.writes, s.waiting, s.revision))
 
 
 def _writes(txn: _Txn) -> list[Write]:
--- a/leverdoor/standins/targets.py
+++ b/leverdoor/standins/targets.py
@@ -16,8 +16,8 @@
 
 from leverdoor import headers as h
 from leverdoor.agent.probing import PROBE_PATH, TargetReport
-from leverdoor.answers import json_answer
 from leverdoor.codec import serialize_json
+from leverdoor.responses import json_response
 from leverdoor.settings import Address
 
 __all__ = ["Arrival", "TargetFaults", "TargetLog", "TargetStandin"]
@@ -102,14 +102,14 @@
         if not self.faults.reports:
             return web.Response(status=500)
         in_flight = 0 if self.faults.lie_idle else self._in_flight
-        return json_answer(TargetReport(in_flight, self.faults.leaving))
+        return json_response(TargetReport(in_flight, self.faults.leaving))
 
     async def _order(self, request: web.Request) -> web.StreamResponse:
         self.faults = msgspec.json.decode(await request.read(), type=TargetFaults)
-        return json_answer({})
+        return json_response({})
 
     async def _show(self, request: web.Request) -> web.StreamResponse:
-        return json_answer(self.log)
+        return json_response(self.log)
 
     async def _serve(self, request: web.Request) -> web.StreamResponse:
         faults = self.faults
--- a/leverdoor/storage/configuration.py
+++ b/leverdoor/storage/configuration.py
@@ -20,8 +20,8 @@
     Code,
     ConfigError,
     LeverdoorError,
+    OutcomeUnknown,
     StoreUnavailable,
-    StoreUnknown,
 )
 from leverdoor.model.resource_checks import check_removal, validate
 from leverdoor.model.resources import Resource, resource_key, serialize_resource
@@ -200,7 +200,7 @@
         Returns: the revision, or 0 if somebody else wrote in between.
         Raises:
           StoreUnavailable: nothing was written.
-          StoreUnknown: it cannot be found out now whether it was.
+          OutcomeUnknown: it cannot be found out now whether it was.
         """
         write_id = uuid.uuid4().hex
         names = [*snapshot.guard.writes, write_id][-GUARD_WRITES:]
@@ -208,7 +208,7 @@
         batch = [*writes, Write(GUARD, guard, snapshot.guard_revision)]
         try:
             done = await self._store.commit(batch)
-        except StoreUnknown as e:
+        except OutcomeUnknown as e:
             logger.warning("answer of a write lost", write=write_id, error=str(e))
             return await self._resolve(write_id, snapshot)
         return done.revision if done.taken else 0
@@ -232,7 +232,7 @@
             done = await self._store.commit([fence])
             return 0 if done.taken else await self._resolve(write_id, snapshot)
         except StoreUnavailable as e:
-            raise StoreUnknown(e.detail) from None
+            raise OutcomeUnknown(e.detail) from None
 
 
 def _parse_guard(entry: KeyValue | None) -> Guard:
--- a/leverdoor/storage/etcd.py
+++ b/leverdoor/storage/etcd.py
@@ -4,7 +4,7 @@
 
 Owns one session and the index of the member in use; a failed call moves to the next
 member. Tells calls that were never taken (`StoreUnavailable`) from calls whose answer
-was lost (`StoreUnknown`).
+was lost (`OutcomeUnknown`).
 """
 
 import base64
@@ -14,7 +14,7 @@
 import aiohttp
 import msgspec
 
-from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
+from leverdoor.errors import Code, LeverdoorError, OutcomeUnknown, StoreUnavailable
 from leverdoor.sessions import new_session
 from leverdoor.storage.store import (
     WATCH_SILENCE_S,
@@ -70,7 +70,7 @@
         body = {"key": to_base64(prefix.encode()), "range_end": _range_end(prefix)}
         try:
             answer = await self._call("/v3/kv/range", body, _RangeAnswer)
-        except StoreUnknown as e:
+        except OutcomeUnknown as e:
             raise StoreUnavailable(e.detail) from None
         return Listing(answer.header.revision, [kv.entry() for kv in answer.kvs])
 
@@ -130,11 +130,11 @@
             raise StoreUnavailable(f"{path}: {e}") from None
         except (aiohttp.ClientError, OSError, TimeoutError) as e:
             self._next()
-            raise StoreUnknown(f"{path}: {e!r}") from None
+            raise OutcomeUnknown(f"{path}: {e!r}") from None
         if answer.status == 503:
             raise StoreUnavailable(f"{path}: HTTP 503")
         if answer.status != 200:
-            raise StoreUnknown(f"{path}: HTTP {answer.status}")
+            raise OutcomeUnknown(f"{path}: HTTP {answer.status}")
         return msgspec.json.decode(data, type=kind, strict=False)
 
     def _next(self) -> None:
--- a/leverdoor/storage/store.py
+++ b/leverdoor/storage/store.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
+from leverdoor.errors import Code, LeverdoorError, OutcomeUnknown, StoreUnavailable
 
 __all__ = [
     "Commit",
@@ -114,7 +114,7 @@
 
         Raises:
           StoreUnavailable: nothing was sent, or the service refused the call.
-          StoreUnknown: the writes were sent and no answer came.
+          OutcomeUnknown: the writes were sent and no answer came.
         """
 
     @abstractmethod
@@ -149,7 +149,7 @@
         Returns: the lease.
         Raises:
           StoreUnavailable: nothing was written.
-          StoreUnknown: the key may have been written.
+          OutcomeUnknown: the key may have been written.
         """
 
     @abstractmethod
@@ -201,7 +201,7 @@
         done = self._commit(writes)
         if self.lose_answers > 0:
             self.lose_answers -= 1
-            raise StoreUnknown("the answer was lost")
+            raise OutcomeUnknown("the answer was lost")
         return done
 
     def _commit(self, writes: Sequence[Write]) -> Commit:
--- a/leverdoor/terminal.py
+++ b/leverdoor/terminal.py
@@ -19,7 +19,7 @@
 from leverdoor.options import ADDRESS
 from leverdoor.settings import Address
 
-__all__ = ["api_option", "output_option", "run", "show"]
+__all__ = ["api_option", "output_option", "run", "print_rows"]
 
 DEFAULT_API = "127.0.0.1:7400"
 TAG = "type"
@@ -68,7 +68,7 @@
         await operator.close()
 
 
-def show(rows: Sequence[dict[str, Any]], output: str) -> None:
+def print_rows(rows: Sequence[dict[str, Any]], output: str) -> None:
     """Print rows as a table, or as JSON lines."""
     if output == "json":
         for row in rows:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -16,7 +16,7 @@
 )
 from returns.result import Failure, Success
 
-from leverdoor.errors import Code, StoreUnavailable, StoreUnknown
+from leverdoor.errors import Code, OutcomeUnknown, StoreUnavailable
 from leverdoor.model.resources import (
     Region,
     Resource,
@@ -48,10 +48,10 @@
             raise StoreUnavailable
         if fate == "late":
             self.late.append(writes)
-            raise StoreUnknown
+            raise OutcomeUnknown
         if fate == "lost":
             self._commit(writes)
-            raise StoreUnknown
+            raise OutcomeUnknown
         return await super().commit(writes)
 
     async def read(self, prefix: str) -> Listing:
@@ -240,7 +240,7 @@
 
     snapshot = await agent._snapshot(fresh=True)
     store.read = read  # type: ignore[method-assign]
-    with pytest.raises(StoreUnknown):
+    with pytest.raises(OutcomeUnknown):
         await agent._resolve("x", snapshot)
 
 
--- a/tests/test_http_bytes.py
+++ b/tests/test_http_bytes.py
@@ -20,7 +20,6 @@
 from entry_bench import until_in_force
 from leverdoor import headers as h
 from leverdoor.agent.probing import PROBE_PATH
-from leverdoor.answers import problem_answer
 from leverdoor.client.operator import Operator
 from leverdoor.codec import unpack
 from leverdoor.entry.admin import AdminServer
@@ -28,6 +27,7 @@
 from leverdoor.errors import Code, Refusal
 from leverdoor.platform.names import wire
 from leverdoor.platform.store import PlatformStore
+from leverdoor.responses import problem_response
 from leverdoor.standins.deployments import Deployment, TargetPlan
 from leverdoor.standins.entry_process import Place
 from leverdoor.standins.entry_site import EntrySite
@@ -537,7 +537,7 @@
 def test_refusal_of_a_gate() -> None:
     """Retry-After is in whole seconds, rounded up."""
     refusal = Refusal(Code.QUEUE_FULL, "busy", retry_after_ms=1_250)
-    answer = problem_answer(refusal, "r1")
+    answer = problem_response(refusal, "r1")
     assert answer.status == 503
     assert dict(answer.headers) == {
         "Content-Type": "application/json",
@@ -553,7 +553,7 @@
 
 
 def test_error_of_a_gate() -> None:
-    answer = problem_answer(Refusal(Code.ANSWER_LOST, "cut short"), "r1")
+    answer = problem_response(Refusal(Code.ANSWER_LOST, "cut short"), "r1")
     assert answer.status == 502
     assert dict(answer.headers) == {
         "Content-Type": "application/json",
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -23,12 +23,12 @@
         if starts < 3:
             raise ValueError("fault")
 
-    await lifecycle.keep_running("work", work)
+    await lifecycle.supervise("work", work)
     assert starts == 3
 
 
 async def test_a_loop_can_be_cancelled() -> None:
-    task = asyncio.create_task(lifecycle.keep_running("wait", asyncio.Event().wait))  # type: ignore[arg-type]
+    task = asyncio.create_task(lifecycle.supervise("wait", asyncio.Event().wait))  # type: ignore[arg-type]
     await asyncio.sleep(0)
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
@@ -68,7 +68,7 @@
         seen.append(settings.read_text())
         told.set()
 
-    task = asyncio.create_task(lifecycle.call_on_change(settings, take))
+    task = asyncio.create_task(lifecycle.watch_file(settings, take))
     await asyncio.sleep(0.05)
     assert seen == []
     settings.unlink()
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -9,7 +9,7 @@
 from aiohttp.test_utils import TestServer
 
 import leverdoor.platform.store as platform_store
-from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
+from leverdoor.errors import Code, LeverdoorError, OutcomeUnknown, StoreUnavailable
 from leverdoor.platform.store import NoAnswer, PlatformStore
 from leverdoor.standins.metadata import MetadataFaults, MetadataStandin
 from leverdoor.storage.store import Write
@@ -149,10 +149,10 @@
 WRITE_FAULTS = [
     pytest.param(MetadataFaults(busy=503), StoreUnavailable, False, id="busy"),
     pytest.param(MetadataFaults(busy=429), StoreUnavailable, False, id="many"),
-    pytest.param(MetadataFaults(reset=True), StoreUnknown, False, id="reset"),
-    pytest.param(MetadataFaults(lose_writes=1), StoreUnknown, True, id="lost"),
+    pytest.param(MetadataFaults(reset=True), OutcomeUnknown, False, id="reset"),
+    pytest.param(MetadataFaults(lose_writes=1), OutcomeUnknown, True, id="lost"),
     pytest.param(
-        MetadataFaults(lose_writes=1, late_s=0.05), StoreUnknown, False, id="late"
+        MetadataFaults(lose_writes=1, late_s=0.05), OutcomeUnknown, False, id="late"
     ),
 ]
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -8,7 +8,7 @@
 import pytest
 from aiohttp.test_utils import TestServer
 
-from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
+from leverdoor.errors import Code, LeverdoorError, OutcomeUnknown, StoreUnavailable
 from leverdoor.standins.kv import KvStandin
 from leverdoor.storage.etcd import EtcdStore
 from leverdoor.storage.store import EVENT_LOG, Event, MemoryStore, Store, Write
@@ -116,7 +116,7 @@
 
 async def test_a_lost_answer_may_have_taken_effect(pair: Pair) -> None:
     pair.memory.lose_answers = 1
-    with pytest.raises(StoreUnknown):
+    with pytest.raises(OutcomeUnknown):
         await pair.store.commit([Write("/a", b"1")])
     assert [e.value for e in (await pair.store.read("/a")).entries] == [b"1"]
 
@@ -127,7 +127,7 @@
     await server.start_server()
     store = EtcdStore([str(server.make_url(""))], timeout_s=0.1)
     standin.store.hang = True
-    with pytest.raises(StoreUnknown):
+    with pytest.raises(OutcomeUnknown):
         await store.commit([Write("/a", b"1")])
     with pytest.raises(StoreUnavailable):
         await store.read("/")
