--- a/leverdoor/cli.py
+++ b/leverdoor/cli.py
@@ -1,8 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The command `leverdoor`: gathers the commands, which change, and the queries.
+"""The command `leverdoor`: registers its subcommands.
 
-Each stands in a module of its own in `commands` or `queries`. Owns no state.
+Subcommands that change state are in `commands`, read-only ones in `queries`, one module
+for each or for related ones. Owns no state.
 """
 
 import click
--- a/leverdoor/codec.py
+++ b/leverdoor/codec.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""JSON towards people and the platform, MessagePack between processes.
+"""Serialization: JSON for operators and the platform, MessagePack between processes.
 
-The one place that encodes and decodes typed values; which types are sent stands
-beside the types. Owns no state.
+Only this module encodes and decodes typed values. The documentation of each type says
+whether it is sent. Owns no state.
 """
 
 from typing import Any, TypeVar
@@ -21,16 +21,19 @@
     """Parse JSON into a typed value.
 
     Args:
-      data: the document.
-      kind: the type wanted.
-    Returns: the value.
+      data: the JSON document.
+      kind: the type to decode into.
+    Returns: the decoded value.
     Raises:
-      ConfigError: MALFORMED or UNKNOWN_FIELD, naming the field.
+      ConfigError: MALFORMED if the data is not JSON; UNKNOWN_FIELD, with the field,
+        if it does not match the type.
     """
     try:
         return msgspec.json.decode(data, type=kind)
     except msgspec.ValidationError as e:
-        raise ConfigError(Code.UNKNOWN_FIELD, str(e), field=_field_of(str(e))) from None
+        raise ConfigError(
+            Code.UNKNOWN_FIELD, str(e), field=_field_in_message(str(e))
+        ) from None
     except (msgspec.DecodeError, UnicodeDecodeError) as e:
         raise ConfigError(Code.MALFORMED, str(e)) from None
 
@@ -41,27 +44,27 @@
 
 
 def pack(value: Any) -> bytes:
-    """Serialize a message between processes."""
+    """Serialize a message to another process as MessagePack."""
     return msgspec.msgpack.encode(value)
 
 
 def unpack(data: bytes, kind: type[T]) -> T:
-    """Parse a message between processes.
+    """Parse a MessagePack message from another process.
 
     Args:
       data: the bytes of one message.
-      kind: the type wanted.
-    Returns: the message.
+      kind: the type to decode into.
+    Returns: the decoded message.
     Raises:
-      msgspec.DecodeError: the bytes are not such a message.
+      msgspec.DecodeError: the data is not a message of this type.
     """
     return msgspec.msgpack.decode(data, type=kind)
 
 
-def _field_of(text: str) -> str:
-    """Find the field that a validation message names."""
-    if "unknown field" in text or "missing required field" in text:
-        return text.split("`")[1]
-    if "`$" in text:
-        return text.split("`$")[1].split("`")[0].lstrip(".")
+def _field_in_message(message: str) -> str:
+    """Return the field named in a msgspec validation message, or an empty string."""
+    if "unknown field" in message or "missing required field" in message:
+        return message.split("`")[1]
+    if "`$" in message:
+        return message.split("`$")[1].split("`")[0].lstrip(".")
     return ""
--- a/leverdoor/errors.py
+++ b/leverdoor/errors.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Numbered result codes, and the errors and decisions that carry them.
+"""Numbered result codes, and the exceptions and decisions that carry them.
 
-The table here is the only one: HTTP status, whether the request ran, exit status and
-meaning of each code; docs/ERRORS.md is checked against it. `Refusal` is raised where
-a request is given up, `Rejection` is what a pure decision returns instead of a place.
-Owns no state.
+Only this module defines the HTTP status, run verdict, exit status and meaning of each
+code; a test compares docs/ERRORS.md with it. Code that abandons a request raises
+`Refusal`; a placement function without side effects returns `Rejection` instead of a
+placement. Owns no state.
 """
 
 from enum import IntEnum, StrEnum
@@ -28,7 +28,7 @@
 
 
 class Run(StrEnum):
-    """What a caller may conclude about its request."""
+    """Run verdict: whether the request ran, as far as it is known."""
 
     NO = "no"
     YES = "yes"
@@ -36,7 +36,7 @@
 
 
 class Code(IntEnum):
-    """Every numbered result code; docs/ERRORS.md has the same table."""
+    """Numbered result codes; docs/ERRORS.md has the same table."""
 
     OK = 0
     MALFORMED = 1001
@@ -95,15 +95,15 @@
 
 
 RETRYABLE_STATUSES = frozenset({408, 429, 503})
-"""HTTP statuses after which the same request may succeed later."""
+"""HTTP statuses after which a retry of the same request may succeed."""
 DEFAULT_RETRY_MS = 100
-"""When to come back where the rule that refused gives no time, in ms.
+"""Retry delay in ms, used where the rule that refused the request gives none.
 
-Without any time a caller that was told "not run" would come back at once; longer would
-hold up a request that needs only another entry.
+Without a delay, a caller that is told "not run" would retry at once. A longer delay
+would hold up a request that only needs another entry.
 """
 
-_TABLE: dict[Code, CodeInfo] = {
+_CODE_INFO: dict[Code, CodeInfo] = {
     Code.OK: CodeInfo(200, Run.YES, 0, "Done."),
     Code.MALFORMED: CodeInfo(400, Run.NO, 10, "The document cannot be read."),
     Code.UNKNOWN_FIELD: CodeInfo(
@@ -215,17 +215,17 @@
 
 
 def code_info(code: Code) -> CodeInfo:
-    """Return what a code means.
+    """Return the properties of a code.
 
     Args:
       code: the numbered code.
-    Returns: its status, run verdict, exit status and meaning.
+    Returns: its HTTP status, run verdict, exit status and meaning.
     """
-    return _TABLE[code]
+    return _CODE_INFO[code]
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An error as it is sent to an operator or a caller."""
+    """Wire form of an error, sent to operators and callers."""
 
     code: int
     name: str
@@ -237,7 +237,7 @@
 
 
 class LeverdoorError(Exception):
-    """Base of all errors that carry a numbered code."""
+    """Base class of all errors that carry a numbered code."""
 
     def __init__(
         self,
@@ -252,10 +252,10 @@
 
         Args:
           code: the numbered code.
-          detail: one sentence for a person; the code's meaning if empty.
-          field: the resource field at fault, in dotted form.
-          retry_after_ms: when to come back, in milliseconds; 0 for never.
-          revision: the revision that stands in the way, for conflicts.
+          detail: a sentence for people; the code's meaning if empty.
+          field: the invalid field of the resource, in dotted form.
+          retry_after_ms: delay before a retry, in milliseconds; 0 for no retry.
+          revision: the store's revision, where it caused the error.
         """
         self.code = code
         self.detail = detail or code_info(code).meaning
@@ -266,11 +266,11 @@
 
     @property
     def run(self) -> Run:
-        """What the code says about whether the request ran."""
+        """The run verdict of the code."""
         return code_info(self.code).run
 
     def problem(self) -> Problem:
-        """Return the error in the form that is sent."""
+        """Return the wire form of the error."""
         return Problem(
             code=int(self.code),
             name=self.code.name,
@@ -283,21 +283,26 @@
 
 
 class ConfigError(LeverdoorError):
-    """A resource was refused; nothing was stored."""
+    """A resource was rejected and not stored."""
 
 
 class SettingsError(LeverdoorError):
-    """A daemon's setting is missing or wrong."""
+    """A setting of a daemon is missing or invalid."""
 
     def __init__(self, detail: str, *, field: str = "") -> None:
-        """Create the error for one setting."""
+        """Create the error.
+
+        Args:
+          detail: a sentence for people.
+          field: the invalid setting.
+        """
         super().__init__(Code.BAD_SETTING, detail, field=field)
 
 
 class Refusal(LeverdoorError):
-    """A request was given up on; the code says whether it may have run.
+    """A request was abandoned; the code says whether it may have run.
 
-    One that did not run and may be sent again always says when to come back.
+    If the request did not run and may be retried, the error always has a retry delay.
     """
 
     def __init__(
@@ -307,9 +312,9 @@
 
         Args:
           code: the numbered code.
-          detail: one sentence for a person; the code's meaning if empty.
-          retry_after_ms: when to come back, in milliseconds; 0 for soon where the
-            code allows it, and else for never.
+          detail: a sentence for people; the code's meaning if empty.
+          retry_after_ms: delay before a retry, in milliseconds. 0 means
+            DEFAULT_RETRY_MS if the code allows a retry, else no retry.
         """
         info = code_info(code)
         if info.run is Run.NO and info.status in RETRYABLE_STATUSES:
@@ -318,30 +323,30 @@
 
 
 class Rejection(msgspec.Struct, frozen=True):
-    """The decision not to serve a request, made before anything was sent."""
+    """Decision not to serve a request, made before any byte of it was sent."""
 
     code: Code
     retry_after_ms: int
-    """When the caller should come back, in milliseconds."""
+    """Delay before the caller retries, in milliseconds."""
     reason: str = ""
-    """What left no room, for the log; the code's meaning if empty."""
+    """Why there was no capacity, for the log; the code's meaning if empty."""
 
     def refusal(self) -> Refusal:
-        """Return the error that carries the decision to the caller."""
+        """Return the error that reports the decision to the caller."""
         return Refusal(self.code, self.reason, retry_after_ms=self.retry_after_ms)
 
 
 class StoreUnavailable(LeverdoorError):
-    """The store did not take the call; nothing was written."""
+    """The store did not accept the call; nothing was written."""
 
     def __init__(self, detail: str = "", retry_after_ms: int = 2000) -> None:
-        """Create the error, with when to come back in milliseconds."""
+        """Create the error; `retry_after_ms` is the retry delay in milliseconds."""
         super().__init__(Code.STORE_UNAVAILABLE, detail, retry_after_ms=retry_after_ms)
 
 
 class OutcomeUnknown(LeverdoorError):
-    """A write was sent and its answer was lost."""
+    """A write was sent to the store and its response was lost."""
 
     def __init__(self, detail: str = "", retry_after_ms: int = 2000) -> None:
-        """Create the error, with when to come back in milliseconds."""
+        """Create the error; `retry_after_ms` is the retry delay in milliseconds."""
         super().__init__(Code.WRITE_UNKNOWN, detail, retry_after_ms=retry_after_ms)
--- a/leverdoor/headers.py
+++ b/leverdoor/headers.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""HTTP headers: leverdoor's own names on plain sites, and what may pass a hop.
+"""HTTP header names of plain sites, and the headers that may be forwarded.
 
-The names towards callers and targets of the users' platform stand in
-`leverdoor.platform.names`. Owns no state.
+A plain site does not run on the users' platform; the names that callers and targets
+of that platform use are in `leverdoor.platform.names`. Owns no state.
 """
 
 from collections.abc import Iterable, Mapping
@@ -40,7 +40,7 @@
 LEAVING = "Leverdoor-Leaving"
 KEY = "Idempotency-Key"
 
-_HOP_BY_HOP = frozenset(
+_NOT_FORWARDED = frozenset(
     {
         "connection",
         "expect",
@@ -60,23 +60,24 @@
 def forwardable_headers(
     headers: Iterable[tuple[str, str]], connection: str = ""
 ) -> list[tuple[str, str]]:
-    """Return the headers that may pass to the next hop.
+    """Return the headers that may be forwarded to the next hop.
 
     Args:
       headers: all headers of a message.
-      connection: its Connection header, which names more to leave out.
+      connection: its Connection header, which lists further headers to remove.
+    Returns: the headers without hop-by-hop, Leverdoor and listed headers.
     """
-    named = {name.strip().lower() for name in connection.split(",") if name.strip()}
-    dropped = _HOP_BY_HOP | named
+    listed = {name.strip().lower() for name in connection.split(",") if name.strip()}
+    removed = _NOT_FORWARDED | listed
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in dropped and not name.lower().startswith(PREFIX)
+        if name.lower() not in removed and not name.lower().startswith(PREFIX)
     ]
 
 
 def bounded_int(headers: Mapping[str, str], name: str, default: int) -> int:
-    """Read a whole number of a header, or the default if it is none."""
+    """Return a header's value as an integer of 1 to 9 digits, else the default."""
     text = headers.get(name, "")
     return (
         int(text) if text.isascii() and text.isdigit() and len(text) < 10 else default
--- a/leverdoor/lifecycle.py
+++ b/leverdoor/lifecycle.py
@@ -1,10 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Runs one daemon on one loop until a signal asks it to stop.
+"""Runs one daemon on one event loop until SIGTERM or SIGINT.
 
-Every daemon (agent, gate, entry, stand-ins) starts here: signals, the restart of a
-loop that failed, and the look at a settings file that changed. Owns the signal
-handlers of the process; relies on `leverdoor.signals` for what came earlier.
+Every daemon (agent, gate, entry, stand-in) starts here. The module handles signals,
+restarts tasks that fail, and polls a settings file for changes. Owns the signal
+handlers of the process; relies on `leverdoor.signals` for a SIGHUP received before
+the loop starts. State is lost with the process.
 """
 
 import asyncio
@@ -22,121 +23,125 @@
 __all__ = ["Daemon", "watch_file", "supervise", "run_daemon", "serve_apps"]
 
 RESTART_S = 1.0
-"""Pause before a loop that failed is run again, in seconds.
+"""Delay before a failed task is restarted, in seconds.
 
-Without it a loop that fails at once would take the whole core; a longer one leaves
-heartbeats or the store's watch off for that long.
+Without a delay, a task that always fails at once would use a whole core. A longer
+delay suspends heartbeats or the watch on the store for that time.
 """
 SETTINGS_POLL_S = 2.0
-"""Seconds between two looks at the settings file.
+"""Interval between polls of the settings file, in seconds.
 
-Below the 2.5 s within which a changed setting must be used; one `stat` a look.
+A changed setting must be in use within 2.5 s, so the interval is shorter. Each poll
+costs one `stat` call.
 """
 
 
 class Daemon(Protocol):
-    """A program that runs until it is stopped."""
+    """A long-running program that `run_daemon` starts and stops."""
 
     async def run(self) -> None:
-        """Run until stopped."""
+        """Run until the stop is complete."""
 
     def stop(self) -> None:
-        """Begin the stop; `run` returns when it is complete."""
+        """Begin the shutdown; `run` returns when it is complete."""
 
 
 def run_daemon(
     daemon: Daemon,
     reload: Callable[[], None] | None = None,
-    early: SighupRecorder | None = None,
+    early_sighup: SighupRecorder | None = None,
     settings: Path | None = None,
 ) -> None:
     """Run a daemon until SIGTERM or SIGINT.
 
     Args:
-      daemon: what to run.
-      reload: called at SIGHUP; None ignores the signal.
-      early: notes a SIGHUP that came before the loop; `reload` is called for it.
-      settings: a file; `reload` is called when it changes without a signal.
+      daemon: the daemon to run.
+      reload: called on SIGHUP; None ignores the signal.
+      early_sighup: records whether a SIGHUP was received before the event loop
+        started; if so, `reload` is called once the loop runs.
+      settings: path of a settings file; `reload` is also called when it changes.
     """
-    asyncio.run(_run(daemon, reload or _pass_over, early, settings))
+    asyncio.run(_run(daemon, reload or _ignore_sighup, early_sighup, settings))
 
 
-def _pass_over() -> None:
-    """Do nothing at SIGHUP, which by default would end the process."""
+def _ignore_sighup() -> None:
+    """Ignore SIGHUP, whose default action would end the process."""
 
 
-async def supervise(name: str, work: Callable[[], Awaitable[None]]) -> None:
-    """Run a daemon's loop, and again after a fault, which must not end the rest.
+async def supervise(name: str, start: Callable[[], Awaitable[None]]) -> None:
+    """Run a daemon's task and restart it after an exception.
+
+    A failed task must not end the daemon's other tasks.
 
     Args:
-      name: what to call it in the log.
-      work: starts the loop.
+      name: name of the task in the log.
+      start: starts the task.
     """
     while True:
         try:
-            return await work()
+            return await start()
         except Exception as e:
             logger.exception("loop failed, starts again", loop=name, error=repr(e))
             await asyncio.sleep(RESTART_S)
 
 
-async def watch_file(path: Path, call: Callable[[], None]) -> None:
-    """Call whenever a file has changed, until cancelled.
+async def watch_file(path: Path, on_change: Callable[[], None]) -> None:
+    """Poll a file and call back on each change, until cancelled.
 
     Args:
-      path: of the file; while it can't be read, it has not changed.
-      call: takes the change.
+      path: path of the file; a file that `stat` cannot read counts as unchanged.
+      on_change: called after each change.
     """
-    before = _stamp(path)
+    previous = _file_version(path)
     while True:
         await asyncio.sleep(SETTINGS_POLL_S)
-        now = _stamp(path)
-        if now not in (None, before):
-            before = now
-            call()
+        current = _file_version(path)
+        if current not in (None, previous):
+            previous = current
+            on_change()
 
 
-def _stamp(path: Path) -> tuple[int, int] | None:
-    """Return what changes whenever a file is written or replaced."""
+def _file_version(path: Path) -> tuple[int, int] | None:
+    """Return the modification time and inode, to detect writes and replacements."""
     try:
-        found = path.stat()
+        status = path.stat()
     except OSError:
         return None
-    return found.st_mtime_ns, found.st_ino
+    return status.st_mtime_ns, status.st_ino
 
 
 async def _run(
     daemon: Daemon,
     reload: Callable[[], None],
-    early: SighupRecorder | None,
+    early_sighup: SighupRecorder | None,
     settings: Path | None,
 ) -> None:
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, reload)
-    if early is not None and early.received:
+    if early_sighup is not None and early_sighup.received:
         loop.call_soon(reload)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, daemon.stop)
-    following = None
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, daemon.stop)
+    watcher = None
     if settings is not None:
-        following = asyncio.create_task(watch_file(settings, reload))
+        watcher = asyncio.create_task(watch_file(settings, reload))
     try:
         await daemon.run()
     finally:
-        if following is not None:
-            following.cancel()
+        if watcher is not None:
+            watcher.cancel()
 
 
-class AppsDaemon:
-    """Serves HTTP applications, each at its address."""
+class HttpDaemon:
+    """Daemon that serves HTTP applications, each at its own address."""
 
     def __init__(self, apps: list[tuple[web.Application, Address]]) -> None:
-        """Create it; nothing is opened yet."""
+        """Create the daemon; `run` opens the sockets."""
         self._apps = apps
         self._stop = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve until stopped."""
+        """Serve until `stop` is called, then close all applications."""
         runners = []
         for app, address in self._apps:
             runner = web.AppRunner(
@@ -151,10 +156,10 @@
             await runner.cleanup()
 
     def stop(self) -> None:
-        """Begin the stop."""
+        """Begin the shutdown."""
         self._stop.set()
 
 
 def serve_apps(apps: list[tuple[web.Application, Address]]) -> None:
-    """Serve HTTP applications until a signal asks to stop."""
-    run_daemon(AppsDaemon(apps))
+    """Serve HTTP applications until SIGTERM or SIGINT."""
+    run_daemon(HttpDaemon(apps))
--- a/leverdoor/logs.py
+++ b/leverdoor/logs.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Logs as JSON lines on standard error, or where a daemon writes its events.
+"""Logging as JSON lines to standard error or to a daemon's own writer.
 
-Lines of agents, gates, the command line and libraries; an entry's events are written
-by `entry.events`. Owns the process's log handlers, set up once.
+Covers agents, gates, the command line and libraries; `entry.events` writes the events
+of an entry. Owns the log handlers of the process, which are configured once.
 """
 
 import logging
@@ -35,35 +35,39 @@
     level: str = "INFO",
     write: Callable[[bytes], None] | None = None,
 ) -> None:
-    """Send all logs to one place, one JSON object a line.
+    """Configure all logging to write one JSON object per line to one output.
 
     Args:
-      role: which daemon this is.
-      vm: the VM it runs on.
-      level: lowest level written.
-      write: takes each line; standard error by default.
+      role: role of the daemon, a field of each line.
+      vm: name of its VM, a field of each line.
+      level: lowest level that is written.
+      write: writes one encoded line; by default to standard error.
     """
     logger.remove()
     logger.configure(extra={"role": role, "vm": vm})
-    taken = write or _write_error
-    logger.add(lambda m: taken(_line(m)), level=level, format="{message}")
-    logging.basicConfig(handlers=[_FromLibraries()], level=logging.WARNING, force=True)
+    write_line = write or _write_to_stderr
+    logger.add(
+        lambda message: write_line(_encode_line(message)),
+        level=level,
+        format="{message}",
+    )
+    logging.basicConfig(handlers=[_LibraryHandler()], level=logging.WARNING, force=True)
 
 
-class _FromLibraries(logging.Handler):
-    """Takes what libraries log, so that it comes as the rest does."""
+class _LibraryHandler(logging.Handler):
+    """Forwards log records of libraries to loguru, so that they use the same format."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Pass one record on."""
+        """Forward one record."""
         error = record.exc_info[1] if record.exc_info else None
         logger.opt(exception=error).log(record.levelname, record.getMessage())
 
 
-def _write_error(line: bytes) -> None:
+def _write_to_stderr(line: bytes) -> None:
     sys.stderr.write(line.decode())
 
 
-def _line(message: "Message") -> bytes:
+def _encode_line(message: "Message") -> bytes:
     record = message.record
     line = _Line(
         time=record["time"].isoformat(),
--- a/leverdoor/metrics.py
+++ b/leverdoor/metrics.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Prometheus metrics of agents and gates; labels come from resources only.
+"""Prometheus metrics of agents and gates.
 
-So their number is bounded by the configuration, not by callers. The entry's stand in
-`leverdoor.entry.metrics`. Owns the counters, which start at zero with the process.
+Label values come from resources only, so the configuration and not the callers bounds
+the number of time series. `leverdoor.entry.metrics` defines the metrics of the entry.
+Owns the counters, which are lost with the process and restart at zero.
 """
 
 from aiohttp import web
@@ -21,29 +22,31 @@
 __all__ = ["AgentMetrics", "GateMetrics"]
 
 LATENCY_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0)
-"""Bounds of the latency histogram, in seconds: the usual steps from a cached look-up (5
-ms) to an upload (10 s)."""
+"""Bucket bounds of the latency histogram, in seconds.
+
+They range from a cached look-up (5 ms) to an upload (10 s) in the usual steps.
+"""
 
 
-class _Metrics:
-    """A registry of a daemon's own, and its scrape."""
+class _MetricsRegistry:
+    """Registry for the metrics of one daemon, with the handler for scrapes."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
 
     async def handler(self, request: web.Request) -> web.StreamResponse:
-        """Answer a scrape."""
+        """Return the metrics in the Prometheus text format."""
         return web.Response(
             body=generate_latest(self.registry),
             headers={"Content-Type": CONTENT_TYPE_LATEST},
         )
 
 
-class GateMetrics(_Metrics):
-    """Metrics of one gate."""
+class GateMetrics(_MetricsRegistry):
+    """Metrics of a gate."""
 
     def __init__(self) -> None:
-        """Create them in a registry of their own."""
+        """Create the metrics in a separate registry."""
         super().__init__()
         self._requests = Histogram(
             "leverdoor_request_seconds",
@@ -71,20 +74,29 @@
             registry=self.registry,
         )
 
-    def observe_request(self, service: str, tier: str, took_s: float, ok: bool) -> None:
-        """Count a finished request."""
-        self._requests.labels(service, tier, str(ok).lower()).observe(took_s)
+    def observe_request(
+        self, service: str, tier: str, latency_s: float, answered: bool
+    ) -> None:
+        """Record the latency of a finished request.
+
+        Args:
+          service: name of the service.
+          tier: tier of the caller.
+          latency_s: time from arrival to the end of the response, in seconds.
+          answered: whether the request was answered.
+        """
+        self._requests.labels(service, tier, str(answered).lower()).observe(latency_s)
 
     def count_refusal(self, code: Code) -> None:
-        """Count a refusal."""
+        """Count a refused request by its code."""
         self._refusals.labels(str(int(code))).inc()
 
 
-class AgentMetrics(_Metrics):
-    """Metrics of one agent."""
+class AgentMetrics(_MetricsRegistry):
+    """Metrics of an agent."""
 
     def __init__(self) -> None:
-        """Create them in a registry of their own."""
+        """Create the metrics in a separate registry."""
         super().__init__()
         self.revision = Gauge(
             "leverdoor_revision", "Revision held.", registry=self.registry
--- a/leverdoor/options.py
+++ b/leverdoor/options.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Option types of the command line, and settings as flag and environment variable.
+"""Command-line option types, and options that environment variables can set.
 
 Owns no state.
 """
@@ -15,7 +15,7 @@
 
 __all__ = ["ADDRESS", "setting_option"]
 
-ENVIRONMENT = "LEVERDOOR_"
+ENVIRONMENT_PREFIX = "LEVERDOOR_"
 
 F = TypeVar("F", bound=Callable[..., Any])
 
@@ -38,11 +38,12 @@
 
 
 def setting_option(flag: str, **kwargs: Any) -> Callable[[F], F]:
-    """Declare a daemon's setting: a flag and an environment variable.
+    """Declare an option of a daemon with a flag and an environment variable.
 
     Args:
-      flag: the flag, as `--some-name`; the variable is LEVERDOOR_SOME_NAME.
-      **kwargs: what click takes besides.
+      flag: the flag, such as `--some-name`; the variable is then LEVERDOOR_SOME_NAME.
+      **kwargs: further arguments of `click.option`.
+    Returns: the decorator that adds the option.
     """
-    name = ENVIRONMENT + flag.lstrip("-").replace("-", "_").upper()
-    return click.option(flag, envvar=name, show_envvar=True, **kwargs)
+    variable = ENVIRONMENT_PREFIX + flag.lstrip("-").replace("-", "_").upper()
+    return click.option(flag, envvar=variable, show_envvar=True, **kwargs)
--- a/leverdoor/sessions.py
+++ b/leverdoor/sessions.py
@@ -1,13 +1,16 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""HTTP client sessions that send nothing twice by themselves."""
+"""HTTP client sessions without automatic retries.
+
+Each caller of `new_session` owns its session and closes it.
+"""
 
 import aiohttp
 
 __all__ = ["IDLE_CONNECTION_S", "new_session"]
 
 IDLE_CONNECTION_S = 15.0
-"""How long an idle connection is kept, in seconds; the library's default."""
+"""Idle time after which a connection is closed, in seconds; the aiohttp default."""
 
 
 def new_session(
@@ -15,12 +18,13 @@
     keep_connections: bool = True,
     idle_s: float = IDLE_CONNECTION_S,
 ) -> aiohttp.ClientSession:
-    """Create a session; must be called on the loop.
+    """Create a session; the event loop must be running.
 
     Args:
-      timeout_s: longest time of a whole call in seconds, None for no bound.
-      keep_connections: whether connections serve more than one call.
-      idle_s: how long an idle connection is kept, in seconds.
+      timeout_s: timeout of a whole call in seconds; None for no timeout.
+      keep_connections: whether to reuse connections for further calls.
+      idle_s: idle time after which a connection is closed, in seconds.
+    Returns: the session, which the caller closes.
     """
     if keep_connections:
         connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=idle_s)
@@ -33,7 +37,7 @@
         auto_decompress=False,
         skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
     )
-    # aiohttp repeats GET, PUT and DELETE by itself when a kept connection
-    # breaks; a second run must never happen unseen.
+    # aiohttp retries GET, PUT and DELETE when a reused connection breaks. A
+    # request must never run a second time without the caller's knowledge.
     session._retry_connection = False
     return session
--- a/leverdoor/settings.py
+++ b/leverdoor/settings.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Checked settings of agents and gates.
+"""Validated settings of agents and gates.
 
-The command line sets them by flag or environment variable; the entry's stand in
-`leverdoor.entry.settings`. Times are in the unit that the name ends with.
+The command line reads them from flags or environment variables. The settings of the
+entry are in `leverdoor.entry.settings`. A time is in the unit at the end of its name.
+Owns no state.
 """
 
 import ipaddress
@@ -22,31 +23,34 @@
     port: int
 
     def __str__(self) -> str:
-        """Write it as `ip:port`."""
+        """Return `ip:port`, with an IPv6 address in brackets."""
         host = f"[{self.host}]" if ":" in self.host else self.host
         return f"{host}:{self.port}"
 
 
 def parse_address(text: str) -> Address:
-    """Parse `ip:port`.
+    """Parse an address of the form `ip:port`.
 
+    Args:
+      text: the address; an IPv6 address may be in brackets.
+    Returns: the parsed address.
     Raises:
-      SettingsError: it is not an IP number and a port from 1 to 65535.
+      SettingsError: the text is not an IP address and a port from 1 to 65535.
     """
     host, _, port = text.rpartition(":")
     host = host.strip("[]")
     try:
         ipaddress.ip_address(host)
-        number = int(port)
-        if not 0 < number < 65_536:
+        port_number = int(port)
+        if not 0 < port_number < 65_536:
             raise ValueError
     except ValueError:
         raise SettingsError(f"expected ip:port, got {text!r}") from None
-    return Address(host, number)
+    return Address(host, port_number)
 
 
 class GateSettings(msgspec.Struct, frozen=True):
-    """Settings of one gate; each field is the option of that name."""
+    """Settings of a gate; each field has the name of its command-line option."""
 
     vm: str
     region: str
@@ -61,12 +65,15 @@
 
     @property
     def relay_address(self) -> str:
-        """The address that other gates use: `relay_as` behind a proxy, else `relay`."""
+        """The address for other gates: `relay_as` if set, for a proxy, else `relay`."""
         return str(self.relay_as or self.relay)
 
 
 class AgentSettings(msgspec.Struct, frozen=True):
-    """Settings of one agent; each field is the option of that name, `seeds` --peer."""
+    """Settings of an agent.
+
+    Each field has the name of its command-line option, except `seeds` (--peer).
+    """
 
     vm: str
     region: str
--- a/leverdoor/signals.py
+++ b/leverdoor/signals.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Signals that come before a daemon's loop can take them.
+"""Records SIGHUP signals received before a daemon's event loop handles them.
 
-Imports nothing large: a process is open to the signal's default, which ends it,
-until this has run.
+Until the recorder is installed, the default action of SIGHUP ends the process, so this
+module imports nothing that is slow to load. Owns the SIGHUP handler of the process
+until the event loop replaces it.
 """
 
 import signal
@@ -13,13 +14,13 @@
 
 
 class SighupRecorder:
-    """Notes SIGHUPs from the start of a process until its loop takes them over."""
+    """Records SIGHUP from the start of the process until its event loop handles it."""
 
     def __init__(self) -> None:
-        """Take the signal over."""
+        """Install the signal handler."""
         self.received = False
-        """Whether one came."""
-        signal.signal(signal.SIGHUP, self._note)
+        """Whether a SIGHUP was received."""
+        signal.signal(signal.SIGHUP, self._record)
 
-    def _note(self, _number: int, _frame: FrameType | None) -> None:
+    def _record(self, _signum: int, _frame: FrameType | None) -> None:
         self.received = True
--- a/leverdoor/terminal.py
+++ b/leverdoor/terminal.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""What commands and queries share: options, output and exit statuses.
+"""Options, output and exit statuses common to all commands and queries.
 
-Runs an operator's work against the resource API and turns a numbered error into text
-on standard error and an exit status. Owns no state.
+Runs operator commands against the resource API and reports a numbered error as text on
+standard error and as an exit status. Owns no state.
 """
 
 import asyncio
@@ -22,8 +22,8 @@
 __all__ = ["api_option", "output_option", "run", "print_rows"]
 
 DEFAULT_API = "127.0.0.1:7400"
-TAG = "type"
-"""Field that tells lines of a report apart in JSON; a table needs none."""
+TYPE_FIELD = "type"
+"""Field with the type of a report line; JSON output has it, tables omit it."""
 
 api_option = click.option(
     "--api",
@@ -45,7 +45,14 @@
 
 
 def run(agents: Sequence[Address], work: Callable[[Operator], Awaitable[None]]) -> None:
-    """Run an operator's work; an error ends the process with its exit status."""
+    """Run an operator command against the resource API.
+
+    A numbered error ends the process with the exit status of its code.
+
+    Args:
+      agents: addresses of agents' resource APIs, tried in turn.
+      work: the command; it is called with a client of these agents.
+    """
     try:
         asyncio.run(_run(agents, work))
     except LeverdoorError as e:
@@ -69,7 +76,12 @@
 
 
 def print_rows(rows: Sequence[dict[str, Any]], output: str) -> None:
-    """Print rows as a table, or as JSON lines."""
+    """Print rows as a table or as JSON lines.
+
+    Args:
+      rows: the rows; the first one defines the columns of the table.
+      output: `json` for JSON lines, else a table.
+    """
     if output == "json":
         for row in rows:
             click.echo(msgspec.json.encode(row).decode())
@@ -77,15 +89,15 @@
     if not rows:
         click.echo("(none)")
         return
-    names = [n for n in rows[0] if n != TAG]
-    cells = [names] + [[_cell(row.get(n)) for n in names] for row in rows]
-    widths = [max(len(line[i]) for line in cells) for i in range(len(names))]
+    columns = [n for n in rows[0] if n != TYPE_FIELD]
+    cells = [columns] + [[_format_cell(row.get(n)) for n in columns] for row in rows]
+    widths = [max(len(line[i]) for line in cells) for i in range(len(columns))]
     for line in cells:
         text = "  ".join(c.ljust(w) for c, w in zip(line, widths, strict=True))
         click.echo(text.rstrip())
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if isinstance(value, float):
         return f"{value:.4g}"
     if isinstance(value, list):
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tests of the numbered codes."""
+"""Tests of the numbered result codes and their errors."""
 
 from pathlib import Path
 
@@ -8,11 +8,11 @@
 
 from leverdoor.errors import Code, LeverdoorError, Refusal, Run, code_info
 
-TABLE = Path(__file__).parent.parent / "docs" / "ERRORS.md"
+ERRORS_PAGE = Path(__file__).parent.parent / "docs" / "ERRORS.md"
 
 
-def test_the_documented_table_is_the_code() -> None:
-    lines = TABLE.read_text().splitlines()
+def test_documented_codes_match_the_code_table() -> None:
+    lines = ERRORS_PAGE.read_text().splitlines()
     rows = [
         [c.strip() for c in line.strip("|").split("|")]
         for line in lines
@@ -21,30 +21,30 @@
     found = {int(r[0]): tuple(r[1:]) for r in rows}
     expected = {}
     for code in Code:
-        i = code_info(code)
+        info = code_info(code)
         expected[int(code)] = (
             code.name,
-            str(i.status),
-            i.run.value,
-            str(i.exit_status),
-            i.meaning,
+            str(info.status),
+            info.run.value,
+            str(info.exit_status),
+            info.meaning,
         )
     assert found == expected
 
 
-def test_exit_statuses_tell_codes_apart() -> None:
+def test_exit_statuses_are_unique() -> None:
     statuses = [code_info(c).exit_status for c in Code]
     assert len(set(statuses)) == len(statuses)
 
 
-def test_a_problem_says_whether_it_ran() -> None:
+def test_a_problem_has_run_verdict_and_retry_delay() -> None:
     problem = LeverdoorError(Code.ANSWER_LOST, retry_after_ms=5).problem()
     assert (problem.run, problem.retry_after_ms) == (Run.MAYBE, 5)
 
 
 @pytest.mark.parametrize("code", list(Code))
-def test_a_refusal_that_may_be_sent_again_says_when(code: Code) -> None:
+def test_only_a_retryable_refusal_has_a_default_retry_delay(code: Code) -> None:
     info = code_info(code)
-    again = info.run is Run.NO and info.status in (408, 429, 503)
-    assert (Refusal(code).retry_after_ms > 0) == again
+    retryable = info.run is Run.NO and info.status in (408, 429, 503)
+    assert (Refusal(code).retry_after_ms > 0) == retryable
     assert Refusal(code, retry_after_ms=7).retry_after_ms == 7
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tests of what runs daemons."""
+"""Tests of task restarts, early SIGHUP signals and the settings file watch."""
 
 import asyncio
 import os
@@ -13,7 +13,7 @@
 from leverdoor import lifecycle
 
 
-async def test_a_loop_that_fails_starts_again(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_failed_task_is_restarted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lifecycle, "RESTART_S", 0.0)
     starts = 0
 
@@ -27,7 +27,7 @@
     assert starts == 3
 
 
-async def test_a_loop_can_be_cancelled() -> None:
+async def test_a_supervised_task_can_be_cancelled() -> None:
     task = asyncio.create_task(lifecycle.supervise("wait", asyncio.Event().wait))  # type: ignore[arg-type]
     await asyncio.sleep(0)
     task.cancel()
@@ -35,8 +35,11 @@
         await task
 
 
-async def test_a_reload_asked_for_at_the_start_ends_nothing(tmp_path: Path) -> None:
-    """A process that still reads its settings when SIGHUP comes goes on."""
+async def test_sighup_during_startup_does_not_end_the_process(tmp_path: Path) -> None:
+    """SIGHUP that arrives while the process reads its settings must not end it.
+
+    The process then exits only because its settings are not JSON.
+    """
     settings = tmp_path / "settings"
     os.mkfifo(settings)
     process = await asyncio.create_subprocess_exec(
@@ -55,27 +58,27 @@
     assert b"JSON" in told
 
 
-async def test_a_file_that_changes_without_a_signal_is_noticed(
+async def test_a_replaced_settings_file_is_detected_without_a_signal(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(lifecycle, "SETTINGS_POLL_S", 0.01)
     settings = tmp_path / "settings"
     settings.write_text("1")
-    seen: list[str] = []
+    contents: list[str] = []
     told = asyncio.Event()
 
-    def take() -> None:
-        seen.append(settings.read_text())
+    def on_change() -> None:
+        contents.append(settings.read_text())
         told.set()
 
-    task = asyncio.create_task(lifecycle.watch_file(settings, take))
+    task = asyncio.create_task(lifecycle.watch_file(settings, on_change))
     await asyncio.sleep(0.05)
-    assert seen == []
+    assert contents == []
     settings.unlink()
     await asyncio.sleep(0.05)
-    fresh = tmp_path / "fresh"
-    fresh.write_text("2")
-    fresh.replace(settings)
+    replacement = tmp_path / "fresh"
+    replacement.write_text("2")
+    replacement.replace(settings)
     await told.wait()
-    assert seen == ["2"]
+    assert contents == ["2"]
     task.cancel()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tests of logs: JSON lines that follow a request through every hop."""
+"""Tests of logs: JSON lines with one request id on every hop, and no secrets."""
 
 import json
 from collections.abc import Iterator
@@ -21,19 +21,21 @@
     logger.remove()
 
 
-async def test_a_request_is_followed_through_its_hops(
+async def test_every_hop_logs_the_request_id_and_no_secrets(
     bench: Bench,
     session: aiohttp.ClientSession,
     debug_logs: None,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     bench.gates["vm00"]._holdings.rows.clear()
-    head = {h.REQUEST_ID: "followed", "Authorization": "secret-key"}
+    request_headers = {h.REQUEST_ID: "followed", "Authorization": "secret-key"}
     url = f"http://{bench.listen()}/s/look/x"
-    async with session.post(url, data=b"secret-body", headers=head) as answer:
-        assert answer.status == 200
+    async with session.post(
+        url, data=b"secret-body", headers=request_headers
+    ) as response:
+        assert response.status == 200
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
     fields = [line["fields"] for line in lines]
-    mine = [f for f in fields if f.get("request_id") == "followed"]
-    assert {f["forwarded"] for f in mine} == {"True", "False"}
+    request_fields = [f for f in fields if f.get("request_id") == "followed"]
+    assert {f["forwarded"] for f in request_fields} == {"True", "False"}
     assert "secret" not in json.dumps(lines)
