--- a/leverdoor/logs.py
+++ b/leverdoor/logs.py
@@ -20,7 +20,7 @@
 __all__ = ["setup_logs"]
 
 
-class _Line(msgspec.Struct, omit_defaults=True):
+class _LogLine(msgspec.Struct, omit_defaults=True):
     time: str
     level: str
     message: str
@@ -69,7 +69,7 @@
 
 def _encode_line(message: "Message") -> bytes:
     record = message.record
-    line = _Line(
+    line = _LogLine(
         time=record["time"].isoformat(),
         level=record["level"].name,
         message=record["message"],
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -37,7 +37,7 @@
 from leverdoor.entry.settings import RELOADABLE, EntrySettings
 from leverdoor.errors import Code, code_info
 from leverdoor.gate.handler import GateHandler
-from leverdoor.logs import _Line
+from leverdoor.logs import _LogLine
 from leverdoor.metrics import AgentMetrics, GateMetrics
 from leverdoor.platform import formats, program
 from leverdoor.platform.names import wire
@@ -252,7 +252,7 @@
 
 
 def test_form_of_log_lines() -> None:
-    names = [field.encode_name for field in msgspec.structs.fields(_Line)]
+    names = [field.encode_name for field in msgspec.structs.fields(_LogLine)]
     assert names == ["time", "level", "message", "module", "fields", "error"]
 
 
