--- a/leverdoor/agent/api.py
+++ b/leverdoor/agent/api.py
@@ -132,7 +132,7 @@
         app.router.add_get("/v1/internal/state", self._internal_state)
         app.router.add_get("/healthz", self._healthz)
         app.router.add_get("/readyz", self._readyz)
-        app.router.add_get("/metrics", self._metrics.handler)
+        app.router.add_get("/metrics", self._metrics.handle_scrape)
         return app
 
     # Queries.
--- a/leverdoor/commands/daemons.py
+++ b/leverdoor/commands/daemons.py
@@ -13,20 +13,20 @@
 
 from leverdoor.lifecycle import run_daemon
 from leverdoor.logs import setup_logs
-from leverdoor.options import ADDRESS, setting_option
+from leverdoor.options import ADDRESS_TYPE, daemon_option
 from leverdoor.settings import Address, AgentSettings, GateSettings
 
 __all__ = ["agent", "gate"]
 
 LEVELS = click.Choice(["DEBUG", "INFO", "WARNING", "ERROR"])
 
-vm_setting = setting_option(
+vm_setting = daemon_option(
     "--vm", required=True, help="Name of this VM, as on the list."
 )
-region_setting = setting_option("--region", required=True, help="Region of this VM.")
-domain_setting = setting_option("--domain", required=True, help="Its failure domain.")
-level_setting = setting_option("--log-level", type=LEVELS, default="INFO")
-seed_setting = setting_option(
+region_setting = daemon_option("--region", required=True, help="Region of this VM.")
+domain_setting = daemon_option("--domain", required=True, help="Its failure domain.")
+level_setting = daemon_option("--log-level", type=LEVELS, default="INFO")
+seed_setting = daemon_option(
     "--seed", type=int, default=0, help="0: seed from the system."
 )
 
@@ -35,12 +35,18 @@
 @vm_setting
 @region_setting
 @domain_setting
-@setting_option("--listen", type=ADDRESS, required=True, help="Where callers come.")
-@setting_option("--relay", type=ADDRESS, required=True, help="Where other gates come.")
-@setting_option("--relay-as", type=ADDRESS, help="What other gates are told instead.")
-@setting_option("--agent", type=ADDRESS, required=True, help="Link of this VM's agent.")
-@setting_option("--lookup-ttl-ms", type=click.IntRange(100, 600_000), default=2_000)
-@setting_option("--leave-grace-s", type=click.FloatRange(0, 600), default=3.0)
+@daemon_option("--listen", type=ADDRESS_TYPE, required=True, help="Where callers come.")
+@daemon_option(
+    "--relay", type=ADDRESS_TYPE, required=True, help="Where other gates come."
+)
+@daemon_option(
+    "--relay-as", type=ADDRESS_TYPE, help="What other gates are told instead."
+)
+@daemon_option(
+    "--agent", type=ADDRESS_TYPE, required=True, help="Link of this VM's agent."
+)
+@daemon_option("--lookup-ttl-ms", type=click.IntRange(100, 600_000), default=2_000)
+@daemon_option("--leave-grace-s", type=click.FloatRange(0, 600), default=3.0)
 @level_setting
 @seed_setting
 def gate(log_level: str, **settings: Any) -> None:
@@ -60,29 +66,31 @@
 @vm_setting
 @region_setting
 @domain_setting
-@setting_option("--api", type=ADDRESS, required=True, help="Where the resource API is.")
-@setting_option("--gossip", type=ADDRESS, required=True, help="UDP address for peers.")
-@setting_option(
-    "--link", type=ADDRESS, required=True, help="Where this VM's gate connects."
+@daemon_option(
+    "--api", type=ADDRESS_TYPE, required=True, help="Where the resource API is."
 )
-@setting_option(
-    "--store", multiple=True, required=True, help="URL of the key-value service."
+@daemon_option(
+    "--gossip", type=ADDRESS_TYPE, required=True, help="UDP address for peers."
+)
+@daemon_option(
+    "--link", type=ADDRESS_TYPE, required=True, help="Where this VM's gate connects."
 )
-@setting_option("--vm-list", required=True, help="URL of the list of VMs.")
-@setting_option(
-    "--peer", type=ADDRESS, multiple=True, help="Gossip address of a first peer."
+@daemon_option(
+    "--store", multiple=True, required=True, help="URL of the key-value service."
 )
-@setting_option("--gossip-interval-ms", type=click.IntRange(20, 10_000), default=200)
-@setting_option(
-    "--vm-list-interval-ms", type=click.IntRange(100, 60_000), default=2_000
+@daemon_option("--vm-list", required=True, help="URL of the list of VMs.")
+@daemon_option(
+    "--peer", type=ADDRESS_TYPE, multiple=True, help="Gossip address of a first peer."
 )
-@setting_option(
+@daemon_option("--gossip-interval-ms", type=click.IntRange(20, 10_000), default=200)
+@daemon_option("--vm-list-interval-ms", type=click.IntRange(100, 60_000), default=2_000)
+@daemon_option(
     "--vm-list-lag-ms",
     type=click.IntRange(0, 3_600_000),
     default=10_000,
     help="Upper bound of the list's lag; a promise rests on it.",
 )
-@setting_option("--probe-interval-ms", type=click.IntRange(100, 60_000), default=1_000)
+@daemon_option("--probe-interval-ms", type=click.IntRange(100, 60_000), default=1_000)
 @level_setting
 @seed_setting
 def agent(log_level: str, peer: tuple[Address, ...], **settings: Any) -> None:
--- a/leverdoor/commands/load.py
+++ b/leverdoor/commands/load.py
@@ -16,7 +16,7 @@
 from leverdoor.client.load import Load, LoadPlan
 from leverdoor.codec import parse_json
 from leverdoor.errors import LeverdoorError, code_info
-from leverdoor.options import ADDRESS
+from leverdoor.options import ADDRESS_TYPE
 from leverdoor.settings import Address
 from leverdoor.terminal import output_option, print_rows
 
@@ -25,7 +25,12 @@
 
 @click.command()
 @click.option(
-    "--entry", "entries", type=ADDRESS, multiple=True, required=True, help="A gate."
+    "--entry",
+    "entries",
+    type=ADDRESS_TYPE,
+    multiple=True,
+    required=True,
+    help="A gate.",
 )
 @click.option("-f", "--file", type=click.File("rb"), required=True, help="The plan.")
 @click.option("--save", type=click.File("wb"), help="Write the result as JSON.")
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -77,7 +77,7 @@
         app.router.add_get("/v1/lookup/{service}", self._lookup)
         app.router.add_get("/healthz", self._healthz)
         app.router.add_get("/readyz", self._readyz)
-        app.router.add_get("/metrics", self._metrics.handler)
+        app.router.add_get("/metrics", self._metrics.handle_scrape)
         app.router.add_route(
             "*",
             "/s/{service}/{tail:.*}",
--- a/leverdoor/metrics.py
+++ b/leverdoor/metrics.py
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
 
-    async def handler(self, request: web.Request) -> web.StreamResponse:
+    async def handle_scrape(self, request: web.Request) -> web.StreamResponse:
         """Return the metrics in the Prometheus text format."""
         return web.Response(
             body=generate_latest(self.registry),
--- a/leverdoor/options.py
+++ b/leverdoor/options.py
@@ -13,7 +13,7 @@
 from leverdoor.errors import SettingsError
 from leverdoor.settings import Address, parse_address
 
-__all__ = ["ADDRESS", "setting_option"]
+__all__ = ["ADDRESS_TYPE", "daemon_option"]
 
 ENVIRONMENT_PREFIX = "LEVERDOOR_"
 
@@ -34,10 +34,10 @@
             self.fail(e.detail, param, ctx)
 
 
-ADDRESS = _AddressType()
+ADDRESS_TYPE = _AddressType()
 
 
-def setting_option(flag: str, **kwargs: Any) -> Callable[[F], F]:
+def daemon_option(flag: str, **kwargs: Any) -> Callable[[F], F]:
     """Declare an option of a daemon with a flag and an environment variable.
 
     Args:
--- a/leverdoor/queries/lookup.py
+++ b/leverdoor/queries/lookup.py
@@ -10,7 +10,7 @@
 
 from leverdoor.client.caller import Caller
 from leverdoor.errors import Refusal, code_info
-from leverdoor.options import ADDRESS
+from leverdoor.options import ADDRESS_TYPE
 from leverdoor.settings import Address
 from leverdoor.terminal import output_option, print_rows
 
@@ -19,7 +19,7 @@
 
 @click.command()
 @click.argument("service")
-@click.option("--entry", type=ADDRESS, required=True, help="ip:port of any gate.")
+@click.option("--entry", type=ADDRESS_TYPE, required=True, help="ip:port of any gate.")
 @output_option
 def lookup(service: str, entry: Address, output: str) -> None:
     """Ask a gate which entry VMs serve a service."""
--- a/leverdoor/standins/cli.py
+++ b/leverdoor/standins/cli.py
@@ -10,7 +10,7 @@
 import click
 
 from leverdoor.lifecycle import serve_apps
-from leverdoor.options import ADDRESS
+from leverdoor.options import ADDRESS_TYPE
 from leverdoor.settings import Address
 from leverdoor.standins.kv import KvStandin
 from leverdoor.standins.targets import TargetStandin
@@ -26,14 +26,14 @@
 
 
 @main.command()
-@click.option("--listen", type=ADDRESS, required=True, help="ip:port to serve on.")
+@click.option("--listen", type=ADDRESS_TYPE, required=True, help="ip:port to serve on.")
 def kv(listen: Address) -> None:
     """Run the key-value service."""
     serve_apps([(KvStandin().app(), listen)])
 
 
 @main.command()
-@click.option("--listen", type=ADDRESS, required=True, help="ip:port to serve on.")
+@click.option("--listen", type=ADDRESS_TYPE, required=True, help="ip:port to serve on.")
 @click.option("--vm", "vms", multiple=True, help="A VM on the first list.")
 def vms(listen: Address, vms: tuple[str, ...]) -> None:
     """Run the list of VMs."""
@@ -41,7 +41,9 @@
 
 
 @main.command()
-@click.option("--listen", type=ADDRESS, multiple=True, help="ip:port of one target.")
+@click.option(
+    "--listen", type=ADDRESS_TYPE, multiple=True, help="ip:port of one target."
+)
 @click.option("--slots", type=click.IntRange(1), default=6, help="Slots of each.")
 @click.option("--mean-ms", type=float, default=20.0, help="Mean service time.")
 @click.option("--delay-ms", type=float, default=0.0, help="One-way link delay.")
--- a/leverdoor/terminal.py
+++ b/leverdoor/terminal.py
@@ -16,7 +16,7 @@
 
 from leverdoor.client.operator import Operator
 from leverdoor.errors import LeverdoorError, code_info
-from leverdoor.options import ADDRESS
+from leverdoor.options import ADDRESS_TYPE
 from leverdoor.settings import Address
 
 __all__ = ["api_option", "output_option", "run", "print_rows"]
@@ -28,7 +28,7 @@
 api_option = click.option(
     "--api",
     "agents",
-    type=ADDRESS,
+    type=ADDRESS_TYPE,
     multiple=True,
     envvar="LEVERDOOR_API",
     show_envvar=True,
