--- a/leverdoor/cli.py
+++ b/leverdoor/cli.py
@@ -1,9 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The command `leverdoor`: registers its subcommands.
+"""Defines the command `leverdoor` and registers its subcommands.
 
-Subcommands that change state are in `commands`, read-only ones in `queries`, one module
-for each or for related ones. Owns no state.
+Subcommands that change state, and the daemons, are in `commands`; read-only ones are in
+`queries`. Each module there holds one subcommand or a few related ones. Owns no state.
 """
 
 import click
--- a/leverdoor/codec.py
+++ b/leverdoor/codec.py
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """Serialization: JSON for operators and the platform, MessagePack between processes.
 
-Only this module encodes and decodes typed values. The documentation of each type says
+Messages and resources are encoded and decoded here; the doc string of a type says
 whether it is sent. Owns no state.
 """
 
@@ -25,8 +25,8 @@
       kind: the type to decode into.
     Returns: the decoded value.
     Raises:
-      ConfigError: MALFORMED if the data is not JSON; UNKNOWN_FIELD, with the field,
-        if it does not match the type.
+      ConfigError: MALFORMED if the data is not JSON; UNKNOWN_FIELD if the JSON
+        does not match the type, with the field where msgspec names it.
     """
     try:
         return msgspec.json.decode(data, type=kind)
@@ -44,7 +44,7 @@
 
 
 def pack(value: Any) -> bytes:
-    """Serialize a message to another process as MessagePack."""
+    """Serialize a message for another process, as MessagePack."""
     return msgspec.msgpack.encode(value)
 
 
--- a/leverdoor/errors.py
+++ b/leverdoor/errors.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Numbered result codes, and the exceptions and decisions that carry them.
+"""Numbered result codes, and the exceptions and the `Rejection` that carry them.
 
 Only this module defines the HTTP status, run verdict, exit status and meaning of each
-code; a test compares docs/ERRORS.md with it. Code that abandons a request raises
-`Refusal`; a placement function without side effects returns `Rejection` instead of a
-placement. Owns no state.
+code; a test compares docs/ERRORS.md with it. A function that abandons a request raises
+`Refusal`; a function that only chooses a target, without I/O, returns `Rejection`
+instead of its choice. Owns no state.
 """
 
 from enum import IntEnum, StrEnum
@@ -28,7 +28,7 @@
 
 
 class Run(StrEnum):
-    """Run verdict: whether the request ran, as far as it is known."""
+    """Run verdict: whether the request ran or the write took effect."""
 
     NO = "no"
     YES = "yes"
@@ -86,7 +86,7 @@
 
 
 class CodeInfo(msgspec.Struct, frozen=True):
-    """HTTP status, run verdict and process exit status of one code."""
+    """HTTP status, run verdict, process exit status and meaning of one code."""
 
     status: int
     run: Run
@@ -97,10 +97,10 @@
 RETRYABLE_STATUSES = frozenset({408, 429, 503})
 """HTTP statuses after which a retry of the same request may succeed."""
 DEFAULT_RETRY_MS = 100
-"""Retry delay in ms, used where the rule that refused the request gives none.
+"""Retry delay in ms, used if a refusal gives none.
 
-Without a delay, a caller that is told "not run" would retry at once. A longer delay
-would hold up a request that only needs another entry.
+Without a delay, a caller whose request did not run would retry at once. A longer delay
+would postpone a retry that only needs another entry.
 """
 
 _CODE_INFO: dict[Code, CodeInfo] = {
@@ -225,7 +225,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Wire form of an error, sent to operators and callers."""
+    """Wire form of an error, sent to operators and callers; see `LeverdoorError`."""
 
     code: int
     name: str
@@ -252,10 +252,10 @@
 
         Args:
           code: the numbered code.
-          detail: a sentence for people; the code's meaning if empty.
-          field: the invalid field of the resource, in dotted form.
+          detail: human-readable cause; the code's meaning if empty.
+          field: the invalid setting or resource field, in dotted form.
           retry_after_ms: delay before a retry, in milliseconds; 0 for no retry.
-          revision: the store's revision, where it caused the error.
+          revision: the current revision, for CONFLICT and COMPACTED; else 0.
         """
         self.code = code
         self.detail = detail or code_info(code).meaning
@@ -283,17 +283,17 @@
 
 
 class ConfigError(LeverdoorError):
-    """A resource was rejected and not stored."""
+    """A resource or another JSON document is invalid; nothing was stored."""
 
 
 class SettingsError(LeverdoorError):
-    """A setting of a daemon is missing or invalid."""
+    """A setting or a command-line address is missing or invalid."""
 
     def __init__(self, detail: str, *, field: str = "") -> None:
         """Create the error.
 
         Args:
-          detail: a sentence for people.
+          detail: human-readable cause.
           field: the invalid setting.
         """
         super().__init__(Code.BAD_SETTING, detail, field=field)
@@ -312,7 +312,7 @@
 
         Args:
           code: the numbered code.
-          detail: a sentence for people; the code's meaning if empty.
+          detail: human-readable cause; the code's meaning if empty.
           retry_after_ms: delay before a retry, in milliseconds. 0 means
             DEFAULT_RETRY_MS if the code allows a retry, else no retry.
         """
@@ -329,7 +329,10 @@
     retry_after_ms: int
     """Delay before the caller retries, in milliseconds."""
     reason: str = ""
-    """Why there was no capacity, for the log; the code's meaning if empty."""
+    """Why the request was rejected, for the log and the caller.
+
+    If empty, the meaning of the code is used.
+    """
 
     def refusal(self) -> Refusal:
         """Return the error that reports the decision to the caller."""
--- a/leverdoor/headers.py
+++ b/leverdoor/headers.py
@@ -64,8 +64,9 @@
 
     Args:
       headers: all headers of a message.
-      connection: its Connection header, which lists further headers to remove.
-    Returns: the headers without hop-by-hop, Leverdoor and listed headers.
+      connection: value of its Connection header, which names further headers to remove.
+    Returns: the headers without hop-by-hop headers, those that Connection names, and
+      those with the prefix of Leverdoor.
     """
     listed = {name.strip().lower() for name in connection.split(",") if name.strip()}
     removed = _NOT_FORWARDED | listed
@@ -77,7 +78,13 @@
 
 
 def bounded_int(headers: Mapping[str, str], name: str, default: int) -> int:
-    """Return a header's value as an integer of 1 to 9 digits, else the default."""
+    """Return a value if it is a non-negative integer of at most 9 digits.
+
+    Args:
+      headers: headers or query parameters.
+      name: name of the value.
+      default: returned if the value is missing or of another form.
+    """
     text = headers.get(name, "")
     return (
         int(text) if text.isascii() and text.isdigit() and len(text) < 10 else default
--- a/leverdoor/lifecycle.py
+++ b/leverdoor/lifecycle.py
@@ -5,7 +5,7 @@
 Every daemon (agent, gate, entry, stand-in) starts here. The module handles signals,
 restarts tasks that fail, and polls a settings file for changes. Owns the signal
 handlers of the process; relies on `leverdoor.signals` for a SIGHUP received before
-the loop starts. State is lost with the process.
+the loop starts.
 """
 
 import asyncio
@@ -25,8 +25,9 @@
 RESTART_S = 1.0
 """Delay before a failed task is restarted, in seconds.
 
-Without a delay, a task that always fails at once would use a whole core. A longer
-delay suspends heartbeats or the watch on the store for that time.
+Without a delay, a task that always fails at once would use a whole core. During
+the delay the process sends no heartbeats or does not watch the store, so a longer one
+prolongs that gap.
 """
 SETTINGS_POLL_S = 2.0
 """Interval between polls of the settings file, in seconds.
@@ -40,7 +41,7 @@
     """A long-running program that `run_daemon` starts and stops."""
 
     async def run(self) -> None:
-        """Run until the stop is complete."""
+        """Run until the shutdown that `stop` begins is complete."""
 
     def stop(self) -> None:
         """Begin the shutdown; `run` returns when it is complete."""
@@ -68,18 +69,19 @@
     """Ignore SIGHUP, whose default action would end the process."""
 
 
-async def supervise(name: str, start: Callable[[], Awaitable[None]]) -> None:
+async def supervise(name: str, task: Callable[[], Awaitable[None]]) -> None:
     """Run a daemon's task and restart it after an exception.
 
-    A failed task must not end the daemon's other tasks.
+    A failed task must not end the daemon's other tasks. It restarts after RESTART_S;
+    a task that returns is not restarted.
 
     Args:
       name: name of the task in the log.
-      start: starts the task.
+      task: coroutine function of the task.
     """
     while True:
         try:
-            return await start()
+            return await task()
         except Exception as e:
             logger.exception("loop failed, starts again", loop=name, error=repr(e))
             await asyncio.sleep(RESTART_S)
@@ -89,7 +91,7 @@
     """Poll a file and call back on each change, until cancelled.
 
     Args:
-      path: path of the file; a file that `stat` cannot read counts as unchanged.
+      path: path of the file; a missing or inaccessible file counts as unchanged.
       on_change: called after each change.
     """
     previous = _file_version(path)
@@ -133,7 +135,7 @@
 
 
 class HttpDaemon:
-    """Daemon that serves HTTP applications, each at its own address."""
+    """Daemon of the stand-ins: serves HTTP applications, each at its own address."""
 
     def __init__(self, apps: list[tuple[web.Application, Address]]) -> None:
         """Create the daemon; `run` opens the sockets."""
--- a/leverdoor/logs.py
+++ b/leverdoor/logs.py
@@ -1,9 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Logging as JSON lines to standard error or to a daemon's own writer.
+"""Logging as JSON lines to standard error or to a function that writes lines.
 
-Covers agents, gates, the command line and libraries; `entry.events` writes the events
-of an entry. Owns the log handlers of the process, which are configured once.
+Covers agents, gates, the command line and third-party libraries; the events of an entry
+are written by `leverdoor.entry.events`. Owns the log handlers of the process, which
+`setup_logs` replaces; each process calls it once.
 """
 
 import logging
@@ -38,10 +39,10 @@
     """Configure all logging to write one JSON object per line to one output.
 
     Args:
-      role: role of the daemon, a field of each line.
-      vm: name of its VM, a field of each line.
-      level: lowest level that is written.
-      write: writes one encoded line; by default to standard error.
+      role: role of the process, added to `fields` of each line.
+      vm: name of its VM, added to `fields` of each line.
+      level: lowest level that is written; for libraries at least WARNING.
+      write: function that writes one encoded line; None for standard error.
     """
     logger.remove()
     logger.configure(extra={"role": role, "vm": vm})
--- a/leverdoor/metrics.py
+++ b/leverdoor/metrics.py
@@ -2,9 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Prometheus metrics of agents and gates.
 
-Label values come from resources only, so the configuration and not the callers bounds
-the number of time series. `leverdoor.entry.metrics` defines the metrics of the entry.
-Owns the counters, which are lost with the process and restart at zero.
+Label values are resource names or members of fixed sets, never values from callers.
+The configuration therefore bounds the number of time series. `leverdoor.entry.metrics`
+defines the metrics of the entry. Owns the metric values, which start at zero with the
+process.
 """
 
 from aiohttp import web
@@ -28,8 +29,8 @@
 """
 
 
-class _MetricsRegistry:
-    """Registry for the metrics of one daemon, with the handler for scrapes."""
+class _DaemonMetrics:
+    """Base class with the metrics registry of a daemon and its scrape handler."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -42,11 +43,11 @@
         )
 
 
-class GateMetrics(_MetricsRegistry):
+class GateMetrics(_DaemonMetrics):
     """Metrics of a gate."""
 
     def __init__(self) -> None:
-        """Create the metrics in a separate registry."""
+        """Create the metrics in a registry of this instance."""
         super().__init__()
         self._requests = Histogram(
             "leverdoor_request_seconds",
@@ -83,7 +84,7 @@
           service: name of the service.
           tier: tier of the caller.
           latency_s: time from arrival to the end of the response, in seconds.
-          answered: whether the request was answered.
+          answered: whether the response status was below 500.
         """
         self._requests.labels(service, tier, str(answered).lower()).observe(latency_s)
 
@@ -92,11 +93,11 @@
         self._refusals.labels(str(int(code))).inc()
 
 
-class AgentMetrics(_MetricsRegistry):
+class AgentMetrics(_DaemonMetrics):
     """Metrics of an agent."""
 
     def __init__(self) -> None:
-        """Create the metrics in a separate registry."""
+        """Create the metrics in a registry of this instance."""
         super().__init__()
         self.revision = Gauge(
             "leverdoor_revision", "Revision held.", registry=self.registry
--- a/leverdoor/options.py
+++ b/leverdoor/options.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Command-line option types, and options that environment variables can set.
+"""Command-line option types, and the options of daemons.
 
 Owns no state.
 """
@@ -17,7 +17,7 @@
 
 ENVIRONMENT_PREFIX = "LEVERDOOR_"
 
-F = TypeVar("F", bound=Callable[..., Any])
+CommandT = TypeVar("CommandT", bound=Callable[..., Any])
 
 
 class _AddressType(click.ParamType[Address]):
@@ -37,8 +37,8 @@
 ADDRESS_TYPE = _AddressType()
 
 
-def daemon_option(flag: str, **kwargs: Any) -> Callable[[F], F]:
-    """Declare an option of a daemon with a flag and an environment variable.
+def daemon_option(flag: str, **kwargs: Any) -> Callable[[CommandT], CommandT]:
+    """Declare a daemon's option, set by a flag or an environment variable.
 
     Args:
       flag: the flag, such as `--some-name`; the variable is then LEVERDOOR_SOME_NAME.
--- a/leverdoor/settings.py
+++ b/leverdoor/settings.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Validated settings of agents and gates.
+"""Settings of agents and gates, and the address type.
 
 The command line reads them from flags or environment variables. The settings of the
-entry are in `leverdoor.entry.settings`. A time is in the unit at the end of its name.
-Owns no state.
+entry are in `leverdoor.entry.settings`. Names of durations end with their unit. Owns no
+state.
 """
 
 import ipaddress
@@ -65,14 +65,18 @@
 
     @property
     def relay_address(self) -> str:
-        """The address for other gates: `relay_as` if set, for a proxy, else `relay`."""
+        """The address at which other gates reach this one.
+
+        `relay_as` is the address of a proxy in front of it; without one it is `relay`.
+        """
         return str(self.relay_as or self.relay)
 
 
 class AgentSettings(msgspec.Struct, frozen=True):
     """Settings of an agent.
 
-    Each field has the name of its command-line option, except `seeds` (--peer).
+    Each field has the name of its command-line option. Only `seeds`, the gossip
+    addresses of the first peers, is set by --peer; `seed` seeds the random generator.
     """
 
     vm: str
--- a/leverdoor/signals.py
+++ b/leverdoor/signals.py
@@ -3,8 +3,9 @@
 """Records SIGHUP signals received before a daemon's event loop handles them.
 
 Until the recorder is installed, the default action of SIGHUP ends the process, so this
-module imports nothing that is slow to load. Owns the SIGHUP handler of the process
-until the event loop replaces it.
+module imports nothing that is slow to load, and an entry installs the recorder before
+its other large imports. Owns the SIGHUP handler of the process until the
+event loop replaces it.
 """
 
 import signal
--- a/leverdoor/terminal.py
+++ b/leverdoor/terminal.py
@@ -2,8 +2,8 @@
 # SPDX-License-Identifier: Apache-2.0
 """Options, output and exit statuses common to all commands and queries.
 
-Runs operator commands against the resource API and reports a numbered error as text on
-standard error and as an exit status. Owns no state.
+Runs an operator command or query against the resource API and reports a LeverdoorError
+as text on standard error and as an exit status. Owns no state.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 DEFAULT_API = "127.0.0.1:7400"
 TYPE_FIELD = "type"
-"""Field with the type of a report line; JSON output has it, tables omit it."""
+"""Field that names the type of a row; JSON output has it, tables omit it."""
 
 api_option = click.option(
     "--api",
@@ -44,17 +44,19 @@
 )
 
 
-def run(agents: Sequence[Address], work: Callable[[Operator], Awaitable[None]]) -> None:
+def run(
+    agents: Sequence[Address], command: Callable[[Operator], Awaitable[None]]
+) -> None:
     """Run an operator command against the resource API.
 
-    A numbered error ends the process with the exit status of its code.
+    A LeverdoorError ends the process with the exit status of its code.
 
     Args:
       agents: addresses of agents' resource APIs, tried in turn.
-      work: the command; it is called with a client of these agents.
+      command: the command; it is called with a client of these agents.
     """
     try:
-        asyncio.run(_run(agents, work))
+        asyncio.run(_run(agents, command))
     except LeverdoorError as e:
         field = f" (field {e.field})" if e.field else ""
         click.echo(f"error {int(e.code)} {e.code.name}: {e.detail}{field}", err=True)
@@ -66,11 +68,11 @@
 
 
 async def _run(
-    agents: Sequence[Address], work: Callable[[Operator], Awaitable[None]]
+    agents: Sequence[Address], command: Callable[[Operator], Awaitable[None]]
 ) -> None:
     operator = Operator([str(a) for a in agents])
     try:
-        await work(operator)
+        await command(operator)
     finally:
         await operator.close()
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -13,12 +13,13 @@
 
 def test_documented_codes_match_the_code_table() -> None:
     lines = ERRORS_PAGE.read_text().splitlines()
+    # The first cell of a row of the table is the number of a code.
     rows = [
         [c.strip() for c in line.strip("|").split("|")]
         for line in lines
         if line.startswith(("| 0 ", "| 1", "| 2", "| 3", "| 4"))
     ]
-    found = {int(r[0]): tuple(r[1:]) for r in rows}
+    documented = {int(r[0]): tuple(r[1:]) for r in rows}
     expected = {}
     for code in Code:
         info = code_info(code)
@@ -29,7 +30,7 @@
             str(info.exit_status),
             info.meaning,
         )
-    assert found == expected
+    assert documented == expected
 
 
 def test_exit_statuses_are_unique() -> None:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -38,7 +38,8 @@
 async def test_sighup_during_startup_does_not_end_the_process(tmp_path: Path) -> None:
     """SIGHUP that arrives while the process reads its settings must not end it.
 
-    The process then exits only because its settings are not JSON.
+    Its settings are not JSON, so it exits with an error; a positive return code shows
+    that no signal ended it.
     """
     settings = tmp_path / "settings"
     os.mkfifo(settings)
@@ -53,9 +54,9 @@
     process.send_signal(signal.SIGHUP)
     writer.write(b"not settings")
     writer.close()
-    _, told = await process.communicate()
+    _, stderr = await process.communicate()
     assert process.returncode is not None and process.returncode > 0
-    assert b"JSON" in told
+    assert b"JSON" in stderr
 
 
 async def test_a_replaced_settings_file_is_detected_without_a_signal(
@@ -65,11 +66,11 @@
     settings = tmp_path / "settings"
     settings.write_text("1")
     contents: list[str] = []
-    told = asyncio.Event()
+    changed = asyncio.Event()
 
     def on_change() -> None:
         contents.append(settings.read_text())
-        told.set()
+        changed.set()
 
     task = asyncio.create_task(lifecycle.watch_file(settings, on_change))
     await asyncio.sleep(0.05)
@@ -79,6 +80,6 @@
     replacement = tmp_path / "fresh"
     replacement.write_text("2")
     replacement.replace(settings)
-    await told.wait()
+    await changed.wait()
     assert contents == ["2"]
     task.cancel()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -27,6 +27,7 @@
     debug_logs: None,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
+    # Without targets of its own, this gate forwards the request to another one.
     bench.gates["vm00"]._holdings.rows.clear()
     request_headers = {h.REQUEST_ID: "followed", "Authorization": "secret-key"}
     url = f"http://{bench.listen()}/s/look/x"
@@ -37,5 +38,6 @@
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
     fields = [line["fields"] for line in lines]
     request_fields = [f for f in fields if f.get("request_id") == "followed"]
+    # The first gate logs False, the one that received the forwarded request True.
     assert {f["forwarded"] for f in request_fields} == {"True", "False"}
     assert "secret" not in json.dumps(lines)
