--- a/leverdoor/options.py
+++ b/leverdoor/options.py
@@ -17,7 +17,7 @@
 
 ENVIRONMENT_PREFIX = "LEVERDOOR_"
 
-CommandT = TypeVar("CommandT", bound=Callable[..., Any])
+F = TypeVar("F", bound=Callable[..., Any])
 
 
 class _AddressType(click.ParamType[Address]):
@@ -37,7 +37,7 @@
 ADDRESS_TYPE = _AddressType()
 
 
-def daemon_option(flag: str, **kwargs: Any) -> Callable[[CommandT], CommandT]:
+def daemon_option(flag: str, **kwargs: Any) -> Callable[[F], F]:
     """Declare a daemon's option, set by a flag or an environment variable.
 
     Args:
