--- a/leverdoor/cli.py
+++ b/leverdoor/cli.py
@@ -1,8 +1,9 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""The command `leverdoor`: gathers the commands, which change, and the queries.
+"""Defines the command `leverdoor` and registers its subcommands.
 
-Each stands in a module of its own in `commands` or `queries`. Owns no state.
+Subcommands that change state, and the daemons, are in `commands`; read-only ones are in
+`queries`. Each module there holds one subcommand or a few related ones. Owns no state.
 """
 
 import click
--- a/leverdoor/entry/daemon.py
+++ b/leverdoor/entry/daemon.py
@@ -36,7 +36,7 @@
 from leverdoor.entry.settings import EntrySettings, reload_settings
 from leverdoor.entry.shutdown import STOP_POLL_S, drain
 from leverdoor.entry.wire import StoreContents, Wire
-from leverdoor.lifecycle import keep_running
+from leverdoor.lifecycle import supervise
 from leverdoor.settings import Address
 from leverdoor.storage.state import Delta, State
 from leverdoor.storage.store import LeasingStore
@@ -138,7 +138,7 @@
             self._heartbeat,
             self._keep_records,
         )
-        tasks = [asyncio.create_task(keep_running(f.__qualname__, f)) for f in loops]
+        tasks = [asyncio.create_task(supervise(f.__qualname__, f)) for f in loops]
         try:
             await self._stop.wait()
             await self._leave(front)
@@ -230,7 +230,7 @@
         await self._control.peers.close()
         await self._store.close()
 
-    # Loops. Their names appear in the log through `keep_running`.
+    # Loops. Their names appear in the log through `supervise`.
 
     async def _join_and_follow(self) -> None:
         await self._control.join_and_follow()
--- a/leverdoor/entry/requests/responses.py
+++ b/leverdoor/entry/requests/responses.py
@@ -12,7 +12,7 @@
 from leverdoor.entry.requests.replies import TargetReply
 from leverdoor.entry.requests.retry_after import format_retry_after
 from leverdoor.errors import Refusal, code_info
-from leverdoor.headers import passing
+from leverdoor.headers import forwardable_headers
 
 __all__ = ["close_connection_after", "relay_response", "refusal_response"]
 
@@ -24,7 +24,7 @@
     """Return the response that relays a target's reply."""
     connection = reply.get("connection")
     headers: CIMultiDict[str] = CIMultiDict()
-    for name, value in passing(reply.headers, connection):
+    for name, value in forwardable_headers(reply.headers, connection):
         if name not in DROPPED_REPLY_HEADERS:
             headers.add(name, value)
     response = web.Response(
--- a/leverdoor/entry/requests/retry_after.py
+++ b/leverdoor/entry/requests/retry_after.py
@@ -3,7 +3,7 @@
 """Retry-After times in ms for refusals of the request path.
 
 Refusals by placement (`entry/placement/`) and by quotas (`workspaces/quota.py`) set
-their own times. The default is `errors.py:SOON_MS`. Owns no state.
+their own times. The default is `errors.py:DEFAULT_RETRY_MS`. Owns no state.
 """
 
 __all__ = [
--- a/leverdoor/entry/requests/routing.py
+++ b/leverdoor/entry/requests/routing.py
@@ -20,7 +20,7 @@
 )
 from leverdoor.entry.wire import Wire
 from leverdoor.errors import Code, Refusal
-from leverdoor.headers import bounded_int, passing
+from leverdoor.headers import bounded_int, forwardable_headers
 from leverdoor.model.resources import Route, Workspace
 
 __all__ = ["RequestRouter"]
@@ -148,7 +148,7 @@
         forwarded = [("Host", request.headers.get("Host", ""))]
         forwarded += [
             (name, value)
-            for name, value in passing(request.headers.items(), connection)
+            for name, value in forwardable_headers(request.headers.items(), connection)
             if name.lower() not in not_forwarded
         ]
         if workspace is not None:
--- a/leverdoor/errors.py
+++ b/leverdoor/errors.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Numbered result codes, and the errors and decisions that carry them.
+"""Numbered result codes, and the exceptions and the `Rejection` that carry them.
 
-The table here is the only one: HTTP status, whether the request ran, exit status and
-meaning of each code; docs/ERRORS.md is checked against it. `Refusal` is raised where
-a request is given up, `Rejection` is what a pure decision returns instead of a place.
-Owns no state.
+Only this module defines the HTTP status, run verdict, exit status and meaning of each
+code; a test compares docs/ERRORS.md with it. A function that abandons a request raises
+`Refusal`; a function that only chooses a target, without I/O, returns `Rejection`
+instead of its choice. Owns no state.
 """
 
 from enum import IntEnum, StrEnum
@@ -22,13 +22,13 @@
     "Run",
     "SettingsError",
     "StoreUnavailable",
-    "StoreUnknown",
+    "OutcomeUnknown",
     "code_info",
 ]
 
 
 class Run(StrEnum):
-    """What a caller may conclude about its request."""
+    """Run verdict: whether the request ran or the write took effect."""
 
     NO = "no"
     YES = "yes"
@@ -36,7 +36,7 @@
 
 
 class Code(IntEnum):
-    """Every numbered result code; docs/ERRORS.md has the same table."""
+    """Numbered result codes; docs/ERRORS.md has the same table."""
 
     OK = 0
     MALFORMED = 1001
@@ -86,7 +86,7 @@
 
 
 class CodeInfo(msgspec.Struct, frozen=True):
-    """HTTP status, run verdict and process exit status of one code."""
+    """HTTP status, run verdict, process exit status and meaning of one code."""
 
     status: int
     run: Run
@@ -94,16 +94,16 @@
     meaning: str
 
 
-COME_BACK_STATUSES = frozenset({408, 429, 503})
-"""HTTP statuses after which the same request may succeed later."""
-SOON_MS = 100
-"""When to come back where the rule that refused gives no time, in ms.
+RETRYABLE_STATUSES = frozenset({408, 429, 503})
+"""HTTP statuses after which a retry of the same request may succeed."""
+DEFAULT_RETRY_MS = 100
+"""Retry delay in ms, used if a refusal gives none.
 
-Without any time a caller that was told "not run" would come back at once; longer would
-hold up a request that needs only another entry.
+Without a delay, a caller whose request did not run would retry at once. A longer delay
+would postpone a retry that only needs another entry.
 """
 
-_TABLE: dict[Code, CodeInfo] = {
+_CODE_INFO: dict[Code, CodeInfo] = {
     Code.OK: CodeInfo(200, Run.YES, 0, "Done."),
     Code.MALFORMED: CodeInfo(400, Run.NO, 10, "The document cannot be read."),
     Code.UNKNOWN_FIELD: CodeInfo(
@@ -215,17 +215,17 @@
 
 
 def code_info(code: Code) -> CodeInfo:
-    """Return what a code means.
+    """Return the properties of a code.
 
     Args:
       code: the numbered code.
-    Returns: its status, run verdict, exit status and meaning.
+    Returns: its HTTP status, run verdict, exit status and meaning.
     """
-    return _TABLE[code]
+    return _CODE_INFO[code]
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An error as it is sent to an operator or a caller."""
+    """Wire form of an error, sent to operators and callers; see `LeverdoorError`."""
 
     code: int
     name: str
@@ -237,7 +237,7 @@
 
 
 class LeverdoorError(Exception):
-    """Base of all errors that carry a numbered code."""
+    """Base class of all errors that carry a numbered code."""
 
     def __init__(
         self,
@@ -252,10 +252,10 @@
 
         Args:
           code: the numbered code.
-          detail: one sentence for a person; the code's meaning if empty.
-          field: the resource field at fault, in dotted form.
-          retry_after_ms: when to come back, in milliseconds; 0 for never.
-          revision: the revision that stands in the way, for conflicts.
+          detail: human-readable cause; the code's meaning if empty.
+          field: the invalid setting or resource field, in dotted form.
+          retry_after_ms: delay before a retry, in milliseconds; 0 for no retry.
+          revision: the current revision, for CONFLICT and COMPACTED; else 0.
         """
         self.code = code
         self.detail = detail or code_info(code).meaning
@@ -266,11 +266,11 @@
 
     @property
     def run(self) -> Run:
-        """What the code says about whether the request ran."""
+        """The run verdict of the code."""
         return code_info(self.code).run
 
     def problem(self) -> Problem:
-        """Return the error in the form that is sent."""
+        """Return the wire form of the error."""
         return Problem(
             code=int(self.code),
             name=self.code.name,
@@ -283,21 +283,26 @@
 
 
 class ConfigError(LeverdoorError):
-    """A resource was refused; nothing was stored."""
+    """A resource or another JSON document is invalid; nothing was stored."""
 
 
 class SettingsError(LeverdoorError):
-    """A daemon's setting is missing or wrong."""
+    """A setting or a command-line address is missing or invalid."""
 
     def __init__(self, detail: str, *, field: str = "") -> None:
-        """Create the error for one setting."""
+        """Create the error.
+
+        Args:
+          detail: human-readable cause.
+          field: the invalid setting.
+        """
         super().__init__(Code.BAD_SETTING, detail, field=field)
 
 
 class Refusal(LeverdoorError):
-    """A request was given up on; the code says whether it may have run.
+    """A request was abandoned; the code says whether it may have run.
 
-    One that did not run and may be sent again always says when to come back.
+    If the request did not run and may be retried, the error always has a retry delay.
     """
 
     def __init__(
@@ -307,41 +312,44 @@
 
         Args:
           code: the numbered code.
-          detail: one sentence for a person; the code's meaning if empty.
-          retry_after_ms: when to come back, in milliseconds; 0 for soon where the
-            code allows it, and else for never.
+          detail: human-readable cause; the code's meaning if empty.
+          retry_after_ms: delay before a retry, in milliseconds. 0 means
+            DEFAULT_RETRY_MS if the code allows a retry, else no retry.
         """
         info = code_info(code)
-        if info.run is Run.NO and info.status in COME_BACK_STATUSES:
-            retry_after_ms = retry_after_ms or SOON_MS
+        if info.run is Run.NO and info.status in RETRYABLE_STATUSES:
+            retry_after_ms = retry_after_ms or DEFAULT_RETRY_MS
         super().__init__(code, detail, retry_after_ms=retry_after_ms)
 
 
 class Rejection(msgspec.Struct, frozen=True):
-    """The decision not to serve a request, made before anything was sent."""
+    """Decision not to serve a request, made before any byte of it was sent."""
 
     code: Code
     retry_after_ms: int
-    """When the caller should come back, in milliseconds."""
+    """Delay before the caller retries, in milliseconds."""
     reason: str = ""
-    """What left no room, for the log; the code's meaning if empty."""
+    """Why the request was rejected, for the log and the caller.
+
+    If empty, the meaning of the code is used.
+    """
 
     def refusal(self) -> Refusal:
-        """Return the error that carries the decision to the caller."""
+        """Return the error that reports the decision to the caller."""
         return Refusal(self.code, self.reason, retry_after_ms=self.retry_after_ms)
 
 
 class StoreUnavailable(LeverdoorError):
-    """The store did not take the call; nothing was written."""
+    """The store did not accept the call; nothing was written."""
 
     def __init__(self, detail: str = "", retry_after_ms: int = 2000) -> None:
-        """Create the error, with when to come back in milliseconds."""
+        """Create the error; `retry_after_ms` is the retry delay in milliseconds."""
         super().__init__(Code.STORE_UNAVAILABLE, detail, retry_after_ms=retry_after_ms)
 
 
-class StoreUnknown(LeverdoorError):
-    """A write was sent and its answer was lost."""
+class OutcomeUnknown(LeverdoorError):
+    """A write was sent to the store and its response was lost."""
 
     def __init__(self, detail: str = "", retry_after_ms: int = 2000) -> None:
-        """Create the error, with when to come back in milliseconds."""
+        """Create the error; `retry_after_ms` is the retry delay in milliseconds."""
         super().__init__(Code.WRITE_UNKNOWN, detail, retry_after_ms=retry_after_ms)
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -15,7 +15,6 @@
 from loguru import logger
 
 from leverdoor import headers as h
-from leverdoor.answers import json_answer, problem_answer
 from leverdoor.errors import Code, Refusal, Run
 from leverdoor.gate.gate_quarantine import NOTICES_PATH, GateQuarantine
 from leverdoor.gate.idempotency_keys import KeyRegistry, Outcome
@@ -35,6 +34,7 @@
 from leverdoor.metrics import GateMetrics
 from leverdoor.model.burn import BurnRateMeter
 from leverdoor.model.resources import Service, Tier, WorkClass
+from leverdoor.responses import json_response, problem_response
 
 __all__ = ["MAX_HEADER_BYTES", "GateHandler"]
 
@@ -78,7 +78,7 @@
         app.router.add_get("/v1/lookup/{service}", self._lookup)
         app.router.add_get("/healthz", self._healthz)
         app.router.add_get("/readyz", self._readyz)
-        app.router.add_get("/metrics", self._metrics.handler)
+        app.router.add_get("/metrics", self._metrics.handle_scrape)
         app.router.add_route(
             "*",
             "/s/{service}/{tail:.*}",
@@ -109,7 +109,7 @@
         view = self._scheduler.view
         service = view.services.get(request.match_info["service"])
         if service is None:
-            return problem_answer(Refusal(Code.UNKNOWN_SERVICE))
+            return problem_response(Refusal(Code.UNKNOWN_SERVICE))
         client = request.query.get("client", request.remote or "")
         home = view.blocks.region(client) or self._region
         now = asyncio.get_running_loop().time()
@@ -121,7 +121,7 @@
             self._lookup_ttl_ms,
             self._issue_key(service, now),
         )
-        return json_answer(answer)
+        return json_response(answer)
 
     def _issue_key(self, service: Service, now: float) -> str:
         """Return a key for one request; "" for class LOOKUP or unless serving."""
@@ -214,8 +214,8 @@
             code=int(e.code),
             detail=e.detail,
         )
-        self._metrics.refused(e.code)
-        return problem_answer(e, origin.request_id)
+        self._metrics.count_refusal(e.code)
+        return problem_response(e, origin.request_id)
 
     def _record_request(
         self, service: str, tier: Tier, arrived: float, ok: bool
@@ -229,13 +229,13 @@
             if (v.service, v.tier) == (service, tier.name)
         ]
         self._burn.record(service, tier.name, took_ms, ok, levels, now)
-        self._metrics.served(service, tier.name, took_ms / 1000, ok)
+        self._metrics.observe_request(service, tier.name, took_ms / 1000, ok)
 
     # Health and internal endpoints.
 
     async def _burn_series(self, request: web.Request) -> web.StreamResponse:
         series = self._burn.series(asyncio.get_running_loop().time())
-        return json_answer(series)
+        return json_response(series)
 
     async def _healthz(self, request: web.Request) -> web.StreamResponse:
         return web.Response(text="ok\n")
@@ -245,11 +245,11 @@
         if self.state is GateState.SERVING:
             return web.Response(text="ready\n")
         code = Code.LEAVING if self.state is GateState.LEAVING else Code.NOT_READY
-        return problem_answer(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
+        return problem_response(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
 
 
 def _not_ready(code: Code) -> web.Response:
-    return problem_answer(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
+    return problem_response(Refusal(code, retry_after_ms=NOT_READY_RETRY_MS))
 
 
 async def _stream_response(
--- a/leverdoor/gate/retry_after.py
+++ b/leverdoor/gate/retry_after.py
@@ -3,8 +3,8 @@
 """Computes the Retry-After of the requests that a gate refuses.
 
 Pure functions that receive their source of randomness; owns no state. Relies on
-`scheduler.expected_wait_ms` for the expected wait; `errors.SOON_MS` holds the least
-time of each code.
+`scheduler.expected_wait_ms` for the expected wait; `errors.DEFAULT_RETRY_MS` holds the
+least time of each code.
 """
 
 from random import Random
--- a/leverdoor/options.py
+++ b/leverdoor/options.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Option types of the command line, and settings as flag and environment variable.
+"""Command-line option types, and the options of daemons.
 
 Owns no state.
 """
@@ -13,9 +13,9 @@
 from leverdoor.errors import SettingsError
 from leverdoor.settings import Address, parse_address
 
-__all__ = ["ADDRESS", "setting"]
+__all__ = ["ADDRESS_TYPE", "daemon_option"]
 
-ENVIRONMENT = "LEVERDOOR_"
+ENVIRONMENT_PREFIX = "LEVERDOOR_"
 
 F = TypeVar("F", bound=Callable[..., Any])
 
@@ -34,15 +34,16 @@
             self.fail(e.detail, param, ctx)
 
 
-ADDRESS = _AddressType()
+ADDRESS_TYPE = _AddressType()
 
 
-def setting(flag: str, **kwargs: Any) -> Callable[[F], F]:
-    """Declare a daemon's setting: a flag and an environment variable.
+def daemon_option(flag: str, **kwargs: Any) -> Callable[[F], F]:
+    """Declare a daemon's option, set by a flag or an environment variable.
 
     Args:
-      flag: the flag, as `--some-name`; the variable is LEVERDOOR_SOME_NAME.
-      **kwargs: what click takes besides.
+      flag: the flag, such as `--some-name`; the variable is then LEVERDOOR_SOME_NAME.
+      **kwargs: further arguments of `click.option`.
+    Returns: the decorator that adds the option.
     """
-    name = ENVIRONMENT + flag.lstrip("-").replace("-", "_").upper()
-    return click.option(flag, envvar=name, show_envvar=True, **kwargs)
+    variable = ENVIRONMENT_PREFIX + flag.lstrip("-").replace("-", "_").upper()
+    return click.option(flag, envvar=variable, show_envvar=True, **kwargs)
--- a/leverdoor/platform/__main__.py
+++ b/leverdoor/platform/__main__.py
@@ -5,7 +5,7 @@
 import sys
 
 from leverdoor.entry.certificates import disable_certificate_loading
-from leverdoor.signals import EarlyReload
+from leverdoor.signals import SighupRecorder
 
 
 def main() -> int:
@@ -16,7 +16,7 @@
 
     Returns: the exit status of the process.
     """
-    early_reload = EarlyReload()
+    early_reload = SighupRecorder()
     disable_certificate_loading()
     from leverdoor.platform.program import run_entry
 
--- a/leverdoor/platform/program.py
+++ b/leverdoor/platform/program.py
@@ -19,7 +19,7 @@
 from leverdoor.platform.settings import PlatformSettings, parse_settings
 from leverdoor.platform.store import PlatformStore
 from leverdoor.platform.wire_format import wire
-from leverdoor.signals import EarlyReload
+from leverdoor.signals import SighupRecorder
 
 __all__ = ["run_entry"]
 
@@ -45,7 +45,7 @@
         raise SettingsError(f"{SETTINGS_VARIABLE}={path}: {e.strerror}") from None
 
 
-def run_entry(early_reload: EarlyReload) -> int:
+def run_entry(early_reload: SighupRecorder) -> int:
     """Run an entry until it is stopped.
 
     Args:
--- a/leverdoor/platform/store.py
+++ b/leverdoor/platform/store.py
@@ -3,7 +3,7 @@
 """`LeasingStore` over the HTTP API of the platform's metadata store.
 
 Distinguishes writes that the store did not execute (`StoreUnavailable`) from writes
-whose outcome is unknown (`StoreUnknown`). Reads whose response is lost also raise
+whose outcome is unknown (`OutcomeUnknown`). Reads whose response is lost also raise
 `StoreUnavailable`, because repeating them is safe. Callers decide whether to retry.
 Owns the connections to the store, which are closed by `close` or with the process.
 """
@@ -15,7 +15,7 @@
 import aiohttp
 import msgspec
 
-from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
+from leverdoor.errors import Code, LeverdoorError, OutcomeUnknown, StoreUnavailable
 from leverdoor.sessions import new_session
 from leverdoor.storage.store import (
     Commit,
@@ -128,7 +128,7 @@
     lease: int
 
 
-class CallTimeoutError(StoreUnknown):
+class CallTimeoutError(OutcomeUnknown):
     """The store did not respond within the timeout of a call."""
 
 
@@ -286,7 +286,7 @@
         Raises:
           StoreUnavailable: the store could not be reached or rejected the call, or the
             response was lost.
-          StoreUnknown: the store responded with an unexpected status.
+          OutcomeUnknown: the store responded with an unexpected status.
           LeverdoorError: with `COMPACTED`, the requested history was compacted.
         """
         *first, last = timeouts_s
@@ -307,7 +307,7 @@
             status, data = await self._call("GET", call, query, None, timeout_s)
         except CallTimeoutError:
             raise
-        except StoreUnknown as e:
+        except OutcomeUnknown as e:
             raise StoreUnavailable(e.detail) from None
         if status == 410:
             raise LeverdoorError(Code.COMPACTED)
@@ -332,7 +332,7 @@
         Raises:
           StoreUnavailable: no connection was opened, so the call was not sent.
           CallTimeoutError: the store did not respond in time.
-          StoreUnknown: the response was lost.
+          OutcomeUnknown: the response was lost.
         """
         self.calls += 1
         headers = {} if body is None else {"Content-Type": "application/json"}
@@ -351,7 +351,7 @@
         except TimeoutError as e:
             raise CallTimeoutError(f"{call}: {e!r}") from None
         except (aiohttp.ClientError, OSError) as e:
-            raise StoreUnknown(f"{call}: {e!r}") from None
+            raise OutcomeUnknown(f"{call}: {e!r}") from None
 
 
 def _raise_for_status(status: int, call: str) -> None:
@@ -363,7 +363,7 @@
         return
     if status in (429, 503, 404):
         raise StoreUnavailable(f"{call}: HTTP {status}")
-    raise StoreUnknown(f"{call}: HTTP {status}")
+    raise OutcomeUnknown(f"{call}: HTTP {status}")
 
 
 def _parse_response(data: bytes, kind: type[T]) -> T:
--- a/leverdoor/queries/lookup.py
+++ b/leverdoor/queries/lookup.py
@@ -10,16 +10,16 @@
 
 from leverdoor.client.caller import Caller
 from leverdoor.errors import Refusal, code_info
-from leverdoor.options import ADDRESS
+from leverdoor.options import ADDRESS_TYPE
 from leverdoor.settings import Address
-from leverdoor.terminal import output_option, show
+from leverdoor.terminal import output_option, print_rows
 
 __all__ = ["lookup"]
 
 
 @click.command()
 @click.argument("service")
-@click.option("--entry", type=ADDRESS, required=True, help="ip:port of any gate.")
+@click.option("--entry", type=ADDRESS_TYPE, required=True, help="ip:port of any gate.")
 @output_option
 def lookup(service: str, entry: Address, output: str) -> None:
     """Ask a gate which entry VMs serve a service."""
@@ -30,7 +30,7 @@
             answer = await caller.lookup(service)
         finally:
             await caller.close()
-        show([msgspec.to_builtins(e) for e in answer.entries], output)
+        print_rows([msgspec.to_builtins(e) for e in answer.entries], output)
 
     try:
         asyncio.run(work())
--- a/leverdoor/signals.py
+++ b/leverdoor/signals.py
@@ -1,25 +1,27 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Signals that come before a daemon's loop can take them.
+"""Records SIGHUP signals received before a daemon's event loop handles them.
 
-Imports nothing large: a process is open to the signal's default, which ends it,
-until this has run.
+Until the recorder is installed, the default action of SIGHUP ends the process, so this
+module imports nothing that is slow to load, and an entry installs the recorder before
+its other large imports. Owns the SIGHUP handler of the process until the
+event loop replaces it.
 """
 
 import signal
 from types import FrameType
 
-__all__ = ["EarlyReload"]
+__all__ = ["SighupRecorder"]
 
 
-class EarlyReload:
-    """Notes SIGHUPs from the start of a process until its loop takes them over."""
+class SighupRecorder:
+    """Records SIGHUP from the start of the process until its event loop handles it."""
 
     def __init__(self) -> None:
-        """Take the signal over."""
-        self.due = False
-        """Whether one came."""
-        signal.signal(signal.SIGHUP, self._note)
+        """Install the signal handler."""
+        self.received = False
+        """Whether a SIGHUP was received."""
+        signal.signal(signal.SIGHUP, self._record)
 
-    def _note(self, _number: int, _frame: FrameType | None) -> None:
-        self.due = True
+    def _record(self, _signum: int, _frame: FrameType | None) -> None:
+        self.received = True
--- a/leverdoor/storage/configuration.py
+++ b/leverdoor/storage/configuration.py
@@ -20,8 +20,8 @@
     Code,
     ConfigError,
     LeverdoorError,
+    OutcomeUnknown,
     StoreUnavailable,
-    StoreUnknown,
 )
 from leverdoor.model.resource_checks import check_removal, validate
 from leverdoor.model.resources import Resource, resource_key, serialize_resource
@@ -214,7 +214,7 @@
         Returns: the revision, or 0 after a concurrent write.
         Raises:
           StoreUnavailable: nothing was written.
-          StoreUnknown: the outcome of the write cannot be determined now.
+          OutcomeUnknown: the outcome of the write cannot be determined now.
         """
         write_id = uuid.uuid4().hex
         write_ids = [*snapshot.guard.writes, write_id][-MAX_GUARD_WRITES:]
@@ -222,7 +222,7 @@
         batch = [*writes, Write(GUARD, guard, snapshot.guard_revision)]
         try:
             result = await self._store.commit(batch)
-        except StoreUnknown as e:
+        except OutcomeUnknown as e:
             logger.warning("answer of a write lost", write=write_id, error=str(e))
             return await self._resolve(write_id, snapshot)
         return result.revision if result.committed else 0
@@ -236,7 +236,7 @@
         Returns: the revision of the guard if it contains the write, or 0 if the write
           never takes effect.
         Raises:
-          StoreUnknown: the store did not respond.
+          OutcomeUnknown: the store did not respond.
         """
         try:
             listing = await self._store.read(GUARD)
@@ -251,7 +251,7 @@
             result = await self._store.commit([fence])
             return 0 if result.committed else await self._resolve(write_id, snapshot)
         except StoreUnavailable as e:
-            raise StoreUnknown(e.detail) from None
+            raise OutcomeUnknown(e.detail) from None
 
 
 def _parse_guard(entry: KeyValue | None) -> Guard:
--- a/leverdoor/storage/etcd.py
+++ b/leverdoor/storage/etcd.py
@@ -5,7 +5,7 @@
 Owns one session and the index of the member in use, both lost with the process; after
 a failed request the client switches to the next member. Distinguishes requests that
 were not executed (`StoreUnavailable`) from requests whose response was lost
-(`StoreUnknown`).
+(`OutcomeUnknown`).
 """
 
 import base64
@@ -15,7 +15,7 @@
 import aiohttp
 import msgspec
 
-from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
+from leverdoor.errors import Code, LeverdoorError, OutcomeUnknown, StoreUnavailable
 from leverdoor.sessions import new_session
 from leverdoor.storage.store import (
     WATCH_SILENCE_S,
@@ -74,7 +74,7 @@
         body = {"key": to_base64(prefix.encode()), "range_end": _range_end(prefix)}
         try:
             response = await self._call("/v3/kv/range", body, _RangeResponse)
-        except StoreUnknown as e:
+        except OutcomeUnknown as e:
             raise StoreUnavailable(e.detail) from None
         return Listing(response.header.revision, [kv.entry() for kv in response.kvs])
 
@@ -122,7 +122,7 @@
 
         Raises:
           StoreUnavailable: the request was not executed.
-          StoreUnknown: the request may have been executed.
+          OutcomeUnknown: the request may have been executed.
         """
         self.calls += 1
         timeout = aiohttp.ClientTimeout(total=self._timeout_s)
@@ -139,11 +139,11 @@
             raise StoreUnavailable(f"{path}: {e}") from None
         except (aiohttp.ClientError, OSError, TimeoutError) as e:
             self._switch_member()
-            raise StoreUnknown(f"{path}: {e!r}") from None
+            raise OutcomeUnknown(f"{path}: {e!r}") from None
         if response.status == 503:
             raise StoreUnavailable(f"{path}: HTTP 503")
         if response.status != 200:
-            raise StoreUnknown(f"{path}: HTTP {response.status}")
+            raise OutcomeUnknown(f"{path}: HTTP {response.status}")
         return msgspec.json.decode(data, type=response_type, strict=False)
 
     def _switch_member(self) -> None:
--- a/leverdoor/storage/store.py
+++ b/leverdoor/storage/store.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
+from leverdoor.errors import Code, LeverdoorError, OutcomeUnknown, StoreUnavailable
 
 __all__ = [
     "Commit",
@@ -124,7 +124,7 @@
 
         Raises:
           StoreUnavailable: nothing was sent, or the service rejected the request.
-          StoreUnknown: the request was sent, but no response arrived.
+          OutcomeUnknown: the request was sent, but no response arrived.
         """
 
     @abstractmethod
@@ -160,7 +160,7 @@
         Returns: the id of the lease.
         Raises:
           StoreUnavailable: nothing was written.
-          StoreUnknown: the key may have been written.
+          OutcomeUnknown: the key may have been written.
         """
 
     @abstractmethod
@@ -212,7 +212,7 @@
         result = self._commit(writes)
         if self.lose_answers > 0:
             self.lose_answers -= 1
-            raise StoreUnknown("the response was lost")
+            raise OutcomeUnknown("the response was lost")
         return result
 
     def _commit(self, writes: Sequence[Write]) -> Commit:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -8,7 +8,7 @@
 import pytest
 from aiohttp.test_utils import TestServer
 
-from leverdoor.errors import Code, LeverdoorError, StoreUnavailable, StoreUnknown
+from leverdoor.errors import Code, LeverdoorError, OutcomeUnknown, StoreUnavailable
 from leverdoor.standins.kv import KvStandin
 from leverdoor.storage.etcd import EtcdStore
 from leverdoor.storage.store import MAX_LOG_EVENTS, Event, MemoryStore, Store, Write
@@ -126,7 +126,7 @@
     backend: Backend,
 ) -> None:
     backend.memory.lose_answers = 1
-    with pytest.raises(StoreUnknown):
+    with pytest.raises(OutcomeUnknown):
         await backend.store.commit([Write("/a", b"1")])
     assert [e.value for e in (await backend.store.read("/a")).entries] == [b"1"]
 
@@ -137,7 +137,7 @@
     await server.start_server()
     store = EtcdStore([str(server.make_url(""))], timeout_s=0.1)
     standin.store.hang = True
-    with pytest.raises(StoreUnknown):
+    with pytest.raises(OutcomeUnknown):
         await store.commit([Write("/a", b"1")])
     with pytest.raises(StoreUnavailable):
         await store.read("/")
