--- a/leverdoor/storage/configuration.py
+++ b/leverdoor/storage/configuration.py
@@ -3,9 +3,9 @@
 """Validates resources and writes them to the store in one transaction.
 
 Every write replaces the guard key on condition of its revision, which puts all writes
-in one order (docs/DESIGN.md, Configuration). A write whose response was lost took
-effect if the guard contains its id. Keeps no state outside the store; relies on the
-store's compare-and-swap.
+in one order (docs/DESIGN.md, Configuration). If the response to a write is lost, the
+guard shows whether the write took effect: it then contains the id of the write. Keeps
+no state outside the store; relies on the store's compare-and-swap.
 """
 
 import uuid
@@ -32,15 +32,17 @@
 __all__ = ["Applied", "Configuration", "Guard"]
 
 MAX_GUARD_WRITES = 64
-"""Number of write ids kept in the guard: half of etcd's default limit of 128.
+"""Maximum number of write ids in the guard.
 
-After that many later writes, a write whose response was lost is not recognized.
+Half of etcd's default limit of 128 operations in a transaction; the ids are in one
+value and do not count towards that limit. After that many later writes, a write whose
+response was lost is not recognized.
 """
 MAX_ATTEMPTS = 6
 """Maximum number of attempts to commit a change, including the first.
 
-After that many conflicts the operator gets CONFLICT and can inspect what the others
-wrote. Each attempt costs the store a read and a write.
+After the last conflict the command returns CONFLICT, and the operator can inspect the
+concurrent writes. Each attempt costs the store a read and a write.
 """
 CONFLICT_RETRY_MS = 500
 """Retry-After of a CONFLICT, in ms.
@@ -48,7 +50,7 @@
 Long enough for concurrent writes to finish, too short for an operator to notice.
 """
 MAX_RESOURCES = 100
-"""Most resources in one document.
+"""Maximum number of resources in one document.
 
 With the guard, the transaction stays below etcd's default limit of 128 operations.
 """
@@ -65,7 +67,7 @@
 
 
 class Applied(msgspec.Struct, frozen=True):
-    """An accepted write; `revision` is 0 for a dry run."""
+    """Result of an accepted write or a valid dry run, whose `revision` is 0."""
 
     revision: int
     keys: list[str]
@@ -93,8 +95,9 @@
 
         Args:
           store: the platform's key-value service.
-          state: a replica, which may lag; later attempts read the store instead.
-          cache: the compiled replica, which saves parsing it again.
+          state: a replica, which may lag. The store is read instead if the replica is
+            empty, and for each attempt after the first.
+          cache: the compiled replica; without it, every command parses all resources.
         """
         self._cache = cache
         self._store = store
@@ -161,7 +164,11 @@
         build_writes: _BuildWrites,
         dry_run: bool,
     ) -> Result[Applied, LeverdoorError]:
-        """Validate and write; repeat after a conflict with a concurrent write."""
+        """Validate and write.
+
+        Repeats both after a conflict with a concurrent write, and after a failed
+        validation against the replica unless it is a dry run.
+        """
         try:
             for attempt in range(MAX_ATTEMPTS):
                 snapshot = await self._snapshot(fresh=attempt > 0)
@@ -170,7 +177,7 @@
                 )
                 if isinstance(checked, Failure):
                     error = checked.failure()
-                    # The replica may lag: validate against the store as well.
+                    # The replica may lag: validate against the store before rejecting.
                     if attempt == 0 and not dry_run:
                         continue
                     return Failure(error)
@@ -211,7 +218,8 @@
     async def _write(self, writes: list[Write], snapshot: _Snapshot) -> int:
         """Write on condition that the guard is unchanged.
 
-        Returns: the revision, or 0 after a concurrent write.
+        Returns: the revision of the write, or 0 if a concurrent write replaced the
+          guard.
         Raises:
           StoreUnavailable: nothing was written.
           OutcomeUnknown: the outcome of the write cannot be determined now.
@@ -228,13 +236,13 @@
         return result.revision if result.committed else 0
 
     async def _resolve(self, write_id: str, snapshot: _Snapshot) -> int:
-        """Determine whether a write took effect, and prevent a later effect.
+        """Determine whether a write was committed; if not, prevent a later commit.
 
-        While the guard still has the revision that the write expects, a delayed write
-        may take effect. Replacing the guard makes its condition fail.
+        A delayed write can be committed as long as the guard has the revision that the
+        write expects. Replacing the guard makes the condition of the write fail.
 
-        Returns: the revision of the guard if it contains the write, or 0 if the write
-          never takes effect.
+        Returns: the current revision of the guard if it contains the write's id, or 0
+          if the write was not and will not be committed.
         Raises:
           OutcomeUnknown: the store did not respond.
         """
--- a/leverdoor/storage/etcd.py
+++ b/leverdoor/storage/etcd.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Client of the key-value service for the JSON gateway of the etcd v3 API.
 
-Owns one session and the index of the member in use, both lost with the process; after
-a failed request the client switches to the next member. Distinguishes requests that
-were not executed (`StoreUnavailable`) from requests whose response was lost
-(`OutcomeUnknown`).
+Owns one session and the index of the member in use, both lost with the process. After
+a request without a response, the client switches to the next member. It distinguishes
+requests that were not executed (`StoreUnavailable`) from those that may have been
+executed (`OutcomeUnknown`).
 """
 
 import base64
@@ -36,8 +36,8 @@
 CALL_TIMEOUT_S = 2.0
 """Timeout of a request, in seconds.
 
-The service responds within milliseconds, and a follower must try another member well
-before its watch counts as lost (6 s).
+The service responds within milliseconds. The timeout is well below `WATCH_SILENCE_S`
+(6 s), so that a follower tries another member before that time.
 """
 READ_BUFFER = 4_000_000
 """Read buffer of a watch, in bytes; larger than the largest batch of events."""
@@ -140,6 +140,7 @@
         except (aiohttp.ClientError, OSError, TimeoutError) as e:
             self._switch_member()
             raise OutcomeUnknown(f"{path}: {e!r}") from None
+        # The service responds with 503 to a request that it did not execute.
         if response.status == 503:
             raise StoreUnavailable(f"{path}: HTTP 503")
         if response.status != 200:
@@ -246,6 +247,7 @@
 
 
 def _range_end(prefix: str) -> str:
+    """Return the first key after all keys with a prefix, in base64."""
     raw = bytearray(prefix.encode())
     raw[-1] += 1
     return to_base64(bytes(raw))
--- a/leverdoor/storage/fetching.py
+++ b/leverdoor/storage/fetching.py
@@ -3,10 +3,10 @@
 """Fetches changes of the store that this process lacks from its peers.
 
 `DeltaSource` is the transport to a peer, implemented over HTTP by `HttpDeltaSource`;
-`PeerFetcher` limits the concurrent fetches of `fetch` and `pull`. Owns the connections,
-the fetches in progress and the times of recent failures; all of it is lost with the
-process. Relies on `State`, which owns the replica and ignores a delta that is not
-newer.
+`PeerFetcher` limits the concurrent fetches of `fetch` and `pull`, but not those of
+`fetch_first_newer`. Owns the connections, the fetches in progress and the times of
+recent failures; all of it is lost with the process. Relies on `State`, which owns the
+replica and ignores a delta that is not newer.
 """
 
 import asyncio
@@ -37,7 +37,8 @@
 """Longest time without a byte from a peer, in seconds, before the fetch is retried.
 
 The single retry opens a new connection. A shorter timeout aborts the response of a busy
-peer; a longer one delays changes on a dead connection. Nothing else detects one.
+peer. A longer one delays changes when a connection is dead; no other mechanism detects
+a dead connection.
 """
 HEDGE_DELAY_S = 0.25
 """Time without a response after which a second peer is queried as well, in seconds.
@@ -46,13 +47,17 @@
 with a longer one, changes arrive later when a peer or its connection is silent.
 """
 MAX_CONCURRENT_FETCHES = 2
-"""Most concurrent fetches; bounds duplicate transfers over a slow link."""
+"""Maximum number of concurrent fetches.
+
+Concurrent fetches transfer the same changes; the limit bounds these duplicates on a
+slow link.
+"""
 FAILED_PEER_BACKOFF_S = 1.0
 """How long a peer is skipped after a fetch from it failed, in seconds.
 
-Skipping it is harmless: other peers and the store have the same state. A shorter pause
-queries an unreachable peer in place of them; a longer one skips a peer that has
-recovered.
+Skipping it is harmless: other peers and the store have the same state. With a shorter
+pause, an unreachable peer is queried instead of another one; with a longer one, a
+recovered peer is still skipped.
 """
 IDLE_CONNECTION_S = 2.0
 """Idle time after which a connection to a peer is not reused, in seconds.
@@ -64,7 +69,7 @@
 READ_TIMEOUT = aiohttp.ClientTimeout(
     sock_connect=READ_TIMEOUT_S, sock_read=READ_TIMEOUT_S
 )
-"""`READ_TIMEOUT_S` in the form of the HTTP client."""
+"""Connect and read timeout of the HTTP client: `READ_TIMEOUT_S` for each."""
 FETCH_ERRORS = (
     aiohttp.ClientError,
     OSError,
@@ -82,7 +87,7 @@
 
     @abstractmethod
     async def fetch(self, address: str, since: int) -> Delta:
-        """Fetch the changes that a peer has after a revision.
+        """Fetch the changes after a revision from a peer.
 
         The caller limits the total duration.
 
@@ -109,7 +114,7 @@
             await self._session.close()
 
     async def fetch(self, address: str, since: int) -> Delta:
-        """Fetch the changes that a peer has after a revision."""
+        """Fetch the changes after a revision from a peer."""
         if self._session is None:
             self._session = new_session(idle_s=IDLE_CONNECTION_S)
         url = f"http://{address}/v1/internal/state?since={since}"
@@ -195,7 +200,7 @@
             return False
 
     async def pull(self, api: str) -> bool:
-        """Fetch from one peer, if that may start now, and apply the result.
+        """Fetch from one peer, if `may_fetch` permits it, and apply the result.
 
         Returns: whether a newer state was applied.
         """
@@ -203,7 +208,7 @@
         return delta is not None and self._state.apply(delta)
 
     async def fetch(self, api: str) -> Delta | None:
-        """Fetch from one peer, if that may start now, without applying the result.
+        """Fetch from one peer, if `may_fetch` permits it; do not apply the result.
 
         Returns: the changes after the replica's revision; None if the fetch did not
           start or failed.
--- a/leverdoor/storage/following.py
+++ b/leverdoor/storage/following.py
@@ -27,18 +27,18 @@
 WATCHERS_PER_REGION = 2
 """Number of agents of a region that watch the store; the second covers a failure.
 
-Each further watcher costs the store an open request. Entries use a separate rule
-(`entry.store_role`) and a setting for the number.
+Each further watcher costs the store an open request. Entries have their own rule
+(`entry.store_role`), with a setting for the number.
 """
 INITIAL_BACKOFF_S = 0.2
 """First pause after a failed request, in seconds; it doubles with each failure.
 
-A shorter pause would add requests to a store that is already overloaded.
+With a shorter pause, an overloaded store receives more requests.
 """
 MAX_BACKOFF_S = 5.0
 """Longest pause between failed requests, in seconds.
 
-The recovery of the store may go unnoticed for that long. During an outage each follower
+A follower may detect the recovery of the store that much later. During an outage it
 sends 0.2 requests per second.
 """
 POLL_S = 0.1
@@ -50,9 +50,9 @@
 WATCH_OVERDUE_S = 1.4
 """Silence after which a watch may be abandoned, in seconds.
 
-Exceeds the duration of a request and its retry. A greater value waits longer for a dead
-keep-alive connection; with a smaller one, watches are abandoned before an outage makes
-them fail.
+Exceeds the duration of a request and its retry. With a greater value, a dead keep-alive
+connection is abandoned later. With a smaller one, watches are abandoned during an
+outage before they fail, and the outage is not recorded.
 """
 
 
@@ -68,7 +68,7 @@
         return False
 
     def is_stale(self) -> bool:
-        """Return whether the replica is older than the role permits."""
+        """Return whether the replica is too old; by default, any age is permitted."""
         return False
 
     def asked(self) -> None:  # noqa: B027
@@ -105,7 +105,7 @@
 
     @property
     def unserved(self) -> bool:
-        """Return whether a recent request of this process to the store failed."""
+        """Return whether a request failed recently and none has succeeded since."""
         return self._availability.is_unserved(self._now())
 
     def follows(self) -> bool:
@@ -123,17 +123,17 @@
 
 
 class _WatchOverdueError(Exception):
-    """A watch is silent although the replica is older than it should be."""
+    """A watch is silent although the replica is stale."""
 
 
 def watcher_rank(peers: Peers, vm: str, now: float, unserved: bool = False) -> int:
     """Return this agent's rank among its region's watchers of the store, or -1.
 
-    Every agent ranks the live VMs of its region by the same hash of their names. The
-    first `WATCHERS_PER_REGION` of them watch the store and forward changes to the
-    others. Only VMs to which the store responds are ranked, or all if there is none; an
-    unserved agent gets -1 while another agent is served. Agents that see different
-    peers may elect themselves at the same time, which only costs an open request.
+    Every agent ranks the live VMs of its region to which the store responds by the same
+    hash of their names. The first `WATCHERS_PER_REGION` of them watch the store and
+    forward changes to the others. An unserved agent gets -1 if another agent is served;
+    if none is, all live VMs are ranked. Agents that see different peers may elect
+    themselves at the same time; this costs only an open request.
 
     Args:
       peers: the known peers and their heartbeats.
@@ -218,7 +218,11 @@
         return True
 
     async def _follow(self) -> None:
-        """Watch until the role ends; list if the replica is empty or compacted."""
+        """Watch until the role ends.
+
+        Reads all entries before the watch if the replica is empty. Reads them and
+        returns if the store has compacted the replica's revision.
+        """
         if self._state.revision == 0:
             await self._read_all()
         watch = self._store.watch(self._prefix, self._state.revision, self._role.wait_s)
@@ -239,8 +243,9 @@
     async def _next_events(self, watch: AsyncIterator[list[Event]]) -> list[Event]:
         """Return the next events of a watch.
 
-        While the store has no changes to report, a dead connection looks like an idle
-        one. A watch that stays silent while the replica becomes stale is abandoned.
+        A dead connection cannot be distinguished from an idle one, as the store may
+        have no changes. A watch that stays silent until the replica is stale is
+        therefore abandoned.
 
         Raises:
           LeverdoorError: raised by the watch.
--- a/leverdoor/storage/state.py
+++ b/leverdoor/storage/state.py
@@ -56,6 +56,7 @@
         self.changes: Subject[Delta] = Subject()
         self._log: deque[Event] = deque()
         self._log_after_revision = 0
+        """The log contains all changes after this revision."""
 
     def reset(self, listing: Listing) -> bool:
         """Replace all entries by a listing if it is newer.
@@ -106,7 +107,8 @@
                 continue
             current = self.entries.get(e.key)
             if current is not None and current.revision > e.revision:
-                # A paginated listing may already contain a later value of this key.
+                # A listing that was read in pages (`platform/store.py`) may contain
+                # values newer than its revision.
                 continue
             if e.value is None:
                 self.entries.pop(e.key, None)
@@ -117,7 +119,7 @@
             self._drop_oldest_revision()
 
     def _drop_oldest_revision(self) -> None:
-        """Drop the oldest revision; a delta has all events of a revision or none."""
+        """Drop all events of the oldest revision; a delta never splits a revision."""
         oldest = self._log[0].revision
         while self._log and self._log[0].revision == oldest:
             self._log.popleft()
--- a/leverdoor/storage/store.py
+++ b/leverdoor/storage/store.py
@@ -35,8 +35,8 @@
 WATCH_SILENCE_S = 6.0
 """Silence of a watch after which the store counts as unreachable, in seconds.
 
-Covers several missed keep-alive messages; operators notice an outage of this length at
-once.
+Several keep-alive messages may be lost within this time. Operators notice an outage of
+this length at once.
 """
 MAX_LOG_EVENTS = 20_000
 """Number of events that `MemoryStore` keeps before it compacts its log.
@@ -51,7 +51,7 @@
 
 
 def client_default_wait() -> None:
-    """Select the client's default wait for a watch."""
+    """Return None, which selects the client's default wait for a watch."""
 
 
 class KeyValue(msgspec.Struct, frozen=True, array_like=True):
@@ -91,7 +91,11 @@
 
 
 class Commit(msgspec.Struct, frozen=True):
-    """Outcome of a transaction, which is applied as a whole or not at all."""
+    """Outcome of a transaction, which is applied as a whole or not at all.
+
+    `revision` is that of the transaction, or the store's current one if it was
+    rejected.
+    """
 
     committed: bool
     revision: int
@@ -101,6 +105,7 @@
     """Interface of the platform's key-value service."""
 
     calls = 0
+    """Number of requests sent to the service; `MemoryStore` does not count them."""
 
     @abstractmethod
     async def read(self, prefix: str) -> Listing:
@@ -111,7 +116,7 @@
         """
 
     async def read_stale(self, prefix: str) -> Listing:
-        """Read all entries under a prefix, at lower cost and some seconds out of date.
+        """Read all entries under a prefix; cheaper, but possibly seconds out of date.
 
         Raises:
           StoreUnavailable: the service did not respond.
@@ -123,24 +128,24 @@
         """Apply all writes atomically if every `expected_revision` matches.
 
         Raises:
-          StoreUnavailable: nothing was sent, or the service rejected the request.
-          OutcomeUnknown: the request was sent, but no response arrived.
+          StoreUnavailable: the request was not executed.
+          OutcomeUnknown: the request may have been executed.
         """
 
     @abstractmethod
     def watch(
         self, prefix: str, after: int, wait_s: Wait = client_default_wait
     ) -> AsyncIterator[list[Event]]:
-        """Yield the changes after a revision; a transaction is never split.
+        """Yield the changes after a revision.
 
-        An empty list is a keep-alive.
+        All changes of a transaction are in one list. An empty list is a keep-alive.
 
         Args:
           prefix: prefix of the watched keys.
           after: the revision after which changes are reported.
-          wait_s: called before each request; returns how long the service may wait
-            before it reports that nothing changed. Clients that watch with one
-            long-lived request do not call it.
+          wait_s: called before each request; returns how long the service may hold
+            the request open without a change, in seconds. Clients that watch with
+            one long-lived request do not call it.
         Raises:
           StoreUnavailable: the watch ended.
           LeverdoorError: COMPACTED, the caller has to read the prefix again.
@@ -186,12 +191,17 @@
         """Create an empty store at revision 1."""
         self.revision = 1
         self.down = False
+        """Whether requests and watches fail with StoreUnavailable."""
         self.hang = False
+        """Whether requests and watches wait until this is False again."""
         self.delay_s = 0.0
+        """Delay of requests and watches, in seconds."""
         self.lose_answers = 0
+        """Number of commits to come that are applied but raise OutcomeUnknown."""
         self.reads = 0
         self.writes = 0
         self.waiting = 0
+        """Number of open watches."""
         self._entries: dict[str, KeyValue] = {}
         self._log: deque[Event] = deque(maxlen=MAX_LOG_EVENTS)
         self._compacted_revision = 0
--- a/leverdoor/storage/store_availability.py
+++ b/leverdoor/storage/store_availability.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Records whether the store responds to this process.
 
-The roles of agents and entries give up following the store after a failure
-and retry after a randomized pause. Owns the times at which that state and the pause
-end; they are lost with the process. Has no side effects except for the random generator
-passed in.
+After a failed request, the roles of agents and entries stop following the store and
+retry after a randomized pause. Owns the times until which the process counts as
+unserved and pauses; they are lost with the process. Has no side effects except for the
+random generator passed in.
 """
 
 from random import Random
@@ -13,15 +13,16 @@
 __all__ = ["MIN_FRACTION_OF_MEAN", "RETRY_MEAN_S", "StoreAvailability"]
 
 RETRY_MEAN_S = 5.0
-"""Mean pause before a process that got no response retries, in seconds.
+"""Mean pause between a failed request and its retry, in seconds.
 
-With a longer pause, a recovered process gets its role back later. A shorter one
-sends more requests to a store that does not respond.
+With a longer pause, a recovered process gets its role back later. With a shorter one, a
+store that does not respond receives more requests.
 """
 UNSERVED_S = 10.0
 """How long a process counts as unserved after a failed request, in seconds.
 
-Exceeds the longest pause before the next retry; `may_try` is false after that time.
+Exceeds the longest pause before the retry; otherwise `may_try`, which requires
+`is_unserved`, might never return True.
 """
 MIN_FRACTION_OF_MEAN = 0.5
 """Shortest pause as a fraction of the mean; the longest is 1.5 times the mean."""
@@ -41,7 +42,11 @@
         self._retry_at = 0.0
 
     def is_unserved(self, now: float) -> bool:
-        """Return whether a recent request failed; `now` is monotonic, in seconds."""
+        """Return whether a request failed recently and none has succeeded since.
+
+        Args:
+          now: monotonic time in seconds.
+        """
         return now < self._unserved_until
 
     def may_try(self, now: float) -> bool:
--- a/leverdoor/storage/view.py
+++ b/leverdoor/storage/view.py
@@ -46,7 +46,7 @@
 
 DEFAULT_TIER = Tier(name="default", default=True)
 CAP_SPREAD_ALL = 0
-"""`RowSpec.spread` of a shift cap: 0 divides its units among all gates."""
+"""`RowSpec.spread` of the rows of shift caps; 0 divides the units among all gates."""
 
 
 class View:
@@ -107,7 +107,7 @@
         return vm in self._drained_vms
 
     def specs(self, region: str) -> dict[str, RowSpec]:
-        """Return the rows that the ownership table of a region should have."""
+        """Return the specifications of the rows in the ownership table of a region."""
         specs = {
             slot_row_name(t.address): RowSpec(t.slots)
             for t in self.targets.values()
@@ -120,7 +120,11 @@
         return specs
 
     def settle_s(self, region: str) -> dict[str, float]:
-        """Return by row how long newly assigned units stay unusable, in seconds."""
+        """Return the delay before newly assigned units may be used, in seconds by row.
+
+        Meanwhile requests of the previous holder end (`linger_ms`), and the window of a
+        shift cap passes (`window_ms`).
+        """
         delays = {
             slot_row_name(t.address): self.services[t.service].linger_ms / 1000
             for t in self.targets.values()
@@ -134,7 +138,8 @@
     def distance_ms(self, a: str, b: str) -> float:
         """Return the one-way latency between two regions in ms.
 
-        Returns: 0 within a region, and 1,000 if neither region has a value.
+        Returns: the value of `a` for `b`, else that of `b` for `a`; 0 within a region,
+          and 1,000 if neither has a value.
         """
         if a == b:
             return 0.0
@@ -148,8 +153,8 @@
 class ViewCache:
     """Updates the compiled view and the ownership tables from a State.
 
-    Client blocks are stored in compiled form only. `View.resources` contains an outline
-    of each, which names the regions that it refers to.
+    Client blocks are kept only in compiled form. `View.resources` contains them without
+    their networks, but with the regions that they refer to.
     """
 
     def __init__(self, state: State, with_blocks: bool = True) -> None:
@@ -232,7 +237,8 @@
 
     Args:
       entries: the entries of the store.
-      known: the view of `state`; reused for entries with the revision in `state`.
+      known: the view of `state`; its resource is reused for an entry whose revision
+        equals that in `state`.
       state: the replica of the store from which the view was compiled.
     Returns: the resources; an entry that cannot be parsed is omitted.
     """
--- a/leverdoor/storage/vm_list_client.py
+++ b/leverdoor/storage/vm_list_client.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""HTTP client of the platform's VM list, and detection of terminated VMs.
+"""HTTP client of the platform's VM list, and detection of terminated processes.
 
-`DepartureTracker` keeps the start of each VM's absence in memory. A restart of the
-agent loses it, and each wait starts again. Relies on the list being at most `lag_s`
-old, which is a setting of the agent.
+`DepartureTracker` owns the start of each VM's absence from the list. It is lost with
+the process, and each wait starts again. Relies on the list being at most `lag_s` old, a
+setting of the agent.
 """
 
 from enum import StrEnum
@@ -51,7 +51,8 @@
         """Read the current list, which may lag behind the platform.
 
         Raises:
-          LeverdoorError: STORE_UNAVAILABLE, the list cannot be read.
+          LeverdoorError: the list cannot be read; the code is STORE_UNAVAILABLE, as
+            for the store.
         """
         if self._session is None:
             self._session = new_session(FETCH_TIMEOUT_S)
@@ -90,12 +91,13 @@
 
 
 class DepartureTracker:
-    """Determines which processes of absent VMs have terminated.
+    """Determines which processes of VMs absent from the list have terminated.
 
-    A reading shows the platform as it was at most `lag_s` ago. If a reading taken more
-    than `lag_s` after the first one without a VM still lacks that VM, the platform did
-    not have it at some time after the first one. All processes known on the VM at the
-    first one have terminated; a process that started later is not covered.
+    A reading shows the platform as it was at most `lag_s` earlier. If a VM is absent
+    from one reading and from another more than `lag_s` later, the later reading shows
+    the platform after the first one: the VM did not exist at that time. The processes
+    known on it at the first reading have therefore terminated. Processes that started
+    later are not reported.
     """
 
     def __init__(self, lag_s: float) -> None:
@@ -110,7 +112,7 @@
     def observe(
         self, listed: set[str], known: dict[str, set[str]], read_at: float
     ) -> set[str]:
-        """Record one reading of the list.
+        """Record one reading of the list and return the terminated processes.
 
         Args:
           listed: the VMs in the list.
