--- a/leverdoor/agent/api.py
+++ b/leverdoor/agent/api.py
@@ -42,8 +42,8 @@
 WATCH_QUEUE = 1_000
 """Length of a watcher's queue, in deltas; a full queue ends the watch.
 
-A watcher whose watch ends has to list again. The queue holds a large apply; a longer
-one costs memory for each slow watcher.
+A watcher has to list again after its watch ended. The queue suffices for a large apply;
+a longer one costs memory for each slow watcher.
 """
 NO_CONFIGURATION_RETRY_MS = 500
 """Retry-After in ms while the agent has no replica of the store yet.
@@ -55,7 +55,11 @@
 
 
 class Item(msgspec.Struct):
-    """A resource, and the number of gates that have it in force."""
+    """A resource and its state at the gates.
+
+    `in_force` is the number of live gates that have it in force, `entries` that of all
+    live gates.
+    """
 
     revision: int
     resource: msgspec.Raw
@@ -80,7 +84,7 @@
 
 
 class Status(msgspec.Struct):
-    """Number of gates that have a revision in force, and number of all gates."""
+    """Number of gates that have a revision in force, and of all live gates."""
 
     revision: int
     in_force: int
@@ -180,6 +184,7 @@
         name = request.match_info["name"]
         if "watch" not in request.query:
             return json_response(await self._reporter.report(name))
+        # Reject an unknown name before the response starts.
         await self._reporter.report(name)
         return await _stream_lines(request, self._report_lines(name))
 
@@ -210,7 +215,7 @@
 
         def enqueue(delta: Delta) -> None:
             if queue.full():
-                # None ends the watch.
+                # None ends the watch; it takes the place of a queued delta.
                 queue.get_nowait()
                 queue.put_nowait(None)
             else:
--- a/leverdoor/agent/daemon.py
+++ b/leverdoor/agent/daemon.py
@@ -5,8 +5,8 @@
 Owns and connects the components of the agent: the replica of the store, the peers, the
 last reading of the VM list (`vm_list.py`) and the gate's last report
 (`gate_sessions.py`). All of it is lost with the process and restored from the store,
-the peers and the gate. Relies on the store for changes only; during an outage the last
-replica stays in force.
+the peers and the gate. Relies on the store for changes only; during an outage the
+replica remains in force.
 """
 
 import asyncio
@@ -42,7 +42,10 @@
 STOP_TIMEOUT_S = 1.0
 """Shutdown timeout of the API, in seconds; the gate keeps serving meanwhile."""
 HEARTBEATS_PER_UPDATE = 10
-"""Metrics are updated and silent peers expire once per this many heartbeats: 2 s."""
+"""Number of heartbeats between updates of metrics and removals of silent peers.
+
+Corresponds to 2 s at the default gossip interval.
+"""
 MAX_PROBES_PER_S = 8
 """Maximum rate of target probes; keeps an agent below 1% of a core."""
 
@@ -167,6 +170,7 @@
             domain=s.domain,
             gossip=str(s.gossip),
             api=str(s.api),
+            # The start time identifies the agent process.
             agent=self._started_us,
             seq=self._seq,
             revision=self._state.revision,
@@ -215,6 +219,7 @@
         m.gossip_bytes.labels("received").set(self._socket.received_bytes)
 
     def _receive_gossip(self, gossip: Gossip) -> None:
+        """Merge heartbeats and fetch changes from the peer that is furthest ahead."""
         newer = self._peers.merge(gossip.heartbeats, self._now())
         self._gates.add_heartbeats(newer)
         ahead = [b for b in newer if b.revision > self._state.revision]
@@ -226,14 +231,14 @@
     # The VM list.
 
     def leaving_vms(self) -> frozenset[str]:
-        """Return the VMs that any agent of the region knows to be leaving."""
+        """Return the VMs that are leaving according to any agent of the region."""
         union = set(self._vm_list.leaving)
         for heartbeat in self._peers.live_heartbeats_in_region(self._now()):
             union |= set(heartbeat.leaving_vms)
         return frozenset(union)
 
     def departed(self) -> frozenset[str]:
-        """Return identities of processes that any agent of the region found gone."""
+        """Return the processes that an agent of the region found to be terminated."""
         union = self._vm_list.departed
         for heartbeat in self._peers.live_heartbeats_in_region(self._now()):
             union |= set(heartbeat.departed)
@@ -249,7 +254,7 @@
             await asyncio.sleep(interval * (0.9 + 0.2 * self._rng.random()))
 
     async def _read_list(self) -> None:
-        """Read the VM list; a failed reading reports no process as terminated."""
+        """Read the VM list; if that fails, report no process as terminated."""
         table = self._cache.table(self._settings.region)
         try:
             gone = await self._vm_list.read(table, self._peers)
@@ -278,6 +283,7 @@
         while True:
             peer, report = await self._link.receive()
             is_new = self._gates.receive(peer, report, self._now())
+            # Also logged for each report of a gate that is ahead of this agent.
             if report.revision > self._state.revision or is_new:
                 logger.info("gate joined", gate=report.gate)
             if report.revision < self._state.revision:
--- a/leverdoor/agent/gate_sessions.py
+++ b/leverdoor/agent/gate_sessions.py
@@ -2,8 +2,8 @@
 # SPDX-License-Identifier: Apache-2.0
 """The gate processes connected to one agent: their last report and their next hints.
 
-Owns the last report and the changes since the last hints. Both are empty at the start
-of the process until the gate reports again, within a second. Relies on the link: a
+Owns the last report and the changes since the last hints. Both are lost with the
+process; the gate reports again within a second of its start. Relies on the link: a
 disconnected gate loses messages and receives the missing changes after its next report.
 """
 
@@ -26,11 +26,12 @@
 
 
 class GateSessions:
-    """The connections of gates; the one that reported last is this VM's gate."""
+    """The connections of this VM's gates and the last report on any of them."""
 
     def __init__(self, link: AgentLink) -> None:
         """Create sessions on the agent's end of the link."""
         self.report: GateReport | None = None
+        """The last report, of any age."""
         self._reported_at = 0.0
         self._last_seen: dict[bytes, float] = {}
         self._link = link
@@ -61,7 +62,7 @@
             self._queued_heartbeats[heartbeat.vm] = heartbeat
 
     def set_probes(self, probes: dict[str, Probe]) -> None:
-        """Queue the reports of the targets for the next hints."""
+        """Queue the results of target probes for the next hints."""
         self._queued_probes = probes
 
     async def send_hints(
--- a/leverdoor/agent/link.py
+++ b/leverdoor/agent/link.py
@@ -26,16 +26,18 @@
 MAX_QUEUED_MESSAGES = 1_000
 """Messages that the link queues before it drops new ones.
 
-Holds 100 s of reports. Older reports are useless, so a longer queue has no benefit.
+Holds the reports of 100 s. Older reports are useless, so a longer queue has no benefit.
 """
 
 
 class GateReport(msgspec.Struct, frozen=True, tag=True):
     """State of a gate, sent ten times per second.
 
-    `loads` is the load by service, `caps` the free units by shift cap row, `held` the
-    slot rows of which the gate holds units, and `draining` the requests in flight by
-    drained target.
+    `gate` is the gate's address, `relay` its address for requests of other gates,
+    `incarnation` its start time in microseconds since the epoch, and `revision` that of
+    the configuration in force at the gate. `loads` is the load by service, `caps` the
+    free units by shift cap row, `held` the slot rows of which the gate holds units, and
+    `draining` the requests in flight by drained target.
     """
 
     gate: str
@@ -54,9 +56,9 @@
     """State that an agent sends to its gate; any of it may be late or missing.
 
     `heartbeats` are new since the last hints and contain the loads of other gates.
-    `probes` are the reports of the targets by address. `incarnation_floor` is the
-    latest incarnation in the ownership table at the gate's address if it is later than
-    the gate's own, else 0.
+    `probes` are the results of probes by target address. `incarnation_floor` is the
+    latest incarnation that the ownership table has for the gate if it is later than the
+    gate's own, else 0. A gate without rows raises its own above this floor.
     """
 
     heartbeats: list[AgentHeartbeat]
--- a/leverdoor/agent/planning.py
+++ b/leverdoor/agent/planning.py
@@ -3,10 +3,10 @@
 """Writes the ownership table of the agent's region when it has to change.
 
 The first-ranked watcher of the region plans and the second is its standby;
-`membership.ownership.plan` defines the permitted changes. Owns the number of rounds
-that a change has been pending, which is lost with the process; the store owns the
-table. Relies on the store's compare-and-swap: concurrent planners only cost a rejected
-write.
+`membership.ownership.plan` defines the permitted changes. Owns the number of
+consecutive rounds (checks of the table) that found a change, which is lost with the
+process; the store owns the table. Relies on the store's compare-and-swap: concurrent
+planners only cost a rejected write.
 """
 
 import asyncio
@@ -92,6 +92,7 @@
         self._gone = gone
         self._pending_rounds = 0
         self._inputs_without_change: _Inputs | None = None
+        """Inputs of the last plan if it changed nothing."""
 
     async def run(self) -> None:
         """Plan until cancelled."""
@@ -148,6 +149,7 @@
         return {i: a for i, a in self._peers.acks().items() if i in identities}
 
     async def _step(self) -> None:
+        """Write the next table, if any, after the wait for this agent's rank."""
         key = TABLES + self._region
         entry = self._state.entries.get(key)
         table = self.next_table()
@@ -159,6 +161,7 @@
             return
         write = Write(key, serialize_table(table), entry.revision if entry else 0)
         result = await self._store.commit([write])
+        # The store rejects the write if the stored table has changed meanwhile.
         logger.info(
             "table written" if result.committed else "table refused",
             version=table.version,
@@ -169,7 +172,7 @@
             await self._wait_for_revision(result.revision)
 
     async def _wait_for_revision(self, revision: int) -> None:
-        """Wait up to 1 s until the replica has this agent's own write."""
+        """Wait up to 1 s until the replica contains this agent's own write."""
         for _ in range(8):
             if self._state.revision >= revision:
                 return
--- a/leverdoor/agent/probing.py
+++ b/leverdoor/agent/probing.py
@@ -3,8 +3,8 @@
 """Fetches the reports of targets as health probes.
 
 Owns its connections, which are lost with the process. A target that responds with 404
-has no report and counts as reachable. A target that does not respond in time counts as
-failed, and the gate ejects it.
+has no report and counts as reachable. A target that does not respond in time, or whose
+report is invalid, counts as failed, and the gate ejects it.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 class TargetReport(msgspec.Struct):
-    """A target's JSON report at PROBE_PATH; `in_flight` counts all its requests."""
+    """A target's JSON report; `in_flight` counts all requests in progress at it."""
 
     in_flight: int = 0
     leaving: bool = False
--- a/leverdoor/agent/reports.py
+++ b/leverdoor/agent/reports.py
@@ -22,12 +22,19 @@
 __all__ = ["REPORTS", "Report", "Reporter"]
 
 FETCH_TIMEOUT_S = 1.5
-"""Timeout of fetching a gate's part of a report, in s; the operator waits for it."""
+"""Timeout of fetching a gate's part of a report, in seconds.
+
+Short, because the operator waits for the report.
+"""
 REPORTS = ("entries", "headroom", "burn", "shifts", "drains")
 
 
 class EntryLine(msgspec.Struct, tag_field="type"):
-    """State of one entry VM."""
+    """State of one entry VM.
+
+    `revision` is that of its gate, `held` the number of slots that the gate holds, and
+    `age_ms` the time since the last heartbeat.
+    """
 
     vm: str
     region: str
@@ -40,7 +47,7 @@
 
 
 class HeadroomLine(msgspec.Struct, tag_field="type"):
-    """Slots of one service in one region (all, held, free) and waiting requests."""
+    """Slots (all, held, free) and waiting requests of one service in one region."""
 
     region: str
     service: str
@@ -51,7 +58,11 @@
 
 
 class ShiftLine(msgspec.Struct, tag_field="type"):
-    """One shift cap and its units that are free in the current window."""
+    """One shift cap.
+
+    `cap` is the number of its units, `held` that of the units held by gates, and `free`
+    that of the units free in the current window.
+    """
 
     service: str
     region: str
@@ -69,7 +80,11 @@
 
 
 class Report(msgspec.Struct):
-    """One report at one moment; the type of its lines depends on the report."""
+    """A report; the type of its lines depends on its name.
+
+    `entries` is the number of live entry VMs. `missing` lists the VMs whose gates did
+    not respond.
+    """
 
     name: str
     revision: int
--- a/leverdoor/agent/vm_list.py
+++ b/leverdoor/agent/vm_list.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """One agent's readings of the VM list: leaving VMs and terminated processes.
 
-Owns the last reading and the processes that it shows as terminated. Both are empty when
-the process starts and are read again. Relies on the VM list, which lags: a process
-counts as terminated only if its VM was absent for longer than that lag
-(`storage/vm_list_client.py`) and its heartbeats have stopped.
+Owns the leaving VMs of the last reading and the processes found to be terminated. Both
+are lost with the process and determined again from new readings. Relies on the VM list,
+which lags: a process counts as terminated only if its VM was absent for longer than
+that lag (`storage/vm_list_client.py`) and its heartbeats have stopped.
 """
 
 import asyncio
@@ -33,6 +33,7 @@
         """Create a monitor; requires a running event loop."""
         self.leaving: frozenset[str] = frozenset()
         self._departed: dict[str, float] = {}
+        """Start time of the reading that found a process terminated, by identity."""
         self._list = HttpVmList(settings.vm_list)
         self._lag_s = settings.vm_list_lag_ms / 1000
         self._departures = DepartureTracker(self._lag_s)
@@ -47,9 +48,9 @@
     def expire_leaving(self, now: float) -> None:
         """Clear the leaving VMs if the last reading is older than the lag of the list.
 
-        Called while other agents read the list. The delay gives them time to do so:
-        while the store responds to none of the agents, all of them may stop reading for
-        a moment as the elected agents change.
+        Called while this agent is not elected to read the list. The delay covers the
+        time until the elected agents have read it: while the store responds to none of
+        the agents, the elected agents change and briefly none may read the list.
         """
         if now - self._read_at > self._lag_s:
             self.leaving = frozenset()
