--- a/tests/test_clock_set_back.py
+++ b/tests/test_clock_set_back.py
@@ -11,8 +11,8 @@
 RESTART_SEEN_S = 11.0
 """Time of the restarted agent's first heartbeat, in seconds.
 
-Above the longest silence after which a VM counts as lost (10 s), and far below the 60 s
-after which peers forget it.
+Above `MAX_SILENCE_S` (10 s), after which a VM counts as silent, and far below
+`PEER_TTL_S` (60 s), after which peers delete its record.
 """
 
 
@@ -21,7 +21,7 @@
 
 
 def test_restarted_agent_is_accepted_after_its_clock_was_set_back() -> None:
-    """Its heartbeats are accepted once those of the previous agent have stopped."""
+    """The new heartbeats are accepted once those of the previous agent have stopped."""
     peers = Peers("vm0", "r0")
     peers.merge([heartbeat(PREVIOUS_START_US, 9)], 0.0)
     peers.merge([heartbeat(RESTART_US, 1)], RESTART_SEEN_S)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -35,7 +35,11 @@
 
 
 class FaultyStore(MemoryStore):
-    """A store on which a write without a response may take effect later."""
+    """A store that injects a fault into its next request.
+
+    "refused": a commit is not executed. "late": the test applies it later. "lost": it
+    is applied, but its response is lost. "unreadable": a read fails.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -160,7 +164,11 @@
 async def test_without_the_fence_a_late_write_undoes_an_accepted_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The writer learns `not written` and writes again; then the first one arrives."""
+    """A delayed write arrives after the writer wrote again.
+
+    With the fence, the store rejects the delayed write. Without the fence and the
+    condition on the guard, the delayed write replaces the later one.
+    """
 
     async def no_fence(self: Configuration, write_id: str, snapshot: object) -> int:
         return 0
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -2,9 +2,9 @@
 # SPDX-License-Identifier: Apache-2.0
 """Election of the agents that follow the store, and the loop that follows it.
 
-Guards against an agent that keeps the role although the store does not respond to it:
-when the election considered only whether an agent is alive, an agent that alone was cut
-off from the store kept the role and planned nothing for its region.
+Guards against an agent that keeps the role although the store does not respond to it.
+If the election considered only whether agents are alive, an agent that lost only its
+connection to the store would keep the role and plan nothing for its region.
 """
 
 import asyncio
@@ -124,7 +124,7 @@
 
 
 def test_silent_watch_is_abandoned_once_the_replica_is_stale() -> None:
-    """Before the replica is stale, silence may mean that the store has no changes."""
+    """Until the replica is stale, a silent watch may just have no changes to report."""
 
     async def run() -> None:
         store, state, role = SilentWatchStore(), State(), FakeRole()
@@ -146,7 +146,7 @@
 
 
 class DownStore(MemoryStore):
-    """A store that rejects all watches."""
+    """A store on which every watch fails at once."""
 
     async def watch(
         self, prefix: str, after: int, wait_s: Wait = client_default_wait
--- a/tests/test_vmlist.py
+++ b/tests/test_vmlist.py
@@ -71,7 +71,7 @@
 
 
 def test_process_started_after_the_first_absence_is_not_gone() -> None:
-    """The VM restarts while the list still lacks it."""
+    """The VM restarts while it is still absent from the list."""
     tracker = DepartureTracker(10.0)
     tracker.observe(set(), KNOWN, 0.0)
     restarted = {"a": {"a|g|1", "a|g|2"}}
