--- a/leverdoor/storage/following.py
+++ b/leverdoor/storage/following.py
@@ -131,9 +131,9 @@
 
     Every agent ranks the live VMs of its region to which the store responds by the same
     hash of their names. The first `WATCHERS_PER_REGION` of them watch the store and
-    forward changes to the others. An unserved agent gets -1 if another agent is served;
-    if none is, all live VMs are ranked. Agents that see different peers may elect
-    themselves at the same time; this costs only an open request.
+    forward changes to the others. An unserved agent gets -1 if another agent is served.
+    If no agent is served, all live VMs are ranked. Agents that see different peers may
+    elect themselves at the same time; this costs only an open request.
 
     Args:
       peers: the known peers and their heartbeats.
--- a/leverdoor/storage/store.py
+++ b/leverdoor/storage/store.py
@@ -128,8 +128,8 @@
         """Apply all writes atomically if every `expected_revision` matches.
 
         Raises:
-          StoreUnavailable: the request was not executed.
-          OutcomeUnknown: the request may have been executed.
+          StoreUnavailable: the request was not sent, or the service did not execute it.
+          OutcomeUnknown: the request was sent and may have been executed.
         """
 
     @abstractmethod
--- a/leverdoor/storage/vm_list_client.py
+++ b/leverdoor/storage/vm_list_client.py
@@ -95,9 +95,9 @@
 
     A reading shows the platform as it was at most `lag_s` earlier. If a VM is absent
     from one reading and from another more than `lag_s` later, the later reading shows
-    the platform after the first one: the VM did not exist at that time. The processes
-    known on it at the first reading have therefore terminated. Processes that started
-    later are not reported.
+    the platform at a time after the first one, and the VM did not exist then. The
+    processes known on it at the first reading have therefore terminated. Processes that
+    started later are not reported.
     """
 
     def __init__(self, lag_s: float) -> None:
