--- a/leverdoor/agent/link.py
+++ b/leverdoor/agent/link.py
@@ -34,10 +34,10 @@
     """State of a gate, sent ten times per second.
 
     `gate` is the gate's address, `relay` its address for requests of other gates,
-    `incarnation` its start time in microseconds since the epoch, and `revision` that of
-    the configuration in force at the gate. `loads` is the load by service, `caps` the
-    free units by shift cap row, `held` the slot rows of which the gate holds units, and
-    `draining` the requests in flight by drained target.
+    `incarnation` its start time in microseconds since the epoch unless it was raised
+    (`Hints`), and `revision` that of the configuration in force. `loads` is the load by
+    service, `caps` the free units by shift cap row, `held` the slot rows of which the
+    gate holds units, and `draining` the requests in flight by drained target.
     """
 
     gate: str
