--- a/leverdoor/platform/__main__.py
+++ b/leverdoor/platform/__main__.py
@@ -12,7 +12,8 @@
     """Run an entry.
 
     The signal handler is installed before the large imports, so that a reload signal
-    during start does not end the process.
+    during start does not end the process. Certificate loading is disabled before them
+    as well, because aiohttp loads all trusted certificates on import.
 
     Returns: the exit status of the process.
     """
--- a/leverdoor/platform/documents.py
+++ b/leverdoor/platform/documents.py
@@ -3,7 +3,7 @@
 """The operator's configuration as a JSON document in the platform's store.
 
 The document is decoded and converted to resources. Field names are the platform's;
-those that are misleading have a comment. Owns no state.
+misleading ones have a comment. Owns no state.
 """
 
 import msgspec
@@ -42,16 +42,16 @@
 class _Route(msgspec.Struct, rename="kebab"):
     """A route.
 
-    If it names both a service and a traffic split, their weights are added.
+    If it has both `service` and `traffic_split`, `service` adds a weight of 1.
     """
 
     name: str
     host: str
     path_prefix: str
     kind: str
-    """Kind of the requests, a key of `WORK_CLASSES`; others are treated as "unsafe"."""
+    """Kind of the requests, see `WORK_CLASSES`; an unknown kind counts as "unsafe"."""
     timeout_ms: float = 0
-    """0 for no timeout."""
+    """Request timeout; 0 if only the caller's deadline applies."""
     target_latency_ms: float = 0
     """Latency objective, 0 for none; "target" here does not mean a back end."""
     priority: int = 0
@@ -61,7 +61,8 @@
     max_attempts: int = 1
     """Maximum number of targets that may receive a request.
 
-    Targets that could not be reached do not count, see `entry.requests.retries`.
+    Attempts that did not reach a target may exceed it by `EXTRA_CONNECT_ATTEMPTS`, see
+    `entry.requests.retries`.
     """
     session_affinity: bool = False
     """Send requests with equal affinity keys to the same target while it is usable."""
@@ -101,7 +102,9 @@
     """Overrides the priority of the route; None to use the priority of the route."""
     rate_per_s: float = 0.0
     burst: float = 0.0
+    """Requests that may arrive at once in excess of the rate."""
     home_regions: list[str] = []
+    """Regions that may serve the workspace's requests; empty for all."""
 
     def to_resource(self) -> Workspace:
         """Convert the document's fields to a workspace resource."""
@@ -128,7 +131,7 @@
         """Convert the document's fields to a service resource."""
         return Service(
             name=self.name,
-            work=WorkClass.ONCE,
+            work=WorkClass.ONCE,  # Entries use the work class of the route instead.
             health_path=self.health_check_path,
             connections=self.connection_limit,
             warmup_per_s=self.warmup_per_s,
@@ -158,6 +161,7 @@
     """The operator's configuration document."""
 
     version: str
+    """Version of the configuration."""
     routes: list[_Route] = []
     services: list[_Service] = []
     limits: _Limits = msgspec.field(default_factory=_Limits)
--- a/leverdoor/platform/formats.py
+++ b/leverdoor/platform/formats.py
@@ -42,26 +42,27 @@
 CONFIG_KEY = "op/config"
 """Key of the operator's configuration."""
 EVACUATION_PREFIX = "op/evacuate/"
-"""Prefix of keys that each name a failure domain to be drained of new requests."""
+"""Prefix of keys for failure domains that receive no new requests; the name follows."""
 REGISTRATION_PREFIX = "servers/"
 """Prefix of target registrations; the name of the target follows."""
 ENTRY_PREFIX = "leverdoor/entries/"
 """Prefix of entry registrations; the name of the entry follows."""
 QUARANTINE_PREFIX = "leverdoor/quarantine/"
-"""Prefix of quarantine records; each is stored by its request fingerprint."""
+"""Prefix of quarantine records; the fingerprint of the request follows."""
 LOAD_FIELD_COUNT = 3
 """Number of fields in a load header: running, waiting, slots."""
 SERVICE_UNAVAILABLE = 503
 """HTTP status with which a target may request a pause.
 
-The same header of a response with another status does not request a pause.
+A `Retry-After` header in a response with another status does not request a pause.
 """
 PAUSE_PATTERN = re.compile(r"[0-9]+(\.[0-9]+)?")
-"""A decimal number of any length; dates do not match."""
+"""A decimal number of any length; the dates that the header permits do not match."""
 LEAVES, STAYS = "1", "0"
 """Values of the header by which a target announces that it is leaving."""
 LIMIT_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
-"""A finite decimal number without sign, exponent or base prefix."""
+"""A decimal number without sign, exponent or base prefix, with at most 9 digits on each
+side of the point, so that it is finite."""
 
 
 class Translator:
@@ -174,9 +175,9 @@
 def parse_load(text: str) -> TargetLoad | None:
     """Parse the load that a target reports: running, waiting, slots.
 
-    The number of running requests includes the request that carries the report: none of
-    12,000 reports under high and low load was below one. That request has ended for the
-    receiver, so it is subtracted from the number.
+    The number of running requests includes the request whose response carries the
+    report: none of 12,000 reports under high and low load was below one. The number is
+    reduced by one because that request has ended for the receiver.
 
     Returns: the load, or None if the text is not a load.
     """
@@ -222,7 +223,7 @@
 
 
 def parse_rest(status: int, values: Sequence[str]) -> float | None:
-    """Parse the pause that a target requests with a response.
+    """Parse the pause, or rest, that a target requests with a response.
 
     Args:
       status: the HTTP status of the response.
--- a/leverdoor/platform/program.py
+++ b/leverdoor/platform/program.py
@@ -49,7 +49,7 @@
     """Run an entry until it is stopped.
 
     Args:
-      early: records a reload signal that arrives before the event loop runs.
+      early_reload: records a reload signal that arrives before the event loop runs.
     Returns: the exit status of the process.
     """
     try:
--- a/leverdoor/platform/registrations.py
+++ b/leverdoor/platform/registrations.py
@@ -34,7 +34,7 @@
 MAX_INT64 = (1 << 63) - 1
 """Maximum value of a counter or a timestamp."""
 MAX_NAME_LENGTH = 200
-"""Maximum length of a name in characters; keys of the store are not longer."""
+"""Maximum length of a name in characters; the store limits whole keys to 200 bytes."""
 OCTET = r"(?:25[0-5]|2[0-4]\d|1\d\d|[1-9]?\d)"
 FIRST_OCTET = r"(?:22[0-3]|2[01]\d|1\d\d|[1-9]\d?)"
 """First octet of a unicast address: not 0, multicast or reserved."""
@@ -94,13 +94,16 @@
     version: str
     """Software version; validated but not used."""
     slots: Annotated[int, Meta(ge=1, le=MAX_SLOTS)]
+    """Maximum number of concurrent requests."""
     state: Literal["ready", "draining"]
     cold_remaining_ms: Annotated[float, Meta(ge=0.0, le=MAX_COLD_MS)]
-    """Remaining warm-up time, counted from this write."""
+    """Remaining warm-up time, counted from the write of the registration."""
     sequence: Annotated[int, Meta(ge=0, le=MAX_INT64)]
     """Increases with each write; validated but not used."""
     born: Annotated[int, Meta(ge=0, le=MAX_INT64)] | msgspec.UnsetType = msgspec.UNSET
-    """Start of the process, in ms since the epoch; some deployments omit it."""
+    """Start of the process, in ms since the epoch; validated but not used.
+
+    Some deployments omit it."""
 
 
 _DECODER = msgspec.json.Decoder(_Server)
@@ -161,7 +164,7 @@
 
 
 def _is_ip_and_port(text: str) -> bool:
-    """Return whether a text is a unicast IPv4 address or an IPv6 address, and a port.
+    """Return whether a text is an IP address and a port; IPv4 must be unicast.
 
     Loopback addresses are valid because a target may run on the host of its entry.
     """
--- a/leverdoor/platform/settings.py
+++ b/leverdoor/platform/settings.py
@@ -15,15 +15,15 @@
 __all__ = ["METRICS_PORT", "PlatformSettings", "parse_settings"]
 
 METRICS_PORT = 9464
-"""Port of the metrics, as in `deploy/system.toml`; deployments set all other ports."""
+"""Metrics port, as in `deploy/system.toml`; the settings file sets all other ports."""
 HEARTBEAT_PORT_OFFSET = 0
 """Offset of the heartbeat port in the internal port range."""
 STATE_TRANSFER_PORT_OFFSET = 1
-"""Offset of the port for state transfer in the internal port range."""
+"""Offset of the state transfer port in the internal port range."""
 
 
 LOOKUP_TTL_S = 2.0
-"""Time for which clients may cache a look-up, in seconds; `ttl_max_s` may reduce it.
+"""Time for which clients may cache a look-up, in seconds, unless `ttl_max_s` is less.
 
 A leaving entry accepts connections for this time (`entry.daemon`). With a greater value
 a stop takes longer and clients use failed entries for longer; with a smaller value
@@ -39,11 +39,11 @@
     """Addresses on which the entry listens, as `ip:port`."""
 
     frontend: str
-    """For requests."""
+    """Address for requests."""
     ready: str
-    """For readiness checks."""
+    """Address for readiness checks."""
     directory: str
-    """For look-ups."""
+    """Address for look-ups."""
 
 
 class _OperatorLimits(
@@ -65,36 +65,37 @@
     """Limits that the operator sets."""
 
     grace_s: float = 6.0
-    """Maximum duration of a planned stop of an entry."""
+    """Maximum duration of a planned stop of an entry, in seconds."""
     drain_ms: float = 2_500.0
-    """Time within which a leaving target must stop receiving new requests."""
+    """Time until entries must send no more requests to a leaving target, in ms."""
     repeat_ratio: float = 0.2
     """Maximum retries of all entries together, as a fraction of requests."""
     repeat_slack: float = 64.0
-    """Retries of all entries together that are permitted beyond `repeat_ratio`."""
+    """Number of retries that all entries together may make beyond `repeat_ratio`."""
     ttl_max_s: float = 5.0
-    """Maximum time for which a client may cache a look-up."""
+    """Maximum time for which a client may cache a look-up, in seconds."""
     max_shift: float = 0.15
-    """Maximum fraction of a region's requests that may change region in 2 s."""
+    """Maximum fraction of a region's requests that may move to other regions in 2 s."""
     quota_window_s: float = 5.0
-    """Window over which the use of a quota is counted."""
+    """Window over which the use of a quota is counted, in seconds."""
     quota_overshoot: float = 0.1
     """Permitted excess over a quota, as a fraction of the quota."""
     quota_slack: float = 20.0
-    """Permitted excess beyond the overshoot, in requests."""
+    """Permitted excess beyond `quota_overshoot`, in requests."""
     strict_revocation: bool = False
-    """Reject workspace keys if the store has not responded for `revocation_ms`, because
-    they may have been revoked in the meantime."""
+    """Reject all workspace keys if the store has not responded for `revocation_ms`,
+    because a key may have been revoked in the meantime."""
     revocation_ms: float = 5_000.0
+    """Maximum age of the store's last response in strict revocation, in ms."""
 
     def quota_bounds(self) -> QuotaBounds:
         """Return the permitted excess over quotas."""
         return QuotaBounds(self.quota_window_s, self.quota_overshoot, self.quota_slack)
 
     def confirm_within_s(self) -> float:
-        """Return the maximum age of the store's last response for accepting keys.
+        """Return the age of the store's last response after which keys are rejected.
 
-        Returns: seconds; 0 for no maximum.
+        Returns: the age in seconds; 0 if keys are accepted at any age.
         """
         return self.revocation_ms / 1000 if self.strict_revocation else 0.0
 
@@ -103,6 +104,7 @@
     """Resources of the VM."""
 
     link_bandwidth_mbps: float = 0.0
+    """Bandwidth of the VM's link in Mbit/s; 0 if unknown."""
 
 
 class _Store(msgspec.Struct):
--- a/leverdoor/platform/store.py
+++ b/leverdoor/platform/store.py
@@ -4,8 +4,10 @@
 
 Distinguishes writes that the store did not execute (`StoreUnavailable`) from writes
 whose outcome is unknown (`OutcomeUnknown`). Reads whose response is lost also raise
-`StoreUnavailable`, because repeating them is safe. Callers decide whether to retry.
-Owns the connections to the store, which are closed by `close` or with the process.
+`StoreUnavailable`, because repeating them is safe. So does every call whose response
+cannot be decoded, even a write that the store executed. Callers decide whether to
+retry. Owns the connections to the store, which are closed by `close` or with the
+process.
 """
 
 import asyncio
@@ -33,7 +35,7 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S = 2.0
-"""Timeout of a call, in seconds; a slow store takes 60 times the normal 4 ms."""
+"""Timeout of a call, in seconds; a slow store responds in 60 times the normal 4 ms."""
 WATCH_WAIT_MS = 2_500
 """Maximum time for which the store may hold a watch call open, in ms.
 
@@ -48,33 +50,31 @@
 FIRST_CALL_MARGIN_S = 0.4
 """Margin of the first call's timeout over `FIRST_WAIT_MS`, in seconds.
 
-The call is repeated after its timeout.
-
-The repetition uses another connection: TCP retransmits a lost first packet only after a
-second, and a kept connection may have gone silent. The time covers two round trips
-between regions and the response of a slow store. With a smaller value a slow store
-receives more calls; with a greater value an entry that makes an unscheduled call is
-delayed accordingly.
+After the timeout the call is repeated over another connection, because TCP retransmits
+a lost first packet only after a second, and a kept connection may have gone silent. The
+margin covers two round trips between regions and the response of a slow store. With a
+smaller value a slow store receives more calls; with a greater value an entry that makes
+an unscheduled call waits longer for the repetition.
 """
 WATCH_MARGIN_S = 0.75
 """Margin of a watch call's timeout over its wait, in seconds.
 
-After it the store is considered silent. A slow store takes 60 times the normal 4 ms,
-and opening a connection takes two round trips between regions.
+After the timeout the store counts as unavailable. A slow store responds in 60 times the
+normal 4 ms, and opening a connection takes two round trips between regions.
 """
 READ_IDLE_S = 1.0
 """Idle time after which a read connection is no longer reused, in seconds.
 
-An idle connection may have gone silent without a reset; a call over it then takes its
-whole timeout. A watch leaves its connection idle for `EVENT_BATCH_DELAY_S`. With a
-greater value an unscheduled call may be late; with a smaller value watches open new
-connections.
+The peer of an idle connection may have become unreachable without a reset; a call over
+it then takes its whole timeout. A watch leaves its connection idle for
+`EVENT_BATCH_DELAY_S`. With a greater value an unscheduled call may be late; with a
+smaller value watches open new connections.
 """
 EVENT_BATCH_DELAY_S = 0.1
-"""Delay after a watch returned events, in seconds, so that later events are batched.
+"""Delay after a watch call that returned events, in seconds; it batches later events.
 
 With a greater value changes arrive later; with a smaller value each of several changes
-costs a call and a compilation at all entries.
+causes a call and a compilation of the catalog at every entry.
 """
 
 
@@ -105,7 +105,7 @@
     items: list[_KeyRecord]
     more: bool
     at: int
-    """Revision of the store."""
+    """Revision of the store when it returned the page."""
 
 
 class _WatchResponse(msgspec.Struct):
@@ -113,7 +113,7 @@
 
     events: list[_KeyRecord]
     at: int
-    """Revision of the store, after which the next watch starts."""
+    """Revision of the store; the next watch call starts after it."""
 
 
 class _TransactionResponse(msgspec.Struct):
@@ -133,7 +133,7 @@
 
 
 class PlatformStore(LeasingStore):
-    """Client of the store; each method is one call, a read makes one call per page."""
+    """Client of the store; reads make one call per page."""
 
     def __init__(self, address: str) -> None:
         """Create a client without opening a connection.
@@ -169,7 +169,10 @@
         return await self._read_pages({"path-prefix": prefix})
 
     async def read_stale(self, prefix: str) -> Listing:
-        """Read all keys under a prefix from a lagging copy, at a tenth of the cost."""
+        """Read all keys under a prefix from a lagging copy.
+
+        It costs a tenth of a call of `read`.
+        """
         return await self._read_pages({"path-prefix": prefix, "stale": "1"})
 
     async def _read_pages(self, query: dict[str, str]) -> Listing:
@@ -189,7 +192,14 @@
     async def watch(
         self, prefix: str, after: int, wait_s: Wait = client_default_wait
     ) -> AsyncIterator[list[Event]]:
-        """Yield the changes after a revision; an empty list if a call returns none."""
+        """Yield the changes after a revision; an empty list if a call returns none.
+
+        Args:
+          prefix: prefix of the watched keys.
+          after: the revision.
+          wait_s: returns how long the store may hold the next call open, in seconds;
+            None for `WATCH_WAIT_MS`.
+        """
         wait_ms = FIRST_WAIT_MS
         margins_s = [FIRST_CALL_MARGIN_S, WATCH_MARGIN_S]
         while True:
@@ -275,7 +285,7 @@
     async def _get_with_retry(
         self, call: str, query: dict[str, str], timeouts_s: Sequence[float]
     ) -> bytes:
-        """Make a read call; a lost response is reported as an unavailable store.
+        """Make a read call and report a lost response as an unavailable store.
 
         Args:
           call: the name of the call.
@@ -334,7 +344,7 @@
           CallTimeoutError: the store did not respond in time.
           OutcomeUnknown: the response was lost.
         """
-        self.calls += 1
+        self.calls += 1  # Counter of the base class.
         headers = {} if body is None else {"Content-Type": "application/json"}
         try:
             async with self._session(method).request(
--- a/leverdoor/platform/wire_format.py
+++ b/leverdoor/platform/wire_format.py
@@ -24,7 +24,7 @@
 
 
 class _LookupResponse(msgspec.Struct, rename="kebab"):
-    """The response to a look-up."""
+    """The response to a look-up: addresses of entries and their time to live."""
 
     addresses: list[str]
     ttl_s: float
@@ -42,12 +42,13 @@
             deadline_ms="x-deadline-ms",
             affinity="x-affinity-key",
             instance="x-expect-instance",
+            # Proves that the target itself sent the response.
             stamp="x-server-stamp",
             not_run="x-not-executed",
             load="x-server-load",
             limit="server-limit",
             leaving="server-leaving",
-            rest="retry-after",
+            rest="retry-after",  # The pause that a target requests.
             workspace_key="x-credential",
             workspace="x-tenant",  # The platform calls workspaces tenants.
         ),
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -210,7 +210,7 @@
 
 
 def test_metrics_port_matches_deploy_file() -> None:
-    """The internal port range differs by deployment; the metrics port must not."""
+    """The internal port range differs by deployment; the metrics port is fixed."""
     deploy = tomllib.loads((PACKAGE.parent / "deploy" / "system.toml").read_text())
     assert deploy["roles"]["entry"]["metrics"] == f"{METRICS_PORT}/metrics"
     for first in (7080, 7520):
--- a/tests/test_platform_registrations.py
+++ b/tests/test_platform_registrations.py
@@ -1,11 +1,11 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tests of the validation of target registrations from any writer.
+"""Tests of the validation of target registrations.
 
-They guard against two failures. Registrations with an invalid address, an unknown
-failure domain or service, no state, 1,000,000,000 slots or -3 slots were accepted as
-targets, because fields were decoded by type alone and missing ones got defaults. An
-unreadable registration caused a log line at each translation.
+If fields are decoded by type alone and missing ones get defaults, a registration with
+an invalid address, an unknown failure domain or service, no state, 1,000,000,000 slots
+or -3 slots becomes a target. If rejections are not remembered, an unreadable
+registration causes a log line at each translation.
 """
 
 import json
@@ -59,6 +59,7 @@
 
 
 def test_valid_registration_is_accepted() -> None:
+    # `cold` is an unknown field, which is ignored.
     found = Translator(ZONES)(
         make_store(x=encode_registration(born=1_700_000_000_000, cold=1))
     )
@@ -278,5 +279,6 @@
     for number in range(500):
         report.take([LeftOutRegistration("x", "address", "''", number)], number / 10)
     assert len(events.lines) == MAX_LINES_PER_MINUTE
+    # The next window of 60 s has begun; the line counts those that were suppressed.
     report.take([LeftOutRegistration("x", "address", "''", 900)], 61.0)
     assert events.lines[-1][3] == 500 - MAX_LINES_PER_MINUTE
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -52,7 +52,7 @@
 async def test_stale_read_uses_stale_call_and_returns_leases(
     contract: StoreFixture,
 ) -> None:
-    """A stale read must not be made as an ordinary read, which costs ten times more."""
+    """An ordinary read costs ten times as much as a stale read."""
     lease = await contract.store.put_with_lease("entries/n1", b"1", 5.0)
     listing = await contract.store.read_stale("entries/")
     assert [(e.key, e.value, e.lease) for e in listing.entries] == [
@@ -63,7 +63,7 @@
 
 
 async def test_listing_has_revision_of_first_page(contract: StoreFixture) -> None:
-    """The watch must still return changes that happen between pages."""
+    """A watch that starts at a later revision misses changes made between pages."""
     contract.standin.faults.page = 1
     contract.standin.put("servers/a", b"1")
     contract.standin.put("servers/b", b"1")
@@ -101,7 +101,8 @@
 ) -> None:
     """TCP retransmits a lost first packet only after a second.
 
-    The first call is dropped before it reaches the stand-in.
+    The first call is dropped before it reaches the stand-in, which therefore counts
+    only the repetition.
     """
     monkeypatch.setattr(platform_store, "FIRST_CALL_MARGIN_S", 0.1)
     call = contract.store._call
@@ -121,7 +122,7 @@
 
 
 async def test_rejected_watch_call_is_not_repeated(contract: StoreFixture) -> None:
-    """The store responded and requested fewer calls."""
+    """With status 429 the store requests fewer calls."""
     contract.standin.faults = MetadataFaults(busy=429)
     with pytest.raises(StoreUnavailable):
         await anext(contract.store.watch("", 0))
@@ -151,6 +152,8 @@
     assert (await contract.store.read("")).entries == []
 
 
+# Each fault, the error, and whether the key is stored when the error is raised. In the
+# case "late" the stand-in applies the write 50 ms after the call.
 WRITE_FAULTS = [
     pytest.param(MetadataFaults(busy=503), StoreUnavailable, False, id="busy"),
     pytest.param(MetadataFaults(busy=429), StoreUnavailable, False, id="many"),
