--- a/leverdoor/model/blocks.py
+++ b/leverdoor/model/blocks.py
@@ -34,7 +34,7 @@
     """The compiled networks of one resource.
 
     `ranges` maps the IP version to parallel arrays of first addresses, last addresses
-    and indexes into `regions`.
+    and region numbers, which are indexes into `regions`.
     """
 
     regions: list[str]
@@ -42,7 +42,10 @@
 
 
 class _DisjointRanges(msgspec.Struct):
-    """Disjoint address ranges from `first` to `last`, sorted by start address."""
+    """Disjoint address ranges from `first` to `last`, sorted by start address.
+
+    A range ends before the next start. `region_numbers` are indexes into `regions`.
+    """
 
     first: int
     last: int
@@ -146,7 +149,7 @@
 def _network_bounds(prefix: str) -> tuple[int, int, int]:
     """Return the IP version and the first and last address of a network.
 
-    IPv6 addresses are reduced to their upper 64 bits.
+    Of IPv6 addresses only the upper 64 bits are returned.
     """
     network = ipaddress.ip_network(prefix)
     first = int(network.network_address)
--- a/leverdoor/model/burn.py
+++ b/leverdoor/model/burn.py
@@ -2,9 +2,9 @@
 # SPDX-License-Identifier: Apache-2.0
 """Burn rate: how fast each service level objective consumes its error budget.
 
-A gate counts its own requests in buckets. An agent merges the series of all gates and
-computes the lines of the report. Owns the counts of one gate for the last hour; they
-are lost with the gate's process.
+Each gate, the process that serves requests on a VM, counts its own requests in buckets.
+An agent merges the series of all gates and computes the lines of the report. Owns the
+counts of one gate for the last hour; they are lost with the gate's process.
 """
 
 from collections import deque
@@ -29,7 +29,10 @@
 HISTOGRAM_S = 60.0
 """Period that one latency histogram covers, in seconds: a fifth of the short window."""
 MAX_HISTOGRAMS = 6
-"""Maximum number of histograms: six minutes, a little more than the short window."""
+"""Maximum number of histograms.
+
+Under steady requests they cover six minutes, a little more than the short window.
+"""
 MAX_LATENCY_MS = 600_000
 """Largest latency that a histogram records, in ms: ten minutes."""
 SIGNIFICANT_DIGITS = 2
@@ -58,7 +61,7 @@
 class Series(msgspec.Struct):
     """Counts and encoded latency histogram of one service and tier.
 
-    `fast` covers the short window and `slow` the long window.
+    `fast` counts the requests of the short window, `slow` those of the long window.
     """
 
     service: str
@@ -72,9 +75,10 @@
     """One line of the burn rate report.
 
     At a burn rate of 1 the fraction of requests that miss the objective equals the
-    permitted fraction. Availability covers the short window, the percentiles cover the
-    kept histograms.
-    `level` is empty if no objective covers the service and tier.
+    permitted fraction. `fast_burn`, `requests` and `availability` cover the short
+    window, `slow_burn` covers the long window, and the percentiles cover the kept
+    histograms. `level` is the name of the objective, or empty if none covers the
+    service and tier.
     """
 
     service: str
--- a/leverdoor/model/resource_checks.py
+++ b/leverdoor/model/resource_checks.py
@@ -69,6 +69,8 @@
         for resource in after.values():
             _check_resource(resource, after)
     except ConfigError as e:
+        # A removal causes only dangling references. Any other error existed before it
+        # and does not prevent it; the remaining resources are not checked.
         if e.code is not Code.DANGLING_REFERENCE:
             return Success(after)
         return Failure(e)
@@ -150,7 +152,7 @@
             raise ValueError
     except ValueError:
         raise ConfigError(
-            Code.UNKNOWN_FIELD,
+            Code.UNKNOWN_FIELD,  # This code also covers invalid values.
             f"{checked_key}: address must be ip:port, got {target.address!r}",
             field="address",
         ) from None
@@ -262,7 +264,7 @@
                 ipaddress.ip_network(network)
             except ValueError as e:
                 raise ConfigError(
-                    Code.UNKNOWN_FIELD,
+                    Code.UNKNOWN_FIELD,  # This code also covers invalid values.
                     f"{checked_key}: {e}",
                     field=f"networks.{region}[{i}]",
                 ) from None
--- a/leverdoor/model/resources.py
+++ b/leverdoor/model/resources.py
@@ -3,8 +3,8 @@
 """The kinds of resources that operators write.
 
 The JSON form is stored and served, so field names, tags and defaults are part of the
-public interface. Resources are immutable. Field names end in their units (`_ms`,
-`_per_s`, `_percent`, `_bytes`) where they have one. Owns no state; relies on
+public interface. Resources are immutable. Names of times, rates, percentages and byte
+counts end in the unit (`_ms`, `_per_s`, `_percent`, `_bytes`). Owns no state; relies on
 `leverdoor.codec`.
 """
 
@@ -39,6 +39,7 @@
 
 Name: TypeAlias = Annotated[str, Meta(pattern=r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$")]
 PositiveInt: TypeAlias = Annotated[int, Meta(ge=1, le=86_400_000)]
+"""A positive number; the maximum is the number of ms in a day."""
 Millis: TypeAlias = Annotated[int, Meta(ge=0, le=86_400_000)]
 Percent: TypeAlias = Annotated[int, Meta(ge=0, le=100)]
 Digest: TypeAlias = Annotated[str, Meta(pattern=r"^[0-9a-f]{64}$")]
@@ -46,14 +47,14 @@
 
 
 class WorkClass(StrEnum):
-    """Class of work; it determines whether a request may be sent more than once."""
+    """Class of work; it determines whether a request may run more than once."""
 
     LOOKUP = "lookup"
-    """May be sent more than once."""
+    """May run more than once."""
     ONCE = "once"
-    """Must be executed at most once."""
+    """Must run at most once."""
     BULK = "bulk"
-    """Bulk upload."""
+    """Bulk upload; must run at most once."""
 
 
 class _ResourceBase(
@@ -77,13 +78,13 @@
     work: WorkClass
     deadline_ms: PositiveInt = 2_000
     linger_ms: Millis = 1_000
-    """Longest time a target may still process a request after its connection closed."""
+    """Maximum time for which a target may run a request after its connection closed."""
     queue: Annotated[int, Meta(ge=0, le=100_000)] = 64
     """Maximum length of the queue of each entry, in requests."""
     bulk_prefixes: list[str] = []
     """Path prefixes of bulk uploads; they override the service's class of work."""
     health_path: str = ""
-    """Health check path; a healthy target answers it with 200. "" for none."""
+    """Health check path, to which a healthy target responds with 200; "" for none."""
     connections: Annotated[int, Meta(ge=0, le=1_000_000)] = 0
     """Maximum connections from all entries together to one target; 0 for no limit."""
     warmup_per_s: Annotated[float, Meta(ge=0.0)] = 0.0
@@ -100,10 +101,13 @@
     slots: Annotated[int, Meta(ge=1, le=10_000)]
     """Maximum number of concurrent requests."""
     connections: Annotated[int, Meta(ge=1, le=100_000)] = 130
+    """Maximum number of connections; not less than `slots`."""
     vm: str = ""
     warmup_ms: Millis = 0
+    """Duration of slow start, in which a gate raises the number of slots that it uses
+    after it ejected the target for failures; 0 for no slow start."""
     draining: bool = False
-    """The target announced that it is about to stop."""
+    """The target announced that it is about to stop; not set by a `Drain`."""
     cold_ms: Millis = 0
     """Remaining warm-up time, counted from the write of this resource."""
 
@@ -119,14 +123,19 @@
 
 
 class ShiftCap(_ResourceBase, frozen=True, tag="shiftcap"):
-    """Maximum number of requests from other regions that may start in any window."""
+    """Limits the requests for one service that a region accepts from other regions."""
 
     service: Name
     region: Name
+    """The region that accepts the requests."""
     units: Annotated[int, Meta(ge=1, le=10_000_000)]
+    """Maximum number of these requests that may start in any period of `window_ms`."""
     window_ms: PositiveInt
     ramp_percent: Annotated[int, Meta(ge=1, le=100)] = 50
-    """Level at which a shift starts, as a percentage of the cap."""
+    """Percentage of `units` that is available at first.
+
+    It doubles after a window that used at least half of the available units and halves
+    after an unused window."""
 
 
 class Drain(_ResourceBase, frozen=True, tag="drain"):
@@ -170,16 +179,18 @@
     timeout_ms: Millis = 0
     """Request timeout; 0 if only the caller's deadline applies."""
     target_latency_ms: Millis = 0
-    """Latency objective of the route; 0 for none. Not related to `Target`."""
+    """Latency objective of the route, 0 for none; "target" does not mean a back end."""
     priority: Annotated[int, Meta(ge=0, le=1_000)] = 0
     """Priority of the requests; 0 is the highest."""
     attempts: Annotated[int, Meta(ge=1, le=100)] = 1
-    """Maximum number of targets to which one request may be sent."""
+    """Maximum number of targets that may run one request."""
     affinity: bool = False
-    """Send requests with equal affinity keys to the same target, because a target is
-    faster at requests for data that it used recently."""
+    """Send requests with equal affinity keys to the same target, because a target
+    serves requests for recently used data faster."""
     homes: list[Name] = []
-    """Regions that may serve the route; empty for all."""
+    """Regions that may serve the route; empty for all.
+
+    Not related to the home regions of clients in `ClientBlocks`."""
     anonymous: bool = False
     """Accept requests without a workspace key, even if workspaces are configured."""
 
@@ -244,6 +255,7 @@
 KINDS: dict[str, type[_ResourceBase]] = {
     str(c.__struct_config__.tag): c for c in _RESOURCE_TYPES
 }
+"""Class of each kind of resource."""
 
 
 def resource_key(resource: Resource) -> str:
--- a/leverdoor/model/target_id.py
+++ b/leverdoor/model/target_id.py
@@ -14,7 +14,7 @@
     """Return the 32-bit hash that identifies a target in messages between entries.
 
     The probability of a collision among 3,000 targets is 0.001. If two targets with the
-    same hash end at the same moment, this counts as a single end. If both report
+    same hash crash at the same moment, only one crash is counted. If both report
     limits, the most recent limit applies to both.
     """
     return xxhash.xxh32_intdigest(name.encode())
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -111,6 +111,7 @@
 
 
 def with_changes(index: int, **fields: object) -> dict[str, object]:
+    """Return a changed copy of the tier (2), target (3) or shift cap (4) of `BASE`."""
     return {**BASE[index], **fields}
 
 
