--- a/leverdoor/platform/formats.py
+++ b/leverdoor/platform/formats.py
@@ -129,11 +129,12 @@
             self._apply_services(config)
         except msgspec.MsgspecError as e:
             logger.error("configuration not taken", key=item.key, error=str(e))
-        # An invalid document counts as seen, so that it is decoded and logged once.
+        # The revision is kept for an invalid document as well, so that the document is
+        # decoded and logged only once.
         self._config_revision = item.revision
 
     def _apply_services(self, config: OperatorConfig) -> None:
-        """Update the known services; if they changed, check all targets again."""
+        """Update the allowed services; if they changed, discard all checked targets."""
         services = frozenset(config.service_names())
         if services != self._allowed.services:
             self._allowed = AllowedReferences(self._zones, services)
--- a/leverdoor/platform/settings.py
+++ b/leverdoor/platform/settings.py
@@ -67,7 +67,7 @@
     grace_s: float = 6.0
     """Maximum duration of a planned stop of an entry, in seconds."""
     drain_ms: float = 2_500.0
-    """Time until entries must send no more requests to a leaving target, in ms."""
+    """Maximum time until entries stop sending requests to a leaving target, in ms."""
     repeat_ratio: float = 0.2
     """Maximum retries of all entries together, as a fraction of requests."""
     repeat_slack: float = 64.0
