--- a/leverdoor/model/blocks.py
+++ b/leverdoor/model/blocks.py
@@ -34,7 +34,7 @@
     """The compiled networks of one resource.
 
     `ranges` maps the IP version to parallel arrays of first addresses, last addresses
-    and region numbers, which are indexes into `regions`.
+    and region numbers, which are indexes into `regions`; `NO_REGION` has an empty name.
     """
 
     regions: list[str]
--- a/leverdoor/model/burn.py
+++ b/leverdoor/model/burn.py
@@ -94,7 +94,7 @@
 
 
 class _ServiceTierMeter:
-    """Buckets and histograms of one service and tier with start times, oldest first."""
+    """Buckets and histograms of one service and tier, with start times; oldest first."""
 
     def __init__(self) -> None:
         self.buckets: deque[tuple[float, Counts]] = deque()
@@ -141,7 +141,7 @@
         )
 
     def series(self, now: float) -> list[Series]:
-        """Return one series for each service and tier, to be merged with other gates.
+        """Return one series for each service and tier, for `merge_series`.
 
         Args:
           now: monotonic time in seconds.
--- a/leverdoor/model/resource_checks.py
+++ b/leverdoor/model/resource_checks.py
@@ -2,9 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Consistency checks of resources, run before a change is written.
 
-A check function covers each kind of resource that refers to others or must not conflict
-with them. `validate` and `check_removal` run these checks on the resources that would
-exist after the change. All functions are pure and own no state.
+`_check_resource` checks one resource, its references and its conflicts with others;
+`_check_tiers` checks all tiers together. `validate` runs both and `check_removal` only
+the first, on the resources that would exist after the change. All functions are pure
+and own no state.
 """
 
 import ipaddress
--- a/leverdoor/model/resources.py
+++ b/leverdoor/model/resources.py
@@ -104,8 +104,10 @@
     """Maximum number of connections; not less than `slots`."""
     vm: str = ""
     warmup_ms: Millis = 0
-    """Duration of slow start, in which a gate raises the number of slots that it uses
-    after it ejected the target for failures; 0 for no slow start."""
+    """Duration of slow start, in which a gate raises the number of slots that it uses.
+
+    It begins when the gate first knows the target and after each ejection for failures.
+    0 for no slow start."""
     draining: bool = False
     """The target announced that it is about to stop; not set by a `Drain`."""
     cold_ms: Millis = 0
