--- a/leverdoor/platform/formats.py
+++ b/leverdoor/platform/formats.py
@@ -134,7 +134,7 @@
         self._config_revision = item.revision
 
     def _apply_services(self, config: OperatorConfig) -> None:
-        """Update the allowed services; if they changed, discard all checked targets."""
+        """Update the allowed services; if they changed, check all targets again."""
         services = frozenset(config.service_names())
         if services != self._allowed.services:
             self._allowed = AllowedReferences(self._zones, services)
