--- a/leverdoor/model/burn.py
+++ b/leverdoor/model/burn.py
@@ -94,7 +94,7 @@
 
 
 class _ServiceTierMeter:
-    """Buckets and histograms of one service and tier, with start times; oldest first."""
+    """Buckets and histograms of one service and tier with start times; oldest first."""
 
     def __init__(self) -> None:
         self.buckets: deque[tuple[float, Counts]] = deque()
