--- a/leverdoor/model/resource_checks.py
+++ b/leverdoor/model/resource_checks.py
@@ -2,9 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Consistency checks of resources, run before a change is written.
 
-A check function covers each kind of resource that refers to others or must not conflict
-with them. `validate` and `check_removal` run these checks on the resources that would
-exist after the change. All functions are pure and own no state.
+`_check_resource` checks one resource, its references and its conflicts with others;
+`_check_tiers` checks all tiers together. `validate` runs both and `check_removal` only
+the first, on the resources that would exist after the change. All functions are pure
+and own no state.
 """
 
 import ipaddress
@@ -69,6 +70,8 @@
         for resource in after.values():
             _check_resource(resource, after)
     except ConfigError as e:
+        # A removal causes only dangling references. Any other error existed before it
+        # and does not prevent it; the remaining resources are not checked.
         if e.code is not Code.DANGLING_REFERENCE:
             return Success(after)
         return Failure(e)
@@ -150,7 +153,7 @@
             raise ValueError
     except ValueError:
         raise ConfigError(
-            Code.UNKNOWN_FIELD,
+            Code.UNKNOWN_FIELD,  # This code also covers invalid values.
             f"{checked_key}: address must be ip:port, got {target.address!r}",
             field="address",
         ) from None
@@ -262,7 +265,7 @@
                 ipaddress.ip_network(network)
             except ValueError as e:
                 raise ConfigError(
-                    Code.UNKNOWN_FIELD,
+                    Code.UNKNOWN_FIELD,  # This code also covers invalid values.
                     f"{checked_key}: {e}",
                     field=f"networks.{region}[{i}]",
                 ) from None
