--- a/leverdoor/gate/cap_ramp.py
+++ b/leverdoor/gate/cap_ramp.py
@@ -1,10 +1,10 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Ramps the usable share of a shift cap up with use, to protect cold caches.
+"""Raises the usable share of a shift cap with its use, to protect cold caches.
 
 Owns the level of one cap and its use in the current window. Both are lost when the
-process ends and start again from the first level, since the receiving caches are likely
-to be cold by then.
+process ends. A new process begins at the initial level, since the receiving caches are
+likely to be cold by then.
 """
 
 import math
@@ -31,7 +31,7 @@
         """Create a ramp.
 
         Args:
-          start: first level, as a share of the cap in (0, 1].
+          start: initial level, as a share of the cap in (0, 1].
           window_s: the cap's window, in seconds.
           now: monotonic time in seconds.
         """
@@ -42,7 +42,10 @@
         self._used = 0
 
     def allowed(self, units: int, now: float) -> int:
-        """Return how many of `units` may be in use; at least one of them."""
+        """Return how many of `units` may be in use, at least one.
+
+        Updates the level first if the current window has passed.
+        """
         self._advance_window(units, now)
         return min(units, max(1, math.ceil(self._level * units)))
 
@@ -57,6 +60,7 @@
         allowed = max(1, math.ceil(self._level * units))
         if self._used >= RAISE_USE_SHARE * allowed:
             self._level = min(1.0, self._level * 2)
+            # The window that raised the level is not an unused one.
             passed -= 1
         if passed > 0 and self._used == 0:
             self._level = max(self._start, self._level / 2 ** min(passed, 30))
--- a/leverdoor/gate/daemon.py
+++ b/leverdoor/gate/daemon.py
@@ -167,6 +167,7 @@
                 state=self._handler.state,
                 loads=self._scheduler.loads(now),
                 caps=self._scheduler.caps(now),
+                # Rows of target slots; rows of shift caps begin with c: instead.
                 held=sorted(r for r in self._held_units.rows if r.startswith("t:")),
                 draining=self._scheduler.pool.draining(now),
             )
@@ -203,7 +204,7 @@
             logger.info("gate ready", revision=self._state.revision)
 
     def _apply_hints(self, hints: Hints) -> None:
-        """Apply heartbeats, leaving VMs, probe results and the incarnation floor."""
+        """Apply the hints; raise the incarnation if it is not above the floor."""
         now = asyncio.get_running_loop().time()
         self._scheduler.peer_gates.receive(hints.heartbeats, now)
         self._scheduler.pool.leaving_vms = frozenset(hints.leaving_vms)
--- a/leverdoor/gate/dispatch.py
+++ b/leverdoor/gate/dispatch.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Runs the scheduler on the event loop and holds requests until it decides.
+"""Runs the scheduler on the event loop; requests wait here for its decisions.
 
 Owns one future per waiting request, which is lost when the process ends. Relies on
 calls of `wake_scheduler` after each change of units, configuration or heartbeats.
@@ -25,7 +25,7 @@
 IDLE_TICK_S = 0.25
 """Interval between scheduling rounds while no request waits, in seconds.
 
-An idle round has nothing to decide.
+An idle round has nothing to decide, and `wake_scheduler` ends the interval early.
 """
 
 
@@ -68,6 +68,7 @@
         decision = self.scheduler.offer(request, now)
         if not isinstance(decision, Rejection) or decision.code is not Code.QUEUE_FULL:
             return decision
+        # The queue is full: shed a request of a lower tier, then try again.
         shed = self.scheduler.eviction_candidate(request)
         if shed is None:
             return decision
@@ -92,6 +93,7 @@
         if entry is not None and not entry[1].done():
             entry[1].set_result(decision)
         elif isinstance(decision, Dispatch):
+            # The caller disconnected: release the units of its request.
             now = asyncio.get_running_loop().time()
             self.scheduler.done(request, decision, now, 0.0, False, 0.0)
 
--- a/leverdoor/gate/gate_quarantine.py
+++ b/leverdoor/gate/gate_quarantine.py
@@ -4,11 +4,11 @@
 
 Each round a gate evaluates the crashes it knows and sends notices to a few other gates,
 which pass on those new to them. All gates learn of a notice within a few rounds, and
-the traffic per gate does not grow with their number.
+the traffic per gate does not grow with the number of gates.
 
 Owns the gate's quarantine and the running target checks. Both are lost when the process
-ends; the other gates send their notices again. Relies on `PeerGates` for the usable
-gates and on their relay addresses.
+ends; the other gates repeat the notices of their quarantines. Relies on `PeerGates` for
+the usable gates and on their relay addresses.
 """
 
 import asyncio
@@ -41,8 +41,8 @@
 NOTICE_FANOUT = 8
 """Number of gates that receive notices in one round.
 
-Each notice is sent for three rounds, so that 195 gates have it after three rounds. With
-a smaller number, some gates receive it later; a greater one costs more connections.
+A gate sends each notice in three rounds, after which all of 195 gates have it. With a
+smaller fanout some gates receive it later; a greater one costs more connections.
 """
 NOTICE_TIMEOUT_S = 1.0
 """Timeout for sending notices to one gate, in seconds; another round follows."""
@@ -77,9 +77,10 @@
     # Requests.
 
     def check(self, fingerprint: int) -> None:
-        """Refuse a quarantined request unless this gate may run it as a test.
+        """Refuse a quarantined request unless this gate may run it as a trial.
 
-        One gate tests for all; fingerprint 0 is never quarantined.
+        `is_trial_owner` selects the one gate that runs the trials of a fingerprint.
+        Fingerprint 0 is never quarantined.
 
         Raises:
           Refusal: the request is quarantined.
@@ -99,13 +100,13 @@
         return not fingerprint or self._quarantine.may_retry(fingerprint, now)
 
     def lost(self, target: Target, fingerprint: int, began: float) -> None:
-        """Record a lost response and check whether the target has ended."""
+        """Record a lost response and check whether the target's process has ended."""
         if fingerprint:
             now = asyncio.get_running_loop().time()
             self._target_checks.check(target, LostRun(fingerprint, began, now))
 
     def answered(self, fingerprint: int) -> None:
-        """Record a complete response, which shows that the request is harmless."""
+        """Record a complete response: the request did not crash the target."""
         if fingerprint:
             now = asyncio.get_running_loop().time()
             self._quarantine.answered(fingerprint, now)
@@ -169,7 +170,7 @@
 
 
 async def _check_target(target: Target) -> TargetCheckResult:
-    """Check with a new connection whether a target still serves."""
+    """Check whether a target still accepts connections."""
     address = parse_address(target.address)
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/leverdoor/gate/handler.py
+++ b/leverdoor/gate/handler.py
@@ -2,10 +2,11 @@
 # SPDX-License-Identifier: Apache-2.0
 """HTTP handlers of a gate for look-ups, requests and internal messages.
 
-Owns the lifecycle state, the flag `closed`, set when new requests are refused, and the
-number of requests in flight, which must reach zero before the daemon stops; both are
-lost with the process. Relies on `request_reader.py` to read requests, on `serving.py`
-and `keyed_server.py` to serve them, and on `lookups.py` to select gates.
+Owns the lifecycle state, the flag `closed` and the number of requests in flight, all of
+which are lost with the process. The daemon sets `closed` after cached look-ups have
+expired; the gate then refuses new requests, and the daemon stops when none is in
+flight. Relies on `request_reader.py` to read requests, on `serving.py` and
+`keyed_server.py` to serve them, and on `lookups.py` to select gates.
 """
 
 import asyncio
@@ -59,6 +60,7 @@
     ) -> None:
         """Create the handlers from the gate's components."""
         self.state = GateState.STARTING
+        # The daemon sets the address before the gate listens.
         self.address = ""
         self.active = 0
         self.closed = False
@@ -124,7 +126,10 @@
         return json_response(answer)
 
     def _issue_key(self, service: Service, now: float) -> str:
-        """Return a key for one request; "" for class LOOKUP or unless serving."""
+        """Return a key for one request.
+
+        It is "" if the service is of class LOOKUP or the gate is not serving.
+        """
         if service.work is WorkClass.LOOKUP or self.state is not GateState.SERVING:
             return ""
         return self._key_registry.issue(secrets.token_bytes(8), now)
@@ -266,6 +271,7 @@
     _set_gate_headers(response, inbound.request_id, served.served_by)
     try:
         chunks = served.chunks()
+        # An error before the first chunk can still be sent as a refusal.
         first = await anext(chunks, None)
         await response.prepare(request)
         if first is not None:
--- a/leverdoor/gate/hop_client.py
+++ b/leverdoor/gate/hop_client.py
@@ -3,9 +3,11 @@
 """HTTP client for one hop of a request, to a target or to another gate.
 
 Owns the HTTP connections to targets and gates, which are closed with the process. It
-pools connections for look-ups and opens a new one for each request that must run at
-most once. It never retries. Relies on the hop's deadline for buffered requests and on
-connect and idle timeouts; no other timer ends a hop.
+reuses connections for requests that may run more than once and opens a new one for each
+request that must run at most once. It never retries. Relies on the connect timeout and,
+for a buffered request body, on the deadline, which RELAY_GRACE_S extends for a hop to a
+gate. A streamed request body has idle timeouts and no deadline. No other timer ends a
+hop.
 """
 
 import asyncio
@@ -25,14 +27,14 @@
 CONNECT_TIMEOUT_S = 1.0
 """Connect timeout for targets and gates, in seconds.
 
-Far above the 55 ms between regions. A longer one spends the request's deadline on a
-failed VM; a shorter one mistakes a busy target for a failed one.
+Far above the latency of 55 ms between regions. A longer timeout uses up the request's
+deadline at a failed VM; a shorter one treats a busy target as failed.
 """
 READ_AHEAD_BYTES = 256 * 1024
 """Bytes of a response read ahead of a slow caller.
 
-Most responses are shorter, so that their slot is released at once. The limit bounds the
-memory of each request.
+Most responses fit; their slot is released before the caller has read them. The limit
+bounds the memory of each request.
 """
 RELAY_GRACE_S = 0.1
 """Time to wait past the deadline for another gate's response, in seconds.
@@ -55,7 +57,7 @@
         """Create a body.
 
         Args:
-          whole: the buffered body, if any.
+          buffered: the complete body; None for a stream.
           stream: the source of an unbuffered body.
           length: the declared length in bytes, if any.
           idle_timeout_s: maximum time between two chunks of the stream, in seconds.
@@ -73,7 +75,10 @@
         return self.buffered is not None or not self.consumed
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the stream; an exception closes the connection to the receiver."""
+        """Yield the chunks of the stream.
+
+        An exception closes the connection, so that the receiver detects the truncation.
+        """
         assert self._stream is not None
         self.consumed = True
         if self.before_read is not None:
@@ -126,6 +131,7 @@
         self.headers = h.forwardable_headers(response.headers.items(), connection)
         self.served_by = response.headers.get(h.SERVED_BY, "") if relay else ""
         self.leaving = not relay and h.LEAVING in response.headers
+        # A 503 without this header does not prove that the request did not run.
         self.shed = (
             not relay and response.status == 503 and h.NOT_RUN in response.headers
         )
@@ -218,6 +224,7 @@
                 data=hop.body.chunks() if streamed else (hop.body.buffered or None),
                 timeout=_timeout(hop, now),
                 allow_redirects=False,
+                # A gate sends 100 Continue when it starts to read the body.
                 expect100=streamed and hop.relay,
             )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as e:
@@ -240,7 +247,10 @@
 
 
 def refusal_from_problem(problem: Problem) -> Refusal:
-    """Convert a problem that a gate sent to a refusal."""
+    """Convert a problem that a gate sent to a refusal.
+
+    An unknown code becomes NOT_READY if the request did not run, else ANSWER_LOST.
+    """
     try:
         code = Code(problem.code)
     except ValueError:
--- a/leverdoor/gate/idempotency_keys.py
+++ b/leverdoor/gate/idempotency_keys.py
@@ -3,8 +3,8 @@
 """Issues idempotency keys and keeps the outcomes of their requests.
 
 A key is valid only at the process that issued it. That process alone records whether
-the request ran, without a wall clock, store or hand-over. After the process has ended,
-the request can never run again, and whether it ran is unknown.
+the request ran, so no wall clock, store or transfer of state is needed. After the
+process has ended, the request can never run again, and whether it ran is unknown.
 
 Owns the signing secret and the outcomes; both are lost when the process ends.
 """
@@ -32,7 +32,7 @@
 
 
 class Key(msgspec.Struct, frozen=True, array_like=True):
-    """Decoded idempotency key; `issued_ms` counts from the start of the issuer."""
+    """Decoded idempotency key; `issued_ms` is relative to the issuer's start."""
 
     vm: str
     relay: str
@@ -43,7 +43,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """Result of a request; `code` is OK unless the response is lost or discarded."""
+    """Result of a request; `code` is OK unless its response was lost or not kept."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -136,7 +136,7 @@
     def begin(self, key: Key, now: float) -> KeyState:
         """Record the start of the request of a key unless it has started before.
 
-        Returns: NEW if the request must be run now; else its state.
+        Returns: NEW if the request must be run now, else RUNNING or DONE.
         Raises:
           Refusal: KEY_INVALID or KEY_EXPIRED.
         """
--- a/leverdoor/gate/keyed_server.py
+++ b/leverdoor/gate/keyed_server.py
@@ -32,16 +32,16 @@
 OUTCOME_RETRY_MS = 500
 """Retry-After while the outcome of a request is unknown, in ms.
 
-Several run times and heartbeat intervals, after which the outcome or the end of an
-unreachable issuer is likely to be known. A smaller value loads the issuer without
-benefit; a greater one delays the caller's outcome.
+Longer than several runs and than two heartbeat intervals: by then the outcome, or the
+end of an unreachable issuer, is likely to be known. A smaller value loads the issuer
+without benefit; a greater one delays the caller's outcome.
 """
 MAX_OUTCOME_BYTES = 8 * 1024 * 1024
 """Maximum length of a buffered response, in bytes; bounds the gate's memory."""
 
 
 class KeyedServer:
-    """Runs requests with a key of this gate; forwards those of other issuers."""
+    """Runs requests whose key this gate issued; forwards others to the issuer."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
 
     @property
     def running(self) -> int:
-        """Return the number of running requests, including those without a caller."""
+        """Return the number of running requests, also of disconnected callers."""
         return len(self._running)
 
     async def serve(self, inbound: GateRequest) -> Outcome:
--- a/leverdoor/gate/lookups.py
+++ b/leverdoor/gate/lookups.py
@@ -16,9 +16,9 @@
 MAX_ENTRIES = 4
 """Maximum number of entries in a look-up response.
 
-One to use and three for failover, by region and weight. More entries spread callers
-over gates with fewer slots; with fewer, a caller may have none left when a failure
-domain fails.
+One to use and three for failover, by region and weight. With more entries, callers also
+use gates with fewer slots; with fewer entries, a caller may have no gate left when a
+failure domain fails.
 """
 
 
--- a/leverdoor/gate/peers.py
+++ b/leverdoor/gate/peers.py
@@ -3,9 +3,9 @@
 """Load estimates of the other gates and the selection of a gate to forward to.
 
 Owns the latest heartbeat of each gate, adjusted by the requests forwarded since. This
-state is lost when the process ends and rebuilt from a few messages of the agent. Relies
-on the agent's hints, whose heartbeats are at least 0.1 s old: loads are estimates, and
-a gate without a free slot refuses a forwarded request.
+state is lost when the process ends; a new process rebuilds it from the next hints of
+the agent. Relies on these hints, whose heartbeats are at least 0.1 s old. Loads are
+therefore estimates, and a gate without a free slot refuses a forwarded request.
 """
 
 from collections.abc import Callable, Iterable
@@ -22,8 +22,8 @@
 PEER_BACKOFF_S = 1.0
 """Time without forwarding to a gate after a failed connection, in seconds.
 
-Five heartbeat intervals. A longer time leaves its slots idle after one lost connection;
-a shorter one costs more attempts until the failed gate's heartbeat expires.
+Five heartbeat intervals. A longer time leaves the slots of the gate idle after one lost
+connection; a shorter one costs more attempts until the failed gate's heartbeat expires.
 """
 FORWARD_MARGIN_MS = 2.0
 """Minimum wait saved by forwarding to a shorter queue, in ms: two hops of 1 ms.
@@ -76,6 +76,7 @@
         load = self.heartbeat.loads.get(service)
         if load is None or not load.held:
             return None
+        # The queue less free slots, plus requests forwarded since and this one.
         queued = load.waiting - load.free + self.sent.get(service, 0) + 1
         mean_ms = load.mean_ms or INITIAL_RUN_MS
         return queue_wait_ms(max(queued, 0), mean_ms, load.held)
@@ -89,7 +90,7 @@
 
         Args:
           vm: this VM, whose heartbeats are ignored.
-          leaving: returns whether a VM is leaving.
+          is_leaving: returns whether a VM is leaving.
           rng: source of randomness.
         """
         self._vm = vm
@@ -128,7 +129,7 @@
             self._known[vm].backoff_until = now + PEER_BACKOFF_S
 
     def refused(self, vm: str, service: str) -> None:
-        """Until a gate's next heartbeat, assume that it has no free slot."""
+        """Assume no free slot at a gate that refused, until its next heartbeat."""
         if vm in self._known:
             self._known[vm].free[service] = 0
 
@@ -193,8 +194,9 @@
     ) -> PeerGate | None:
         """Select a gate whose wait is shorter by more than FORWARD_MARGIN_MS.
 
-        Under load a slot stays free for less time than the age of a heartbeat, so the
-        queue length is the better predictor.
+        Counts the request as sent to the selected gate. Under load a slot is free for
+        less time than a heartbeat is old, so reported free slots are outdated and the
+        queue length predicts the wait better.
         """
         found = [
             (wait_ms, peer_gate)
--- a/leverdoor/gate/placement.py
+++ b/leverdoor/gate/placement.py
@@ -3,9 +3,9 @@
 """Selects a region and a local target or another gate for each request.
 
 Owns the shift limiter of this region, whose state is lost when the process ends;
-acquires units of this gate's rows and shift caps. Relies on the configuration snapshot,
-on the exact counts of this gate and on heartbeats of other gates, which are at least
-0.1 s old.
+acquires target slots and shift cap units of this gate. Relies on the configuration
+snapshot, on the exact counts of this gate and on heartbeats of other gates, which are
+at least 0.1 s old.
 """
 
 from random import Random
@@ -41,9 +41,10 @@
 """
 
 NO_SLOT_WAIT_MS = 30_000.0
-"""Wait assumed at a gate without slots, in ms; longer than any deadline.
+"""Wait assumed at a gate without slots, in ms.
 
-Every other gate of the region with a slot is therefore preferred.
+Far above the usual deadlines, so that every other gate of the region with a slot is
+preferred.
 """
 
 
@@ -72,7 +73,7 @@
 def bulk_limit(held: int, work: WorkClass) -> int:
     """Return how many of the held slots bulk uploads may use.
 
-    At least one for a service with other requests.
+    All of them in a service of class BULK, else BULK_SHARE of them but at least one.
     """
     if work is WorkClass.BULK:
         return held
@@ -97,7 +98,7 @@
 
 
 class Placement:
-    """Finds a target or gate with a free slot for a request."""
+    """Selects a target or gate with a free slot and acquires local units."""
 
     def __init__(
         self,
@@ -113,7 +114,7 @@
         Args:
           region: this gate's region.
           held_units: the units of this process.
-          pool: the targets of this region.
+          pool: the targets at which this gate holds slots.
           peer_gates: the other gates.
           workloads: the requests waiting and running at this gate.
           rng: source of randomness.
@@ -141,6 +142,8 @@
 
         Tries the home region first, then the others by distance. A forwarded request
         is only placed on a target of this gate.
+
+        Returns: the decision, or None if no region can take the request now.
         """
         for region in self._regions(request):
             decision: Dispatch | Forward | None = None
@@ -150,6 +153,7 @@
                 decision = self._forward(request, region, now)
             if decision is not None:
                 return decision
+            # A forwarded request may only use the region of this gate.
             if request.forwarded and region != self._region:
                 continue
             if not self._may_try_farther(request, region, now):
@@ -162,7 +166,10 @@
         return sorted(names, key=lambda r: (distance_ms(request.home, r), r))
 
     def _may_try_farther(self, request: QueuedRequest, region: str, now: float) -> bool:
-        """Return whether regions farther than this one may be tried."""
+        """Return whether regions farther than this one may be tried.
+
+        The home region requires `should_leave_home`; any other region allows it.
+        """
         if region != request.home:
             return True
         others = [r for r in self._view.regions if r != region]
@@ -218,7 +225,7 @@
     def _forward(
         self, request: QueuedRequest, region: str, now: float
     ) -> Forward | None:
-        """Select a gate with a free slot in a region."""
+        """Select a gate of a region with a free slot and any cap unit required."""
         cap = ""
         if region != request.home and (request.service, region) in self._view.caps:
             cap = cap_row_name(request.service, region)
--- a/leverdoor/gate/pool.py
+++ b/leverdoor/gate/pool.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Selects among the targets of which this gate holds slots.
+"""Selects among the targets at which this gate holds slots.
 
 Owns the health of targets (`target_health.py`) and a cache of held targets by service,
 which is recomputed when the table or the configuration changes. Both are lost when the
@@ -28,7 +28,7 @@
 
 
 class TargetPool:
-    """The targets of which this gate holds slots, with their health."""
+    """The targets at which this gate holds slots, with their health."""
 
     def __init__(self, region: str, held_units: HeldUnits, view: View) -> None:
         """Create a pool.
@@ -47,7 +47,7 @@
         self._cache_key: tuple[View, int] = (view, -1)
 
     def targets(self, service: str) -> list[Target]:
-        """Return the targets of a service of which this gate holds slots."""
+        """Return the targets of a service at which this gate holds slots."""
         cache_key = (self.view, self._held_units.version)
         if self._cache_key != cache_key:
             self._cache_key = cache_key
@@ -65,11 +65,14 @@
         return target.vm not in self.leaving_vms and not self.view.drained(target)
 
     def accepts_requests(self, target: Target, now: float) -> bool:
-        """Return whether a target accepts new requests."""
+        """Return whether a target is in service and neither leaving nor ejected."""
         return self.in_service(target) and self.health.of(target, now).usable(now)
 
     def free_at(self, target: Target, now: float) -> int:
-        """Return the number of free slots of a target, limited by slow start."""
+        """Return the number of free slots of a target, limited by slow start.
+
+        Negative if more slots are in use than are granted or than slow start allows.
+        """
         row = slot_row_name(target.address)
         free = self._held_units.free(row, now)
         if free <= 0 or not target.warmup_ms:
@@ -82,7 +85,10 @@
     def best(
         self, service: str, tried: Collection[str], rng: Random, now: float
     ) -> Target | None:
-        """Select the target with a free slot and the least expected latency."""
+        """Select the target with a free slot and the lowest jittered latency score.
+
+        Excludes the addresses in `tried`.
+        """
         best: Target | None = None
         best_score = 0.0
         for t in self.targets(service):
@@ -124,7 +130,10 @@
         )
 
     def first_ejection_end_ms(self, service: str, now: float) -> float:
-        """Return the time until a held target is no longer ejected, in ms."""
+        """Return the time in ms until the first ejection of a held target ends.
+
+        0 if a held target is not ejected, or if none is held in service.
+        """
         remaining = [
             self.health.of(t, now).ejected_until - now
             for t in self.targets(service)
--- a/leverdoor/gate/queueing.py
+++ b/leverdoor/gate/queueing.py
@@ -58,7 +58,11 @@
         return sum(len(q) for q in self._waiting.values())
 
     def push(self, request: QueuedRequest) -> None:
-        """Append a request to the queue of its tier."""
+        """Append a request to the queue of its tier.
+
+        A tier that had no waiting request resumes at the current virtual time, so that
+        it gains no credit for that period.
+        """
         if request.bulk:
             self._bulk.append(request)
             return
@@ -80,7 +84,7 @@
         return True
 
     def order(self, in_use: dict[str, int], held: int) -> list[QueuedRequest]:
-        """Return the first request of each tier in the order of service.
+        """Return the first request of each tier in the order of service; bulk last.
 
         Args:
           in_use: slots in use by tier.
@@ -96,8 +100,8 @@
     ) -> tuple[bool, float, str]:
         """Return the sort key of a tier.
 
-        Tiers below their reserve come first, lowest used share of it first; the others
-        follow by lowest stride-scheduling pass.
+        Tiers below their reserve come first, in ascending order of the used share of
+        the reserve; the others follow in ascending order of the stride-scheduling pass.
         """
         reserved = tier.reserve_percent * held / 100
         used = in_use.get(tier.name, 0)
@@ -106,7 +110,7 @@
         return (True, self._stride_passes.get(tier.name, 0.0), tier.name)
 
     def pop(self, request: QueuedRequest) -> None:
-        """Remove a request that is being served and advance the pass of its tier."""
+        """Remove a request that was placed and advance the pass of its tier."""
         self.remove(request)
         if request.bulk:
             return
@@ -117,7 +121,10 @@
         )
 
     def preceding_requests(self, tier: Tier) -> float:
-        """Estimate how many requests precede a new one of a tier."""
+        """Estimate how many requests precede a new one of a tier.
+
+        Requests of a lower tier count by its share of the weights of both tiers.
+        """
         total = 0.0
         for name, queue in self._waiting.items():
             other = self._tiers[name]
--- a/leverdoor/gate/request_reader.py
+++ b/leverdoor/gate/request_reader.py
@@ -3,7 +3,7 @@
 """Reads the origin, deadline, key and body of an HTTP request.
 
 Owns no state. Relies on the configuration snapshot for tier, home region and service.
-Trusts the headers with which another gate describes a forwarded request.
+Trusts the origin headers of requests that other gates send.
 """
 
 import asyncio
@@ -26,7 +26,8 @@
 MAX_BUFFERED_BODY_BYTES = 64 * 1024
 """Maximum length of a body buffered for retries, in bytes; longer bodies are streamed.
 
-Large enough for queries and corrections. A greater value costs memory per request.
+Large enough for typical queries and corrections. A greater value costs memory per
+request.
 """
 
 
@@ -56,12 +57,12 @@
 async def read_request(
     request: web.Request, service: Service, origin: Origin, arrived: float
 ) -> GateRequest:
-    """Read a request; a short body is buffered before the request can hold a slot.
+    """Read a request; buffer a short body before the request acquires a slot.
 
     Args:
       request: the request, its body unread.
       service: the requested service.
-      origin: the sender of the request.
+      origin: the origin of the request.
       arrived: loop time of its arrival, in seconds.
     Raises:
       Refusal: KEY_REQUIRED, BAD_REQUEST or BODY_TOO_SLOW; the request did not run.
@@ -73,6 +74,7 @@
         raise Refusal(Code.KEY_REQUIRED)
     connection = request.headers.get("Connection", "")
     body = await _read_body(request, service)
+    # The path is /s/{service}/{tail}.
     tail = request.raw_path.split("/", 3)[3]
     return GateRequest(
         request_id=origin.request_id,
@@ -101,7 +103,7 @@
 def _scheduling_data(
     request: web.Request, service: Service, origin: Origin, arrived: float
 ) -> QueuedRequest:
-    """Return the scheduling data; the service limits the requested deadline."""
+    """Return the scheduling data; the service's deadline limits the requested one."""
     path = request.match_info["tail"]
     prefixes = [p.lstrip("/") for p in service.bulk_prefixes]
     limit_ms = service.deadline_ms
@@ -145,10 +147,14 @@
 
 
 async def defer_continue(request: web.Request) -> None:
-    """Replace the library's immediate reply to `Expect: 100-continue`."""
+    """Do nothing, in place of aiohttp's immediate reply to `Expect: 100-continue`.
+
+    `_send_continue` replies when the body is read.
+    """
 
 
 async def _send_continue(request: web.Request) -> None:
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+        # Reset the size: the response itself has not started.
         request.writer.output_size = 0
--- a/leverdoor/gate/requests.py
+++ b/leverdoor/gate/requests.py
@@ -2,8 +2,8 @@
 # SPDX-License-Identifier: Apache-2.0
 """Requests that a gate receives and the hops that it derives from them.
 
-`GateRequest` is read once from HTTP; `target_hop`, `gate_hop` and `issuer_hop` build
-the request to the next process. Owns no state.
+`read_request` creates a `GateRequest` from HTTP; `target_hop`, `gate_hop` and
+`issuer_hop` build the request to the next process. Owns no state.
 """
 
 import msgspec
@@ -20,8 +20,8 @@
     """The caller of a request.
 
     `home` is the caller's region. `forwarded` marks a request that another gate sent to
-    use a slot of this one; the other gate records it in its metrics. A request that a
-    gate sent to the issuer of its key is not marked.
+    use a slot of this one; only the sending gate counts it in the metrics. A request
+    that a gate sent to the issuer of its key is not marked.
     """
 
     request_id: str
@@ -32,7 +32,11 @@
 
 
 class GateRequest(msgspec.Struct):
-    """A request that a gate received; `key` is its idempotency key, if any."""
+    """A request that a gate received.
+
+    `path_and_query` follows /s/{service}/ in the URL. `key` is the idempotency key, or
+    "" if the request has none.
+    """
 
     request_id: str
     service: Service
--- a/leverdoor/gate/retries.py
+++ b/leverdoor/gate/retries.py
@@ -19,15 +19,15 @@
 attempts lengthen the wait for a refusal; fewer give up while targets are left.
 """
 BUDGET_RATIO = 0.1
-"""Retries of lost responses that each request adds to the budget.
+"""Budget that each request adds, in retries after lost responses.
 
 A tenth is the usual ratio: a fault that loses every response adds a tenth to the load.
 """
 BUDGET_LIMIT = 10.0
 """Maximum and initial retry budget.
 
-A target that crashes loses several requests at once. A greater limit lets a burst of
-retries hit the remaining targets.
+A target that crashes loses several responses at once, which the limit must cover. With
+a greater limit, a burst of retries hits the remaining targets.
 """
 BUDGET_KEY = ""
 """The only key of the budget, which all services of a gate share."""
@@ -48,8 +48,9 @@
         """Return whether another attempt is safe and within the limits.
 
         An attempt known not to have run is retried. After a lost response only a
-        look-up is retried, within the budget. A forwarded request is left to the gate
-        that sent it. A partly streamed body cannot be sent twice.
+        look-up without a key is retried, within the budget. A forwarded request is
+        retried only by the gate that sent it. A partly streamed body cannot be sent
+        twice.
         """
         if attempt >= MAX_ATTEMPTS:
             return False
--- a/leverdoor/gate/retry_after.py
+++ b/leverdoor/gate/retry_after.py
@@ -3,8 +3,8 @@
 """Computes the Retry-After of the requests that a gate refuses.
 
 Pure functions that receive their source of randomness; owns no state. Relies on
-`scheduler.expected_wait_ms` for the expected wait; `errors.DEFAULT_RETRY_MS` holds the
-least time of each code.
+`Scheduler.expected_wait_ms` for the expected wait. `errors.DEFAULT_RETRY_MS` applies to
+refusals without a Retry-After of their own.
 """
 
 from random import Random
@@ -16,7 +16,7 @@
 MIN_RETRY_MS = 50
 """Minimum Retry-After of a refused request and width of its jitter, in ms.
 
-About two runs of 20 ms. With a smaller value callers retry before a slot is free; a
+More than two runs of 20 ms. With a smaller value callers retry before a slot is free; a
 greater one leaves slots idle after a short peak.
 """
 MAX_RETRY_MS = 30_000
@@ -40,7 +40,7 @@
 NOT_READY_RETRY_MS = 500
 """Retry-After of NOT_READY and of failed readiness checks, in ms.
 
-Startup takes longer, and the caller can use other gates in the meantime.
+Startup takes longer than this, but the caller can use other gates in the meantime.
 """
 LEAVING_RETRY_MS = MIN_RETRY_MS
 """Retry-After of requests refused after the gate has closed, in ms.
--- a/leverdoor/gate/row_units.py
+++ b/leverdoor/gate/row_units.py
@@ -5,8 +5,9 @@
 Owns the units in use, settling and in cooldown of this process, by row. They are lost
 when the process ends; a new process starts without units under a new incarnation.
 Together with `membership/ownership.py` this module implements the safety argument of
-docs/DESIGN.md: it delays new units, keeps released ones counted and acknowledges the
-table. Relies on the table alone, never on heartbeats.
+docs/DESIGN.md: new units become usable after a settle time, released units count as
+used during a cooldown, and `ack` reports the version of the table and the rows with
+more units used than granted. Relies on the table alone, never on heartbeats.
 """
 
 import heapq
@@ -46,6 +47,7 @@
         self.held = held
         if change > 0:
             self._settling.append((now + self.settle_s, change))
+        # A smaller grant removes settling units first, beginning with the newest.
         while change < 0 and self._settling:
             ready, units = self._settling.pop()
             if units > -change:
--- a/leverdoor/gate/scheduler.py
+++ b/leverdoor/gate/scheduler.py
@@ -67,7 +67,7 @@
 
     @property
     def targets(self) -> TargetHealthTable:
-        """The health of targets."""
+        """The health of targets, by address."""
         return self.pool.health
 
     def vm_leaving(self, vm: str) -> bool:
@@ -79,7 +79,7 @@
         return [n.heartbeat for n in self.peer_gates.usable(now)]
 
     def loads(self, now: float) -> dict[str, Load]:
-        """Return this gate's load by service for its heartbeats."""
+        """Return this gate's load by service, as sent in its heartbeats."""
         found: dict[str, Load] = {}
         for name in self.view.services:
             workload = self._workloads.of(name)
@@ -99,6 +99,8 @@
     def offer(self, request: QueuedRequest, now: float) -> Decision | None:
         """Decide on a new request.
 
+        A Dispatch has acquired its units, which `done` releases.
+
         Returns: the decision, or None if the request is queued until `poll` decides.
         """
         service = self.view.services.get(request.service)
@@ -125,8 +127,8 @@
     ) -> Decision | None:
         """Queue a request unless it cannot be served in time or the queue is full.
 
-        CAP_REACHED refuses a request of another region that found no cap unit or no
-        slot; the sending gate then tries another gate.
+        A request of another region is never queued. Without a cap unit or a slot it is
+        refused with CAP_REACHED, and the sending gate tries another gate.
         """
         if self._from_other_region(request):
             return self._refuse(Code.CAP_REACHED, request, now)
@@ -148,11 +150,13 @@
     def expected_wait_ms(self, request: QueuedRequest, now: float) -> float:
         """Estimate how long a new request would wait in this region, in ms.
 
-        The wait is the mean run time of this and all preceding requests of the region
-        over its slots, plus the time until the first ejection ends. Without a slot in
-        the region, the preceding requests, with queues of the same length assumed at
-        its other gates, are divided by the rate at which shift caps admit requests to
-        other regions.
+        The estimate is the number of preceding requests in the region plus one, times
+        the mean run time, divided by the slots of the region, plus the time until the
+        first ejection ends.
+
+        If the region has no slot, requests leave it at the rate that shift caps admit.
+        The estimate is then the requests up to this one, divided by that rate; each
+        other gate of the region is assumed to have as many.
         """
         workload = self._workloads.of(request.service)
         ahead = workload.queue.preceding_requests(request.tier)
@@ -185,13 +189,13 @@
         return self._workloads.of(request.service).queue.newest_below(request.tier)
 
     def shed_waiting(self, request: QueuedRequest, now: float) -> Rejection | None:
-        """Shed a waiting request; return None if it no longer waits."""
+        """Remove a waiting request; return its rejection, None if it is gone."""
         if not self._workloads.of(request.service).queue.remove(request):
             return None
         return self._refuse(Code.SHED_BY_TIER, request, now)
 
     def poll(self, now: float) -> list[tuple[QueuedRequest, Decision]]:
-        """Expire and place waiting requests; return the decisions."""
+        """Refuse expired requests, place waiting ones and return the decisions."""
         decisions: list[tuple[QueuedRequest, Decision]] = []
         for name, queue in self._workloads.waiting():
             for late in queue.remove_expired(now):
--- a/leverdoor/gate/serving.py
+++ b/leverdoor/gate/serving.py
@@ -105,7 +105,7 @@
 
 
 class Server:
-    """Serves the requests of one gate."""
+    """Places the requests of one gate, sends them and retries failed attempts."""
 
     def __init__(
         self, dispatcher: Dispatcher, client: HopClient, quarantine: GateQuarantine
@@ -136,6 +136,7 @@
             attempt += 1
             decision = await self._dispatcher.place(inbound.queued)
             if isinstance(decision, Rejection):
+                # An earlier attempt that may have run determines the result.
                 raise lost or decision.refusal()
             try:
                 return await self._send(inbound, decision)
@@ -193,7 +194,9 @@
             health.shed(loop.time())
             self._release_dispatch(inbound, decision, began, False, False)
             inbound.queued.tried.add(decision.target.address)
+            # The request did not run, as after a failed connection.
             raise Refusal(Code.CONNECT_FAILED, "the target shed the request")
+        # Without the not-run header the request may have run: pass the response on.
         if answer.status in OVERLOAD_STATUSES:
             health.shed(loop.time())
         return ServedResponse(self, inbound, answer, decision, began)
@@ -234,7 +237,11 @@
         ok: bool,
         may_run: bool,
     ) -> None:
-        """Release units, with the service's linger as cooldown if `may_run`."""
+        """Release the units of a dispatch.
+
+        They count as used for the service's `linger_ms` if the target may still run the
+        request (`may_run`).
+        """
         now = asyncio.get_running_loop().time()
         took_ms = (now - began) * 1000
         scheduler = self._dispatcher.scheduler
--- a/leverdoor/gate/shift_limiter.py
+++ b/leverdoor/gate/shift_limiter.py
@@ -80,7 +80,8 @@
 def shift_rate_per_s(view: View, service: str, home: str, mean_ms: float) -> float:
     """Return the rate at which caps admit requests out of a region, per second.
 
-    Infinite if another region with targets has no cap, or if no other has targets.
+    Infinite if another region with targets has no cap, or if the total rate is 0, as
+    without targets in other regions.
     """
     total = 0.0
     for region in view.regions:
@@ -89,5 +90,6 @@
         cap = view.caps.get((service, region))
         if cap is None:
             return math.inf
+        # Each unit is used for the run and one window.
         total += 1000 * cap.units / (cap.window_ms + mean_ms)
     return total or math.inf
--- a/leverdoor/gate/target_health.py
+++ b/leverdoor/gate/target_health.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Target health at one gate: ejection, slow start and latency.
 
-Owns mean latency, requests in flight, ejections and the latest report of each target;
-all are lost when the process ends. Responses take precedence over reports: a target
-that sheds requests is ejected regardless of its report. Relies on the agent's probes
-for reports, which may be seconds old.
+Owns mean latency, requests in flight, ejections and the latest probe result of each
+target; all are lost when the process ends. Responses take precedence over probes: a
+target that sheds requests is ejected regardless of its probe results. Relies on the
+agent's probes, whose results may be seconds old.
 """
 
 from leverdoor.model.probe import Probe
@@ -45,17 +45,17 @@
 INITIAL_RUN_MS = 20.0
 """Run time assumed before the first response, in ms: that of a look-up."""
 MAX_REPORT_AGE_S = 5.0
-"""Age at which a target's report is ignored, in seconds.
+"""Age above which a score ignores a probe result, in seconds.
 
 Several probe intervals, so that one lost probe has little effect. A greater age ranks
 targets by outdated load.
 """
 
 MAX_PROBE_LAG_S = 1.0
-"""Maximum age of probe results compared with responses, in seconds.
+"""Time by which a probe must be newer than a leaving response to clear it, in seconds.
 
-A probe taken within this time after a response that announced leaving does not clear
-that state. A restart at the address takes longer, so its probes are not affected.
+A target may have answered an earlier probe before it announced leaving. A restart at
+the address takes longer, so the probes of the new process are not ignored.
 """
 
 
@@ -70,7 +70,7 @@
         self._leaving_recorded_at = -MAX_PROBE_LAG_S
         """Time of the latest response that announced leaving."""
         self._latest_probe_failed = False
-        """The latest probe failed; the next successful one clears `leaving`."""
+        """True if the latest probe failed; the next successful one clears `leaving`."""
         self.ejected_until = 0.0
         self.slow_start_at = now
         self._failures = 0
@@ -93,7 +93,10 @@
         self.slow_start_at = self.ejected_until
 
     def shed(self, now: float) -> None:
-        """Record a shed request and eject the target; probes do not reset its count."""
+        """Record a shed request and eject the target.
+
+        Only a complete response resets the number of shed requests.
+        """
         ejection_s = min(SHED_EJECTION_INITIAL_S * 2**self._sheds, SHED_EJECTION_MAX_S)
         self._sheds += 1
         self.ejected_until = max(self.ejected_until, now + ejection_s)
@@ -114,13 +117,15 @@
         if probe.ok and self._failures and not self._sheds:
             self._failures = 0
         if not probe.ok:
+            # The ejection starts at the time of the probe, not of its arrival here.
             self.failed(probe.taken_at)
 
     def _update_leaving(self, probe: Probe) -> None:
         """Update the leaving state from a probe.
 
-        A successful probe clears it after a failed one, or if it reports state and is
-        newer than the response that set it by MAX_PROBE_LAG_S.
+        A probe that reports leaving sets the state. A successful probe without leaving
+        clears it if the previous probe failed, or if the target serves reports and the
+        probe is more than MAX_PROBE_LAG_S newer than the latest leaving response.
         """
         newer = probe.taken_at - self._leaving_recorded_at > MAX_PROBE_LAG_S
         if probe.leaving:
@@ -140,7 +145,7 @@
         """Return how many slots this gate may use during slow start.
 
         The number rises linearly over `warmup_s` seconds from the end of the latest
-        ejection by failure.
+        ejection after a failure; before any, from the creation of this object.
         """
         if warmup_s <= 0:
             return held
@@ -150,7 +155,8 @@
     def score(self, now: float) -> float:
         """Return the expected latency in ms; smaller is better.
 
-        The weight of other gates' requests declines with the age of the report.
+        Requests in flight that the latest probe reports beyond this gate's own belong
+        to other gates. They count at most half, and less as the probe result ages.
         """
         load = float(self.in_flight)
         probe = self._probe
