--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -62,7 +62,7 @@
 
 
 async def _serve_undelimited_responses(bench: Bench) -> asyncio.Server:
-    """Replace the look-up targets by one that ends responses by closing."""
+    """Replace the look-up targets by one that marks a response's end by closing."""
 
     async def serve_undelimited(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -240,6 +240,7 @@
     for name in ("look-00", "look-01"):
         await operator.delete(f"target/{name}")
     await operator.close()
+    # Only the slots of `once` are left; a heartbeat then informs the other gate.
     await until(lambda: bench.free() == 4)
     await asyncio.sleep(0.3)
     async with calling(bench.listen()) as caller:
--- a/tests/test_gate_fatal.py
+++ b/tests/test_gate_fatal.py
@@ -3,8 +3,7 @@
 """Quarantine of a look-up that crashes each target that runs it, on a plain site.
 
 Guards against gates that do not record crashes across requests or do not exchange
-quarantine notices. test_fatal_requests.py tests the
-same failure at entries.
+quarantine notices. test_fatal_requests.py tests the same failure at entries.
 """
 
 import asyncio
@@ -17,7 +16,7 @@
 
 FATAL = "fatal"
 CRASHES_BEFORE_QUARANTINE = 3
-"""Crashes of targets before the request is quarantined."""
+"""Number of target crashes after which the request is quarantined."""
 MAX_FURTHER_CRASHES = 3
 """Maximum number of crashes after PROPAGATION_S."""
 PROPAGATION_S = 4.0
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -136,7 +136,10 @@
 async def test_a_one_way_partition_keeps_at_most_once_and_run_reports(
     direction: LinkFault,
 ) -> None:
-    """Forwarded requests hang, and run reports still agree with the target logs."""
+    """No request reported as not run has run, and none with a key runs twice.
+
+    Requests that a gate forwards over the partitioned link receive no response.
+    """
     async with running(deployment(), linked=True) as bench:
         await _check_one_way_partition(bench, direction)
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tests of keys: at most once under repeats, crashes and lost responses."""
+"""Tests of at-most-once keys under repeats, restarts and lost responses."""
 
 import pytest
 from hypothesis import HealthCheck, settings
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -102,9 +102,10 @@
 
 
 async def test_leaving_vms_stay_known_while_the_vm_list_reader_changes() -> None:
-    """The reader hands over when the store does not answer it.
+    """An agent keeps the leaving VMs for vm_list_lag_ms after its latest reading.
 
-    Its successor has not read the list yet, so the leaving VMs must stay known.
+    When the store stops responding to the agent that reads the list, another agent
+    takes over and needs time for its first reading.
     """
     here = Address("127.0.0.1", 1)
     settings = AgentSettings("vm00", "r0", "r0-0", here, here, here, (), "http://h")
@@ -146,7 +147,7 @@
 async def test_a_caller_that_disconnects_cancels_its_look_up(
     bench: Bench, session: aiohttp.ClientSession
 ) -> None:
-    """Without cancellation the requests would run for minutes."""
+    """Without cancellation the requests would run for five minutes."""
     for target in bench.targets.values():
         target.faults.fixed, target.faults.mean_ms = True, 300_000.0
     url = f"http://{bench.listen()}/s/look/x"
@@ -158,7 +159,10 @@
 
 
 async def _upload_during_shutdown(bench: Bench, leaving: bool = True) -> None:
-    """Stop a gate during an upload and end another VM's agent."""
+    """Stop a gate during an upload, end another VM's agent and check the upload.
+
+    With `leaving`, also check that the gate refuses requests while it drains.
+    """
 
     async def slow() -> AsyncIterator[bytes]:
         for _ in range(20):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,6 +1,6 @@
 # leverdoor: global traffic steering
 # SPDX-License-Identifier: Apache-2.0
-"""Tests of scheduling: tiers, queues, ramps, regions and outdated reports."""
+"""Tests of scheduling: tiers, queues, ramps, regions and outdated probe results."""
 
 from random import Random
 
@@ -229,6 +229,7 @@
         address="10.1.0.1:80",
         slots=2,
     )
+    # Adds the target `away`, which only the near region can use.
     s.view = view(target(0), away, Drain(name="d", region="home"), cap)
     s.peer_gates.receive([peer_heartbeat("near", 4, caps=1)], 0.0)
     assert isinstance(s.offer(queued_request(), 0.0), Forward)
@@ -287,7 +288,7 @@
 
 
 def test_a_probe_without_a_report_does_not_clear_leaving() -> None:
-    """Without a probe path, leaving ends after a failed probe shows a restart."""
+    """Without reports, leaving ends only after a failed probe, a sign of a restart."""
     health = TargetHealth(0.0)
     health.record_leaving(10.0)
     health.report(Probe(True, taken_at=20.0, reports=False))
