--- a/leverdoor/gate/target_health.py
+++ b/leverdoor/gate/target_health.py
@@ -138,7 +138,7 @@
             self._latest_probe_failed = False
 
     def usable(self, now: float) -> bool:
-        """Return whether the target accepts new requests."""
+        """Return whether the target is neither leaving nor ejected."""
         return not self.leaving and now >= self.ejected_until
 
     def slow_start_slots(self, held: int, warmup_s: float, now: float) -> int:
