--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -339,3 +339,11 @@
     s.peer_gates.receive([msgspec.structs.replace(crowded, loads=loads)], 0.0)
     assert isinstance(s.offer(queued_request(FREE, deadline=1.0), 0.0), Rejection)
     assert s.offer(queued_request(PAID, deadline=1.0), 0.0) is None
+
+
+def test_many_failures_in_a_row_still_eject_a_target() -> None:
+    """A target that is down for long fails its 1025th probe like any other."""
+    health = TargetHealth(now=0.0)
+    for number in range(1100):
+        health.failed(float(number))
+    assert not health.usable(1099.0)
