--- a/leverdoor/entry/bounds.py
+++ b/leverdoor/entry/bounds.py
@@ -53,9 +53,10 @@
 """Fraction of the shift cap that an entry's own share updates may use.
 
 Agreement between entries may move half as much in addition
-(spill.py:AGREEMENT_MOVE_PART), 0.8 in all. The rest absorbs the random variation that
-unequal numbers of requests per key cause. With a greater value, traffic may exceed the
-operator's shift cap. With a smaller value, keys leave a full region more slowly.
+(region_shares.py:AGREEMENT_MOVE_PART), 0.8 in all. The rest absorbs the random
+variation that unequal numbers of requests per key cause. With a greater value, traffic
+may exceed the operator's shift cap. With a smaller value, keys leave a full region more
+slowly.
 """
 SHARE_UPDATE_ROUNDS = 2
 """Heartbeat rounds between two updates of the regions' shares: 0.4 s.
--- a/leverdoor/entry/placement/fleet.py
+++ b/leverdoor/entry/placement/fleet.py
@@ -4,8 +4,8 @@
 
 Owns a `TargetState` for each target: load (load_estimate.py), health (health.py),
 availability as reported by the target (availability.py), warm-up (slow_start.py), keys
-answered recently (known_keys.py), rejections by its limiter (room_refusals.py), and the
-run times of the requests last sent there. A state is kept while the configuration
+answered recently (known_keys.py), rejections by its limiter (room_rejections.py), and
+the run times of the requests last sent there. A state is kept while the configuration
 contains the target or a request is in flight there. The availability of a removed
 target is kept for AVAILABILITY_TTL_S. Nothing is persisted.
 
