--- a/leverdoor/entry/membership/joining.py
+++ b/leverdoor/entry/membership/joining.py
@@ -41,7 +41,7 @@
 """Timeout of one attempt, in seconds.
 
 A response takes about 10 ms within a region. A shorter timeout gives up on busy peers;
-a longer one delays the start if the chosen peers are dead.
+a longer one delays the start if the selected peers are dead.
 """
 LIST_STAGGER_S = 0.1
 """Additional delay in seconds of each further group before it lists the store.
--- a/leverdoor/entry/membership/roles.py
+++ b/leverdoor/entry/membership/roles.py
@@ -36,7 +36,7 @@
 becomes outdated, and after `SILENCE_S` its entries would not count as live.
 """
 AGGREGATOR_RETRY_S = 5.0
-"""Time after which an aggregator that sent no digest is tried again, in seconds.
+"""Time after which an aggregator without digests may be selected again, in seconds.
 
 An entry that sends no digests is an aggregator for `AGGREGATOR_SILENCE_S` of every such
 period, which is a small part of the time. With a longer period, an entry that recovered
--- a/leverdoor/limits/token_bucket.py
+++ b/leverdoor/limits/token_bucket.py
@@ -41,6 +41,7 @@
 DEMAND_AVERAGE_S = 2.0
 """Time constant of the moving average of each priority's demand, in seconds."""
 BACKOFF_DEMAND_FACTOR = 4.0
+"""Multiple of the limit in the threshold below."""
 BACKOFF_DEMAND_PER_S = 20.0
 """Demand above which the wait of refused entries grows, in requests per second.
 
--- a/leverdoor/workspaces/allowance.py
+++ b/leverdoor/workspaces/allowance.py
@@ -39,9 +39,9 @@
 remaining quota of the other side. A greater value exceeds the bound further in this
 time. A smaller one refuses more requests without a partition.
 
-Measured with 74 entries (benchmarks/quotas.py): the fraction refused of a workspace at
+With 74 entries (benchmarks/quotas.py), the fraction refused of a workspace at
 its full rate, and the ratio of usage to the bound if a partition and 7.5 times the
-demand start in the same second:
+demand start in the same second, are:
 
 | value | refused | usage / bound |
 | ----- | ------- | ------------- |
